--- a/internal/engine/company.go
+++ b/internal/engine/company.go
@@ -7,7 +7,7 @@
 	"cairntiller/internal/counters"
 	"cairntiller/internal/exchange"
 	"cairntiller/internal/nodelist"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 // What a router does for a fleet's releases: nodes that plans drain, and what it has open at each. Off unless Accompany is
@@ -42,18 +42,18 @@
 
 // listed notes an entry, and gives the state in which the module hears of it: what a plan drains is draining, whatever
 // the list says.
-func (c *company) listed(n nodelist.Node) route.State {
+func (c *company) listed(n nodelist.Node) routing.State {
 	if c == nil {
 		return n.State
 	}
-	if n.State == route.Removed {
+	if n.State == routing.Removed {
 		delete(c.entries, n.Name)
 		delete(c.answered, n.Name)
 		return n.State
 	}
 	c.entries[n.Name] = n
-	if c.drained[n.Name] && n.State == route.Up {
-		return route.Draining
+	if c.drained[n.Name] && n.State == routing.Up {
+		return routing.Draining
 	}
 	return n.State
 }
@@ -87,14 +87,14 @@
 }
 
 // ended counts one that has ended; took is from the command's arrival to its answer.
-func (c *company) ended(x *exchange.Exchange, node string, o route.Outcome, now int64) {
+func (c *company) ended(x *exchange.Exchange, node string, o routing.Outcome, now int64) {
 	if c == nil {
 		return
 	}
 	if c.open[node]--; c.open[node] == 0 { // also behind the node's leave: what is out ends later
 		delete(c.open, node)
 	}
-	if o == route.Answered {
+	if o == routing.Answered {
 		c.answered[node]++
 		if arrived := x.Deadline - x.Command.Timeout; x.Group < len(c.targets) && now-arrived > c.targets[x.Group] {
 			lateAnswers.Add()
@@ -110,8 +110,8 @@
 	c := e.company
 	for name, n := range c.entries {
 		role, suspect, pos := e.router.Standing(name)
-		primary := role == route.Primary || role == route.RoleUnknown && n.Primary // a router that asks a group nothing knows its list alone
-		all = append(all, Known{Name: name, Zone: n.Zone, Shard: n.Shard, Primary: primary, Up: n.State == route.Up && !suspect, Position: pos,
+		primary := role == routing.Primary || role == routing.RoleUnknown && n.Primary // a router that asks a group nothing knows its list alone
+		all = append(all, Known{Name: name, Zone: n.Zone, Shard: n.Shard, Primary: primary, Up: n.State == routing.Up && !suspect, Position: pos,
 			Open: c.open[name], Answered: c.answered[name]})
 	}
 	return all
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -13,7 +13,7 @@
 	"cairntiller/internal/exchange"
 	"cairntiller/internal/nodes"
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 	"cairntiller/internal/standin/scripted"
 )
 
@@ -96,12 +96,12 @@
 			e.mu.Unlock()
 			h.up(conn)
 			got := <-e.results
-			if c.want == "unsent" && got.o != route.Unsent || c.want == "written" && got.o != route.Answered {
+			if c.want == "unsent" && got.o != routing.Unsent || c.want == "written" && got.o != routing.Answered {
 				t.Errorf("%d, want it %s", got.o, c.want)
 			}
 			e.send(p, "n0", 0) // the connection is as good as before; nothing else was ever written on it
 			if c.want == "unsent" {
-				if got := <-e.results; got.o != route.Answered || len(h.queries) != 1 {
+				if got := <-e.results; got.o != routing.Answered || len(h.queries) != 1 {
 					t.Errorf("the next one: %d, %d queries", got.o, len(h.queries))
 				}
 			}
@@ -381,7 +381,7 @@
 	for i, rest := range []time.Duration{0, 0, 700 * time.Millisecond} {
 		time.Sleep(rest) // past half of the limit, not past the limit
 		e.send(p, "n0", 0)
-		if got := <-e.results; got.o != route.Answered {
+		if got := <-e.results; got.o != routing.Answered {
 			t.Fatal(got.o)
 		}
 		if n := len(s.Opened()); n != 1+i/2 {
@@ -402,7 +402,7 @@
 	e.mu.Unlock()
 	before.up(old)
 	after.up(<-after.came)
-	if got := <-e.results; got.o != route.Answered || len(before.queries) != 0 || len(after.queries) != 1 {
+	if got := <-e.results; got.o != routing.Answered || len(before.queries) != 0 || len(after.queries) != 1 {
 		t.Errorf("%d, %d queries at the old address, %d at the new one", got.o, len(before.queries), len(after.queries))
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -14,7 +14,7 @@
 	"cairntiller/internal/exchange"
 	"cairntiller/internal/nodelist"
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 var (
@@ -26,15 +26,15 @@
 	lists    = counters.New("lists taken")
 	untrue   = counters.New("reports that can't be true")
 	outcomes = [...]*counters.Counter{
-		route.Errored:     counters.New("dispatches errored"),
-		route.Answered:    counters.New("dispatches answered"),
-		route.Full:        counters.New("dispatches turned away"),
-		route.TimedOut:    counters.New("dispatches timed out"),
-		route.Unconnected: counters.New("dispatches unconnected"),
-		route.Broken:      counters.New("dispatches broken"),
-		route.Withdrawn:   counters.New("dispatches withdrawn"),
-		route.Unsent:      counters.New("dispatches unsent"),
-		route.Missed:      counters.New("dispatches missed"),
+		routing.Errored:     counters.New("dispatches errored"),
+		routing.Answered:    counters.New("dispatches answered"),
+		routing.Full:        counters.New("dispatches turned away"),
+		routing.TimedOut:    counters.New("dispatches timed out"),
+		routing.Unconnected: counters.New("dispatches unconnected"),
+		routing.Broken:      counters.New("dispatches broken"),
+		routing.Withdrawn:   counters.New("dispatches withdrawn"),
+		routing.Unsent:      counters.New("dispatches unsent"),
+		routing.Missed:      counters.New("dispatches missed"),
 	}
 )
 
@@ -53,16 +53,16 @@
 // Patrol shares periodic probes with other instances; its calls come on the engine's goroutine.
 type Patrol interface {
 	// Node is one entry of a list, and Listed its end; a whole one names all nodes that there are.
-	Node(now int64, name string, state route.State, started int64)
+	Node(now int64, name string, state routing.State, started int64)
 	Listed(now int64, whole bool)
 	// Probed is the end of a probe, whoever asked for it: the position and role that the node told.
-	Probed(now int64, node string, o route.Outcome, pos int64, lead int8, load string)
+	Probed(now int64, node string, o routing.Outcome, pos int64, lead int8, load string)
 }
 
 // Engine runs one router's decisions.
 type Engine struct {
 	now     func() int64
-	router  *route.Router
+	router  *routing.Router
 	nodes   exchange.Nodes
 	patrol  Patrol   // nil for none
 	company *company // nil for none
@@ -104,7 +104,7 @@
 }
 
 // Join sets the module that decides and the nodes that carry.
-func (e *Engine) Join(r *route.Router, nodes exchange.Nodes) { e.router, e.nodes = r, nodes }
+func (e *Engine) Join(r *routing.Router, nodes exchange.Nodes) { e.router, e.nodes = r, nodes }
 
 // Share lets probes be shared with other instances; it is called before Run.
 func (e *Engine) Share(p Patrol) { e.patrol = p }
@@ -248,7 +248,7 @@
 }
 
 // Ended implements exchange.Ender.
-func (e *Engine) Ended(now int64, d *exchange.Dispatch, o route.Outcome, r *pgwire.Reply) {
+func (e *Engine) Ended(now int64, d *exchange.Dispatch, o routing.Outcome, r *pgwire.Reply) {
 	x := d.Exchange
 	if !x.End(d) {
 		return
@@ -256,15 +256,15 @@
 	outcomes[o].Add()
 	e.company.ended(x, d.Node, o, now)
 	took := now - d.Sent
-	if o == route.Answered && x.Answer(r.Value) {
+	if o == routing.Answered && x.Answer(r.Value) {
 		e.owe(-1)
 	}
 	if r != nil {
-		role := route.RoleUnknown
+		role := routing.RoleUnknown
 		if r.Primary {
-			role = route.Primary
+			role = routing.Primary
 		} else if r.Replica {
-			role = route.Replica
+			role = routing.Replica
 		}
 		if !passed(now, r.Position) {
 			r.Position = 0
@@ -277,7 +277,7 @@
 }
 
 // Probed implements exchange.Ender.
-func (e *Engine) Probed(now int64, node string, took int64, o route.Outcome, load string) {
+func (e *Engine) Probed(now int64, node string, took int64, o routing.Outcome, load string) {
 	pos, lead := e.report(now, node, load)
 	e.router.Probed(now, node, took, o)
 	if e.patrol != nil {
@@ -352,7 +352,7 @@
 func (e *Engine) hand(now int64, l *nodelist.List) {
 	e.router.ListBegins(now, l.Whole)
 	for _, n := range l.Nodes {
-		if n.State == route.Removed {
+		if n.State == routing.Removed {
 			e.nodes.Release(n.Name)
 		} else {
 			e.nodes.Place(n.Name, n.Address)
@@ -369,7 +369,7 @@
 	}
 }
 
-// Dispatch implements route.Actions.
+// Dispatch implements routing.Actions.
 func (e *Engine) Dispatch(cmd, node string, timeout, within int64) {
 	x := e.table[cmd]
 	if !assert.That(x != nil && !x.Final(), "a command is dispatched before its final answer") {
@@ -379,23 +379,23 @@
 	e.company.dispatched(node)
 	e.nodes.Send(d)
 	e.After(d.Deadline-e.clock, func(now int64) {
-		e.abandon(d, route.TimedOut)
+		e.abandon(d, routing.TimedOut)
 	})
 }
 
 // abandon stops a dispatch; the module learns it as an event of its own, once the connection has ended.
-func (e *Engine) abandon(d *exchange.Dispatch, o route.Outcome) {
+func (e *Engine) abandon(d *exchange.Dispatch, o routing.Outcome) {
 	if d.Ended || d.Stopped {
 		return
 	}
 	d.Stopped = true
 	if !e.nodes.Stop(d) {
-		o = route.Unsent
+		o = routing.Unsent
 	}
 	e.Post(e.now(), func(now int64) { e.Ended(now, d, o, nil) })
 }
 
-// Throttle implements route.Actions.
+// Throttle implements routing.Actions.
 func (e *Engine) Throttle(cmd string, retryIn int64) {
 	if x := e.table[cmd]; assert.That(x != nil, "a throttled command is in hand") {
 		x.Throttle(retryIn)
@@ -403,7 +403,7 @@
 	}
 }
 
-// Fail implements route.Actions.
+// Fail implements routing.Actions.
 func (e *Engine) Fail(cmd string) {
 	if x := e.table[cmd]; assert.That(x != nil, "a failed command is in hand") {
 		x.Fail()
@@ -411,33 +411,33 @@
 	}
 }
 
-// Withdraw implements route.Actions.
+// Withdraw implements routing.Actions.
 func (e *Engine) Withdraw(cmd string, dispatch int) {
 	x := e.table[cmd]
 	if assert.That(x != nil && dispatch < len(x.Dispatches), "a withdrawn dispatch was made") {
-		e.abandon(x.Dispatches[dispatch], route.Withdrawn)
+		e.abandon(x.Dispatches[dispatch], routing.Withdrawn)
 	}
 }
 
-// Timer implements route.Actions.
+// Timer implements routing.Actions.
 func (e *Engine) Timer(in int64, cookie uint64) {
 	e.After(in, func(now int64) { e.router.Timer(now, cookie) })
 }
 
-// Probe implements route.Actions.
+// Probe implements routing.Actions.
 func (e *Engine) Probe(node string) { e.nodes.Probe(node) }
 
-// Release implements route.Actions.
+// Release implements routing.Actions.
 func (e *Engine) Release(node string) { e.nodes.Release(node) }
 
-// Bar implements route.Actions.
+// Bar implements routing.Actions.
 func (e *Engine) Bar(node string) { e.nodes.Bar(node) }
 
-// Forget implements route.Actions.
+// Forget implements routing.Actions.
 func (e *Engine) Forget(node string) { e.nodes.Forget(node) }
 
-// Follow implements route.Actions; on sockets the list is always followed.
+// Follow implements routing.Actions; on sockets the list is always followed.
 func (e *Engine) Follow() {}
 
-// Tell implements route.Actions; routers have no way to talk to each other here.
+// Tell implements routing.Actions; routers have no way to talk to each other here.
 func (e *Engine) Tell(int, []byte) {}
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -19,7 +19,7 @@
 	"cairntiller/internal/nodes"
 	"cairntiller/internal/opening"
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 	"cairntiller/internal/standin/scripted"
 )
 
@@ -32,7 +32,7 @@
 }
 
 type result struct {
-	o     route.Outcome
+	o     routing.Outcome
 	r     *pgwire.Reply
 	probe string
 }
@@ -45,11 +45,11 @@
 func (patient) Fail(*exchange.Exchange)            {}
 func (patient) Here() bool                         { return true }
 
-func (e *ends) Ended(_ int64, _ *exchange.Dispatch, o route.Outcome, r *pgwire.Reply) {
+func (e *ends) Ended(_ int64, _ *exchange.Dispatch, o routing.Outcome, r *pgwire.Reply) {
 	e.results <- result{o: o, r: r}
 }
 
-func (e *ends) Probed(_ int64, _ string, _ int64, o route.Outcome, load string) {
+func (e *ends) Probed(_ int64, _ string, _ int64, o routing.Outcome, load string) {
 	e.results <- result{o: o, probe: load}
 }
 
@@ -99,33 +99,33 @@
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		greeting, reply string
-		want            route.Outcome
+		want            routing.Outcome
 	}{
-		"row":                          {scripted.Welcome, scripted.Status("role", "primary") + scripted.Row + scripted.Ready, route.Answered},
-		"row, closed before ready":     {scripted.Welcome, scripted.Row + "!", route.Answered},
-		"no primary":                   {scripted.Welcome, scripted.Failure("25006"), route.Missed},
-		"too far behind":               {scripted.Welcome, scripted.Failure("72000"), route.Missed},
-		"error":                        {scripted.Welcome, scripted.Failure("XX000"), route.Errored},
-		"fatal error":                  {scripted.Welcome, string(pgwire.AppendError(nil, true, "XX000", "no", 0)) + "!", route.Errored},
-		"turned away":                  {scripted.Welcome, scripted.Failure("53300"), route.Full},
-		"turned away while signing on": {string(pgwire.AppendError(nil, true, "53300", "no", 0)), "", route.Full},
-		"not let in":                   {string(pgwire.AppendError(nil, true, "28000", "no", 0)), "", route.Unconnected},
-		"password wanted":              {"R\x00\x00\x00\x08\x00\x00\x00\x03", "", route.Unconnected},
-		"never comes up":               {"", "", route.Unconnected},
-		"closed after the query":       {scripted.Welcome, "!", route.Broken},
-		"closed within the row":        {scripted.Welcome, scripted.RowStart + scripted.RowValue + "!", route.Broken},
-		"garbage":                      {scripted.Welcome, "what is this", route.Broken},
-		"an error within the row":      {scripted.Welcome, scripted.RowStart + scripted.RowValue + scripted.Failure("53300"), route.Errored},
-		"a miss within the row":        {scripted.Welcome, scripted.RowStart + scripted.Failure("25006"), route.Errored},
-		"an error cut short":           {scripted.Welcome, scripted.Failure("53300")[:9] + "!", route.Broken},
-		"the tag's last byte missing":  {scripted.Welcome, scripted.Row[:len(scripted.Row)-1] + "!", route.Broken},
-		"two rows":                     {scripted.Welcome, scripted.RowStart + scripted.RowValue + scripted.RowValue + scripted.RowEnd + scripted.Ready, route.Broken},
-		"a value too long":             {scripted.Welcome, scripted.RowStart + "D\x00\x03\x00\x00", route.Broken},
-		"ready out of turn":            {scripted.Welcome, scripted.Ready, route.Broken},
-		"a description cut short":      {scripted.Welcome, "T\x00\x00\x00\x0a\x00\x01ab\x00\x00" + scripted.RowValue + scripted.RowEnd + scripted.Ready, route.Broken},
-		"a tag that does not end":      {scripted.Welcome, scripted.RowStart + scripted.RowValue + "C\x00\x00\x00\x05x" + scripted.Ready, route.Broken},
+		"row":                          {scripted.Welcome, scripted.Status("role", "primary") + scripted.Row + scripted.Ready, routing.Answered},
+		"row, closed before ready":     {scripted.Welcome, scripted.Row + "!", routing.Answered},
+		"no primary":                   {scripted.Welcome, scripted.Failure("25006"), routing.Missed},
+		"too far behind":               {scripted.Welcome, scripted.Failure("72000"), routing.Missed},
+		"error":                        {scripted.Welcome, scripted.Failure("XX000"), routing.Errored},
+		"fatal error":                  {scripted.Welcome, string(pgwire.AppendError(nil, true, "XX000", "no", 0)) + "!", routing.Errored},
+		"turned away":                  {scripted.Welcome, scripted.Failure("53300"), routing.Full},
+		"turned away while signing on": {string(pgwire.AppendError(nil, true, "53300", "no", 0)), "", routing.Full},
+		"not let in":                   {string(pgwire.AppendError(nil, true, "28000", "no", 0)), "", routing.Unconnected},
+		"password wanted":              {"R\x00\x00\x00\x08\x00\x00\x00\x03", "", routing.Unconnected},
+		"never comes up":               {"", "", routing.Unconnected},
+		"closed after the query":       {scripted.Welcome, "!", routing.Broken},
+		"closed within the row":        {scripted.Welcome, scripted.RowStart + scripted.RowValue + "!", routing.Broken},
+		"garbage":                      {scripted.Welcome, "what is this", routing.Broken},
+		"an error within the row":      {scripted.Welcome, scripted.RowStart + scripted.RowValue + scripted.Failure("53300"), routing.Errored},
+		"a miss within the row":        {scripted.Welcome, scripted.RowStart + scripted.Failure("25006"), routing.Errored},
+		"an error cut short":           {scripted.Welcome, scripted.Failure("53300")[:9] + "!", routing.Broken},
+		"the tag's last byte missing":  {scripted.Welcome, scripted.Row[:len(scripted.Row)-1] + "!", routing.Broken},
+		"two rows":                     {scripted.Welcome, scripted.RowStart + scripted.RowValue + scripted.RowValue + scripted.RowEnd + scripted.Ready, routing.Broken},
+		"a value too long":             {scripted.Welcome, scripted.RowStart + "D\x00\x03\x00\x00", routing.Broken},
+		"ready out of turn":            {scripted.Welcome, scripted.Ready, routing.Broken},
+		"a description cut short":      {scripted.Welcome, "T\x00\x00\x00\x0a\x00\x01ab\x00\x00" + scripted.RowValue + scripted.RowEnd + scripted.Ready, routing.Broken},
+		"a tag that does not end":      {scripted.Welcome, scripted.RowStart + scripted.RowValue + "C\x00\x00\x00\x05x" + scripted.Ready, routing.Broken},
 		"reports that can't be read": {scripted.Welcome, scripted.Status("load", "x0=\xff,x1") + scripted.Status("applied_ms", "soon") +
-			"S\x00\x00\x00\x06no" + scripted.Row + scripted.Ready, route.Answered},
+			"S\x00\x00\x00\x06no" + scripted.Row + scripted.Ready, routing.Answered},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -133,7 +133,7 @@
 			p, e := pool(t, 9, s)
 			e.send(p, "n0", 0)
 			got := <-e.results
-			if got.o != c.want || got.o == route.Answered && string(got.r.Value) != scripted.Row {
+			if got.o != c.want || got.o == routing.Answered && string(got.r.Value) != scripted.Row {
 				t.Errorf("%d, want %d: %+v", got.o, c.want, got.r)
 			}
 		})
@@ -142,7 +142,7 @@
 	e.send(p, "n0", 0)
 	e.send(p, "nowhere", 0)
 	for range 2 {
-		if got := <-e.results; got.o != route.Unconnected {
+		if got := <-e.results; got.o != routing.Unconnected {
 			t.Errorf("nobody listens there: %d", got.o)
 		}
 	}
@@ -154,7 +154,7 @@
 	p, e := pool(t, 9, s)
 	for range 2 {
 		e.send(p, "n0", 0)
-		if got := <-e.results; got.o != route.Answered {
+		if got := <-e.results; got.o != routing.Answered {
 			t.Fatal(got.o)
 		}
 		if len(s.Queries) == 1 {
@@ -178,7 +178,7 @@
 				e.send(p, "n0", 0)
 				got := <-e.results
 				ends += fmt.Sprint(got.o)
-				if got.o == route.Answered && string(got.r.Value) != scripted.Row {
+				if got.o == routing.Answered && string(got.r.Value) != scripted.Row {
 					t.Fatalf("%q behind: %q", behind, got.r.Value)
 				}
 			}
@@ -198,7 +198,7 @@
 		p, e := pool(t, 9, scripted.Start(t, scripted.Welcome, part))
 		began := time.Now()
 		e.send(p, "n0", 0)
-		if got := <-e.results; got.o != route.Broken || time.Since(began) > 5*time.Second {
+		if got := <-e.results; got.o != routing.Broken || time.Since(began) > 5*time.Second {
 			t.Errorf("%q: %d after %v", part, got.o, time.Since(began))
 		}
 	}
@@ -210,7 +210,7 @@
 	answered := func(node string) {
 		t.Helper()
 		e.send(p, node, 0)
-		if got := <-e.results; got.o != route.Answered {
+		if got := <-e.results; got.o != routing.Answered {
 			t.Fatalf("%s: %d", node, got.o)
 		}
 	}
@@ -226,7 +226,7 @@
 		<-s.Queries
 	}
 	e.send(p, "n0", 0)
-	if got := <-e.results; got.o != route.Unconnected {
+	if got := <-e.results; got.o != routing.Unconnected {
 		t.Fatalf("beyond the limit: %d", got.o)
 	}
 	e.mu.Lock()
@@ -247,7 +247,7 @@
 	p.Forget("n1")
 	e.mu.Unlock()
 	e.send(p, "n1", 0)
-	if got := <-e.results; got.o != route.Unconnected || len(b.Opened()) != 1 {
+	if got := <-e.results; got.o != routing.Unconnected || len(b.Opened()) != 1 {
 		t.Errorf("a node that was forgotten: %d, %d connections", got.o, len(b.Opened()))
 	}
 }
@@ -258,7 +258,7 @@
 	s := scripted.Start(t, scripted.Welcome, scripted.RowStart+string(pgwire.Frame{Type: 'D', Body: []byte(cell)}.Append(nil))+scripted.RowEnd+scripted.Ready,
 		scripted.Failure("57P03"), "")
 	p, e := pool(t, 9, s)
-	for _, want := range []result{{o: route.Answered, probe: value}, {o: route.Errored}, {o: route.TimedOut}} {
+	for _, want := range []result{{o: routing.Answered, probe: value}, {o: routing.Errored}, {o: routing.TimedOut}} {
 		e.mu.Lock()
 		p.Probe("n0")
 		e.mu.Unlock()
@@ -282,7 +282,7 @@
 	t.Helper()
 	now := engine.Clock()
 	e := engine.New(now)
-	r := route.New(7, e)
+	r := routing.New(7, e)
 	names, err := opening.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
 		"classes.0.effect": "safe", "classes.0.aim": "400", "classes.0.hardLimit": "1000", "classes.0.points": "1",
 		"classes.1.name": "put", "classes.1.effect": "unsafe", "classes.1.aim": "400", "classes.1.hardLimit": "1000",
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -6,7 +6,7 @@
 	"cairntiller/internal/assert"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 var (
@@ -53,8 +53,8 @@
 
 // Ender learns how dispatches and probes ended, on the engine's goroutine.
 type Ender interface {
-	Ended(now int64, d *Dispatch, o route.Outcome, r *pgwire.Reply)
-	Probed(now int64, node string, took int64, o route.Outcome, load string)
+	Ended(now int64, d *Dispatch, o routing.Outcome, r *pgwire.Reply)
+	Probed(now int64, node string, took int64, o routing.Outcome, load string)
 }
 
 // Exchange is one command.
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -6,14 +6,14 @@
 	"errors"
 	"fmt"
 
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 // Node is one entry.
 type Node struct {
 	Name, Address, Zone, Kind string
 	Shard                     int
-	State                     route.State
+	State                     routing.State
 	Primary                   bool
 	Started                   int64 // us in Unix time, 0 for long ago
 }
@@ -49,13 +49,13 @@
 		switch e.Status {
 		case "active":
 		case "leaving":
-			n.State = route.Draining
+			n.State = routing.Draining
 		case "left":
-			n.State = route.Removed
+			n.State = routing.Removed
 		default:
 			return nil, fmt.Errorf("node %q: unknown status %q", e.Name, e.Status)
 		}
-		if e.Name == "" || e.Address == "" && n.State != route.Removed {
+		if e.Name == "" || e.Address == "" && n.State != routing.Removed {
 			return nil, errors.New("a node without name or address")
 		}
 		l.Nodes = append(l.Nodes, n)
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 const entry = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"leaving","weight":1.0,` +
@@ -16,7 +16,7 @@
 
 func TestDecode(t *testing.T) {
 	l, err := Decode([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entry + `],"more":1}`))
-	want := Node{"s-1", "127.0.0.1:1", "a", "m", 3, route.Draining, true, 17_500}
+	want := Node{"s-1", "127.0.0.1:1", "a", "m", 3, routing.Draining, true, 17_500}
 	if err != nil || l.Index != 41 || !l.Whole || len(l.Nodes) != 1 || l.Nodes[0] != want {
 		t.Errorf("%+v, %v", l, err)
 	}
--- a/internal/nodes/link.go
+++ b/internal/nodes/link.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 	"cairntiller/internal/stream"
 )
 
@@ -242,22 +242,22 @@
 	if r != nil && (r.Whole() || r.Code != "") {
 		p.end(now, j, outcome(r), r)
 	} else {
-		p.end(now, j, route.Broken, nil)
+		p.end(now, j, routing.Broken, nil)
 	}
 }
 
 // outcome is the protocol page's table. An error that breaks off a row that has begun says nothing of never having run.
-func outcome(r *pgwire.Reply) route.Outcome {
+func outcome(r *pgwire.Reply) routing.Outcome {
 	if r.Code != "" && len(r.Value) > 0 {
-		return route.Errored
+		return routing.Errored
 	}
 	switch r.Code {
 	case "":
-		return route.Answered
+		return routing.Answered
 	case pgwire.CodeThrottled:
-		return route.Full
+		return routing.Full
 	case pgwire.CodeNoPrimary, pgwire.CodeTooOld:
-		return route.Missed
+		return routing.Missed
 	}
-	return route.Errored
+	return routing.Errored
 }
--- a/internal/nodes/pool.go
+++ b/internal/nodes/pool.go
@@ -11,7 +11,7 @@
 	"cairntiller/internal/counters"
 	"cairntiller/internal/exchange"
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 	"cairntiller/internal/stream"
 )
 
@@ -122,7 +122,7 @@
 	if n := p.nodes[name]; n != nil {
 		for _, j := range n.waiting {
 			if j.d != nil {
-				p.later(j, route.Unsent)
+				p.later(j, routing.Unsent)
 			}
 		}
 		n.waiting = slices.DeleteFunc(n.waiting, func(j *job) bool { return j.d != nil })
@@ -148,7 +148,7 @@
 	}
 	if n == nil { // listed without a usable address
 		j.node = &node{name: name}
-		p.later(j, route.Unconnected)
+		p.later(j, routing.Unconnected)
 		return
 	}
 	j.node = n
@@ -167,7 +167,7 @@
 		if j.link == nil && !j.over {
 			n := j.node
 			n.unwait(j)
-			p.end(now, j, route.Unconnected, nil)
+			p.end(now, j, routing.Unconnected, nil)
 		}
 	})
 }
@@ -184,13 +184,13 @@
 		}
 		crowded.Add()
 		last := len(n.waiting) - 1
-		p.later(n.waiting[last], route.Unconnected)
+		p.later(n.waiting[last], routing.Unconnected)
 		n.waiting = n.waiting[:last]
 	}
 }
 
 // later ends a job after the call that began it has returned.
-func (p *Pool) later(j *job, o route.Outcome) {
+func (p *Pool) later(j *job, o routing.Outcome) {
 	p.post(p.now(), func(now int64) { p.end(now, j, o, nil) })
 }
 
@@ -233,9 +233,9 @@
 			if n.short() {
 				j := n.waiting[0]
 				n.waiting = n.waiting[1:]
-				o := route.Unconnected
+				o := routing.Unconnected
 				if code == pgwire.CodeThrottled {
-					o = route.Full
+					o = routing.Full
 				}
 				p.end(now, j, o, nil)
 			}
@@ -303,14 +303,14 @@
 		p.after(p.connect, func(now int64) {
 			if !j.over {
 				p.drop(l)
-				p.end(now, j, route.TimedOut, nil)
+				p.end(now, j, routing.TimedOut, nil)
 			}
 		})
 	} else {
 		now := p.now()
 		if !j.d.May(now) {
 			late.Add()
-			p.later(j, route.Unsent)
+			p.later(j, routing.Unsent)
 			p.free(now, l)
 			return
 		}
@@ -330,17 +330,17 @@
 	switch {
 	case errors.Is(err, stream.ErrUnwritten):
 		p.drop(l)
-		p.end(now, j, route.Unconnected, nil)
+		p.end(now, j, routing.Unconnected, nil)
 	case err != nil:
 		p.drop(l)
-		p.end(now, j, route.Broken, nil)
+		p.end(now, j, routing.Broken, nil)
 	case l.lost && l.job == j:
 		p.lost(now, l, l.last)
 	}
 }
 
 // end reports how a job ended, once.
-func (p *Pool) end(now int64, j *job, o route.Outcome, r *pgwire.Reply) {
+func (p *Pool) end(now int64, j *job, o routing.Outcome, r *pgwire.Reply) {
 	if j.over {
 		return
 	}
@@ -351,7 +351,7 @@
 		return
 	}
 	load := ""
-	if r != nil && o == route.Answered {
+	if r != nil && o == routing.Answered {
 		load = string(r.First)
 	}
 	p.ender.Probed(now, j.node.name, now-j.began, o, load)
--- a/internal/opening/opening.go
+++ b/internal/opening/opening.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"cairntiller/internal/decimal"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 // Values are the start values by path; unknown ones are never asked for. Times are decimal milliseconds.
@@ -154,19 +154,19 @@
 
 // Hand gives each part of the module its few values. A dispatch may leave up to sendLate after it was
 // decided; the age that a read's data may have when it is sent is cut by that.
-func (v Values) Hand(r *route.Router, sendLate int64) (Names, error) {
+func (v Values) Hand(r *routing.Router, sendLate int64) (Names, error) {
 	n := Reader{Values: v}
 	names := Names{Groups: map[string]int{}, Tenants: map[string]int{}}
 	r.Place(v["az"], n.Num("siblings"), n.Time("round"))
 	levels, bounds := v.List("domain.readLevel"), v.List("domain.oldestData")
 	for i := range n.Num("classes.count") {
 		at := "classes." + strconv.Itoa(i) + "."
-		effect := route.Mutating
+		effect := routing.Mutating
 		switch v[at+"effect"] {
 		case "safe":
-			effect = route.Replayable
+			effect = routing.Replayable
 		case "keyed":
-			effect = route.Keyed
+			effect = routing.Keyed
 		}
 		names.Groups[v[at+"name"]] = i
 		names.Targets = append(names.Targets, n.Time(at+"aim"))
@@ -193,16 +193,16 @@
 	return names, n.Err
 }
 
-func level(word string) route.Read {
+func level(word string) routing.Read {
 	switch word {
 	case "any":
-		return route.Any
+		return routing.Any
 	case "bounded":
-		return route.Bounded
+		return routing.Bounded
 	case "session":
-		return route.Session
+		return routing.Session
 	case "fresh":
-		return route.Fresh
+		return routing.Fresh
 	}
-	return route.Write
+	return routing.Write
 }
--- a/internal/patrol/patrol.go
+++ b/internal/patrol/patrol.go
@@ -10,7 +10,7 @@
 	"cairntiller/internal/counters"
 	"cairntiller/internal/duty"
 	"cairntiller/internal/fleet"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 	"cairntiller/internal/sexp"
 )
 
@@ -100,8 +100,8 @@
 }
 
 // Node implements engine.Patrol: a node that left the list, or drained and is gone, is nobody's duty.
-func (p *Patrol) Node(now int64, name string, state route.State, started int64) {
-	if state != route.Up { // what drains is left alone
+func (p *Patrol) Node(now int64, name string, state routing.State, started int64) {
+	if state != routing.Up { // what drains is left alone
 		p.drop(name)
 		return
 	}
@@ -173,13 +173,13 @@
 }
 
 // Probed implements engine.Patrol.
-func (p *Patrol) Probed(now int64, node string, o route.Outcome, pos int64, lead int8, load string) {
+func (p *Patrol) Probed(now int64, node string, o routing.Outcome, pos int64, lead int8, load string) {
 	check, ours := p.asked[node]
 	if !ours {
 		return
 	}
 	delete(p.asked, node)
-	p.said = append(p.said, p.table.Done(now, duty.Word{Key: probing + node, Silent: o != route.Answered, Pos: pos,
+	p.said = append(p.said, p.table.Done(now, duty.Word{Key: probing + node, Silent: o != routing.Answered, Pos: pos,
 		Lead: lead, Load: load}, check))
 }
 
--- a/internal/patrol/patrol_test.go
+++ b/internal/patrol/patrol_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cairntiller/internal/fleet"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 	"cairntiller/internal/sexp"
 )
 
@@ -51,9 +51,9 @@
 	}
 	l.After(1_000, func(now int64) {
 		if l.dead[node] {
-			l.p.Probed(now, node, route.TimedOut, 0, 0, "")
+			l.p.Probed(now, node, routing.TimedOut, 0, 0, "")
 		} else {
-			l.p.Probed(now, node, route.Answered, now, -1, "x0=1")
+			l.p.Probed(now, node, routing.Answered, now, -1, "x0=1")
 		}
 	})
 }
@@ -81,7 +81,7 @@
 	return l
 }
 
-func (l *loop) list(whole bool, state route.State, names ...string) {
+func (l *loop) list(whole bool, state routing.State, names ...string) {
 	l.do(func(now int64) {
 		for _, one := range names {
 			l.p.Node(now, one, state, 7)
@@ -112,9 +112,9 @@
 func TestTwoShare(t *testing.T) {
 	nodes := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	one := share(t, "r1")
-	one.list(true, route.Up, nodes...)
+	one.list(true, routing.Up, nodes...)
 	two := share(t, "r2", one.p.fleet.Address())
-	two.list(true, route.Up, nodes...)
+	two.list(true, routing.Up, nodes...)
 	divided := func() bool {
 		a, b := one.fresh(500*time.Millisecond), two.fresh(0)
 		two.mu.Lock()
@@ -140,10 +140,10 @@
 		}
 		return len(one.heard) > 0 && len(two.heard) > 0
 	})
-	one.list(false, route.Draining, "a")
-	two.list(false, route.Removed, "a")
-	two.list(true, route.Up, nodes[2:]...)
-	one.list(true, route.Up, nodes[2:]...)
+	one.list(false, routing.Draining, "a")
+	two.list(false, routing.Removed, "a")
+	two.list(true, routing.Up, nodes[2:]...)
+	one.list(true, routing.Up, nodes[2:]...)
 	eventually(t, "the end of what drains or left", func() bool {
 		a, b := one.fresh(0), two.fresh(300*time.Millisecond)
 		return !slices.Contains(a, "a") && !slices.Contains(b, "a") && !slices.Contains(b, "b") && len(b) > 0
@@ -168,7 +168,7 @@
 func TestAProbeThatDoesNotEnd(t *testing.T) {
 	one := share(t, "r1")
 	one.do(func(int64) { one.hold["a"] = true })
-	one.list(true, route.Up, "a", "b")
+	one.list(true, routing.Up, "a", "b")
 	eventually(t, "several probes of the other", func() bool {
 		one.mu.Lock()
 		defer one.mu.Unlock()
--- a/internal/route/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -1,4 +1,4 @@
-package route
+package routing
 
 import (
 	"fmt"
--- a/internal/route/iface.go
+++ b/internal/routing/iface.go
@@ -1,4 +1,4 @@
-package route
+package routing
 
 // Actions is how the module acts. Every call takes effect at the time of the event being handled.
 // A protocol puts its own implementation behind it; the module knows no other way out.
--- a/internal/route/route.go
+++ b/internal/routing/route.go
@@ -1,9 +1,9 @@
-// Package route decides what becomes of every command.
+// Package routing decides what becomes of every command.
 // A protocol makes an instance with New, hands each part its values (state.go), calls Start, and
 // then calls one method here for each thing that happens: ListBegins/ListNode/ListEnds, Arrive,
 // Seen, Reported..., Result, Probed, Gone, Timer. It acts through Actions (iface.go) alone. A command passes
 // Router.chain downwards, what comes back upwards. DESIGN rules; each exception states its condition.
-package route
+package routing
 
 import (
 	"cmp"
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -26,7 +26,7 @@
 	"cairntiller/internal/nodelist"
 	"cairntiller/internal/nodes"
 	"cairntiller/internal/opening"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 	"cairntiller/internal/stream"
 )
 
@@ -151,7 +151,7 @@
 	}
 	now := engine.Clock()
 	e := engine.New(now)
-	r := route.New(seed(t.Seed), e)
+	r := routing.New(seed(t.Seed), e)
 	limits := opening.Reader{Values: values}
 	connect, idle := limits.Time("limits.connectTimeout"), limits.Time("limits.connIdle")
 	names, err := values.Hand(r, connect)
--- a/internal/simwire/open.go
+++ b/internal/simwire/open.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"cairntiller/internal/opening"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 // openInstance starts an instance with the values that the wire hands it.
@@ -26,7 +26,7 @@
 	o := &outlet{h: h, name: string(f[1])}
 	n := opening.Reader{Values: values}
 	o.zero = n.Time("domain.countedFrom")
-	o.router = route.New(seed, o)
+	o.router = routing.New(seed, o)
 	names, err := values.Hand(o.router, 0) // a send takes effect at the time of its event here
 	var field *opening.FieldError
 	if errors.As(errors.Join(n.Err, err), &field) {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -12,7 +12,7 @@
 	"strconv"
 
 	"cairntiller/internal/decimal"
-	"cairntiller/internal/route"
+	"cairntiller/internal/routing"
 )
 
 const maxSheets = 16
@@ -31,7 +31,7 @@
 type outlet struct {
 	h      *host
 	name   string
-	router *route.Router
+	router *routing.Router
 	dead   bool
 	zero   int64
 	groups map[string]int
@@ -208,9 +208,9 @@
 		if n.err != nil {
 			return n.err
 		}
-		role, pos := route.RoleUnknown, int64(0)
+		role, pos := routing.RoleUnknown, int64(0)
 		if stand&3 == 1 || stand&3 == 2 {
-			role = route.Role(stand & 3)
+			role = routing.Role(stand & 3)
 		}
 		if stand>>2 > 0 {
 			pos = (stand>>2)*1000 + o.zero
@@ -294,13 +294,13 @@
 		if len(e) < 9 {
 			return o.h.bad("items", "too few fields in a list entry")
 		}
-		state := route.Up
+		state := routing.Up
 		switch string(e[6]) {
 		case "up":
 		case "draining":
-			state = route.Draining
+			state = routing.Draining
 		case "removed":
-			state = route.Removed
+			state = routing.Removed
 		default:
 			return o.h.bad("availability", "unknown state")
 		}
@@ -373,11 +373,11 @@
 }
 
 // outcome translates the wire's number; an unknown one may have run.
-func outcome(v int64) route.Outcome {
-	names := [...]route.Outcome{route.Errored, route.Answered, route.Full, route.TimedOut, route.Unconnected,
-		route.Broken, route.Withdrawn, route.Unsent, route.Missed}
+func outcome(v int64) routing.Outcome {
+	names := [...]routing.Outcome{routing.Errored, routing.Answered, routing.Full, routing.TimedOut, routing.Unconnected,
+		routing.Broken, routing.Withdrawn, routing.Unsent, routing.Missed}
 	if v < 0 || int(v) >= len(names) {
-		return route.Errored
+		return routing.Errored
 	}
 	return names[v]
 }
@@ -398,7 +398,7 @@
 
 func (o *outlet) end() { o.h.reply = append(o.h.reply, '\n') }
 
-// Dispatch implements route.Actions.
+// Dispatch implements routing.Actions.
 func (o *outlet) Dispatch(cmd, node string, timeout, _ int64) { // what is sent here begins at once
 	o.action("transmit")
 	o.word(cmd)
@@ -407,7 +407,7 @@
 	o.end()
 }
 
-// Throttle implements route.Actions.
+// Throttle implements routing.Actions.
 func (o *outlet) Throttle(cmd string, retryIn int64) {
 	o.action("not_now")
 	o.word(cmd)
@@ -415,14 +415,14 @@
 	o.end()
 }
 
-// Fail implements route.Actions.
+// Fail implements routing.Actions.
 func (o *outlet) Fail(cmd string) {
 	o.action("report_failure")
 	o.word(cmd)
 	o.end()
 }
 
-// Withdraw implements route.Actions.
+// Withdraw implements routing.Actions.
 func (o *outlet) Withdraw(cmd string, dispatch int) {
 	o.action("withdraw")
 	o.word(cmd)
@@ -430,7 +430,7 @@
 	o.end()
 }
 
-// Timer implements route.Actions.
+// Timer implements routing.Actions.
 func (o *outlet) Timer(in int64, cookie uint64) {
 	o.action("timer")
 	o.millis(in)
@@ -438,27 +438,27 @@
 	o.end()
 }
 
-// Probe implements route.Actions.
+// Probe implements routing.Actions.
 func (o *outlet) Probe(node string) {
 	o.action("probe")
 	o.word(node)
 	o.end()
 }
 
-// Forget implements route.Actions; the wire has no word for it.
+// Forget implements routing.Actions; the wire has no word for it.
 func (o *outlet) Forget(string) {}
 
-// Bar implements route.Actions; nothing waits on this wire.
+// Bar implements routing.Actions; nothing waits on this wire.
 func (o *outlet) Bar(string) {}
 
-// Release implements route.Actions.
+// Release implements routing.Actions.
 func (o *outlet) Release(node string) {
 	o.action("drop_conns")
 	o.word(node)
 	o.end()
 }
 
-// Tell implements route.Actions.
+// Tell implements routing.Actions.
 func (o *outlet) Tell(peer int, note []byte) {
 	o.action("write_peer")
 	o.h.reply = strconv.AppendInt(append(o.h.reply, ' '), int64(peer), 10)
@@ -467,7 +467,7 @@
 	o.end()
 }
 
-// Follow implements route.Actions.
+// Follow implements routing.Actions.
 func (o *outlet) Follow() {
 	o.action("keep_informed")
 	o.word("1")
