--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -18,7 +18,7 @@
 	"github.com/cloudwego/netpoll"
 
 	"cairntiller/internal/counters"
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/stream"
 )
@@ -59,7 +59,7 @@
 // Front takes clients' connections.
 type Front struct {
 	now       func() int64
-	taker     exchange.Taker
+	taker     inflight.Taker
 	groups    map[string]int
 	tenants   map[string]int
 	most      int   // connections at once
@@ -80,7 +80,7 @@
 
 // New makes a front that knows command groups and tenants by name; it holds so many connections at most, and
 // a part of so many bytes of memory.
-func New(now func() int64, taker exchange.Taker, groups, tenants map[string]int, most int, memory int64) *Front {
+func New(now func() int64, taker inflight.Taker, groups, tenants map[string]int, most int, memory int64) *Front {
 	ended := most / endingPart
 	return &Front{now: now, taker: taker, groups: groups, tenants: tenants, most: most - ended, mostEnded: ended, mostIdle: most / idlePart,
 		mostHeld: memory / heldPart, mostBegun: memory / begunPart, conns: map[uint32]*conn{}}
@@ -267,7 +267,7 @@
 
 // slot is the place of one answer.
 type slot struct {
-	x     *exchange.Exchange
+	x     *inflight.Exchange
 	at    int64 // when its command came
 	bytes []byte
 	fatal bool
@@ -439,7 +439,7 @@
 		c.refuse(false, code, err.Error())
 		return
 	}
-	x := exchange.New(cmd, c, group, tenant, at)
+	x := inflight.New(cmd, c, group, tenant, at)
 	c.mu.Lock()
 	if c.closed { // it was ended for another while this was read: an answer could not be given any more
 		c.mu.Unlock()
@@ -537,7 +537,7 @@
 }
 
 // fill puts a command's answer in its place.
-func (c *conn) fill(x *exchange.Exchange, p []byte) {
+func (c *conn) fill(x *inflight.Exchange, p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.slots {
@@ -567,7 +567,7 @@
 	return true
 }
 
-// Here implements exchange.Client.
+// Here implements inflight.Client.
 func (c *conn) Here() bool {
 	if c.stream.Present() {
 		return true
@@ -576,16 +576,16 @@
 	return false
 }
 
-// Answer implements exchange.Client.
-func (c *conn) Answer(x *exchange.Exchange, value []byte) { c.fill(x, pgwire.AppendReady(value)) }
+// Answer implements inflight.Client.
+func (c *conn) Answer(x *inflight.Exchange, value []byte) { c.fill(x, pgwire.AppendReady(value)) }
 
-// Throttle implements exchange.Client.
-func (c *conn) Throttle(x *exchange.Exchange, wait int64) {
+// Throttle implements inflight.Client.
+func (c *conn) Throttle(x *inflight.Exchange, wait int64) {
 	c.fill(x, pgwire.AppendError(nil, false, pgwire.CodeThrottled, "not now; nothing was done", wait))
 }
 
-// Fail implements exchange.Client.
-func (c *conn) Fail(x *exchange.Exchange) {
+// Fail implements inflight.Client.
+func (c *conn) Fail(x *inflight.Exchange) {
 	c.fill(x, pgwire.AppendError(nil, false, pgwire.CodeFailed, "the command failed", 0))
 }
 
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 )
 
 type taker struct{ taken int }
 
-func (t *taker) Take(int64, *exchange.Exchange) { t.taken++ }
-func (t *taker) Gone(int64, *exchange.Exchange) {}
+func (t *taker) Take(int64, *inflight.Exchange) { t.taken++ }
+func (t *taker) Gone(int64, *inflight.Exchange) {}
 
 // TestNothingIsTakenAfterTheEnd guards against a command read just as its connection is ended to make room: it
 // would run, and its answer could not be given.
--- a/internal/engine/company.go
+++ b/internal/engine/company.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"cairntiller/internal/counters"
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 	"cairntiller/internal/nodelist"
 	"cairntiller/internal/routing"
 )
@@ -87,7 +87,7 @@
 }
 
 // ended counts one that has ended; took is from the command's arrival to its answer.
-func (c *company) ended(x *exchange.Exchange, node string, o routing.Outcome, now int64) {
+func (c *company) ended(x *inflight.Exchange, node string, o routing.Outcome, now int64) {
 	if c == nil {
 		return
 	}
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cairntiller/internal/engine"
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 	"cairntiller/internal/nodes"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
@@ -72,16 +72,16 @@
 // whether its client is there, its command owed an answer, its window of repeats open, its node in use. None is written.
 func TestLookedAtAgainAsItBegins(t *testing.T) {
 	for name, c := range map[string]struct {
-		client    exchange.Client
+		client    inflight.Client
 		within    int64
-		meanwhile func(p interface{ Bar(string) }, x *exchange.Exchange)
+		meanwhile func(p interface{ Bar(string) }, x *inflight.Exchange)
 		want      string
 	}{
 		"nothing happened":      {patient{}, 400_000, nil, "written"},
 		"its client has gone":   {leaver{}, 0, nil, "unsent"},
-		"its command is over":   {patient{}, 0, func(_ interface{ Bar(string) }, x *exchange.Exchange) { x.Leave() }, "unsent"},
+		"its command is over":   {patient{}, 0, func(_ interface{ Bar(string) }, x *inflight.Exchange) { x.Leave() }, "unsent"},
 		"its window has passed": {patient{}, 1, nil, "unsent"},
-		"its node drains":       {patient{}, 0, func(p interface{ Bar(string) }, _ *exchange.Exchange) { p.Bar("n0") }, "unsent"},
+		"its node drains":       {patient{}, 0, func(p interface{ Bar(string) }, _ *inflight.Exchange) { p.Bar("n0") }, "unsent"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,7 +11,7 @@
 	"cairntiller/internal/assert"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/decimal"
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 	"cairntiller/internal/nodelist"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
@@ -63,10 +63,10 @@
 type Engine struct {
 	now     func() int64
 	router  *routing.Router
-	nodes   exchange.Nodes
+	nodes   inflight.Nodes
 	patrol  Patrol   // nil for none
 	company *company // nil for none
-	table   map[string]*exchange.Exchange
+	table   map[string]*inflight.Exchange
 	clock   int64 // time of the event being handled
 	timers  timers
 
@@ -99,12 +99,12 @@
 
 // New makes an engine; the module and the nodes are set by Join before Run.
 func New(now func() int64) *Engine {
-	return &Engine{now: now, table: map[string]*exchange.Exchange{}, wake: make(chan struct{}, 1),
+	return &Engine{now: now, table: map[string]*inflight.Exchange{}, wake: make(chan struct{}, 1),
 		idle: make(chan struct{}, 1)}
 }
 
 // Join sets the module that decides and the nodes that carry.
-func (e *Engine) Join(r *routing.Router, nodes exchange.Nodes) { e.router, e.nodes = r, nodes }
+func (e *Engine) Join(r *routing.Router, nodes inflight.Nodes) { e.router, e.nodes = r, nodes }
 
 // Share lets probes be shared with other instances; it is called before Run.
 func (e *Engine) Share(p Patrol) { e.patrol = p }
@@ -204,8 +204,8 @@
 	}
 }
 
-// Take implements exchange.Taker.
-func (e *Engine) Take(at int64, x *exchange.Exchange) {
+// Take implements inflight.Taker.
+func (e *Engine) Take(at int64, x *inflight.Exchange) {
 	e.owe(1)
 	e.Post(at, func(now int64) {
 		id := x.Command.ID
@@ -225,8 +225,8 @@
 	})
 }
 
-// Gone implements exchange.Taker.
-func (e *Engine) Gone(at int64, x *exchange.Exchange) {
+// Gone implements inflight.Taker.
+func (e *Engine) Gone(at int64, x *inflight.Exchange) {
 	e.Post(at, func(now int64) {
 		if x.Leave() {
 			e.router.Gone(now, x.Command.ID)
@@ -236,19 +236,19 @@
 }
 
 // settled notes a final answer; the exchange goes once no dispatch of it is out.
-func (e *Engine) settled(x *exchange.Exchange) {
+func (e *Engine) settled(x *inflight.Exchange) {
 	e.owe(-1)
 	e.forget(x)
 }
 
-func (e *Engine) forget(x *exchange.Exchange) {
+func (e *Engine) forget(x *inflight.Exchange) {
 	if x.Final() && x.Open == 0 && e.table[x.Command.ID] == x {
 		delete(e.table, x.Command.ID)
 	}
 }
 
-// Ended implements exchange.Ender.
-func (e *Engine) Ended(now int64, d *exchange.Dispatch, o routing.Outcome, r *pgwire.Reply) {
+// Ended implements inflight.Ender.
+func (e *Engine) Ended(now int64, d *inflight.Dispatch, o routing.Outcome, r *pgwire.Reply) {
 	x := d.Exchange
 	if !x.End(d) {
 		return
@@ -276,7 +276,7 @@
 	e.forget(x)
 }
 
-// Probed implements exchange.Ender.
+// Probed implements inflight.Ender.
 func (e *Engine) Probed(now int64, node string, took int64, o routing.Outcome, load string) {
 	pos, lead := e.report(now, node, load)
 	e.router.Probed(now, node, took, o)
@@ -384,7 +384,7 @@
 }
 
 // abandon stops a dispatch; the module learns it as an event of its own, once the connection has ended.
-func (e *Engine) abandon(d *exchange.Dispatch, o routing.Outcome) {
+func (e *Engine) abandon(d *inflight.Dispatch, o routing.Outcome) {
 	if d.Ended || d.Stopped {
 		return
 	}
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -14,7 +14,7 @@
 	"cairntiller/internal/clients"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/engine"
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 	"cairntiller/internal/nodelist"
 	"cairntiller/internal/nodes"
 	"cairntiller/internal/opening"
@@ -40,12 +40,12 @@
 // patient is a client that stays, whatever it is told.
 type patient struct{}
 
-func (patient) Answer(*exchange.Exchange, []byte)  {}
-func (patient) Throttle(*exchange.Exchange, int64) {}
-func (patient) Fail(*exchange.Exchange)            {}
+func (patient) Answer(*inflight.Exchange, []byte)  {}
+func (patient) Throttle(*inflight.Exchange, int64) {}
+func (patient) Fail(*inflight.Exchange)            {}
 func (patient) Here() bool                         { return true }
 
-func (e *ends) Ended(_ int64, _ *exchange.Dispatch, o routing.Outcome, r *pgwire.Reply) {
+func (e *ends) Ended(_ int64, _ *inflight.Dispatch, o routing.Outcome, r *pgwire.Reply) {
 	e.results <- result{o: o, r: r}
 }
 
@@ -77,18 +77,18 @@
 	return p, e
 }
 
-func (e *ends) send(p *nodes.Pool, node string, timeout int64) *exchange.Dispatch {
+func (e *ends) send(p *nodes.Pool, node string, timeout int64) *inflight.Dispatch {
 	return e.dispatch(p, node, patient{}, timeout, 0)
 }
 
 // dispatch gives the pool a command's first dispatch, with what its client says and how soon it must begin.
-func (e *ends) dispatch(p *nodes.Pool, node string, client exchange.Client, timeout, within int64) *exchange.Dispatch {
+func (e *ends) dispatch(p *nodes.Pool, node string, client inflight.Client, timeout, within int64) *inflight.Dispatch {
 	c, err := pgwire.DecodeCommand([]byte("/* id=1,c=look,d=1000,cluster=0 */ SELECT '1'"))
 	if err != nil {
 		panic(err)
 	}
 	now := e.now()
-	d := exchange.New(c, client, 0, -1, now).Begin(node, now, timeout, within)
+	d := inflight.New(c, client, 0, -1, now).Begin(node, now, timeout, within)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p.Send(d)
@@ -230,7 +230,7 @@
 		t.Fatalf("beyond the limit: %d", got.o)
 	}
 	e.mu.Lock()
-	for _, d := range []*exchange.Dispatch{hung, full} {
+	for _, d := range []*inflight.Dispatch{hung, full} {
 		if !p.Stop(d) {
 			t.Error("a written dispatch that is stopped may have run")
 		}
--- a/internal/exchange/exchange.go
+++ b/internal/inflight/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange holds one command between its client and the nodes: its dispatches and its one final
+// Package inflight holds one command between its client and the nodes: its dispatches and its one final
 // answer. Client side and server side meet only here. An exchange belongs to the engine's goroutine.
-package exchange
+package inflight
 
 import (
 	"cairntiller/internal/assert"
--- a/internal/nodes/pool.go
+++ b/internal/nodes/pool.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"cairntiller/internal/counters"
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/stream"
@@ -45,7 +45,7 @@
 	now     func() int64
 	post    Post
 	after   func(in int64, do func(now int64))
-	ender   exchange.Ender
+	ender   inflight.Ender
 	connect int64 // us in which a connection must be up, and a probe answered
 	idle    int64 // us after which a connection without work is closed
 	most    int   // connections to all nodes together
@@ -53,7 +53,7 @@
 	closing int   // those that were dropped and still hold a descriptor
 	spared  int   // how many may
 	nodes   map[string]*node
-	at      map[*exchange.Dispatch]*job
+	at      map[*inflight.Dispatch]*job
 }
 
 // node is one node's connections: idle ones, the latest used last, and jobs that wait for one.
@@ -68,7 +68,7 @@
 
 // job is one query for a node: a dispatch, or a probe where there is none.
 type job struct {
-	d        *exchange.Dispatch
+	d        *inflight.Dispatch
 	node     *node
 	began    int64
 	link     *link // that carries it, nil while it waits for one
@@ -77,15 +77,15 @@
 }
 
 // New makes a pool; its calls come from the goroutine that runs what is posted.
-func New(now func() int64, post Post, after func(int64, func(int64)), ender exchange.Ender, connect, idle int64,
+func New(now func() int64, post Post, after func(int64, func(int64)), ender inflight.Ender, connect, idle int64,
 	most int) *Pool {
 	p := &Pool{now: now, post: post, after: after, ender: ender, connect: connect, idle: max(idle-idleMargin, idle/2),
-		most: most - most/closingPart, spared: max(leastClosing, most/closingPart), nodes: map[string]*node{}, at: map[*exchange.Dispatch]*job{}}
+		most: most - most/closingPart, spared: max(leastClosing, most/closingPart), nodes: map[string]*node{}, at: map[*inflight.Dispatch]*job{}}
 	p.after(sweepEvery, p.sweep)
 	return p
 }
 
-// Place implements exchange.Nodes; connections to a former address are closed once they have ended their work.
+// Place implements inflight.Nodes; connections to a former address are closed once they have ended their work.
 func (p *Pool) Place(name, address string) {
 	n := p.nodes[name]
 	if n != nil && n.address == address {
@@ -106,7 +106,7 @@
 	p.nodes[name] = fresh
 }
 
-// Release implements exchange.Nodes.
+// Release implements inflight.Nodes.
 func (p *Pool) Release(name string) {
 	if n := p.nodes[name]; n != nil {
 		n.released++
@@ -117,7 +117,7 @@
 	}
 }
 
-// Bar implements exchange.Nodes.
+// Bar implements inflight.Nodes.
 func (p *Pool) Bar(name string) {
 	if n := p.nodes[name]; n != nil {
 		for _, j := range n.waiting {
@@ -129,16 +129,16 @@
 	}
 }
 
-// Forget implements exchange.Nodes; what is under way ends by itself.
+// Forget implements inflight.Nodes; what is under way ends by itself.
 func (p *Pool) Forget(name string) {
 	p.Release(name)
 	delete(p.nodes, name)
 }
 
-// Send implements exchange.Nodes.
-func (p *Pool) Send(d *exchange.Dispatch) { p.begin(&job{d: d, began: d.Sent}, d.Node) }
+// Send implements inflight.Nodes.
+func (p *Pool) Send(d *inflight.Dispatch) { p.begin(&job{d: d, began: d.Sent}, d.Node) }
 
-// Probe implements exchange.Nodes.
+// Probe implements inflight.Nodes.
 func (p *Pool) Probe(name string) { p.begin(&job{began: p.now()}, name) }
 
 func (p *Pool) begin(j *job, name string) {
@@ -357,8 +357,8 @@
 	p.ender.Probed(now, j.node.name, now-j.began, o, load)
 }
 
-// Stop implements exchange.Nodes.
-func (p *Pool) Stop(d *exchange.Dispatch) bool {
+// Stop implements inflight.Nodes.
+func (p *Pool) Stop(d *inflight.Dispatch) bool {
 	j := p.at[d]
 	if j == nil {
 		return true
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cairntiller/internal/engine"
-	"cairntiller/internal/exchange"
+	"cairntiller/internal/inflight"
 	"cairntiller/internal/release"
 	"cairntiller/internal/releasing"
 )
@@ -22,7 +22,7 @@
 
 // Figures implements releasing.Router.
 func (s *self) Figures() (f release.Served, ready bool, startedIn int64) {
-	done, bad, refused := exchange.Totals()
+	done, bad, refused := inflight.Totals()
 	startedIn = s.ready.Load()
 	return release.Served{Commands: done + bad + refused, Failed: bad, Late: engine.Late(), Throttled: refused}, startedIn > 0 && !s.leaving.Load(), startedIn
 }
