--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"cairntiller/internal/clients"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/engine"
+	"cairntiller/internal/frontend"
 	"cairntiller/internal/inflight"
 	"cairntiller/internal/nodelist"
 	"cairntiller/internal/nodes"
@@ -275,7 +275,7 @@
 type router struct {
 	addr   string
 	engine *engine.Engine
-	front  *clients.Front
+	front  *frontend.Front
 }
 
 func start(t *testing.T, most int, placed ...*scripted.Node) *router {
@@ -293,7 +293,7 @@
 	}
 	pool := nodes.New(now, e.Post, e.After, e, 250_000, 15_000_000, 99)
 	e.Join(r, pool)
-	front := clients.New(now, e, names.Groups, names.Tenants, most, 32<<20)
+	front := frontend.New(now, e, names.Groups, names.Tenants, most, 32<<20)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/clients/clients.go
+++ b/internal/frontend/clients.go
@@ -1,6 +1,6 @@
-// Package clients is the client side: it takes connections and commands, and gives each command its one
+// Package frontend is the client side: it takes connections and commands, and gives each command its one
 // answer, in the order in which they came on their connection.
-package clients
+package frontend
 
 import (
 	"cmp"
--- a/internal/clients/clients_test.go
+++ b/internal/frontend/clients_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"testing"
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
-	"cairntiller/internal/clients"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/engine"
+	"cairntiller/internal/frontend"
 	"cairntiller/internal/nodelist"
 	"cairntiller/internal/nodes"
 	"cairntiller/internal/opening"
@@ -165,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	front := clients.New(now, e, names.Groups, names.Tenants, forClients, memory)
+	front := frontend.New(now, e, names.Groups, names.Tenants, forClients, memory)
 
 	ln, err := net.Listen("tcp", t.Listen)
 	if err != nil {
@@ -220,7 +220,7 @@
 }
 
 // stop leaves in order: the others take over while it answers what it owes. longest is the longest client timeout, us.
-func stop(e *engine.Engine, front *clients.Front, me *self, others *company, longest int64) error {
+func stop(e *engine.Engine, front *frontend.Front, me *self, others *company, longest int64) error {
 	last := time.Now().Add(min(time.Duration(longest)*time.Microsecond, killFrom) + killAfter - killMargin)
 	me.leaving.Store(true)
 	slog.Info("leaving", "owed", e.Owed())
@@ -237,7 +237,7 @@
 // leave goes on taking what still arrives while the front moves away, then ends each connection between
 // commands, and returns when nothing is owed and the others know. What nodes keep to themselves until last is given up
 // then, before the platform kills. It serves to its end: who comes meanwhile must not wait at an engine that has stopped.
-func leave(e *engine.Engine, front *clients.Front, gone <-chan struct{}, last time.Time) {
+func leave(e *engine.Engine, front *frontend.Front, gone <-chan struct{}, last time.Time) {
 	time.Sleep(min(moveAway, time.Until(last)))
 	front.End()
 	select {
