--- a/internal/nodes/link.go
+++ b/internal/backend/link.go
@@ -1,4 +1,4 @@
-package nodes
+package backend
 
 import (
 	"sync/atomic"
--- a/internal/nodes/pool.go
+++ b/internal/backend/pool.go
@@ -1,7 +1,7 @@
-// Package nodes is the server side: connections to nodes, the dispatches and probes they carry, and what
+// Package backend is the server side: connections to nodes, the dispatches and probes they carry, and what
 // came of each. A Pool belongs to the engine's goroutine; only dialling, reading and writing run elsewhere,
 // and they report back through post.
-package nodes
+package backend
 
 import (
 	"errors"
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"cairntiller/internal/backend"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/inflight"
-	"cairntiller/internal/nodes"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/standin/scripted"
@@ -376,7 +376,7 @@
 	s := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready, scripted.Row+scripted.Ready, scripted.Row+scripted.Ready)
 	e := &ends{now: engine.Clock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go e.run()
-	p := nodes.New(e.now, e.post, e.after, e, 500_000, 900_000, 9)
+	p := backend.New(e.now, e.post, e.after, e, 500_000, 900_000, 9)
 	p.Place("n0", s.Addr)
 	for i, rest := range []time.Duration{0, 0, 700 * time.Millisecond} {
 		time.Sleep(rest) // past half of the limit, not past the limit
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
+	"cairntiller/internal/backend"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
 	"cairntiller/internal/inflight"
 	"cairntiller/internal/nodelist"
-	"cairntiller/internal/nodes"
 	"cairntiller/internal/opening"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
@@ -67,22 +67,22 @@
 	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { e.post(e.now(), do) })
 }
 
-func pool(t *testing.T, most int, placed ...*scripted.Node) (*nodes.Pool, *ends) {
+func pool(t *testing.T, most int, placed ...*scripted.Node) (*backend.Pool, *ends) {
 	e := &ends{now: engine.Clock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go e.run()
-	p := nodes.New(e.now, e.post, e.after, e, 500_000, 15_000_000, most)
+	p := backend.New(e.now, e.post, e.after, e, 500_000, 15_000_000, most)
 	for i, s := range placed {
 		p.Place(fmt.Sprint("n", i), s.Addr)
 	}
 	return p, e
 }
 
-func (e *ends) send(p *nodes.Pool, node string, timeout int64) *inflight.Dispatch {
+func (e *ends) send(p *backend.Pool, node string, timeout int64) *inflight.Dispatch {
 	return e.dispatch(p, node, patient{}, timeout, 0)
 }
 
 // dispatch gives the pool a command's first dispatch, with what its client says and how soon it must begin.
-func (e *ends) dispatch(p *nodes.Pool, node string, client inflight.Client, timeout, within int64) *inflight.Dispatch {
+func (e *ends) dispatch(p *backend.Pool, node string, client inflight.Client, timeout, within int64) *inflight.Dispatch {
 	c, err := pgwire.DecodeCommand([]byte("/* id=1,c=look,d=1000,cluster=0 */ SELECT '1'"))
 	if err != nil {
 		panic(err)
@@ -291,7 +291,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool := nodes.New(now, e.Post, e.After, e, 250_000, 15_000_000, 99)
+	pool := backend.New(now, e.Post, e.After, e, 250_000, 15_000_000, 99)
 	e.Join(r, pool)
 	front := frontend.New(now, e, names.Groups, names.Tenants, most, 32<<20)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -20,11 +20,11 @@
 	"syscall"
 	"time"
 
+	"cairntiller/internal/backend"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
 	"cairntiller/internal/nodelist"
-	"cairntiller/internal/nodes"
 	"cairntiller/internal/opening"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/stream"
@@ -158,7 +158,7 @@
 	if err = errors.Join(limits.Err, err); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	pool := nodes.New(now, e.Post, e.After, e, connect, idle, sockets-spareSockets-forClients)
+	pool := backend.New(now, e.Post, e.After, e, connect, idle, sockets-spareSockets-forClients)
 	e.Join(r, pool)
 	me := &self{now: now, e: e, began: began, leave: make(chan struct{}, 1)}
 	others, err := join(with, t.Name, now, e, me, names.Targets, values.Probes(), in)
