--- a/internal/nodelist/nodelist.go
+++ b/internal/discovery/nodelist.go
@@ -1,5 +1,5 @@
-// Package nodelist holds discovery's list of nodes and the watch that keeps it true.
-package nodelist
+// Package discovery holds discovery's list of nodes and the watch that keeps it true.
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/nodelist/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package nodelist
+package discovery
 
 import (
 	"bytes"
--- a/internal/engine/company.go
+++ b/internal/engine/company.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"cairntiller/internal/counters"
+	"cairntiller/internal/discovery"
 	"cairntiller/internal/inflight"
-	"cairntiller/internal/nodelist"
 	"cairntiller/internal/routing"
 )
 
@@ -17,9 +17,9 @@
 
 // company is kept where a fleet's plans may drain nodes.
 type company struct {
-	entries  map[string]nodelist.Node // as the list last had them
-	drained  map[string]bool          // by plans
-	open     map[string]int           // dispatches that are out, by node
+	entries  map[string]discovery.Node // as the list last had them
+	drained  map[string]bool           // by plans
+	open     map[string]int            // dispatches that are out, by node
 	answered map[string]uint64
 	targets  []int64 // by command group, us
 }
@@ -37,12 +37,12 @@
 
 // Accompany keeps what releases need; targets are the command groups' response targets.
 func (e *Engine) Accompany(targets []int64) {
-	e.company = &company{entries: map[string]nodelist.Node{}, drained: map[string]bool{}, open: map[string]int{}, answered: map[string]uint64{}, targets: targets}
+	e.company = &company{entries: map[string]discovery.Node{}, drained: map[string]bool{}, open: map[string]int{}, answered: map[string]uint64{}, targets: targets}
 }
 
 // listed notes an entry, and gives the state in which the module hears of it: what a plan drains is draining, whatever
 // the list says.
-func (c *company) listed(n nodelist.Node) routing.State {
+func (c *company) listed(n discovery.Node) routing.State {
 	if c == nil {
 		return n.State
 	}
@@ -68,7 +68,7 @@
 	}
 	was := c.drained
 	c.drained = fresh
-	l := &nodelist.List{}
+	l := &discovery.List{}
 	for _, name := range slices.Sorted(maps.Keys(c.entries)) { // the same events give the module the same order
 		if was[name] != fresh[name] {
 			l.Nodes = append(l.Nodes, c.entries[name])
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,8 +11,8 @@
 	"cairntiller/internal/assert"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/decimal"
+	"cairntiller/internal/discovery"
 	"cairntiller/internal/inflight"
-	"cairntiller/internal/nodelist"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 )
@@ -343,13 +343,13 @@
 }
 
 // Listed hands the module a list of nodes, whole or changed entries; it runs on the engine's goroutine.
-func (e *Engine) Listed(now int64, l *nodelist.List) {
+func (e *Engine) Listed(now int64, l *discovery.List) {
 	lists.Add()
 	e.hand(now, l)
 }
 
 // hand hands the module a list, with what plans drain as draining.
-func (e *Engine) hand(now int64, l *nodelist.List) {
+func (e *Engine) hand(now int64, l *discovery.List) {
 	e.router.ListBegins(now, l.Whole)
 	for _, n := range l.Nodes {
 		if n.State == routing.Removed {
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -13,10 +13,10 @@
 
 	"cairntiller/internal/backend"
 	"cairntiller/internal/counters"
+	"cairntiller/internal/discovery"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
 	"cairntiller/internal/inflight"
-	"cairntiller/internal/nodelist"
 	"cairntiller/internal/opening"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
@@ -298,9 +298,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := &nodelist.List{Index: 1, Whole: true}
+	list := &discovery.List{Index: 1, Whole: true}
 	for i, s := range placed {
-		list.Nodes = append(list.Nodes, nodelist.Node{Name: fmt.Sprint("n", i), Address: s.Addr, Zone: "a",
+		list.Nodes = append(list.Nodes, discovery.Node{Name: fmt.Sprint("n", i), Address: s.Addr, Zone: "a",
 			Kind: "m", Primary: i == 0})
 	}
 	e.Post(now(), r.Start)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -22,9 +22,9 @@
 
 	"cairntiller/internal/backend"
 	"cairntiller/internal/counters"
+	"cairntiller/internal/discovery"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
-	"cairntiller/internal/nodelist"
 	"cairntiller/internal/opening"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/stream"
@@ -63,7 +63,7 @@
 }
 
 // read takes the configuration whole or not at all.
-func read() (t told, known *nodelist.List, values opening.Values, err error) {
+func read() (t told, known *discovery.List, values opening.Values, err error) {
 	path := os.Getenv("RELAY_CONFIG")
 	raw, err := os.ReadFile(path)
 	if err == nil {
@@ -76,7 +76,7 @@
 		return t, nil, nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(t.Known) > 0 && string(t.Known) != "null" {
-		if known, err = nodelist.Decode(t.Known); err != nil {
+		if known, err = discovery.Decode(t.Known); err != nil {
 			return t, nil, nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -172,14 +172,14 @@
 		return err
 	}
 	listened := false // to discovery, this process; engine's goroutine
-	take := func(now int64, l *nodelist.List) {
+	take := func(now int64, l *discovery.List) {
 		listened = true
 		e.Listed(now, l)
 		others.listed(l.Index)
 		front.Open()
 		me.opened()
 	}
-	listed := func(l *nodelist.List) { e.Post(now(), func(now int64) { take(now, l) }) }
+	listed := func(l *discovery.List) { e.Post(now(), func(now int64) { take(now, l) }) }
 	e.Post(now(), r.Start)
 	if known != nil {
 		e.After(knownWait, func(now int64) {
@@ -192,7 +192,7 @@
 	defer cancel()
 	go e.Run()
 	moves := make(chan string, 1)
-	go nodelist.Follow(ctx, t.Discovery, nodelist.Unknown, moves, listed)
+	go discovery.Follow(ctx, t.Discovery, discovery.Unknown, moves, listed)
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(ln) }()
 	slog.Info("serving", "name", t.Name, "listen", t.Listen, "sockets", sockets)
