--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -17,9 +17,9 @@
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
 	"cairntiller/internal/inflight"
-	"cairntiller/internal/opening"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
+	"cairntiller/internal/settings"
 	"cairntiller/internal/standin/scripted"
 )
 
@@ -283,7 +283,7 @@
 	now := engine.Clock()
 	e := engine.New(now)
 	r := routing.New(7, e)
-	names, err := opening.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
+	names, err := settings.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
 		"classes.0.effect": "safe", "classes.0.aim": "400", "classes.0.hardLimit": "1000", "classes.0.points": "1",
 		"classes.1.name": "put", "classes.1.effect": "unsafe", "classes.1.aim": "400", "classes.1.hardLimit": "1000",
 		"classes.1.points": "1", "domain.readLevel": "any,write", "limits.maxAttempts": "3", "limits.cancel": "true",
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -25,8 +25,8 @@
 	"cairntiller/internal/discovery"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
-	"cairntiller/internal/opening"
 	"cairntiller/internal/routing"
+	"cairntiller/internal/settings"
 	"cairntiller/internal/stream"
 )
 
@@ -63,7 +63,7 @@
 }
 
 // read takes the configuration whole or not at all.
-func read() (t told, known *discovery.List, values opening.Values, err error) {
+func read() (t told, known *discovery.List, values settings.Values, err error) {
 	path := os.Getenv("RELAY_CONFIG")
 	raw, err := os.ReadFile(path)
 	if err == nil {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return t, nil, nil, fmt.Errorf("RELAY_CONFIG %q: %w", path, err)
 	}
-	if values, err = opening.FromJSON(t.Settings); err != nil {
+	if values, err = settings.FromJSON(t.Settings); err != nil {
 		return t, nil, nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(t.Known) > 0 && string(t.Known) != "null" {
@@ -152,7 +152,7 @@
 	now := engine.Clock()
 	e := engine.New(now)
 	r := routing.New(seed(t.Seed), e)
-	limits := opening.Reader{Values: values}
+	limits := settings.Reader{Values: values}
 	connect, idle := limits.Time("limits.connectTimeout"), limits.Time("limits.connIdle")
 	names, err := values.Hand(r, connect)
 	if err = errors.Join(limits.Err, err); err != nil {
--- a/internal/opening/opening.go
+++ b/internal/settings/opening.go
@@ -1,6 +1,6 @@
-// Package opening hands the decision module its start values, part by part. Every way of running the
+// Package settings hands the decision module its start values, part by part. Every way of running the
 // module reads them here, so there is one table of their names and units.
-package opening
+package settings
 
 import (
 	"bytes"
--- a/internal/opening/opening_test.go
+++ b/internal/settings/opening_test.go
@@ -1,4 +1,4 @@
-package opening
+package settings
 
 import (
 	"errors"
--- a/internal/simwire/open.go
+++ b/internal/simwire/open.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"cairntiller/internal/opening"
 	"cairntiller/internal/routing"
+	"cairntiller/internal/settings"
 )
 
 // openInstance starts an instance with the values that the wire hands it.
@@ -15,7 +15,7 @@
 	if err != nil {
 		return h.bad("initSeed", "no whole number")
 	}
-	values := make(opening.Values, len(f))
+	values := make(settings.Values, len(f))
 	for _, one := range f[3:] {
 		key, value, ok := strings.Cut(string(one), "=")
 		if !ok {
@@ -24,11 +24,11 @@
 		values[key] = value
 	}
 	o := &outlet{h: h, name: string(f[1])}
-	n := opening.Reader{Values: values}
+	n := settings.Reader{Values: values}
 	o.zero = n.Time("domain.countedFrom")
 	o.router = routing.New(seed, o)
 	names, err := values.Hand(o.router, 0) // a send takes effect at the time of its event here
-	var field *opening.FieldError
+	var field *settings.FieldError
 	if errors.As(errors.Join(n.Err, err), &field) {
 		return h.bad(field.Field, field.Why)
 	}
