--- a/internal/duty/duty.go
+++ b/internal/assignment/duty.go
@@ -1,4 +1,4 @@
-// Package duty decides which instance does a periodic duty, such as probing a node, and what the word of another
+// Package assignment decides which instance does a periodic duty, such as probing a node, and what the word of another
 // instance counts for. It does no I/O and has no clock: Up, Down, Add, Drop, Hear, Done and Tick are fed with what
 // happened and its time in microseconds of any clock that never goes backwards; Tick returns what to run. The same
 // calls give the same actions.
@@ -11,7 +11,7 @@
 //   - nothing was heard of the duty for too long, and this instance's turn has come by its rank (it steps in).
 //
 // A holder that hears of a greater claim stops. Until then both run it, which is harmless, so none is ever without.
-package duty
+package assignment
 
 import (
 	"cmp"
--- a/internal/duty/hard_test.go
+++ b/internal/assignment/hard_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package assignment_test
 
 import (
 	"testing"
--- a/internal/duty/model_test.go
+++ b/internal/assignment/model_test.go
@@ -1,4 +1,4 @@
-package duty
+package assignment
 
 import (
 	"fmt"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -22,8 +22,8 @@
 
 	"github.com/hashicorp/memberlist"
 
+	"cairntiller/internal/assignment"
 	"cairntiller/internal/counters"
-	"cairntiller/internal/duty"
 	"cairntiller/internal/sexp"
 )
 
@@ -65,7 +65,7 @@
 type Events struct {
 	Up       func(name string, weight float64, born uint64)
 	Down     func(name string, born uint64, left bool)
-	Words    func([]duty.Word)
+	Words    func([]assignment.Word)
 	Returned func(times int) // others saw this instance come back so often
 	Direct   func(from string, born uint64, kind uint8, body []byte)
 }
@@ -79,7 +79,7 @@
 		e.Down = func(string, uint64, bool) {}
 	}
 	if e.Words == nil {
-		e.Words = func([]duty.Word) {}
+		e.Words = func([]assignment.Word) {}
 	}
 	if e.Returned == nil {
 		e.Returned = func(int) {}
@@ -179,7 +179,7 @@
 }
 
 type posted struct {
-	word duty.Word
+	word assignment.Word
 	at   int64
 }
 
@@ -275,7 +275,7 @@
 }
 
 // Say spreads what this instance learnt.
-func (f *Fleet) Say(words []duty.Word) {
+func (f *Fleet) Say(words []assignment.Word) {
 	f.post(words)
 	for _, one := range pack(f.at.Name, words) {
 		f.mu.Lock()
@@ -331,7 +331,7 @@
 }
 
 // post keeps the newest word of each duty for members that join.
-func (f *Fleet) post(words []duty.Word) {
+func (f *Fleet) post(words []assignment.Word) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -500,7 +500,7 @@
 // take checks a message, hands it on and sends it further, once.
 func (f *Fleet) take(raw []byte) {
 	e, err := readEnvelope(raw)
-	var words []duty.Word
+	var words []assignment.Word
 	if err == nil {
 		words, err = unpack(&e)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"cairntiller/internal/duty"
+	"cairntiller/internal/assignment"
 	"cairntiller/internal/sexp"
 	"cairntiller/internal/standin/badnet"
 	"cairntiller/internal/standin/seeded"
@@ -28,7 +28,7 @@
 	mu      sync.Mutex
 	up      map[string]uint64
 	left    map[string]bool
-	words   []duty.Word
+	words   []assignment.Word
 	returns int
 }
 
@@ -50,7 +50,7 @@
 				delete(m.up, name)
 				m.left[name] = left
 			},
-			Words: func(all []duty.Word) {
+			Words: func(all []assignment.Word) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
 				m.words = append(m.words, all...)
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (m *member) heard(key string) (all []duty.Word) {
+func (m *member) heard(key string) (all []assignment.Word) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range m.words {
@@ -123,9 +123,9 @@
 func TestWordsReachAll(t *testing.T) {
 	a, b, c := trio(t)
 	cutAtEnd(t, a, b, c)
-	var many []duty.Word
+	var many []assignment.Word
 	for i := range 100 {
-		many = append(many, duty.Word{Key: fmt.Sprint("probe/", i), Holder: "a", Term: 3, Age: 5_000, Started: 9, Pos: 77, Lead: -1, Load: "x0=1"})
+		many = append(many, assignment.Word{Key: fmt.Sprint("probe/", i), Holder: "a", Term: 3, Age: 5_000, Started: 9, Pos: 77, Lead: -1, Load: "x0=1"})
 	}
 	a.Say(many)
 	for _, m := range []*member{b, c} {
@@ -152,9 +152,9 @@
 	a, b, c := trio(t)
 	cutAtEnd(t, a, b, c)
 	for second := range 3 {
-		var all []duty.Word
+		var all []assignment.Word
 		for i := range 1000 {
-			all = append(all, duty.Word{Key: fmt.Sprintf("probe/%d/%d", second, i), Holder: "a", Term: 1, Pos: 1 << 50, Load: "x0=1796148000.000000,x1=0,inflight=3"})
+			all = append(all, assignment.Word{Key: fmt.Sprintf("probe/%d/%d", second, i), Holder: "a", Term: 1, Pos: 1 << 50, Load: "x0=1796148000.000000,x1=0,inflight=3"})
 		}
 		a.Say(all)
 		for _, m := range []*member{b, c} {
@@ -243,7 +243,7 @@
 	if unread.Count() != was+2 {
 		t.Errorf("%d messages unread, want 2", unread.Count()-was)
 	}
-	b.Say([]duty.Word{{Key: "probe/s", Holder: "b", Term: 1}})
+	b.Say([]assignment.Word{{Key: "probe/s", Holder: "b", Term: 1}})
 	eventually(t, "a word among the members", func() bool { return len(a.heard("probe/s")) == 1 && len(c.heard("probe/s")) == 1 })
 	if !a.sees("b", "c") {
 		t.Error("the members changed")
@@ -259,7 +259,7 @@
 		t.Helper()
 		say++
 		word := fmt.Sprint("probe/", say)
-		from.Say([]duty.Word{{Key: word, Holder: "?", Term: 1}})
+		from.Say([]assignment.Word{{Key: word, Holder: "?", Term: 1}})
 		for _, m := range to {
 			eventually(t, "a word", func() bool { return len(m.heard(word)) == 1 })
 		}
@@ -290,7 +290,7 @@
 	a, b, c := trio(t)
 	cutAtEnd(t, a, b)
 	address, born := c.Address(), c.Born()
-	b.Say([]duty.Word{{Key: "probe/s", Holder: "b", Term: 4, Pos: 9}})
+	b.Say([]assignment.Word{{Key: "probe/s", Holder: "b", Term: 4, Pos: 9}})
 	c.Cut()
 	eventually(t, "its loss", func() bool { return a.sees("b") && b.sees("a") })
 	a.Returns("c", 3)
@@ -340,7 +340,7 @@
 	eventually(t, "both sides apart", func() bool { return a.sees("b") && c.sees() })
 	c.net.Cut(false, false)
 	eventually(t, "the heal", func() bool { return a.sees("b", "c") && c.sees("a", "b") })
-	c.Say([]duty.Word{{Key: "probe/after", Holder: "c", Term: 1}})
+	c.Say([]assignment.Word{{Key: "probe/after", Holder: "c", Term: 1}})
 	eventually(t, "a word after it", func() bool { return len(a.heard("probe/after")) == 1 })
 }
 
@@ -352,7 +352,7 @@
 		m.net.Packets(0.15, 0.3, 80*time.Millisecond)
 	}
 	for i := range 50 {
-		a.Say([]duty.Word{{Key: fmt.Sprint("probe/", i), Holder: "a", Term: 1}})
+		a.Say([]assignment.Word{{Key: fmt.Sprint("probe/", i), Holder: "a", Term: 1}})
 		time.Sleep(20 * time.Millisecond)
 	}
 	eventually(t, "nearly all words", func() bool {
@@ -379,7 +379,7 @@
 	was := conflicts.Count()
 	cutAtEnd(t, start(t, "b", "kandy", [][]byte{key(1)}, a.Address()))
 	eventually(t, "the conflict", func() bool { return conflicts.Count() > was })
-	b.Say([]duty.Word{{Key: "probe/s", Holder: "b", Term: 1}})
+	b.Say([]assignment.Word{{Key: "probe/s", Holder: "b", Term: 1}})
 	eventually(t, "a word of the first", func() bool { return len(a.heard("probe/s")) == 1 })
 }
 
@@ -512,9 +512,9 @@
 
 // TestPackBounds: no message is larger than a datagram takes, and all words are in.
 func TestPackBounds(t *testing.T) {
-	var all []duty.Word
+	var all []assignment.Word
 	for i := range 500 {
-		all = append(all, duty.Word{Key: fmt.Sprintf("probe/%0100d", i), Holder: "a", Load: strings.Repeat("x", i)})
+		all = append(all, assignment.Word{Key: fmt.Sprintf("probe/%0100d", i), Holder: "a", Load: strings.Repeat("x", i)})
 	}
 	n := 0
 	for _, one := range pack("a", all) {
@@ -538,7 +538,7 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(encode(envelope{Version: version, Origin: "a", Born: 1, Number: 1, Words: pack("a", []duty.Word{{Key: "k"}})[0]}))
+	f.Add(encode(envelope{Version: version, Origin: "a", Born: 1, Number: 1, Words: pack("a", []assignment.Word{{Key: "k"}})[0]}))
 	f.Add(encode(state{Version: version, Members: []returns{{Name: "a"}}, Words: []word{{Key: "k", Age: -1}}}))
 	f.Add(encode(about{Version: version, Cluster: "kandy", Weight: 1}))
 	f.Add([]byte{0x9f, 0xff})
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cairntiller/internal/duty"
+	"cairntiller/internal/assignment"
 	"cairntiller/internal/packing"
 )
 
@@ -46,7 +46,7 @@
 	Words   cbor.RawMessage
 }
 
-// word is duty.Word on the wire.
+// word is assignment.Word on the wire.
 type word struct {
 	_       struct{} `cbor:",toarray"`
 	Key     string
@@ -101,13 +101,13 @@
 
 func encode(v any) []byte { return packing.Encode(v) }
 
-func onWire(w duty.Word) word {
+func onWire(w assignment.Word) word {
 	return word{Key: w.Key, Holder: w.Holder, Term: w.Term, Age: w.Age, Started: w.Started, Silent: w.Silent, Pos: w.Pos,
 		Lead: w.Lead, Load: w.Load}
 }
 
 // pack encodes words in envelopes that each fit a datagram.
-func pack(origin string, words []duty.Word) (packed [][]byte) {
+func pack(origin string, words []assignment.Word) (packed [][]byte) {
 	var parts [][]byte
 	size := 0
 	flush := func() {
@@ -139,7 +139,7 @@
 }
 
 // unpack decodes an envelope's words, all or none.
-func unpack(e *envelope) ([]duty.Word, error) {
+func unpack(e *envelope) ([]assignment.Word, error) {
 	var raw []word
 	if err := decoding.Unmarshal(e.Words, &raw); err != nil {
 		return nil, err
@@ -147,8 +147,8 @@
 	return words(raw, e.Origin, e.Held)
 }
 
-func words(raw []word, origin string, held int64) ([]duty.Word, error) {
-	all := make([]duty.Word, 0, len(raw))
+func words(raw []word, origin string, held int64) ([]assignment.Word, error) {
+	all := make([]assignment.Word, 0, len(raw))
 	for _, w := range raw {
 		if w.Key == "" || len(w.Key) > mostName || len(w.Holder) > mostName || len(w.Load) > mostLoad || w.Age < 0 ||
 			held < 0 || w.Lead < -1 || w.Lead > 1 || w.Pos < 0 {
@@ -157,7 +157,7 @@
 		if w.Holder == "" {
 			w.Holder = origin
 		}
-		all = append(all, duty.Word{Key: w.Key, Holder: w.Holder, Term: w.Term, Age: w.Age + held, Started: w.Started,
+		all = append(all, assignment.Word{Key: w.Key, Holder: w.Holder, Term: w.Term, Age: w.Age + held, Started: w.Started,
 			Silent: w.Silent, Pos: w.Pos, Lead: w.Lead, Load: w.Load})
 	}
 	return all, nil
@@ -215,7 +215,7 @@
 
 // Bytes is what words of one origin cost a member a time that it sends them, envelopes and all, before encryption;
 // Sends is how often it sends each message where there are so many members. Both are for measurements.
-func Bytes(origin string, all []duty.Word) (n int) {
+func Bytes(origin string, all []assignment.Word) (n int) {
 	for _, one := range pack(origin, all) {
 		n += len(encode(envelope{Version: version, Origin: origin, Born: 1 << 50, Number: 1 << 20, Held: 100_000, Words: one}))
 	}
--- a/internal/patrol/patrol.go
+++ b/internal/patrol/patrol.go
@@ -1,4 +1,4 @@
-// Package patrol joins a router with the others that probe the same nodes: it carries what duty.Table decides to the
+// Package patrol joins a router with the others that probe the same nodes: it carries what assignment.Table decides to the
 // engine and what the nodes told to the fleet, and the other way round. It decides nothing. All of it runs on the
 // engine's goroutine; the fleet's calls are posted there.
 package patrol
@@ -7,8 +7,8 @@
 	"log/slog"
 	"strings"
 
+	"cairntiller/internal/assignment"
 	"cairntiller/internal/counters"
-	"cairntiller/internal/duty"
 	"cairntiller/internal/fleet"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/sexp"
@@ -58,12 +58,12 @@
 type Patrol struct {
 	engine Engine
 	fleet  *fleet.Fleet
-	table  *duty.Table
+	table  *assignment.Table
 	asked  map[string]bool // nodes that are being probed on duty; true for a second opinion
 	listed map[string]bool // nodes of the whole list that is being read
 	left   map[string]bool // nodes on duty; true for those that another instance looks after
-	runs   []duty.Run
-	said   []duty.Word
+	runs   []assignment.Run
+	said   []assignment.Word
 	ticks  int
 	taken  int64
 }
@@ -86,7 +86,7 @@
 		Down: func(name string, born uint64, left bool) {
 			on(func(now int64) { p.table.Down(now, name, born, left) })
 		},
-		Words:    func(all []duty.Word) { on(func(now int64) { p.hear(now, all) }) },
+		Words:    func(all []assignment.Word) { on(func(now int64) { p.hear(now, all) }) },
 		Returned: func(times int) { on(func(now int64) { p.table.Returned(now, times) }) },
 	}
 }
@@ -94,7 +94,7 @@
 // Join begins to share with a fleet that was started with the patrol's events. It is called before the engine runs.
 func (p *Patrol) Join(now int64, f *fleet.Fleet, at fleet.Place, pace Pace) {
 	p.fleet = f
-	p.table = duty.New(now, at.Name, at.Weight, f.Born(), pace.Every, pace.Size, pace.BoxLoad, pace.TakeOver)
+	p.table = assignment.New(now, at.Name, at.Weight, f.Born(), pace.Every, pace.Size, pace.BoxLoad, pace.TakeOver)
 	p.engine.After(tickEvery, p.tick)
 	slog.Info("sharing probes", "name", at.Name, "cluster", at.Cluster, "address", f.Address(), "born", f.Born())
 }
@@ -179,12 +179,12 @@
 		return
 	}
 	delete(p.asked, node)
-	p.said = append(p.said, p.table.Done(now, duty.Word{Key: probing + node, Silent: o != routing.Answered, Pos: pos,
+	p.said = append(p.said, p.table.Done(now, assignment.Word{Key: probing + node, Silent: o != routing.Answered, Pos: pos,
 		Lead: lead, Load: load}, check))
 }
 
 // hear passes on what others learnt, as far as it counts.
-func (p *Patrol) hear(now int64, all []duty.Word) {
+func (p *Patrol) hear(now int64, all []assignment.Word) {
 	for _, w := range all {
 		words.Add()
 		u := p.table.Hear(now, w)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"cairntiller/internal/assignment"
 	"cairntiller/internal/counters"
-	"cairntiller/internal/duty"
 	"cairntiller/internal/fleet"
 	"cairntiller/internal/pgwire"
 )
@@ -189,7 +189,7 @@
 	up := make(chan string, 9)
 	m, err := fleet.Start(fleet.Place{Name: "other", Cluster: "test", Listen: "127.0.0.1:0", Join: []string{place},
 		Keys: [][]byte{fresh}, Most: 8, Weight: 1, Bandwidth: 1 << 20}, fleet.Events{Up: func(name string, _ float64, _ uint64) { up <- name },
-		Down: func(string, uint64, bool) {}, Words: func([]duty.Word) {}, Returned: func(int) {}}, nil)
+		Down: func(string, uint64, bool) {}, Words: func([]assignment.Word) {}, Returned: func(int) {}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,4 +1,4 @@
-// Package instances simulates cooperating routers in one process: each has its own duty.Table, clock and view of
+// Package instances simulates cooperating routers in one process: each has its own assignment.Table, clock and view of
 // the others; what one learns reaches the rest late, out of order, twice or not at all; boxes count who probes them.
 // It is for tests and proofs: time is simulated, equal seeds give equal runs, and faults are switched by the caller
 // between steps.
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"cairntiller/internal/duty"
+	"cairntiller/internal/assignment"
 )
 
 // Step is the simulated time between ticks, in us.
@@ -49,7 +49,7 @@
 	Total    int64
 	Words    int64 // words sent
 	Batches  int64 // batches sent
-	Weigh    func(origin string, words []duty.Word) int
+	Weigh    func(origin string, words []assignment.Word) int
 	Bytes    int64         // of all batches, by Weigh
 	Spent    time.Duration // wall time in all tables together
 	probeLog func(at int64, instance, box int)
@@ -60,7 +60,7 @@
 
 type instance struct {
 	name    string
-	table   *duty.Table
+	table   *assignment.Table
 	born    uint64
 	off     int64 // its clock against the world's
 	up      bool
@@ -69,8 +69,8 @@
 	views   []view
 	inbox   map[int64][]batch // by the step in which it is read
 	kept    []batch           // what came while it stood still
-	out     []duty.Word
-	runs    []duty.Run
+	out     []assignment.Word
+	runs    []assignment.Run
 	rng     *rand.Rand
 	spent   time.Duration
 	lost    map[string]bool // words of its own that never leave, by box
@@ -87,7 +87,7 @@
 }
 
 type batch struct {
-	words []duty.Word
+	words []assignment.Word
 	at    int64
 }
 
@@ -120,7 +120,7 @@
 	in.up, in.stopped = true, false
 	clear(in.inbox)
 	in.kept, in.out = nil, nil
-	in.table = duty.New(in.clock(w), in.name, 1, in.born, w.interval, w.size, w.boxLoad, w.takeRate)
+	in.table = assignment.New(in.clock(w), in.name, 1, in.born, w.interval, w.size, w.boxLoad, w.takeRate)
 	for b, key := range w.keys {
 		in.table.Add(in.clock(w), key, w.started[b])
 	}
@@ -179,7 +179,7 @@
 func (w *World) OnProbe(do func(at int64, instance, box int)) { w.probeLog = do }
 
 // Table is an instance's table, and Clock its time.
-func (w *World) Table(i int) *duty.Table { return w.list[i].table }
+func (w *World) Table(i int) *assignment.Table { return w.list[i].table }
 
 // At is an instance's time.
 func (w *World) At(i int) int64 { return w.list[i].clock(w) }
@@ -251,10 +251,10 @@
 }
 
 // knows is what an instance hands to one that joins.
-func (in *instance) knows(w *World) (words []duty.Word) {
+func (in *instance) knows(w *World) (words []assignment.Word) {
 	for b, key := range w.keys {
 		if holder, term, age := in.table.Holder(in.clock(w), key); age >= 0 {
-			words = append(words, duty.Word{Key: key, Holder: holder, Term: term, Age: age, Started: w.started[b],
+			words = append(words, assignment.Word{Key: key, Holder: holder, Term: term, Age: age, Started: w.started[b],
 				Pos: max(1, w.Now-age)})
 		}
 	}
@@ -347,7 +347,7 @@
 	}
 }
 
-func (w *World) probe(i int, in *instance, r duty.Run) {
+func (w *World) probe(i int, in *instance, r assignment.Run) {
 	b := w.box[r.Key]
 	w.last[b] = w.Now
 	w.probes[b]++
@@ -358,7 +358,7 @@
 	if w.probeLog != nil {
 		w.probeLog(w.Now, i, b)
 	}
-	word := duty.Word{Key: r.Key, Silent: w.dead[b] || w.blindSet[[2]int{i, b}], Pos: w.Now + 1}
+	word := assignment.Word{Key: r.Key, Silent: w.dead[b] || w.blindSet[[2]int{i, b}], Pos: w.Now + 1}
 	if word.Silent {
 		word.Pos = 0
 	}
@@ -380,7 +380,7 @@
 			at := (w.Now+1+w.rng.Int64N(max(1, w.Slow)))/Step + 1
 			b := batch{at: w.Now, words: in.out}
 			if other.stopped {
-				b.words = append([]duty.Word(nil), in.out...)
+				b.words = append([]assignment.Word(nil), in.out...)
 			}
 			other.inbox[at] = append(other.inbox[at], b)
 		}
