--- a/internal/leasing/desk.go
+++ b/internal/leasing/desk.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cairntiller/internal/control"
-	"cairntiller/internal/fleet"
 	"cairntiller/internal/lease"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/packing"
 )
 
@@ -154,7 +154,7 @@
 		}
 		if n.Holder == l.self {
 			l.wanted(x.Name, "an operator frees it")
-		} else if err := l.send(n.Holder, fleet.KindLeases, packing.Encode(poll{Version: pollVersion, Free: x.Name})); err != nil {
+		} else if err := l.send(n.Holder, membership.KindLeases, packing.Encode(poll{Version: pollVersion, Free: x.Name})); err != nil {
 			return fmt.Errorf("%s, which holds it, can't be reached; what it holds runs out within %d ms: %w", n.Holder, n.LeftMS, err)
 		}
 		return x.Say(n)
--- a/internal/leasing/leasing.go
+++ b/internal/leasing/leasing.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"cairntiller/internal/counters"
-	"cairntiller/internal/fleet"
 	"cairntiller/internal/lease"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/sexp"
 )
 
@@ -164,7 +164,7 @@
 
 // Hear takes a member's message; it never blocks.
 func (l *Leasing) Hear(from string, kind uint8, body []byte) {
-	if kind == fleet.KindLeases {
+	if kind == membership.KindLeases {
 		l.hearBoard(from, body)
 		return
 	}
@@ -388,7 +388,7 @@
 			m := *o.Message
 			m.Items = slices.Clone(m.Items)
 			l.put(&m)
-		} else if err := l.send(o.To, fleet.KindLease, Encode(o.Message)); err != nil {
+		} else if err := l.send(o.To, membership.KindLease, Encode(o.Message)); err != nil {
 			unsent.Add()
 			slog.Debug("a lease message was not sent", "to", o.To, "err", err)
 		}
--- a/internal/leasing/leasing_test.go
+++ b/internal/leasing/leasing_test.go
@@ -15,8 +15,8 @@
 
 	"go.etcd.io/bbolt"
 
-	"cairntiller/internal/fleet"
 	"cairntiller/internal/lease"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/sexp"
 )
 
@@ -195,7 +195,7 @@
 		h.drop = drop
 	}
 	lose(func(_, _ string, kind uint8) bool {
-		if kind != fleet.KindLeases {
+		if kind != membership.KindLeases {
 			return false
 		}
 		sent++
@@ -206,7 +206,7 @@
 	}
 	pages := 0
 	lose(func(from, _ string, kind uint8) bool {
-		if from != "c" || kind != fleet.KindLeases {
+		if from != "c" || kind != membership.KindLeases {
 			return false
 		}
 		pages++
@@ -373,7 +373,7 @@
 		if err != nil || !reflect.DeepEqual(m, again) {
 			t.Fatalf("%v: %+v, %+v", err, m, again)
 		}
-		if len(Encode(m)) > fleet.MostDirect && len(raw) <= fleet.MostDirect {
+		if len(Encode(m)) > membership.MostDirect && len(raw) <= membership.MostDirect {
 			t.Fatalf("%d bytes became %d", len(raw), len(Encode(m)))
 		}
 	})
--- a/internal/fleet/fleet.go
+++ b/internal/membership/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet carries membership and messages among cooperating routers, on a membership library over TCP and
+// Package membership carries membership and messages among cooperating routers, on a membership library over TCP and
 // UDP. It decides who may be a member and which message is news (gate.go); what becomes of members and words is the
 // business of whoever starts it. Everything is encrypted, with keys that can be changed in service.
-package fleet
+package membership
 
 import (
 	"bytes"
--- a/internal/fleet/wire.go
+++ b/internal/membership/wire.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"errors"
--- a/internal/patrol/patrol.go
+++ b/internal/patrol/patrol.go
@@ -9,7 +9,7 @@
 
 	"cairntiller/internal/assignment"
 	"cairntiller/internal/counters"
-	"cairntiller/internal/fleet"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/sexp"
 )
@@ -57,7 +57,7 @@
 // Patrol is one instance's part in the shared duties.
 type Patrol struct {
 	engine Engine
-	fleet  *fleet.Fleet
+	fleet  *membership.Fleet
 	table  *assignment.Table
 	asked  map[string]bool // nodes that are being probed on duty; true for a second opinion
 	listed map[string]bool // nodes of the whole list that is being read
@@ -74,9 +74,9 @@
 }
 
 // Events takes what the fleet tells, on the engine's goroutine; none is handled before the engine runs.
-func (p *Patrol) Events(now func() int64) fleet.Events {
+func (p *Patrol) Events(now func() int64) membership.Events {
 	on := func(do func(now int64)) { p.engine.Post(now(), do) }
-	return fleet.Events{
+	return membership.Events{
 		Up: func(name string, weight float64, born uint64) {
 			on(func(now int64) {
 				p.table.Up(now, name, weight, born)
@@ -92,7 +92,7 @@
 }
 
 // Join begins to share with a fleet that was started with the patrol's events. It is called before the engine runs.
-func (p *Patrol) Join(now int64, f *fleet.Fleet, at fleet.Place, pace Pace) {
+func (p *Patrol) Join(now int64, f *membership.Fleet, at membership.Place, pace Pace) {
 	p.fleet = f
 	p.table = assignment.New(now, at.Name, at.Weight, f.Born(), pace.Every, pace.Size, pace.BoxLoad, pace.TakeOver)
 	p.engine.After(tickEvery, p.tick)
--- a/internal/patrol/patrol_test.go
+++ b/internal/patrol/patrol_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"cairntiller/internal/fleet"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/sexp"
 )
@@ -64,9 +64,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := New(l)
-	at := fleet.Place{Name: name, Cluster: "test", Listen: "127.0.0.1:0", Join: join,
+	at := membership.Place{Name: name, Cluster: "test", Listen: "127.0.0.1:0", Join: join,
 		Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, Most: 8, Weight: 1, Bandwidth: 1 << 20}
-	f, err := fleet.Start(at, p.Events(clock), nil)
+	f, err := membership.Start(at, p.Events(clock), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/releasing/releasing.go
+++ b/internal/releasing/releasing.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"cairntiller/internal/counters"
-	"cairntiller/internal/fleet"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leasing"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/release"
 	"cairntiller/internal/sexp"
 )
@@ -320,7 +320,7 @@
 		r.post(func(now int64) { r.take(now, to, m) })
 		return
 	}
-	if err := r.send(to, fleet.KindRelease, encode(m)); err != nil {
+	if err := r.send(to, membership.KindRelease, encode(m)); err != nil {
 		unsent.Add()
 		slog.Debug("a release message was not sent", "to", to, "err", err)
 	}
--- a/internal/rollcall/rollcall.go
+++ b/internal/rollcall/rollcall.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"cairntiller/internal/counters"
-	"cairntiller/internal/fleet"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leasing"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/packing"
 	"cairntiller/internal/sexp"
 )
@@ -166,7 +166,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err := r.send(name, fleet.KindRoll, raw); err != nil {
+		if err := r.send(name, membership.KindRoll, raw); err != nil {
 			slog.Debug("not asked", "member", name, "err", err)
 		}
 	}
@@ -185,7 +185,7 @@
 		return
 	}
 	if !m.Answer {
-		if err := r.send(from, fleet.KindRoll, packing.Encode(message{Version: version, Number: m.Number, Answer: true, List: r.list.Load()})); err != nil {
+		if err := r.send(from, membership.KindRoll, packing.Encode(message{Version: version, Number: m.Number, Answer: true, List: r.list.Load()})); err != nil {
 			slog.Debug("not answered", "member", from, "err", err)
 		}
 		return
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -8,8 +8,8 @@
 
 	"cairntiller/internal/control"
 	"cairntiller/internal/engine"
-	"cairntiller/internal/fleet"
 	"cairntiller/internal/leasing"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/patrol"
 	"cairntiller/internal/releasing"
 	"cairntiller/internal/rollcall"
@@ -19,7 +19,7 @@
 
 // Instead is what tests and proofs put in the place of the machine's own; each may be nil.
 type Instead struct {
-	Wrap   fleet.Wrap             // stands before the network among instances
+	Wrap   membership.Wrap        // stands before the network among instances
 	Clock  func() int64           // of leases
 	Leases func(*leasing.Leasing) // is told of the router's part in leases, once it has begun
 }
@@ -33,7 +33,7 @@
 
 // wishes are the parts of the operator's file that concern what a router does with others, each as its package reads it.
 type wishes struct {
-	fleet   fleet.Place
+	fleet   membership.Place
 	duties  patrol.Pace
 	leases  leasing.Place
 	rolls   rollcall.Pace
@@ -51,7 +51,7 @@
 		sql.ReadKnowledge(file.Part("statements")) // its faults; for classify, no router uses it yet
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
-	w = wishes{fleet.Read(own, name), patrol.Read(duties), leasing.Read(leases), rollcall.Read(leases.Part("roll-call")),
+	w = wishes{membership.Read(own, name), patrol.Read(duties), leasing.Read(leases), rollcall.Read(leases.Part("roll-call")),
 		control.Read(file.Part("control")), releasing.Read(releases)}
 	if w.duties.Given && !own.Given() {
 		duties.Wrong("", "duties without a fleet", "a part fleet, which says who shares them")
@@ -69,7 +69,7 @@
 type company struct {
 	name      string
 	wishes    wishes
-	fleet     *fleet.Fleet
+	fleet     *membership.Fleet
 	shares    *patrol.Patrol
 	leases    *leasing.Leasing
 	rolls     *rollcall.Roll
@@ -97,7 +97,7 @@
 	if !w.duties.Given && !w.leases.Given {
 		return c, nil
 	}
-	var events fleet.Events
+	var events membership.Events
 	if w.duties.Given {
 		c.shares = patrol.New(e)
 		events = c.shares.Events(now)
@@ -124,7 +124,7 @@
 		c.leases = leasing.New(w.fleet.Name, w.fleet.Cluster, w.leases, clock, send)
 		c.rolls = rollcall.New(w.fleet.Name, w.rolls, c.leases, func() []string { <-ready; return c.fleet.Members() }, send)
 	}
-	if c.fleet, err = fleet.Start(w.fleet, events, in.Wrap); err != nil {
+	if c.fleet, err = membership.Start(w.fleet, events, in.Wrap); err != nil {
 		return c, fmt.Errorf("fleet: %w", err)
 	}
 	close(ready)
@@ -158,11 +158,11 @@
 func (c *company) direct(from string, _ uint64, kind uint8, body []byte) {
 	switch {
 	case c.leases == nil:
-	case kind == fleet.KindRelease:
+	case kind == membership.KindRelease:
 		if r := c.releasing.Load(); r != nil {
 			r.Hear(from, body)
 		}
-	case kind == fleet.KindRoll:
+	case kind == membership.KindRoll:
 		c.rolls.Hear(from, body)
 	default:
 		c.leases.Hear(from, kind, body)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -18,7 +18,7 @@
 
 	"cairntiller/internal/assignment"
 	"cairntiller/internal/counters"
-	"cairntiller/internal/fleet"
+	"cairntiller/internal/membership"
 	"cairntiller/internal/pgwire"
 )
 
@@ -187,8 +187,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	up := make(chan string, 9)
-	m, err := fleet.Start(fleet.Place{Name: "other", Cluster: "test", Listen: "127.0.0.1:0", Join: []string{place},
-		Keys: [][]byte{fresh}, Most: 8, Weight: 1, Bandwidth: 1 << 20}, fleet.Events{Up: func(name string, _ float64, _ uint64) { up <- name },
+	m, err := membership.Start(membership.Place{Name: "other", Cluster: "test", Listen: "127.0.0.1:0", Join: []string{place},
+		Keys: [][]byte{fresh}, Most: 8, Weight: 1, Bandwidth: 1 << 20}, membership.Events{Up: func(name string, _ float64, _ uint64) { up <- name },
 		Down: func(string, uint64, bool) {}, Words: func([]assignment.Word) {}, Returned: func(int) {}}, nil)
 	if err != nil {
 		t.Fatal(err)
