--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -10,10 +10,10 @@
 	"cairntiller/internal/engine"
 	"cairntiller/internal/leasing"
 	"cairntiller/internal/membership"
-	"cairntiller/internal/patrol"
 	"cairntiller/internal/releasing"
 	"cairntiller/internal/rollcall"
 	"cairntiller/internal/sexp"
+	"cairntiller/internal/sharedprobes"
 	"cairntiller/internal/sql"
 )
 
@@ -34,7 +34,7 @@
 // wishes are the parts of the operator's file that concern what a router does with others, each as its package reads it.
 type wishes struct {
 	fleet   membership.Place
-	duties  patrol.Pace
+	duties  sharedprobes.Pace
 	leases  leasing.Place
 	rolls   rollcall.Pace
 	control control.Place
@@ -51,7 +51,7 @@
 		sql.ReadKnowledge(file.Part("statements")) // its faults; for classify, no router uses it yet
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
-	w = wishes{membership.Read(own, name), patrol.Read(duties), leasing.Read(leases), rollcall.Read(leases.Part("roll-call")),
+	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leasing.Read(leases), rollcall.Read(leases.Part("roll-call")),
 		control.Read(file.Part("control")), releasing.Read(releases)}
 	if w.duties.Given && !own.Given() {
 		duties.Wrong("", "duties without a fleet", "a part fleet, which says who shares them")
@@ -70,7 +70,7 @@
 	name      string
 	wishes    wishes
 	fleet     *membership.Fleet
-	shares    *patrol.Patrol
+	shares    *sharedprobes.Patrol
 	leases    *leasing.Leasing
 	rolls     *rollcall.Roll
 	control   *control.Server
@@ -99,7 +99,7 @@
 	}
 	var events membership.Events
 	if w.duties.Given {
-		c.shares = patrol.New(e)
+		c.shares = sharedprobes.New(e)
 		events = c.shares.Events(now)
 	}
 	events.Direct = c.direct
--- a/internal/patrol/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -1,7 +1,7 @@
-// Package patrol joins a router with the others that probe the same nodes: it carries what assignment.Table decides to the
+// Package sharedprobes joins a router with the others that probe the same nodes: it carries what assignment.Table decides to the
 // engine and what the nodes told to the fleet, and the other way round. It decides nothing. All of it runs on the
 // engine's goroutine; the fleet's calls are posted there.
-package patrol
+package sharedprobes
 
 import (
 	"log/slog"
--- a/internal/patrol/patrol_test.go
+++ b/internal/sharedprobes/patrol_test.go
@@ -1,4 +1,4 @@
-package patrol
+package sharedprobes
 
 import (
 	"bytes"
