--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -12,7 +12,7 @@
 
 	"cairntiller/internal/control"
 	"cairntiller/internal/keeper"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 )
 
 // socketFlag is where the running router listens for operators.
@@ -45,7 +45,7 @@
 
 // leases prints what the voters know.
 func leases(out io.Writer, socket, name string, asJSON bool) error {
-	var o leasing.Overview
+	var o leaseservice.Overview
 	if err := control.Ask(socket, control.Request{Verb: "leases", Name: name}, &o); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 }
 
 func (l *leaseFreeLine) Run(out io.Writer) error {
-	var n leasing.Line
+	var n leaseservice.Line
 	if err := control.Ask(l.Socket, control.Request{Verb: "lease-free", Name: l.Name}, &n); err != nil {
 		return err
 	}
@@ -116,5 +116,5 @@
 }
 
 func (l *leaseKeepLine) Run(_ io.Writer) error {
-	return keeper.Exit(keeper.Run(l.Args, os.Stdin, leasing.Clock, l.Room))
+	return keeper.Exit(keeper.Run(l.Args, os.Stdin, leaseservice.Clock, l.Room))
 }
--- a/internal/keeper/hold.go
+++ b/internal/keeper/hold.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"cairntiller/internal/control"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 )
 
 const usualLength = 10 * time.Second // of a lease that a command holds, unless it is said
@@ -41,12 +41,12 @@
 		return ExitFailed, err
 	}
 	defer call.Close()
-	changes, fault := make(chan leasing.HoldLine), make(chan error, 1)
+	changes, fault := make(chan leaseservice.HoldLine), make(chan error, 1)
 	over := make(chan struct{})
 	defer close(over)
 	go func() {
 		for {
-			var h leasing.HoldLine
+			var h leaseservice.HoldLine
 			more, err := call.Next(&h)
 			if !more {
 				fault <- err
@@ -65,7 +65,7 @@
 	}
 	stops := make(chan os.Signal, 4)
 	signal.Notify(stops, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
-	var held leasing.HoldLine
+	var held leaseservice.HoldLine
 	for held.Change != "held" {
 		select {
 		case held = <-changes:
@@ -95,7 +95,7 @@
 		case <-stops:
 			k.say("end")
 		case code := <-k.ended:
-			if fault != nil && call.Send(leasing.Ended{Ended: true}) == nil {
+			if fault != nil && call.Send(leaseservice.Ended{Ended: true}) == nil {
 				for more := true; more; { // until the router has taken it
 					select {
 					case <-changes:
@@ -117,7 +117,7 @@
 
 func (k *kept) say(word string) { fmt.Fprintln(k.in, word) }
 
-func start(name string, held leasing.HoldLine, room time.Duration, keep, command []string) (*kept, error) {
+func start(name string, held leaseservice.HoldLine, room time.Duration, keep, command []string) (*kept, error) {
 	args := append(append([]string{}, keep[1:]...), "--room", room.String(), "--")
 	c := exec.Command(keep[0], append(args, command...)...)
 	c.Env = append(os.Environ(), "CAIRNTILLER_LEASE="+name, "CAIRNTILLER_TERM="+strconv.FormatUint(held.Term, 10))
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 )
 
 // TestMain lets the test's program be the keeper.
@@ -21,7 +21,7 @@
 		if err != nil {
 			os.Exit(2)
 		}
-		os.Exit(Run(os.Args[4:], os.Stdin, leasing.Clock, room))
+		os.Exit(Run(os.Args[4:], os.Stdin, leaseservice.Clock, room))
 	}
 	os.Exit(m.Run())
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := start("task", leasing.HoldLine{Term: 7, Until: leasing.Clock() + left.Microseconds()}, room, []string{self, "keep"}, append([]string{}, command...))
+	k, err := start("task", leaseservice.HoldLine{Term: 7, Until: leaseservice.Clock() + left.Microseconds()}, room, []string{self, "keep"}, append([]string{}, command...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	t.Run("extended", func(t *testing.T) {
 		t.Parallel()
 		say, ended, until := keep(t, left, room, "sh", "-c", "sleep 4; exit 6")
-		fmt.Fprintln(say, "until", leasing.Clock()+(4*left).Microseconds())
+		fmt.Fprintln(say, "until", leaseservice.Clock()+(4*left).Microseconds())
 		ends(t, ended, 6, until.Add(3*left))
 	})
 	t.Run("told to end", func(t *testing.T) {
--- a/internal/leasing/boot_linux.go
+++ b/internal/leaseservice/boot_linux.go
@@ -1,4 +1,4 @@
-package leasing
+package leaseservice
 
 import "golang.org/x/sys/unix"
 
--- a/internal/leasing/boot_other.go
+++ b/internal/leaseservice/boot_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package leasing
+package leaseservice
 
 import "time"
 
--- a/internal/leasing/leasing.go
+++ b/internal/leaseservice/leasing.go
@@ -1,7 +1,7 @@
-// Package leasing carries the fleet's leases: it moves messages between the fleet and what internal/lease decides,
+// Package leaseservice carries the fleet's leases: it moves messages between the fleet and what internal/lease decides,
 // keeps a voter's records, and lets acts run under a guard. It decides nothing. A claimant and a voter each run on a
 // goroutine of their own, so that a slow disk holds up votes alone.
-package leasing
+package leaseservice
 
 import (
 	"context"
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -89,8 +89,8 @@
 
 // The kinds of messages to one member, in one place so that no two users take the same.
 const (
-	KindLease   uint8 = iota + 1 // internal/leasing: asks and votes
-	KindLeases                   // internal/leasing: what voters know, for operators
+	KindLease   uint8 = iota + 1 // internal/leaseservice: asks and votes
+	KindLeases                   // internal/leaseservice: what voters know, for operators
 	KindRoll                     // internal/rollcall
 	KindRelease                  // internal/releasing
 )
--- a/internal/releasing/releasing.go
+++ b/internal/releasing/releasing.go
@@ -17,7 +17,7 @@
 
 	"cairntiller/internal/counters"
 	"cairntiller/internal/lease"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
 	"cairntiller/internal/release"
 	"cairntiller/internal/sexp"
@@ -96,7 +96,7 @@
 	clock   func() int64
 	send    func(to string, kind uint8, body []byte) error
 	members func() []string
-	leases  *leasing.Leasing
+	leases  *leaseservice.Leasing
 	voters  []string
 	length  int64
 
@@ -109,7 +109,7 @@
 	member   *release.Member
 	ledger   *release.Ledger
 	born     uint64
-	tenure   *leasing.Tenure
+	tenure   *leaseservice.Tenure
 	term     uint64
 	chief    string
 	reportAt int64
@@ -130,7 +130,7 @@
 }
 
 // New makes an instance's part.
-func New(self string, at Place, voters []string, longest int64, router Router, clock func() int64, leases *leasing.Leasing, members func() []string,
+func New(self string, at Place, voters []string, longest int64, router Router, clock func() int64, leases *leaseservice.Leasing, members func() []string,
 	send func(to string, kind uint8, body []byte) error) *Releasing {
 	born := uint64(time.Now().UnixMicro())
 	r := &Releasing{self: self, at: at, router: router, clock: clock, send: send, members: members, leases: leases, voters: voters, length: min(longest, mostLength),
@@ -165,7 +165,7 @@
 
 // stand asks for the lease as one of a few.
 func (r *Releasing) stand() {
-	var t *leasing.Tenure
+	var t *leaseservice.Tenure
 	for {
 		stands := lease.Stands(r.self, r.members(), Lease, standMost)
 		if stands && t == nil {
@@ -193,19 +193,19 @@
 }
 
 // changed takes what became of the lease; it is called on the leases' goroutine.
-func (r *Releasing) changed(e leasing.Event) {
+func (r *Releasing) changed(e leaseservice.Event) {
 	r.post(func(now int64) {
 		switch {
-		case e.Change == leasing.Began:
+		case e.Change == leaseservice.Began:
 			leads.Add()
 			r.term = e.Term
 			r.leader.Lead(now, e.Term)
-		case e.Change == leasing.Extended && e.Term != r.term && r.term > 0:
+		case e.Change == leaseservice.Extended && e.Term != r.term && r.term > 0:
 			r.term = e.Term
 			r.leader.Carried(now, e.Term)
-		case e.Change == leasing.Lost:
+		case e.Change == leaseservice.Lost:
 			r.lose()
-		case e.Change == leasing.Wanted:
+		case e.Change == leaseservice.Wanted:
 			r.yield(e.Next)
 		}
 	})
--- a/internal/releasing/releasing_test.go
+++ b/internal/releasing/releasing_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cairntiller/internal/lease"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/release"
 )
 
@@ -20,10 +20,10 @@
 // TestStopGivesTheLeadUp sees the lease of a leader that stops free at once, not only when it has run out.
 func TestStopGivesTheLeadUp(t *testing.T) {
 	send := func(string, uint8, []byte) error { return nil }
-	l := leasing.New("a", "test", leasing.Place{Given: true, Longest: 4_000_000, Drift: 10_000, Most: 10, Voters: lease.Voters{Number: 1, Names: []string{"a"}}}, leasing.Clock, send)
+	l := leaseservice.New("a", "test", leaseservice.Place{Given: true, Longest: 4_000_000, Drift: 10_000, Most: 10, Voters: lease.Voters{Number: 1, Names: []string{"a"}}}, leaseservice.Clock, send)
 	l.Start()
 	defer l.Stop()
-	r := New("a", Place{}, []string{"a"}, 4_000_000, still{}, leasing.Clock, l, func() []string { return nil }, send)
+	r := New("a", Place{}, []string{"a"}, 4_000_000, still{}, leaseservice.Clock, l, func() []string { return nil }, send)
 	r.Start()
 	for end := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if s, err := r.Status(t.Context()); err == nil && s.Leads {
@@ -36,7 +36,7 @@
 	r.Stop()
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) { // half of the lease's length
 		held := false
-		for _, line := range leasing.Lines(l.Ask(t.Context())) {
+		for _, line := range leaseservice.Lines(l.Ask(t.Context())) {
 			held = held || line.Lease == Lease && line.Holder != ""
 		}
 		if !held {
--- a/internal/rollcall/rollcall.go
+++ b/internal/rollcall/rollcall.go
@@ -9,7 +9,7 @@
 
 	"cairntiller/internal/counters"
 	"cairntiller/internal/lease"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
 	"cairntiller/internal/packing"
 	"cairntiller/internal/sexp"
@@ -56,7 +56,7 @@
 type Roll struct {
 	self    string
 	every   time.Duration
-	leases  *leasing.Leasing
+	leases  *leaseservice.Leasing
 	members func() []string
 	send    func(to string, kind uint8, body []byte) error
 	list    atomic.Int64 // version of the list here, -1 for none yet
@@ -70,7 +70,7 @@
 }
 
 // New makes an instance's part.
-func New(self string, pace Pace, leases *leasing.Leasing, members func() []string,
+func New(self string, pace Pace, leases *leaseservice.Leasing, members func() []string,
 	send func(to string, kind uint8, body []byte) error) *Roll {
 	r := &Roll{self: self, every: time.Duration(pace.Every) * time.Microsecond, leases: leases, members: members, send: send, over: make(chan struct{})}
 	r.list.Store(-1)
@@ -99,7 +99,7 @@
 }
 
 func (r *Roll) run(length int64) {
-	var t *leasing.Tenure
+	var t *leaseservice.Tenure
 	due := time.Now().Add(min(firstLook, r.every))
 	for r.sleep(min(standEvery, r.every)) {
 		stands := lease.Stands(r.self, r.members(), Lease, standMost)
@@ -126,7 +126,7 @@
 }
 
 // call makes one roll call, if this instance holds the lease; each of its two looks is an act by itself.
-func (r *Roll) call(t *leasing.Tenure) bool {
+func (r *Roll) call(t *leaseservice.Tenure) bool {
 	if term, _ := t.Held(); term == 0 {
 		return false
 	}
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -8,7 +8,7 @@
 
 	"cairntiller/internal/control"
 	"cairntiller/internal/engine"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
 	"cairntiller/internal/releasing"
 	"cairntiller/internal/rollcall"
@@ -19,9 +19,9 @@
 
 // Instead is what tests and proofs put in the place of the machine's own; each may be nil.
 type Instead struct {
-	Wrap   membership.Wrap        // stands before the network among instances
-	Clock  func() int64           // of leases
-	Leases func(*leasing.Leasing) // is told of the router's part in leases, once it has begun
+	Wrap   membership.Wrap             // stands before the network among instances
+	Clock  func() int64                // of leases
+	Leases func(*leaseservice.Leasing) // is told of the router's part in leases, once it has begun
 }
 
 // Check reads the operator's file as a start would, for a router whose own name is not known; the error holds every
@@ -35,7 +35,7 @@
 type wishes struct {
 	fleet   membership.Place
 	duties  sharedprobes.Pace
-	leases  leasing.Place
+	leases  leaseservice.Place
 	rolls   rollcall.Pace
 	control control.Place
 	release releasing.Place
@@ -51,7 +51,7 @@
 		sql.ReadKnowledge(file.Part("statements")) // its faults; for classify, no router uses it yet
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
-	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leasing.Read(leases), rollcall.Read(leases.Part("roll-call")),
+	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.Read(leases), rollcall.Read(leases.Part("roll-call")),
 		control.Read(file.Part("control")), releasing.Read(releases)}
 	if w.duties.Given && !own.Given() {
 		duties.Wrong("", "duties without a fleet", "a part fleet, which says who shares them")
@@ -71,7 +71,7 @@
 	wishes    wishes
 	fleet     *membership.Fleet
 	shares    *sharedprobes.Patrol
-	leases    *leasing.Leasing
+	leases    *leaseservice.Leasing
 	rolls     *rollcall.Roll
 	control   *control.Server
 	releasing atomic.Pointer[releasing.Releasing] // messages may come before it has begun
@@ -119,9 +119,9 @@
 	if w.leases.Given {
 		clock := in.Clock
 		if clock == nil {
-			clock = leasing.Clock
+			clock = leaseservice.Clock
 		}
-		c.leases = leasing.New(w.fleet.Name, w.fleet.Cluster, w.leases, clock, send)
+		c.leases = leaseservice.New(w.fleet.Name, w.fleet.Cluster, w.leases, clock, send)
 		c.rolls = rollcall.New(w.fleet.Name, w.rolls, c.leases, func() []string { <-ready; return c.fleet.Members() }, send)
 	}
 	if c.fleet, err = membership.Start(w.fleet, events, in.Wrap); err != nil {
@@ -143,7 +143,7 @@
 		}
 		if w.release.Given {
 			e.Accompany(targets)
-			r := releasing.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.Longest, me, leasing.Clock, c.leases, c.fleet.Members, c.fleet.Any)
+			r := releasing.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.Longest, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Any)
 			r.Start()
 			c.releasing.Store(r)
 			if c.control != nil {
--- a/internal/standin/proof/council.go
+++ b/internal/standin/proof/council.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/standin/council"
 )
 
@@ -91,7 +91,7 @@
 		n, leases := size[0], size[1]
 		length := int64(10_000_000)
 		w := council.New(council.Plan{Seed: p.From, Voters: 3, Others: n - 3, Leases: leases, Wanted: min(n, 3), Length: length, Drift: 10_000, Calm: true})
-		w.Weigh = func(m *council.Message) int { return len(leasing.Encode(m)) }
+		w.Weigh = func(m *council.Message) int { return len(leaseservice.Encode(m)) }
 		w.Run(length) // they abstain
 		held := int64(0)
 		for held = 0; held < 30 && w.Held() < leases; held++ {
--- a/internal/standin/proof/leases.go
+++ b/internal/standin/proof/leases.go
@@ -20,7 +20,7 @@
 	"cairntiller/internal/control"
 	"cairntiller/internal/keeper"
 	"cairntiller/internal/lease"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/standin/resource"
 	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
@@ -58,7 +58,7 @@
 
 // LeaseChild is the program that the proof starts as a router: it acts under each task's lease while it has it.
 func LeaseChild(at rig.Self, address, name string, bulk int) error {
-	return rig.Child(at, nil, func(l *leasing.Leasing) {
+	return rig.Child(at, nil, func(l *leaseservice.Leasing) {
 		for n := range bulk {
 			if _, err := l.Want(lease.Wish{Lease: fmt.Sprint("bulk-", n), Length: leaseLength.Microseconds()}, nil); err != nil {
 				fmt.Fprintln(os.Stderr, "no lease:", err)
@@ -71,7 +71,7 @@
 }
 
 // act wants a lease for good and acts under it again and again.
-func act(l *leasing.Leasing, address, name, task string) {
+func act(l *leaseservice.Leasing, address, name, task string) {
 	t, err := l.Want(lease.Wish{Lease: task, Length: leaseLength.Microseconds()}, nil)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "no lease:", err)
@@ -271,7 +271,7 @@
 }
 
 // knows asks a router for what the voters know.
-func (c *tribunal) knows(i int) (o leasing.Overview, err error) {
+func (c *tribunal) knows(i int) (o leaseservice.Overview, err error) {
 	err = control.Ask(c.r.Socket(i), control.Request{Verb: "leases"}, &o)
 	return o, err
 }
@@ -418,7 +418,7 @@
 		if !c.r.Up(i) {
 			continue
 		}
-		var n leasing.Line
+		var n leaseservice.Line
 		if control.Ask(c.r.Socket(i), control.Request{Verb: "lease-free", Name: name}, &n) == nil {
 			return
 		}
--- a/internal/standin/proof/leases_test.go
+++ b/internal/standin/proof/leases_test.go
@@ -14,7 +14,7 @@
 	"github.com/alecthomas/kong"
 
 	"cairntiller/internal/keeper"
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/standin/rig"
 )
 
@@ -160,7 +160,7 @@
 	}
 	defer c.close()
 	// one look tells of both holders: each look is work for the voters whose speed is measured
-	var others []leasing.Line
+	var others []leaseservice.Line
 	held := func() map[string]int {
 		n := map[string]int{}
 		others = nil
--- a/internal/standin/rig/skew.go
+++ b/internal/standin/rig/skew.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"cairntiller/internal/leasing"
+	"cairntiller/internal/leaseservice"
 )
 
 // Skew is a machine's clock that is not right. All processes of one machine have the same.
@@ -16,7 +16,7 @@
 }
 
 // True is the clock of the world, which stand-ins write down.
-func True() int64 { return leasing.Clock() }
+func True() int64 { return leaseservice.Clock() }
 
 // Clock is the machine's own.
 func (k Skew) Clock() int64 {
