--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"cairntiller/internal/control"
-	"cairntiller/internal/keeper"
 	"cairntiller/internal/release"
 	"cairntiller/internal/releasing"
+	"cairntiller/internal/supervisor"
 )
 
 type fleetLine struct {
@@ -138,7 +138,7 @@
 				return nil
 			}
 			if one.Over() {
-				return keeper.Exit(exitHalted)
+				return supervisor.Exit(exitHalted)
 			}
 		}
 	}
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cairntiller/internal/control"
-	"cairntiller/internal/keeper"
 	"cairntiller/internal/leaseservice"
+	"cairntiller/internal/supervisor"
 )
 
 // socketFlag is where the running router listens for operators.
@@ -102,12 +102,12 @@
 	if err != nil {
 		return err
 	}
-	code, err := keeper.Hold(l.Socket, l.Args[0], keeper.Wish{Length: l.Length, Turn: l.Turn, Priority: l.Priority, Wait: l.Wait},
+	code, err := supervisor.Hold(l.Socket, l.Args[0], supervisor.Wish{Length: l.Length, Turn: l.Turn, Priority: l.Priority, Wait: l.Wait},
 		[]string{self, "lease", "keep"}, l.Args[2:])
 	if err != nil {
 		return err
 	}
-	return keeper.Exit(code)
+	return supervisor.Exit(code)
 }
 
 type leaseKeepLine struct {
@@ -116,5 +116,5 @@
 }
 
 func (l *leaseKeepLine) Run(_ io.Writer) error {
-	return keeper.Exit(keeper.Run(l.Args, os.Stdin, leaseservice.Clock, l.Room))
+	return supervisor.Exit(supervisor.Run(l.Args, os.Stdin, leaseservice.Clock, l.Room))
 }
--- a/cmd/cairntiller/main.go
+++ b/cmd/cairntiller/main.go
@@ -11,8 +11,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"cairntiller/internal/keeper"
 	"cairntiller/internal/serve"
+	"cairntiller/internal/supervisor"
 )
 
 // The exit codes.
@@ -100,7 +100,7 @@
 	}
 	logTo(errs, l.Log)
 	if err := ctx.Run(); err != nil {
-		var code keeper.Exit
+		var code supervisor.Exit
 		if errors.As(err, &code) {
 			return int(code)
 		}
--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -13,9 +13,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"cairntiller/internal/keeper"
 	"cairntiller/internal/standin/proof"
 	"cairntiller/internal/standin/rig"
+	"cairntiller/internal/supervisor"
 )
 
 type line struct {
@@ -184,7 +184,7 @@
 	var l line
 	ctx := kong.Parse(&l, kong.Name("proof"), kong.Description("Proofs of the project's subsystems."), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
-		var code keeper.Exit
+		var code supervisor.Exit
 		if errors.As(err, &code) {
 			os.Exit(int(code))
 		}
--- a/internal/standin/proof/hidden.go
+++ b/internal/standin/proof/hidden.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"cairntiller/internal/keeper"
 	"cairntiller/internal/standin/rig"
+	"cairntiller/internal/supervisor"
 )
 
 // Hidden are the commands by which a proof starts its own program again, as the processes it is made of.
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	return keeper.Exit(code)
+	return supervisor.Exit(code)
 }
 
 type self struct {
--- a/internal/standin/proof/leases.go
+++ b/internal/standin/proof/leases.go
@@ -18,12 +18,12 @@
 	"github.com/anishathalye/porcupine"
 
 	"cairntiller/internal/control"
-	"cairntiller/internal/keeper"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/standin/resource"
 	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
+	"cairntiller/internal/supervisor"
 )
 
 // The limits that the proof of leases holds the routers to.
@@ -667,7 +667,7 @@
 	if keep != "keep" { // what outlasts its lease has to be at work when the lease has passed on
 		span *= 5
 	}
-	return keeper.Hold(socket, name, keeper.Wish{Length: length}, []string{self, keep, "--clock", clock},
+	return supervisor.Hold(socket, name, supervisor.Wish{Length: length}, []string{self, keep, "--clock", clock},
 		[]string{self, "work", "--acts", address, "--holder", holder, "--span", span.String(), name})
 }
 
@@ -677,5 +677,5 @@
 	if err != nil {
 		return 1, err
 	}
-	return keeper.Run(command, os.Stdin, skew.Clock, room), nil
+	return supervisor.Run(command, os.Stdin, skew.Clock, room), nil
 }
--- a/internal/standin/proof/leases_test.go
+++ b/internal/standin/proof/leases_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"cairntiller/internal/keeper"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/standin/rig"
+	"cairntiller/internal/supervisor"
 )
 
 // child runs the command that a proof started this program again for, if it is one.
@@ -28,7 +28,7 @@
 	if err == nil {
 		os.Exit(0)
 	}
-	if code, is := err.(keeper.Exit); is {
+	if code, is := err.(supervisor.Exit); is {
 		os.Exit(int(code))
 	}
 	fmt.Fprintln(os.Stderr, err)
--- a/internal/keeper/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -1,8 +1,8 @@
-// Package keeper runs a command that must be over by a time, whatever becomes of who asked for it: it is a process of
+// Package supervisor runs a command that must be over by a time, whatever becomes of who asked for it: it is a process of
 // its own between the asker and the command, is told the time over its standard input, and ends the command and all
 // that came of it before that time is over. A command that was stopped is killed all the same. If the asker dies, the
 // command ends.
-package keeper
+package supervisor
 
 import (
 	"bufio"
--- a/internal/keeper/keeper_test.go
+++ b/internal/supervisor/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"fmt"
