--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -91,7 +91,7 @@
 const (
 	KindLease   uint8 = iota + 1 // internal/leaseservice: asks and votes
 	KindLeases                   // internal/leaseservice: what voters know, for operators
-	KindRoll                     // internal/rollcall
+	KindRoll                     // internal/versionaudit
 	KindRelease                  // internal/releasing
 )
 
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -11,10 +11,10 @@
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
 	"cairntiller/internal/releasing"
-	"cairntiller/internal/rollcall"
 	"cairntiller/internal/sexp"
 	"cairntiller/internal/sharedprobes"
 	"cairntiller/internal/sql"
+	"cairntiller/internal/versionaudit"
 )
 
 // Instead is what tests and proofs put in the place of the machine's own; each may be nil.
@@ -36,7 +36,7 @@
 	fleet   membership.Place
 	duties  sharedprobes.Pace
 	leases  leaseservice.Place
-	rolls   rollcall.Pace
+	rolls   versionaudit.Pace
 	control control.Place
 	release releasing.Place
 }
@@ -51,7 +51,7 @@
 		sql.ReadKnowledge(file.Part("statements")) // its faults; for classify, no router uses it yet
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
-	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.Read(leases), rollcall.Read(leases.Part("roll-call")),
+	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.Read(leases), versionaudit.Read(leases.Part("roll-call")),
 		control.Read(file.Part("control")), releasing.Read(releases)}
 	if w.duties.Given && !own.Given() {
 		duties.Wrong("", "duties without a fleet", "a part fleet, which says who shares them")
@@ -72,7 +72,7 @@
 	fleet     *membership.Fleet
 	shares    *sharedprobes.Patrol
 	leases    *leaseservice.Leasing
-	rolls     *rollcall.Roll
+	rolls     *versionaudit.Roll
 	control   *control.Server
 	releasing atomic.Pointer[releasing.Releasing] // messages may come before it has begun
 }
@@ -122,7 +122,7 @@
 			clock = leaseservice.Clock
 		}
 		c.leases = leaseservice.New(w.fleet.Name, w.fleet.Cluster, w.leases, clock, send)
-		c.rolls = rollcall.New(w.fleet.Name, w.rolls, c.leases, func() []string { <-ready; return c.fleet.Members() }, send)
+		c.rolls = versionaudit.New(w.fleet.Name, w.rolls, c.leases, func() []string { <-ready; return c.fleet.Members() }, send)
 	}
 	if c.fleet, err = membership.Start(w.fleet, events, in.Wrap); err != nil {
 		return c, fmt.Errorf("fleet: %w", err)
--- a/internal/rollcall/tally.go
+++ b/internal/versionaudit/tally.go
@@ -1,6 +1,6 @@
-// Package rollcall is the fleet's first task under a lease: one instance asks all others which version of the node list
+// Package versionaudit is the fleet's first task under a lease: one instance asks all others which version of the node list
 // they have, and reports those that stay behind. What it decides is in this file, which does no I/O and has no clock.
-package rollcall
+package versionaudit
 
 import (
 	"cmp"
--- a/internal/rollcall/tally_test.go
+++ b/internal/versionaudit/tally_test.go
@@ -1,4 +1,4 @@
-package rollcall
+package versionaudit
 
 import (
 	"slices"
