--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cairntiller/internal/control"
+	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/release"
 	"cairntiller/internal/releasing"
 	"cairntiller/internal/supervisor"
@@ -43,7 +43,7 @@
 		return err
 	}
 	var token string
-	if err := control.Ask(f.Socket, control.Request{Verb: "fleet-word", Text: text}, &token); err != nil {
+	if err := adminsocket.Ask(f.Socket, adminsocket.Request{Verb: "fleet-word", Text: text}, &token); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "taken")
@@ -56,7 +56,7 @@
 }
 
 func status(socket string) (s releasing.Status, err error) {
-	err = control.Ask(socket, control.Request{Verb: "fleet-status"}, &s)
+	err = adminsocket.Ask(socket, adminsocket.Request{Verb: "fleet-status"}, &s)
 	return s, err
 }
 
--- a/internal/control/control.go
+++ b/internal/adminsocket/control.go
@@ -1,7 +1,7 @@
-// Package control lets an operator's commands on the same machine speak with a running router: lines of JSON over a
+// Package adminsocket lets an operator's commands on the same machine speak with a running router: lines of JSON over a
 // Unix socket that its owner alone may open. A request is one line, the answer lines until the router ends the
 // connection; a request that runs for long may be followed by further lines.
-package control
+package adminsocket
 
 import (
 	"bufio"
--- a/internal/control/control_test.go
+++ b/internal/adminsocket/control_test.go
@@ -1,4 +1,4 @@
-package control
+package adminsocket
 
 import (
 	"context"
--- a/internal/leaseservice/desk.go
+++ b/internal/leaseservice/desk.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"cairntiller/internal/control"
+	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/membership"
 	"cairntiller/internal/packing"
@@ -101,7 +101,7 @@
 var changeNames = [...]string{"", "held", "extended", "lost", "wanted"}
 
 // Serve answers operators.
-func (l *Leasing) Serve(s *control.Server) {
+func (l *Leasing) Serve(s *adminsocket.Server) {
 	s.Handle("leases", l.list)
 	s.Handle("lease-hold", l.hold)
 	s.Handle("lease-free", l.free)
@@ -132,7 +132,7 @@
 	return o
 }
 
-func (l *Leasing) list(ctx context.Context, x *control.Exchange) error {
+func (l *Leasing) list(ctx context.Context, x *adminsocket.Exchange) error {
 	o := l.overview(ctx)
 	if x.Name != "" {
 		o.Leases = slices.DeleteFunc(o.Leases, func(n Line) bool { return n.Lease != x.Name })
@@ -144,7 +144,7 @@
 }
 
 // free asks a lease's holder to give it up.
-func (l *Leasing) free(ctx context.Context, x *control.Exchange) error {
+func (l *Leasing) free(ctx context.Context, x *adminsocket.Exchange) error {
 	for _, n := range l.overview(ctx).Leases {
 		if n.Lease != x.Name {
 			continue
@@ -163,7 +163,7 @@
 }
 
 // whole reads a whole number of a request, 0 where it is not given.
-func whole(x *control.Exchange, name string, least, most int64) (int64, error) {
+func whole(x *adminsocket.Exchange, name string, least, most int64) (int64, error) {
 	word := x.Args[name]
 	if word == "" {
 		return 0, nil
@@ -177,7 +177,7 @@
 
 // hold wishes for a lease on behalf of a command, tells it of each change, and gives the lease up once the command has
 // ended. Where the command vanishes without that word, the lease runs out by itself: what ran under it may still.
-func (l *Leasing) hold(ctx context.Context, x *control.Exchange) error {
+func (l *Leasing) hold(ctx context.Context, x *adminsocket.Exchange) error {
 	length, err1 := whole(x, "length_us", leastLength, l.at.Longest)
 	turn, err2 := whole(x, "turn_us", 0, 1<<50)
 	priority, err3 := whole(x, "priority", -100, 100)
--- a/internal/releasing/desk.go
+++ b/internal/releasing/desk.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"cairntiller/internal/control"
+	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/release"
 	"cairntiller/internal/sexp"
 )
@@ -61,14 +61,14 @@
 }
 
 // Serve answers operators.
-func (r *Releasing) Serve(s *control.Server) {
-	s.Handle("fleet-status", func(ctx context.Context, x *control.Exchange) error {
+func (r *Releasing) Serve(s *adminsocket.Server) {
+	s.Handle("fleet-status", func(ctx context.Context, x *adminsocket.Exchange) error {
 		ctx, cancel := context.WithTimeout(ctx, wordWait)
 		defer cancel()
 		st, err := r.Status(ctx)
 		return errors.Join(err, x.Say(st))
 	})
-	s.Handle("fleet-word", func(ctx context.Context, x *control.Exchange) error {
+	s.Handle("fleet-word", func(ctx context.Context, x *adminsocket.Exchange) error {
 		var w release.Word
 		if err := json.Unmarshal([]byte(x.Text), &w); err != nil {
 			return err
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"sync/atomic"
 
-	"cairntiller/internal/control"
+	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
@@ -37,7 +37,7 @@
 	duties  sharedprobes.Pace
 	leases  leaseservice.Place
 	rolls   versionaudit.Pace
-	control control.Place
+	control adminsocket.Place
 	release releasing.Place
 }
 
@@ -52,7 +52,7 @@
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
 	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.Read(leases), versionaudit.Read(leases.Part("roll-call")),
-		control.Read(file.Part("control")), releasing.Read(releases)}
+		adminsocket.Read(file.Part("control")), releasing.Read(releases)}
 	if w.duties.Given && !own.Given() {
 		duties.Wrong("", "duties without a fleet", "a part fleet, which says who shares them")
 	}
@@ -73,7 +73,7 @@
 	shares    *sharedprobes.Patrol
 	leases    *leaseservice.Leasing
 	rolls     *versionaudit.Roll
-	control   *control.Server
+	control   *adminsocket.Server
 	releasing atomic.Pointer[releasing.Releasing] // messages may come before it has begun
 }
 
@@ -86,7 +86,7 @@
 		}
 	}()
 	if w.control.Given {
-		if c.control, err = control.Listen(w.control); err != nil {
+		if c.control, err = adminsocket.Listen(w.control); err != nil {
 			return c, err
 		}
 	}
--- a/internal/standin/proof/leases.go
+++ b/internal/standin/proof/leases.go
@@ -17,7 +17,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"cairntiller/internal/control"
+	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/standin/resource"
@@ -272,7 +272,7 @@
 
 // knows asks a router for what the voters know.
 func (c *tribunal) knows(i int) (o leaseservice.Overview, err error) {
-	err = control.Ask(c.r.Socket(i), control.Request{Verb: "leases"}, &o)
+	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "leases"}, &o)
 	return o, err
 }
 
@@ -419,7 +419,7 @@
 			continue
 		}
 		var n leaseservice.Line
-		if control.Ask(c.r.Socket(i), control.Request{Verb: "lease-free", Name: name}, &n) == nil {
+		if adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "lease-free", Name: name}, &n) == nil {
 			return
 		}
 	}
--- a/internal/standin/proof/releases.go
+++ b/internal/standin/proof/releases.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"cairntiller/internal/control"
+	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/release"
 	"cairntiller/internal/releasing"
 	"cairntiller/internal/standin/client"
@@ -293,7 +293,7 @@
 }
 
 func (c *rollingOut) status(i int) (s releasing.Status, err error) {
-	err = control.Ask(c.r.Socket(i), control.Request{Verb: "fleet-status"}, &s)
+	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "fleet-status"}, &s)
 	return s, err
 }
 
@@ -461,5 +461,5 @@
 		return err
 	}
 	var token string
-	return control.Ask(socket, control.Request{Verb: "fleet-word", Text: text}, &token)
+	return adminsocket.Ask(socket, adminsocket.Request{Verb: "fleet-word", Text: text}, &token)
 }
--- a/internal/supervisor/hold.go
+++ b/internal/supervisor/hold.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"cairntiller/internal/control"
+	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/leaseservice"
 )
 
@@ -36,7 +36,7 @@
 	if w.Turn > 0 {
 		args["turn_us"] = strconv.FormatInt(w.Turn.Microseconds(), 10)
 	}
-	call, err := control.Dial(socket, control.Request{Verb: "lease-hold", Name: name, Args: args})
+	call, err := adminsocket.Dial(socket, adminsocket.Request{Verb: "lease-hold", Name: name, Args: args})
 	if err != nil {
 		return ExitFailed, err
 	}
