--- a/internal/standin/rollout/rollout.go
+++ b/internal/simulation/rolloutsim/rollout.go
@@ -1,9 +1,9 @@
-// Package rollout simulates a fleet that goes through plans of release: routers that leave, come back, crash, or come back
+// Package rolloutsim simulates a fleet that goes through plans of release: routers that leave, come back, crash, or come back
 // wrong; nodes that are drained and hand over; leaders that are killed or cut off; voters that forget; messages that are
 // lost, doubled and late. It knows the truth and checks after each event that the budget holds, that nothing goes out
 // twice or without a slot, and that no node counts as out of use while a router uses it. Equal seeds give equal runs. It
 // is for tests and proofs; mistakes can be planted to see that it finds them.
-package rollout
+package rolloutsim
 
 import (
 	"encoding/binary"
--- a/internal/standin/rollout/rollout_test.go
+++ b/internal/simulation/rolloutsim/rollout_test.go
@@ -1,4 +1,4 @@
-package rollout
+package rolloutsim
 
 import (
 	"flag"
--- a/internal/standin/proof/rollout.go
+++ b/internal/standin/proof/rollout.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cairntiller/internal/release"
-	"cairntiller/internal/standin/rollout"
+	"cairntiller/internal/simulation/rolloutsim"
 )
 
 // Rollout is the part of the proof of releases that no sockets reach: the deciding module in simulated time.
@@ -36,7 +36,7 @@
 		time.Since(began).Seconds())
 	planted := 0
 	if p.Plant > 0 {
-		for m := rollout.None + 1; m < rollout.Mistakes; m++ {
+		for m := rolloutsim.None + 1; m < rolloutsim.Mistakes; m++ {
 			if after := p.find(m); after >= 0 {
 				planted++
 				fmt.Fprintf(p.Writes, "planted %v: found after %d seeds\n", m, after+1)
@@ -57,26 +57,26 @@
 	}
 	return fmt.Sprintf("proof releases, simulated: %s; seeds=%d from=%d budget_breaks=%d (limit 0) planted_found=%d of %d false_halts=%d of %d plans "+
 		"bad_versions_through=%d of %d (more than two touched %d) time_to_least=%.2f (aim 1.3)", verdict, p.Seeds, p.From, min(len(broken), 1), planted,
-		int(rollout.Mistakes)-1, noise, p.Halts, missed, p.Halts, more, worst), errors.Join(errs...)
+		int(rolloutsim.Mistakes)-1, noise, p.Halts, missed, p.Halts, more, worst), errors.Join(errs...)
 }
 
 func (p Rollout) mixed() (events int64, leaders, hashes int, broken string) {
-	hashes, broken = search(p.From, p.Seeds, p.Twice, func(seed uint64) (f rollout.Figures, hash uint64, broken string) {
-		w := rollout.New(rollout.Mixed(seed))
+	hashes, broken = search(p.From, p.Seeds, p.Twice, func(seed uint64) (f rolloutsim.Figures, hash uint64, broken string) {
+		w := rolloutsim.New(rolloutsim.Mixed(seed))
 		f = w.Run()
 		return f, f.Hash, w.Broken
-	}, func(f rollout.Figures) {
+	}, func(f rolloutsim.Figures) {
 		events, leaders = events+f.Events, leaders+f.Leaders
 	})
 	return events, leaders, hashes, broken
 }
 
 // find is the first seed that shows a planted mistake, -1 for none.
-func (p Rollout) find(m rollout.Mistake) int {
+func (p Rollout) find(m rolloutsim.Mistake) int {
 	return first(p.Plant, func(seed uint64) bool {
-		s := rollout.Mixed(seed)
+		s := rolloutsim.Mixed(seed)
 		s.Planted = m
-		w := rollout.New(s)
+		w := rolloutsim.New(s)
 		w.Run()
 		return w.Broken != ""
 	})
@@ -87,7 +87,7 @@
 	var mu sync.Mutex
 	each(p.Halts, func(i int) bool {
 		for _, bad := range []float64{0, 0.02} {
-			w := rollout.New(rollout.Versions(uint64(i), bad))
+			w := rolloutsim.New(rolloutsim.Versions(uint64(i), bad))
 			f := w.Run()
 			mu.Lock()
 			switch {
@@ -115,7 +115,7 @@
 		for i := range n {
 			plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
 		}
-		w := rollout.New(rollout.Setup{Seed: p.From + 1, Routers: n, Voters: 3, Plans: []release.Plan{plan}, Span: 1_800_000_000, After: 1_000_000})
+		w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: n, Voters: 3, Plans: []release.Plan{plan}, Span: 1_800_000_000, After: 1_000_000})
 		f := w.Run()
 		if len(f.Done) == 0 {
 			fmt.Fprintf(out, "%d\t-\t-\t-\t-\t-\t\n", n)
@@ -128,7 +128,7 @@
 		sizes := append(slices.Clone(plan.Waves), n)
 		for left, k := n, 0; left > 0; k++ {
 			size := min(sizes[min(k, len(sizes)-1)], left)
-			least += float64((size+most-1)/most)*rollout.Way.Seconds() + float64(plan.Watch)/1e6
+			least += float64((size+most-1)/most)*rolloutsim.Way.Seconds() + float64(plan.Watch)/1e6
 			left -= size
 		}
 		took := float64(f.Done[0]) / 1e6
@@ -141,7 +141,7 @@
 
 // TraceRollout plays one seed and prints what happens.
 func TraceRollout(seed uint64, out io.Writer) error {
-	w := rollout.New(rollout.Mixed(seed))
+	w := rolloutsim.New(rolloutsim.Mixed(seed))
 	w.Trace = func(at int64, what string) { fmt.Fprintf(out, "%10.3f %s\n", float64(at)/1e6, what) }
 	w.Run()
 	if w.Broken != "" {
