--- a/internal/standin/council/council.go
+++ b/internal/simulation/leasesim/council.go
@@ -1,9 +1,9 @@
-// Package council simulates processes that vote on leases and hold them: each has its own clock, messages are lost,
+// Package leasesim simulates processes that vote on leases and hold them: each has its own clock, messages are lost,
 // doubled, late and out of order, links are cut one way or both, processes are stopped, killed and started anew with or
 // without what they kept, and the set of voters changes. It knows the true time and checks after each event that no
 // two processes could act on one lease at once and that terms only grow. Equal seeds give equal runs, as a hash over
 // all events shows. It is for tests and proofs; faults can be planted to see that it finds them.
-package council
+package leasesim
 
 import (
 	"encoding/binary"
--- a/internal/standin/council/faults.go
+++ b/internal/simulation/leasesim/faults.go
@@ -1,4 +1,4 @@
-package council
+package leasesim
 
 import (
 	"slices"
