--- a/internal/assignment/hard_test.go
+++ b/internal/assignment/hard_test.go
@@ -3,21 +3,21 @@
 import (
 	"testing"
 
-	"cairntiller/internal/standin/instances"
+	"cairntiller/internal/simulation/assignmentsim"
 )
 
 const second = 1_000_000
 
 // calm makes three instances and ten boxes that have come to rest.
-func calm(seed uint64, n, boxes int) *instances.World {
-	w := instances.New(seed, n, boxes, second, 4, 50)
+func calm(seed uint64, n, boxes int) *assignmentsim.World {
+	w := assignmentsim.New(seed, n, boxes, second, 4, 50)
 	w.Run(10 * second)
 	w.Mark()
 	return w
 }
 
 // within fails where a box went unprobed for longer than a limit.
-func within(t *testing.T, w *instances.World, limit int64) {
+func within(t *testing.T, w *assignmentsim.World, limit int64) {
 	t.Helper()
 	if got, box := w.Longest(); got > limit {
 		t.Errorf("box %d went unprobed for %.1f s, limit %.1f", box, float64(got)/second, float64(limit)/second)
@@ -25,7 +25,7 @@
 }
 
 // single fails where a box has no owner, or more than one.
-func single(t *testing.T, w *instances.World, boxes int) {
+func single(t *testing.T, w *assignmentsim.World, boxes int) {
 	t.Helper()
 	for b := range boxes {
 		if n := w.Owners(b); n != 1 {
@@ -35,7 +35,7 @@
 }
 
 // settles is single for a moment in which a duty may be changing hands, which is over within 3 s.
-func settles(t *testing.T, w *instances.World, boxes int) {
+func settles(t *testing.T, w *assignmentsim.World, boxes int) {
 	t.Helper()
 	for b := range boxes {
 		for tries := 0; w.Owners(b) != 1; tries++ {
@@ -43,7 +43,7 @@
 				t.Errorf("box %d has %d owners for 3 s", b, w.Owners(b))
 				break
 			}
-			w.Run(instances.Step)
+			w.Run(assignmentsim.Step)
 		}
 	}
 }
@@ -256,7 +256,7 @@
 
 // TestClocksApart: instances' clocks differ by an hour either way.
 func TestClocksApart(t *testing.T) {
-	w := instances.New(4, 3, 20, second, 4, 50)
+	w := assignmentsim.New(4, 3, 20, second, 4, 50)
 	w.Clock(0, 3600*second)
 	w.Clock(1, 7200*second)
 	w.Run(10 * second)
@@ -273,7 +273,7 @@
 // TestBadNetwork: messages are lost, doubled and reordered.
 func TestBadNetwork(t *testing.T) {
 	for seed := range uint64(10) {
-		w := instances.New(seed, 5, 30, second, 4, 50)
+		w := assignmentsim.New(seed, 5, 30, second, 4, 50)
 		w.Loss, w.Twice, w.Slow = 0.2, 0.3, 1_500_000
 		w.Run(20 * second)
 		w.Mark()
@@ -322,7 +322,7 @@
 // TestSameSeedSameRun guards the simulation itself.
 func TestSameSeedSameRun(t *testing.T) {
 	trace := func() (log []int64) {
-		w := instances.New(11, 4, 10, second, 4, 50)
+		w := assignmentsim.New(11, 4, 10, second, 4, 50)
 		w.Loss, w.Twice = 0.1, 0.1
 		w.OnProbe(func(at int64, i, box int) { log = append(log, at, int64(i), int64(box)) })
 		w.Run(5 * second)
--- a/internal/standin/instances/instances.go
+++ b/internal/simulation/assignmentsim/instances.go
@@ -1,8 +1,8 @@
-// Package instances simulates cooperating routers in one process: each has its own assignment.Table, clock and view of
+// Package assignmentsim simulates cooperating routers in one process: each has its own assignment.Table, clock and view of
 // the others; what one learns reaches the rest late, out of order, twice or not at all; boxes count who probes them.
 // It is for tests and proofs: time is simulated, equal seeds give equal runs, and faults are switched by the caller
 // between steps.
-package instances
+package assignmentsim
 
 import (
 	"fmt"
--- a/internal/standin/proof/sizes.go
+++ b/internal/standin/proof/sizes.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cairntiller/internal/membership"
-	"cairntiller/internal/standin/instances"
+	"cairntiller/internal/simulation/assignmentsim"
 )
 
 const (
@@ -36,7 +36,7 @@
 	for _, size := range p.Sizes {
 		began := time.Now()
 		n, boxes := size[0], size[1]
-		w := instances.New(p.Seed, n, boxes, second, 4, max(50, float64(boxes)/float64(n)))
+		w := assignmentsim.New(p.Seed, n, boxes, second, 4, max(50, float64(boxes)/float64(n)))
 		w.Weigh = membership.Bytes
 		w.Run(settleSpan)
 		w.Mark()
@@ -72,7 +72,7 @@
 }
 
 // churn lets one in a hundred instances a minute die and come back; at least one does.
-func churn(w *instances.World, seed uint64, n int) {
+func churn(w *assignmentsim.World, seed uint64, n int) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	deaths := max(1, int(churnShare*float64(n)))
 	back := map[int64]int{}
