--- a/internal/standin/agenda/agenda.go
+++ b/internal/simulation/eventqueue/agenda.go
@@ -1,6 +1,6 @@
-// Package agenda holds what is due in a simulated run: by time, and of one time in the order in which it was put there, so
+// Package eventqueue holds what is due in a simulated run: by time, and of one time in the order in which it was put there, so
 // that equal seeds give equal runs.
-package agenda
+package eventqueue
 
 import "container/heap"
 
--- a/internal/simulation/leasesim/council.go
+++ b/internal/simulation/leasesim/council.go
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"cairntiller/internal/lease"
-	"cairntiller/internal/standin/agenda"
+	"cairntiller/internal/simulation/eventqueue"
 )
 
 // Plan is what a run is made of.
@@ -95,7 +95,7 @@
 	index   map[string]int  // of leases
 	Spent   []time.Duration // real time in each process's modules, where Measure is set
 	Measure bool
-	events  agenda.Agenda[event]
+	events  eventqueue.Agenda[event]
 	digest  *xxhash.Digest
 	fig     Figures
 	leases  []*held
--- a/internal/simulation/rolloutsim/rollout.go
+++ b/internal/simulation/rolloutsim/rollout.go
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"cairntiller/internal/release"
-	"cairntiller/internal/standin/agenda"
+	"cairntiller/internal/simulation/eventqueue"
 )
 
 // Setup is what a run is made of.
@@ -87,7 +87,7 @@
 	Trace  func(at int64, what string)
 
 	rng     *rand.Rand
-	events  agenda.Agenda[func()]
+	events  eventqueue.Agenda[func()]
 	digest  *xxhash.Digest
 	routers []*router
 	byName  map[string]int
