--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"cairntiller/internal/adminsocket"
-	"cairntiller/internal/release"
 	"cairntiller/internal/releasing"
+	"cairntiller/internal/rollout"
 	"cairntiller/internal/supervisor"
 )
 
@@ -36,7 +36,7 @@
 }
 
 // say says a word to whoever leads.
-func (f *wordFlags) say(out io.Writer, w release.Word) error {
+func (f *wordFlags) say(out io.Writer, w rollout.Word) error {
 	w.Token = f.Token
 	text, err := releasing.WordText(w)
 	if err != nil {
@@ -84,7 +84,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PLAN\tKIND\tSTATE\tWAVE\tDONE\tHOLDING SLOTS\tWHY")
 	for _, p := range s.Plans {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d of %d\t%s\t%s\n", p.ID, p.Kind, p.State, p.Wave, p.Phases[release.Done.String()], p.Units, strings.Join(p.Holding, ", "), p.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d of %d\t%s\t%s\n", p.ID, p.Kind, p.State, p.Wave, p.Phases[rollout.Done.String()], p.Units, strings.Join(p.Holding, ", "), p.Why)
 	}
 	return w.Flush()
 }
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	waves, most := release.Waves(p, len(p.Units))
+	waves, most := rollout.Waves(p, len(p.Units))
 	for i, units := range waves {
 		fmt.Fprintf(out, "wave %d: %s\n", i+1, strings.Join(units, " "))
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.say(out, release.Word{Verb: release.Start, Plan: p}); err != nil || !l.Wait {
+	if err := l.say(out, rollout.Word{Verb: rollout.Start, Plan: p}); err != nil || !l.Wait {
 		return err
 	}
 	for last := ""; ; time.Sleep(time.Second) {
@@ -129,12 +129,12 @@
 			if one.ID != p.ID {
 				continue
 			}
-			if line := fmt.Sprintf("%s, wave %d, %d of %d done, slots: %s (%s)", one.State, one.Wave, one.Phases[release.Done.String()], one.Units,
+			if line := fmt.Sprintf("%s, wave %d, %d of %d done, slots: %s (%s)", one.State, one.Wave, one.Phases[rollout.Done.String()], one.Units,
 				strings.Join(one.Holding, ", "), one.Why); line != last {
 				fmt.Fprintln(out, line)
 				last = line
 			}
-			if one.State == release.Finished.String() {
+			if one.State == rollout.Finished.String() {
 				return nil
 			}
 			if one.Over() {
@@ -152,19 +152,19 @@
 type fleetHaltLine struct{ planArg }
 
 func (l *fleetHaltLine) Run(out io.Writer) error {
-	return l.say(out, release.Word{Verb: release.Halt, ID: l.ID})
+	return l.say(out, rollout.Word{Verb: rollout.Halt, ID: l.ID})
 }
 
 type fleetResumeLine struct{ planArg }
 
 func (l *fleetResumeLine) Run(out io.Writer) error {
-	return l.say(out, release.Word{Verb: release.Resume, ID: l.ID})
+	return l.say(out, rollout.Word{Verb: rollout.Resume, ID: l.ID})
 }
 
 type fleetBackLine struct{ planArg }
 
 func (l *fleetBackLine) Run(out io.Writer) error {
-	return l.say(out, release.Word{Verb: release.Back, ID: l.ID})
+	return l.say(out, rollout.Word{Verb: rollout.Back, ID: l.ID})
 }
 
 type fleetDrainLine struct {
@@ -174,8 +174,8 @@
 
 func (l *fleetDrainLine) Run(out io.Writer) error {
 	for _, name := range l.Nodes {
-		p := release.Plan{ID: "drain-" + name, Kind: release.Nodes, Units: []string{name}, Patience: 24 * 3600 * 1_000_000}
-		if err := l.say(out, release.Word{Verb: release.Start, Plan: p}); err != nil {
+		p := rollout.Plan{ID: "drain-" + name, Kind: rollout.Nodes, Units: []string{name}, Patience: 24 * 3600 * 1_000_000}
+		if err := l.say(out, rollout.Word{Verb: rollout.Start, Plan: p}); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
@@ -193,7 +193,7 @@
 	if id == "" {
 		id = "drain-" + l.Node
 	}
-	return l.say(out, release.Word{Verb: release.Return, ID: id, Unit: l.Node})
+	return l.say(out, rollout.Word{Verb: rollout.Return, ID: id, Unit: l.Node})
 }
 
 type fleetForgetLine struct {
@@ -203,11 +203,11 @@
 }
 
 func (l *fleetForgetLine) Run(out io.Writer) error {
-	return l.say(out, release.Word{Verb: release.Forget, ID: l.ID, Unit: l.Unit})
+	return l.say(out, rollout.Word{Verb: rollout.Forget, ID: l.ID, Unit: l.Unit})
 }
 
 type fleetBeginLine struct{ wordFlags }
 
 func (l *fleetBeginLine) Run(out io.Writer) error {
-	return l.say(out, release.Word{Verb: release.Begin})
+	return l.say(out, rollout.Word{Verb: rollout.Begin})
 }
--- a/internal/releasing/desk.go
+++ b/internal/releasing/desk.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"cairntiller/internal/adminsocket"
-	"cairntiller/internal/release"
+	"cairntiller/internal/rollout"
 	"cairntiller/internal/sexp"
 )
 
@@ -41,8 +41,8 @@
 	Drains []string   `json:"drains,omitempty"`
 }
 
-func (s *Status) fill(r *release.Record) {
-	s.Drains = release.Drained(r).Drains
+func (s *Status) fill(r *rollout.Record) {
+	s.Drains = rollout.Drained(r).Drains
 	for _, p := range r.Plans {
 		line := PlanLine{ID: p.Plan.ID, Kind: p.Plan.Kind.String(), State: p.State.String(), Why: p.Why, Wave: p.Wave + 1, Units: len(p.Units), Phases: map[string]int{}}
 		for i, u := range p.Units {
@@ -57,7 +57,7 @@
 
 // Over tells whether nothing more happens by itself.
 func (l *PlanLine) Over() bool {
-	return l.State == release.Finished.String() || l.State == release.Backed.String() || l.State == release.Halted.String()
+	return l.State == rollout.Finished.String() || l.State == rollout.Backed.String() || l.State == rollout.Halted.String()
 }
 
 // Serve answers operators.
@@ -69,7 +69,7 @@
 		return errors.Join(err, x.Say(st))
 	})
 	s.Handle("fleet-word", func(ctx context.Context, x *adminsocket.Exchange) error {
-		var w release.Word
+		var w rollout.Word
 		if err := json.Unmarshal([]byte(x.Text), &w); err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 
 // Word hands an operator's word to whoever leads and waits until a majority keeps what it does. It is said again until it
 // is taken or refused: its token tells that it is the same.
-func (r *Releasing) Word(ctx context.Context, w release.Word) error {
+func (r *Releasing) Word(ctx context.Context, w rollout.Word) error {
 	if w.Token == "" {
 		var b [8]byte
 		rand.Read(b[:])
@@ -122,7 +122,7 @@
 }
 
 // WordText is a word as the socket takes it.
-func WordText(w release.Word) (string, error) {
+func WordText(w rollout.Word) (string, error) {
 	text, err := json.Marshal(w)
 	return string(text), err
 }
@@ -139,10 +139,10 @@
 	}
 }
 
-var kinds = map[string]release.Kind{"restart": release.Restart, "version": release.Version, "nodes": release.Nodes}
+var kinds = map[string]rollout.Kind{"restart": rollout.Restart, "version": rollout.Version, "nodes": rollout.Nodes}
 
 // ReadPlan reads an operator's plan from a file.
-func ReadPlan(path string) (p release.Plan, err error) {
+func ReadPlan(path string) (p rollout.Plan, err error) {
 	file, err := sexp.ReadFile(path)
 	if err != nil {
 		return p, err
@@ -150,10 +150,10 @@
 	part := file.Part("plan")
 	b := part.Part("budget")
 	kind := part.Text("kind", "")
-	p = release.Plan{ID: part.Text("id", ""), Kind: kinds[kind], Units: part.Texts("units"), Want: uint64(part.Whole("want", 0, 0, 1<<40)),
+	p = rollout.Plan{ID: part.Text("id", ""), Kind: kinds[kind], Units: part.Texts("units"), Want: uint64(part.Whole("want", 0, 0, 1<<40)),
 		Was: uint64(part.Whole("was", 0, 0, 1<<40)), Watch: part.Time("watch", 0, 0, 86_400_000_000), Rest: part.Time("rest", 0, 0, 86_400_000_000),
 		Patience: part.Time("patience", 0, 0, 86_400_000_000), Stay: part.Text("stay", "no") == "yes",
-		Budget: release.Budget{Most: b.Whole("most", 0, 0, release.MostUnits), Share: b.Number("share", 0, 0, 100) / 100, Zone: b.Whole("zone", 0, 0, release.MostUnits),
+		Budget: rollout.Budget{Most: b.Whole("most", 0, 0, rollout.MostUnits), Share: b.Number("share", 0, 0, 100) / 100, Zone: b.Whole("zone", 0, 0, rollout.MostUnits),
 			Group: b.Whole("group", 0, 0, 100), Replicas: b.Whole("replicas", 0, 0, 100), Work: b.Number("work", 0, 0, 100) / 100}}
 	for _, one := range part.Texts("waves") {
 		n, err := strconv.Atoi(one)
--- a/internal/releasing/releasing.go
+++ b/internal/releasing/releasing.go
@@ -1,4 +1,4 @@
-// Package releasing carries releases: it moves messages between the fleet and what internal/release decides, tells the
+// Package releasing carries releases: it moves messages between the fleet and what internal/rollout decides, tells the
 // router's own engine what is drained, and hands the router's leave to its supervisor. It decides nothing. Leader,
 // member and voter of one instance run on one goroutine of its own.
 package releasing
@@ -19,7 +19,7 @@
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
-	"cairntiller/internal/release"
+	"cairntiller/internal/rollout"
 	"cairntiller/internal/sexp"
 )
 
@@ -72,7 +72,7 @@
 // Router is what the carrying needs of the router beside it; its calls may come from any goroutine and never block.
 type Router interface {
 	// Figures tells what it has served, whether it takes commands, and how long it took to be ready, in us.
-	Figures() (s release.Served, ready bool, startedIn int64)
+	Figures() (s rollout.Served, ready bool, startedIn int64)
 	// Drain lets nothing new go to these nodes.
 	Drain(nodes []string)
 	// Look asks for the nodes that it knows, with what it has open at them; the answer comes on any goroutine.
@@ -83,7 +83,7 @@
 
 // Node is a node as this router knows it.
 type Node struct {
-	release.Box
+	rollout.Box
 	Open     int    // dispatches that are out
 	Answered uint64 // since the router started
 }
@@ -105,9 +105,9 @@
 	done  sync.WaitGroup
 
 	// its goroutine's
-	leader   *release.Leader
-	member   *release.Member
-	ledger   *release.Ledger
+	leader   *rollout.Leader
+	member   *rollout.Member
+	ledger   *rollout.Ledger
 	born     uint64
 	tenure   *leaseservice.Tenure
 	term     uint64
@@ -134,10 +134,10 @@
 	send func(to string, kind uint8, body []byte) error) *Releasing {
 	born := uint64(time.Now().UnixMicro())
 	r := &Releasing{self: self, at: at, router: router, clock: clock, send: send, members: members, leases: leases, voters: voters, length: min(longest, mostLength),
-		inbox: make(chan func(int64), inboxMost), over: make(chan struct{}), leader: release.NewLeader(self, voters), member: release.NewMember(born), born: born,
+		inbox: make(chan func(int64), inboxMost), over: make(chan struct{}), leader: rollout.NewLeader(self, voters), member: rollout.NewMember(born), born: born,
 		returned: map[string]mark{}, nodes: map[string]Node{}, known: map[string]bool{}, askers: map[string]string{}, replies: map[string]chan string{}}
 	if slices.Contains(voters, self) {
-		r.ledger = release.NewLedger(born, nil)
+		r.ledger = rollout.NewLedger(born, nil)
 	}
 	return r
 }
@@ -285,20 +285,20 @@
 	r.reportAt = now + reportGap
 	served, ready, startedIn := r.router.Figures()
 	said, _ := r.member.Heard()
-	p := &release.Report{Member: r.self, Zone: r.at.Zone, Born: r.born, Version: r.at.Version, Ready: ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
+	p := &rollout.Report{Member: r.self, Zone: r.at.Zone, Born: r.born, Version: r.at.Version, Ready: ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
 		Served: served, StartedIn: startedIn, Heap: resident()}
 	if r.ledger != nil {
 		_, p.Blank = r.ledger.Record()
 	}
 	for _, name := range r.drains {
-		p.Open = append(p.Open, release.Open{Node: name, Commands: r.nodes[name].Open})
+		p.Open = append(p.Open, rollout.Open{Node: name, Commands: r.nodes[name].Open})
 	}
 	for name, m := range r.returned {
 		if now-m.at > usedFor {
 			delete(r.returned, name)
 			continue
 		}
-		p.Open = append(p.Open, release.Open{Node: name, Answered: r.nodes[name].Answered - min(m.answered, r.nodes[name].Answered)})
+		p.Open = append(p.Open, rollout.Open{Node: name, Answered: r.nodes[name].Answered - min(m.answered, r.nodes[name].Answered)})
 	}
 	r.say(r.chief, message{Kind: aReport, Report: p})
 }
@@ -372,7 +372,7 @@
 	case aSeek:
 		if r.ledger != nil {
 			if rec, _ := r.ledger.Record(); rec != nil {
-				r.say(from, message{Kind: aStatement, Statement: release.Drained(rec), OK: true})
+				r.say(from, message{Kind: aStatement, Statement: rollout.Drained(rec), OK: true})
 			}
 		}
 	case aWord:
@@ -413,23 +413,23 @@
 	return true
 }
 
-func (r *Releasing) do(o release.Out) {
+func (r *Releasing) do(o rollout.Out) {
 	switch o.Act {
-	case release.Ask:
+	case rollout.Ask:
 		r.say(o.To, message{Kind: anAsk, Term: o.Term})
-	case release.Call:
+	case rollout.Call:
 		if r.holds() {
 			r.say(o.To, message{Kind: aCall})
 		}
-	case release.Write:
+	case rollout.Write:
 		if r.holds() {
 			r.say(o.To, message{Kind: aWrite, Born: o.Born, Record: o.Record})
 		}
-	case release.Say:
+	case rollout.Say:
 		if r.holds() {
 			r.say(o.To, message{Kind: aStatement, Statement: o.Statement})
 		}
-	case release.Reply:
+	case rollout.Reply:
 		to := r.askers[o.Token]
 		if o.Why == "" {
 			obeyed.Add()
@@ -439,18 +439,18 @@
 		if to != "" {
 			r.say(to, message{Kind: aReply, Token: o.Token, OK: o.Why == "", Why: o.Why})
 		}
-	case release.Yield:
+	case rollout.Yield:
 		slog.Info("lets another router lead, for it is to go out itself", "plan", o.Plan)
 		r.yield("")
-	case release.Seek:
+	case rollout.Seek:
 		for _, v := range r.voters {
 			r.say(v, message{Kind: aSeek})
 		}
-	case release.Drain:
+	case rollout.Drain:
 		r.drain(o.Nodes)
-	case release.Go:
+	case rollout.Go:
 		r.goes(o)
-	case release.Note:
+	case rollout.Note:
 		slog.Info("release", "plan", o.Plan, "note", o.Why)
 	}
 }
@@ -474,7 +474,7 @@
 }
 
 // goes lets the router leave in order; its supervisor starts the version that is named.
-func (r *Releasing) goes(o release.Out) {
+func (r *Releasing) goes(o rollout.Out) {
 	if o.Want > 0 && r.at.Next != "" {
 		part := r.at.Next + ".part"
 		err := os.WriteFile(part, []byte(strconv.FormatUint(o.Want, 10)+"\n"), 0o644)
--- a/internal/releasing/releasing_test.go
+++ b/internal/releasing/releasing_test.go
@@ -6,13 +6,13 @@
 
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
-	"cairntiller/internal/release"
+	"cairntiller/internal/rollout"
 )
 
 // still is a router that serves and does nothing else.
 type still struct{}
 
-func (still) Figures() (release.Served, bool, int64) { return release.Served{}, true, 1 }
+func (still) Figures() (rollout.Served, bool, int64) { return rollout.Served{}, true, 1 }
 func (still) Drain([]string)                         {}
 func (still) Look(take func([]Node))                 { take(nil) }
 func (still) Leave()                                 {}
--- a/internal/releasing/wire.go
+++ b/internal/releasing/wire.go
@@ -6,7 +6,7 @@
 	"github.com/klauspost/compress/s2"
 
 	"cairntiller/internal/packing"
-	"cairntiller/internal/release"
+	"cairntiller/internal/rollout"
 )
 
 // The form of messages: CBOR (RFC 8949) with s2 around what is large, described in docs/releases.md. A change that others
@@ -39,17 +39,17 @@
 	Term, Seq uint64             `cbor:",omitempty"`
 	Born      uint64             `cbor:",omitempty"`
 	OK        bool               `cbor:",omitempty"`
-	Report    *release.Report    `cbor:",omitempty"`
-	Statement *release.Statement `cbor:",omitempty"`
-	Kept      *release.Kept      `cbor:",omitempty"`
-	Record    *release.Record    `cbor:",omitempty"`
-	Word      *release.Word      `cbor:",omitempty"`
+	Report    *rollout.Report    `cbor:",omitempty"`
+	Statement *rollout.Statement `cbor:",omitempty"`
+	Kept      *rollout.Kept      `cbor:",omitempty"`
+	Record    *rollout.Record    `cbor:",omitempty"`
+	Word      *rollout.Word      `cbor:",omitempty"`
 	Token     string             `cbor:",omitempty"`
 	Why       string             `cbor:",omitempty"`
 }
 
 var (
-	decoding = packing.Strict(10, 2*release.MostUnits, 64)
+	decoding = packing.Strict(10, 2*rollout.MostUnits, 64)
 
 	errVersion = errors.New("unknown version")
 	errBounds  = errors.New("a message out of bounds")
@@ -81,7 +81,7 @@
 
 // sound looks for what no member sends.
 func sound(m *message) error {
-	records := []*release.Record{m.Record}
+	records := []*rollout.Record{m.Record}
 	if m.Kept != nil {
 		records = append(records, m.Kept.Record)
 	}
--- a/internal/release/leader.go
+++ b/internal/rollout/leader.go
@@ -1,4 +1,4 @@
-package release
+package rollout
 
 import (
 	"cmp"
--- a/internal/release/plan.go
+++ b/internal/rollout/plan.go
@@ -1,4 +1,4 @@
-// Package release decides what of a fleet may be out of service, when, and when to stop: routers that restart, a new
+// Package rollout decides what of a fleet may be out of service, when, and when to stop: routers that restart, a new
 // version that goes round them, nodes that are drained and returned. It does no I/O and has no clock: a Leader, a Member
 // and a Ledger are fed with reports, words and ticks, each with its time in microseconds, and Take returns what to do.
 // The same calls give the same actions. docs/releases.md holds the argument for its budget, line by line.
@@ -6,7 +6,7 @@
 // Whoever holds the fleet's lease for it leads. What it decides it first writes to a majority of the voters, in whole,
 // under the lease's term; only then does anybody hear of it. So a later leader, which reads from a majority, knows of
 // every slot that was ever given.
-package release
+package rollout
 
 import (
 	"fmt"
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -6,8 +6,8 @@
 
 	"cairntiller/internal/engine"
 	"cairntiller/internal/inflight"
-	"cairntiller/internal/release"
 	"cairntiller/internal/releasing"
+	"cairntiller/internal/rollout"
 )
 
 // self is the router as its part in releases sees it.
@@ -21,10 +21,10 @@
 }
 
 // Figures implements releasing.Router.
-func (s *self) Figures() (f release.Served, ready bool, startedIn int64) {
+func (s *self) Figures() (f rollout.Served, ready bool, startedIn int64) {
 	done, bad, refused := inflight.Totals()
 	startedIn = s.ready.Load()
-	return release.Served{Commands: done + bad + refused, Failed: bad, Late: engine.Late(), Throttled: refused}, startedIn > 0 && !s.leaving.Load(), startedIn
+	return rollout.Served{Commands: done + bad + refused, Failed: bad, Late: engine.Late(), Throttled: refused}, startedIn > 0 && !s.leaving.Load(), startedIn
 }
 
 // Drain implements releasing.Router.
@@ -37,8 +37,8 @@
 	s.e.Post(s.now(), func(now int64) {
 		var all []releasing.Node
 		for _, k := range s.e.Look() {
-			all = append(all, releasing.Node{Box: release.Box{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Up,
-				Near: release.Near(now - k.Position)}, Open: k.Open, Answered: k.Answered})
+			all = append(all, releasing.Node{Box: rollout.Box{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Up,
+				Near: rollout.Near(now - k.Position)}, Open: k.Open, Answered: k.Answered})
 		}
 		take(all)
 	})
--- a/internal/simulation/rolloutsim/faults.go
+++ b/internal/simulation/rolloutsim/faults.go
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"cairntiller/internal/release"
+	"cairntiller/internal/rollout"
 )
 
 // word says something to whoever leads, again and again until it is taken or refused.
-func (w *World) word(one release.Word, tries int) {
+func (w *World) word(one rollout.Word, tries int) {
 	if one.Token == "" {
 		w.words++
 		one.Token = fmt.Sprint("word-", w.words)
@@ -22,7 +22,7 @@
 	if w.holder >= 0 && w.leading(w.routers[w.holder]) {
 		r := w.routers[w.holder]
 		if _, rec := r.leader.Leads(); rec != nil {
-			if one.Verb == release.Start {
+			if one.Verb == rollout.Start {
 				if _, begun := w.started[one.Plan.ID]; !begun {
 					w.started[one.Plan.ID] = w.Now
 				}
@@ -48,7 +48,7 @@
 	w.words++
 	w.trace("%s is in doubt: %s", r.name, r.leader.Doubt())
 	w.pardon = true // the word says so
-	r.leader.HearWord(w.Now, &release.Word{Verb: release.Begin, Token: fmt.Sprint("word-", w.words)})
+	r.leader.HearWord(w.Now, &rollout.Word{Verb: rollout.Begin, Token: fmt.Sprint("word-", w.words)})
 	w.carry(r)
 }
 
@@ -135,9 +135,9 @@
 			return
 		}
 		id := w.Plans[w.rng.IntN(len(w.Plans))].ID
-		verbs := []release.Verb{release.Halt, release.Resume, release.Halt, release.Resume, release.Back}
-		w.word(release.Word{Verb: verbs[w.rng.IntN(len(verbs))], ID: id}, 50)
-		w.word(release.Word{Verb: verbs[w.rng.IntN(len(verbs))], ID: id}, 50)
+		verbs := []rollout.Verb{rollout.Halt, rollout.Resume, rollout.Halt, rollout.Resume, rollout.Back}
+		w.word(rollout.Word{Verb: verbs[w.rng.IntN(len(verbs))], ID: id}, 50)
+		w.word(rollout.Word{Verb: verbs[w.rng.IntN(len(verbs))], ID: id}, 50)
 	}
 }
 
@@ -148,7 +148,7 @@
 }
 
 // kept checks what a leader knows to be kept by a majority: new slots are within the budget, by the truth.
-func (w *World) kept(rec *release.Record) {
+func (w *World) kept(rec *rollout.Record) {
 	was := w.told
 	w.told = rec
 	if was != nil && !w.pardon {
@@ -173,7 +173,7 @@
 				continue
 			}
 			holds[p.Plan.Kind.String()+name] = true
-			if p.Plan.Kind != release.Nodes {
+			if p.Plan.Kind != rollout.Nodes {
 				if g, had := w.given[name]; had && u.Slot.Less(g) {
 					w.broken("slot %v of %s is kept behind %v", u.Slot, name, g)
 				}
@@ -190,7 +190,7 @@
 			w.fig.Done = append(w.fig.Done, w.Now-w.started[p.Plan.ID])
 			w.started[p.Plan.ID] = 0
 		}
-		if (p.State == release.Backing || p.State == release.Halted) && !w.halts[p.Plan.ID] && strings.HasSuffix(p.Why, "same time") {
+		if (p.State == rollout.Backing || p.State == rollout.Halted) && !w.halts[p.Plan.ID] && strings.HasSuffix(p.Why, "same time") {
 			w.halts[p.Plan.ID] = true
 			w.fig.Halts++
 		}
@@ -203,7 +203,7 @@
 			continue
 		}
 		for i, u := range p.Units {
-			if name := p.Plan.Units[i]; old.Units[i].Phase.Holds() && u.Phase == release.Done && p.Plan.Kind != release.Nodes {
+			if name := p.Plan.Units[i]; old.Units[i].Phase.Holds() && u.Phase == rollout.Done && p.Plan.Kind != rollout.Nodes {
 				if r := w.routers[w.byName[name]]; !r.ready && w.Now-r.downAt > 6_000_000 && r.downAt > r.upAt {
 					w.broken("the slot of %s is free, and it has been down for %d us", name, w.Now-r.downAt)
 				}
@@ -212,7 +212,7 @@
 	}
 }
 
-func planOf(r *release.Record, id string) *release.Progress {
+func planOf(r *rollout.Record, id string) *rollout.Progress {
 	if r == nil {
 		return nil
 	}
@@ -225,13 +225,13 @@
 }
 
 // slots checks the slots that are new in a record.
-func (w *World) slots(p, was *release.Progress, holds map[string]bool) {
+func (w *World) slots(p, was *rollout.Progress, holds map[string]bool) {
 	fresh := ""
 	for i, u := range p.Units {
 		if u.Phase.Holds() && (was == nil || !was.Units[i].Phase.Holds()) && u.Slot.Term == w.told.Term { // a former leader's is older than what is missed now
 			fresh = p.Plan.Units[i]
 		}
-		if p.Plan.Kind == release.Nodes && u.Phase == release.Away && (was == nil || was.Units[i].Phase != release.Away) {
+		if p.Plan.Kind == rollout.Nodes && u.Phase == rollout.Away && (was == nil || was.Units[i].Phase != rollout.Away) {
 			w.unused(p.Plan.Units[i])
 		}
 	}
@@ -239,7 +239,7 @@
 		return
 	}
 	out := 0
-	if p.Plan.Kind == release.Nodes {
+	if p.Plan.Kind == rollout.Nodes {
 		group := map[int]int{}
 		for _, n := range w.nodes {
 			if holds[p.Plan.Kind.String()+n.name] || !n.up && w.Now-n.downAt > known {
@@ -260,7 +260,7 @@
 		return
 	}
 	for _, r := range w.routers {
-		if holds[release.Restart.String()+r.name] || holds[release.Version.String()+r.name] || !r.up && w.Now-r.downAt > known {
+		if holds[rollout.Restart.String()+r.name] || holds[rollout.Version.String()+r.name] || !r.up && w.Now-r.downAt > known {
 			out++
 		}
 	}
@@ -292,10 +292,10 @@
 		return
 	}
 	for _, p := range w.told.Plans {
-		if p.State == release.Running || p.State == release.Backing {
+		if p.State == rollout.Running || p.State == rollout.Backing {
 			stuck := 0
 			for _, u := range p.Units {
-				if u.Phase == release.Stuck {
+				if u.Phase == rollout.Stuck {
 					stuck++
 				}
 			}
@@ -303,11 +303,11 @@
 				w.broken("plan %s is %s at the end (%s), with no reason", p.Plan.ID, p.State, p.Why)
 			}
 		}
-		if p.Plan.Kind == release.Nodes || p.State == release.Halted && p.Plan.Kind == release.Version {
+		if p.Plan.Kind == rollout.Nodes || p.State == rollout.Halted && p.Plan.Kind == rollout.Version {
 			continue
 		}
 		for i, u := range p.Units {
-			if r := w.routers[w.byName[p.Plan.Units[i]]]; u.Phase.Holds() && u.Phase != release.Stuck && r.ready && r.born != u.Born && w.Now-r.upAt > 60_000_000 {
+			if r := w.routers[w.byName[p.Plan.Units[i]]]; u.Phase.Holds() && u.Phase != rollout.Stuck && r.ready && r.born != u.Born && w.Now-r.upAt > 60_000_000 {
 				w.broken("the slot of %s is forgotten: it is %v", r.name, u.Phase)
 			}
 		}
@@ -333,18 +333,18 @@
 	}
 	rng.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
 	rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	budget := release.Budget{Share: 0.1 + 0.2*rng.Float64(), Zone: rng.IntN(4), Replicas: rng.IntN(2)}
-	first := release.Plan{ID: "first", Kind: release.Restart, Units: routers, Watch: 5_000_000, Patience: 30_000_000, Budget: budget}
+	budget := rollout.Budget{Share: 0.1 + 0.2*rng.Float64(), Zone: rng.IntN(4), Replicas: rng.IntN(2)}
+	first := rollout.Plan{ID: "first", Kind: rollout.Restart, Units: routers, Watch: 5_000_000, Patience: 30_000_000, Budget: budget}
 	if rng.IntN(2) == 0 {
-		first.Kind, first.Want, first.Was = release.Version, 2, 1
+		first.Kind, first.Want, first.Was = rollout.Version, 2, 1
 		if rng.IntN(3) == 0 {
 			s.Bad = 0.02 + 0.1*rng.Float64()
 		}
 	}
 	s.Plans = append(s.Plans, first)
 	if rng.IntN(2) == 0 {
-		s.Plans = append(s.Plans, release.Plan{ID: "boxes", Kind: release.Nodes, Units: nodes[:1+rng.IntN(len(nodes))], Watch: 3_000_000, Rest: 4_000_000,
-			Patience: 30_000_000, Budget: release.Budget{Share: 0.34, Replicas: rng.IntN(2)}})
+		s.Plans = append(s.Plans, rollout.Plan{ID: "boxes", Kind: rollout.Nodes, Units: nodes[:1+rng.IntN(len(nodes))], Watch: 3_000_000, Rest: 4_000_000,
+			Patience: 30_000_000, Budget: rollout.Budget{Share: 0.34, Replicas: rng.IntN(2)}})
 	}
 	return s
 }
@@ -355,24 +355,24 @@
 	case NoUnplanned: // whoever is missed is said to be there
 		for _, o := range w.routers {
 			if !o.up && !o.planned {
-				r.leader.HearReport(w.Now, &release.Report{Member: o.name, Zone: o.zone, Born: o.born, Version: o.version, Ready: true, Served: o.served})
+				r.leader.HearReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Born: o.born, Version: o.version, Ready: true, Served: o.served})
 			}
 		}
 		for _, n := range w.nodes {
-			r.leader.SetBox(release.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: true, Near: true, Work: 1.0 / 3})
+			r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: true, Near: true, Work: 1.0 / 3})
 		}
 	case FreesByTime: // whoever has been away for a while is said to be back
 		for _, o := range w.routers {
 			if !o.up && o.planned && w.Now-o.downAt > 2_000_000 {
-				r.leader.HearReport(w.Now, &release.Report{Member: o.name, Zone: o.zone, Born: o.born + 1, Version: o.next, Ready: true, Served: release.Served{Commands: 1000}})
+				r.leader.HearReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Born: o.born + 1, Version: o.next, Ready: true, Served: rollout.Served{Commands: 1000}})
 			}
 		}
 	case LeavesOpen: // nobody is said to have anything open
 		if _, rec := r.leader.Leads(); rec != nil {
 			for _, o := range w.routers {
-				p := &release.Report{Member: o.name, Zone: o.zone, Born: o.born, Version: o.version, Ready: o.ready, Served: o.served}
-				for _, name := range release.Drained(rec).Drains {
-					p.Open = append(p.Open, release.Open{Node: name})
+				p := &rollout.Report{Member: o.name, Zone: o.zone, Born: o.born, Version: o.version, Ready: o.ready, Served: o.served}
+				for _, name := range rollout.Drained(rec).Drains {
+					p.Open = append(p.Open, rollout.Open{Node: name})
 				}
 				if o.up {
 					r.leader.HearReport(w.Now, p)
@@ -381,13 +381,13 @@
 		}
 	case NoHandOver: // no node is said to lead once it is drained
 		for _, n := range w.nodes {
-			r.leader.SetBox(release.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary && !w.drainedNow(n.name), Up: n.up, Near: n.near, Work: 1.0 / 3})
+			r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary && !w.drainedNow(n.name), Up: n.up, Near: n.near, Work: 1.0 / 3})
 		}
 	case NoGroups: // each node is said to be a group of its own, with others that are well
 		for i, n := range w.nodes {
-			r.leader.SetBox(release.Box{Name: n.name, Zone: n.zone, Group: 1000 + i, Primary: false, Up: n.up, Near: n.near})
-			r.leader.SetBox(release.Box{Name: n.name + "+", Group: 1000 + i, Primary: true, Up: true, Near: true})
-			r.leader.SetBox(release.Box{Name: n.name + "-", Group: 1000 + i, Up: true, Near: true})
+			r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: 1000 + i, Primary: false, Up: n.up, Near: n.near})
+			r.leader.SetBox(rollout.Box{Name: n.name + "+", Group: 1000 + i, Primary: true, Up: true, Near: true})
+			r.leader.SetBox(rollout.Box{Name: n.name + "-", Group: 1000 + i, Up: true, Near: true})
 		}
 	}
 }
@@ -401,7 +401,7 @@
 	s := Mixed(seed)
 	s.Faults, s.Bad, s.Plans, s.Span, s.After = false, bad, s.Plans[:1], 300_000_000, 900_000_000
 	p := &s.Plans[0]
-	p.Kind, p.Want, p.Was, p.Watch, p.Patience = release.Version, 2, 1, 30_000_000, 120_000_000
+	p.Kind, p.Want, p.Was, p.Watch, p.Patience = rollout.Version, 2, 1, 30_000_000, 120_000_000
 	return s
 }
 
--- a/internal/simulation/rolloutsim/rollout.go
+++ b/internal/simulation/rolloutsim/rollout.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cairntiller/internal/release"
+	"cairntiller/internal/rollout"
 	"cairntiller/internal/simulation/eventqueue"
 )
 
@@ -28,7 +28,7 @@
 	Lasting bool
 	Faults  bool
 	Bad     float64 // share of commands that the new version fails, beside the usual
-	Plans   []release.Plan
+	Plans   []rollout.Plan
 	Span    int64 // us of faults; then all is mended
 	After   int64 // us to play behind it
 	Planted Mistake
@@ -103,9 +103,9 @@
 	holds   uint64 // the process that holds the lease
 	until   int64
 	term    uint64
-	told    *release.Record // the newest that a leader knows to be kept
+	told    *rollout.Record // the newest that a leader knows to be kept
 	started map[string]int64
-	given   map[string]release.Slot
+	given   map[string]rollout.Slot
 	words   int
 	pardon  bool // an operator's word let the leader begin from what was left
 }
@@ -130,11 +130,11 @@
 	chief      int // the leader that it last heard of, -1 for none
 	rate       float64
 	bad        float64
-	served     release.Served
-	member     *release.Member
-	leader     *release.Leader
-	ledger     *release.Ledger
-	kept       *release.Record
+	served     rollout.Served
+	member     *rollout.Member
+	leader     *rollout.Leader
+	ledger     *rollout.Ledger
+	kept       *rollout.Record
 	drains     map[string]int64  // since when
 	open       map[string]int64  // until when it has something open at a drained node
 	returned   map[string]uint64 // answers of nodes since they were returned
@@ -154,7 +154,7 @@
 // New makes a run; plans start one after another in its first third.
 func New(s Setup) *World {
 	w := &World{Setup: s, rng: rand.New(rand.NewPCG(s.Seed, 9)), digest: xxhash.New(), byName: map[string]int{}, node: map[string]*node{},
-		holder: -1, started: map[string]int64{}, given: map[string]release.Slot{}, halts: map[string]bool{}}
+		holder: -1, started: map[string]int64{}, given: map[string]rollout.Slot{}, halts: map[string]bool{}}
 	for i := range s.Routers {
 		r := &router{name: fmt.Sprintf("r%04d", i), zone: fmt.Sprint("z", i%zones), index: i, vote: i < s.Voters, version: 1, next: 1,
 			rate: 5 + 30*w.rng.Float64(), bad: usualBad * (0.5 + 1.5*w.rng.Float64())}
@@ -170,7 +170,7 @@
 	}
 	w.after(0, w.leads)
 	for i, p := range s.Plans {
-		w.after(8_000_000+int64(i)*s.Span/4, func() { w.word(release.Word{Verb: release.Start, Plan: p}, 0) })
+		w.after(8_000_000+int64(i)*s.Span/4, func() { w.word(rollout.Word{Verb: rollout.Start, Plan: p}, 0) })
 	}
 	if s.Faults {
 		w.loss, w.twice = w.rng.Float64()*0.15, w.rng.Float64()*0.2
@@ -248,16 +248,16 @@
 	} else {
 		r.version = r.next
 	}
-	r.upAt, r.startedIn, r.served, r.chief = w.Now, 200_000+w.rng.Int64N(400_000), release.Served{}, -1
-	r.member = release.NewMember(r.born)
-	r.leader = release.NewLeader(r.name, w.voters())
+	r.upAt, r.startedIn, r.served, r.chief = w.Now, 200_000+w.rng.Int64N(400_000), rollout.Served{}, -1
+	r.member = rollout.NewMember(r.born)
+	r.leader = rollout.NewLeader(r.name, w.voters())
 	r.drains, r.open, r.returned = map[string]int64{}, map[string]int64{}, map[string]uint64{}
 	if r.vote {
 		kept := r.kept
 		if !w.Lasting {
 			kept = nil
 		}
-		r.ledger = release.NewLedger(r.born, kept)
+		r.ledger = rollout.NewLedger(r.born, kept)
 	}
 	born := r.born
 	w.after(r.startedIn, func() { w.opens(r, born) })
@@ -394,7 +394,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		r.leader.SetBox(release.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: n.up || w.Now-n.downAt < detect, Near: n.near, Work: 1.0 / 3})
+		r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: n.up || w.Now-n.downAt < detect, Near: n.near, Work: 1.0 / 3})
 	}
 }
 
@@ -442,20 +442,20 @@
 
 func (w *World) report(r *router) {
 	said, _ := r.member.Heard()
-	p := &release.Report{Member: r.name, Zone: r.zone, Born: r.born, Version: r.version, Ready: r.ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
+	p := &rollout.Report{Member: r.name, Zone: r.zone, Born: r.born, Version: r.version, Ready: r.ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
 		Served: r.served, StartedIn: r.startedIn, Heap: 20 << 20}
 	if r.vote {
 		_, p.Blank = r.ledger.Record()
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.drains)) {
-		o := release.Open{Node: name}
+		o := rollout.Open{Node: name}
 		if w.Now < r.open[name] {
 			o.Commands = 1
 		}
 		p.Open = append(p.Open, o)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.returned)) {
-		p.Open = append(p.Open, release.Open{Node: name, Answered: r.returned[name]})
+		p.Open = append(p.Open, rollout.Open{Node: name, Answered: r.returned[name]})
 	}
 	to := w.routers[r.chief]
 	w.send(r, to, func() {
@@ -481,9 +481,9 @@
 	}
 }
 
-func (w *World) do(r *router, o release.Out) {
+func (w *World) do(r *router, o rollout.Out) {
 	switch o.Act {
-	case release.Ask:
+	case rollout.Ask:
 		to := w.routers[w.byName[o.To]]
 		if w.Planted == ReadsOne && to.index > 0 {
 			to = w.routers[0] // every voter's answer is the first one's
@@ -500,13 +500,13 @@
 				}
 			})
 		})
-	case release.Call:
+	case rollout.Call:
 		to := w.routers[w.byName[o.To]]
 		w.send(r, to, func() {
 			to.chief = r.index
 			w.report(to)
 		})
-	case release.Write:
+	case rollout.Write:
 		to := w.routers[w.byName[o.To]]
 		if w.Planted == TellsFirst {
 			r.leader.HearWrite(w.Now, o.To, o.Record.Term, o.Record.Seq, true)
@@ -523,24 +523,24 @@
 				}
 			})
 		})
-	case release.Say:
+	case rollout.Say:
 		to := w.routers[w.byName[o.To]]
 		s := *o.Statement
 		w.send(r, to, func() { w.hear(to, &s, r.index) })
-	case release.Seek:
+	case rollout.Seek:
 		for _, v := range w.routers[:w.Voters] {
 			w.send(r, v, func() {
 				if rec, _ := v.ledger.Record(); rec != nil {
-					s := release.Drained(rec)
+					s := rollout.Drained(rec)
 					w.send(v, r, func() { w.hear(r, s, -1) })
 				}
 			})
 		}
-	case release.Go:
+	case rollout.Go:
 		w.goes(r, o)
-	case release.Drain:
+	case rollout.Drain:
 		w.drain(r, o.Nodes)
-	case release.Yield:
+	case rollout.Yield:
 		if w.leading(r) {
 			w.trace("%s yields", r.name)
 			r.leader.Lost()
@@ -553,14 +553,14 @@
 				}
 			})
 		}
-	case release.Note:
+	case rollout.Note:
 		w.trace("%s: %s %s", r.name, o.Plan, o.Why)
 	}
 }
 
 // hear hands a statement to a member.
-func (w *World) hear(r *router, s *release.Statement, from int) {
-	if w.Planted == AnyProcess && s.Do == release.Leave {
+func (w *World) hear(r *router, s *rollout.Statement, from int) {
+	if w.Planted == AnyProcess && s.Do == rollout.Leave {
 		s.Born = r.born
 	}
 	if w.Planted == OldStatements {
@@ -576,7 +576,7 @@
 }
 
 // goes lets a router leave in order, and checks that it may.
-func (w *World) goes(r *router, o release.Out) {
+func (w *World) goes(r *router, o rollout.Out) {
 	w.trace("%s goes out by slot %d/%d for version %d", r.name, o.Slot.Term, o.Slot.N, o.Want)
 	w.note(3, r.index, o.Slot.N)
 	if w.given[r.name] != o.Slot {
@@ -622,7 +622,7 @@
 	most := 0
 	for _, p := range w.Plans {
 		p.Fill()
-		if p.Kind != release.Nodes {
+		if p.Kind != rollout.Nodes {
 			most = max(most, p.Budget.Bound(w.Routers))
 		}
 	}
--- a/internal/standin/proof/releases.go
+++ b/internal/standin/proof/releases.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"cairntiller/internal/adminsocket"
-	"cairntiller/internal/release"
 	"cairntiller/internal/releasing"
+	"cairntiller/internal/rollout"
 	"cairntiller/internal/standin/client"
 	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
@@ -86,15 +86,15 @@
 	for g := range p.Nodes {
 		nodes = append(nodes, fmt.Sprintf("s-%d%c", g%p.Groups, 'a'+(g/p.Groups+g)%3))
 	}
-	plans := []release.Plan{
-		{ID: "all", Kind: release.Restart, Units: routers, Waves: []int{1, 3}, Watch: 1_000_000, Patience: 60_000_000, Budget: release.Budget{Most: mostOut, Share: 1}},
-		{ID: "boxes", Kind: release.Nodes, Units: nodes, Waves: []int{1, 3}, Watch: 500_000, Rest: 1_000_000, Patience: 60_000_000, Budget: release.Budget{Share: 0.2, Replicas: 1}},
+	plans := []rollout.Plan{
+		{ID: "all", Kind: rollout.Restart, Units: routers, Waves: []int{1, 3}, Watch: 1_000_000, Patience: 60_000_000, Budget: rollout.Budget{Most: mostOut, Share: 1}},
+		{ID: "boxes", Kind: rollout.Nodes, Units: nodes, Waves: []int{1, 3}, Watch: 500_000, Rest: 1_000_000, Patience: 60_000_000, Budget: rollout.Budget{Share: 0.2, Replicas: 1}},
 	}
 	if c.p.Alone {
 		return c.alone(calm)
 	}
 	for _, plan := range plans {
-		if err := c.word(release.Word{Verb: release.Start, Token: plan.ID, Plan: plan}); err != nil {
+		if err := c.word(rollout.Word{Verb: rollout.Start, Token: plan.ID, Plan: plan}); err != nil {
 			return "", fmt.Errorf("plan %s: %w", plan.ID, err)
 		}
 	}
@@ -314,7 +314,7 @@
 			away := map[string]bool{}
 			for _, p := range s.Plans {
 				for _, one := range p.Holding {
-					if name, is := strings.CutSuffix(one, " away"); is && p.Kind == release.Nodes.String() {
+					if name, is := strings.CutSuffix(one, " away"); is && p.Kind == rollout.Nodes.String() {
 						away[name] = true
 					}
 				}
@@ -336,7 +336,7 @@
 }
 
 // word says a word through any router that answers, until it is taken.
-func (c *rollingOut) word(w release.Word) (err error) {
+func (c *rollingOut) word(w rollout.Word) (err error) {
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range c.p.Routers {
 			if err = sayWord(c.r.Socket(i), w); err == nil {
@@ -348,7 +348,7 @@
 }
 
 // await waits until all plans are finished, or one halts.
-func (c *rollingOut) await(plans []release.Plan) (s releasing.Status, err error) {
+func (c *rollingOut) await(plans []rollout.Plan) (s releasing.Status, err error) {
 	last := ""
 	for end := time.Now().Add(endWait); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
 		for i := range c.p.Routers {
@@ -361,8 +361,8 @@
 		finished := 0
 		text := ""
 		for _, p := range s.Plans {
-			text += fmt.Sprintf("  %s: %s, %d of %d done, %s", p.ID, p.State, p.Phases[release.Done.String()], p.Units, strings.Join(p.Holding, ", "))
-			if p.State == release.Finished.String() {
+			text += fmt.Sprintf("  %s: %s, %d of %d done, %s", p.ID, p.State, p.Phases[rollout.Done.String()], p.Units, strings.Join(p.Holding, ", "))
+			if p.State == rollout.Finished.String() {
 				finished++
 			} else if p.Over() {
 				return s, fmt.Errorf("plan %s %s: %s", p.ID, p.State, p.Why)
@@ -455,7 +455,7 @@
 }
 
 // sayWord says a word through one router.
-func sayWord(socket string, w release.Word) error {
+func sayWord(socket string, w rollout.Word) error {
 	text, err := releasing.WordText(w)
 	if err != nil {
 		return err
--- a/internal/standin/proof/rollout.go
+++ b/internal/standin/proof/rollout.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cairntiller/internal/release"
+	"cairntiller/internal/rollout"
 	"cairntiller/internal/simulation/rolloutsim"
 )
 
@@ -111,11 +111,11 @@
 	out := tabwriter.NewWriter(p.Writes, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "routers\tmay be out\tmost out\ttook s\tleast s\tratio\t")
 	for _, n := range p.Sizes {
-		plan := release.Plan{ID: "all", Kind: release.Restart, Watch: 30_000_000, Patience: 120_000_000, Budget: release.Budget{Share: 0.1}}
+		plan := rollout.Plan{ID: "all", Kind: rollout.Restart, Watch: 30_000_000, Patience: 120_000_000, Budget: rollout.Budget{Share: 0.1}}
 		for i := range n {
 			plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
 		}
-		w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: n, Voters: 3, Plans: []release.Plan{plan}, Span: 1_800_000_000, After: 1_000_000})
+		w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: n, Voters: 3, Plans: []rollout.Plan{plan}, Span: 1_800_000_000, After: 1_000_000})
 		f := w.Run()
 		if len(f.Done) == 0 {
 			fmt.Fprintf(out, "%d\t-\t-\t-\t-\t-\t\n", n)
