--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"cairntiller/internal/adminsocket"
-	"cairntiller/internal/releasing"
 	"cairntiller/internal/rollout"
+	"cairntiller/internal/rolloutservice"
 	"cairntiller/internal/supervisor"
 )
 
@@ -38,7 +38,7 @@
 // say says a word to whoever leads.
 func (f *wordFlags) say(out io.Writer, w rollout.Word) error {
 	w.Token = f.Token
-	text, err := releasing.WordText(w)
+	text, err := rolloutservice.WordText(w)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	JSON bool `help:"Print JSON."`
 }
 
-func status(socket string) (s releasing.Status, err error) {
+func status(socket string) (s rolloutservice.Status, err error) {
 	err = adminsocket.Ask(socket, adminsocket.Request{Verb: "fleet-status"}, &s)
 	return s, err
 }
@@ -94,7 +94,7 @@
 }
 
 func (l *fleetPlanLine) Run(out io.Writer) error {
-	p, err := releasing.ReadPlan(l.File)
+	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 }
 
 func (l *fleetStartLine) Run(out io.Writer) error {
-	p, err := releasing.ReadPlan(l.File)
+	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
 		return err
 	}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -92,7 +92,7 @@
 	KindLease   uint8 = iota + 1 // internal/leaseservice: asks and votes
 	KindLeases                   // internal/leaseservice: what voters know, for operators
 	KindRoll                     // internal/versionaudit
-	KindRelease                  // internal/releasing
+	KindRelease                  // internal/rolloutservice
 )
 
 var decoding = packing.Strict(8, mostWords, 16)
--- a/internal/releasing/desk.go
+++ b/internal/rolloutservice/desk.go
@@ -1,4 +1,4 @@
-package releasing
+package rolloutservice
 
 import (
 	"cmp"
--- a/internal/releasing/releasing.go
+++ b/internal/rolloutservice/releasing.go
@@ -1,7 +1,7 @@
-// Package releasing carries releases: it moves messages between the fleet and what internal/rollout decides, tells the
+// Package rolloutservice carries releases: it moves messages between the fleet and what internal/rollout decides, tells the
 // router's own engine what is drained, and hands the router's leave to its supervisor. It decides nothing. Leader,
 // member and voter of one instance run on one goroutine of its own.
-package releasing
+package rolloutservice
 
 import (
 	"context"
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -10,7 +10,7 @@
 	"cairntiller/internal/engine"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
-	"cairntiller/internal/releasing"
+	"cairntiller/internal/rolloutservice"
 	"cairntiller/internal/sexp"
 	"cairntiller/internal/sharedprobes"
 	"cairntiller/internal/sql"
@@ -38,7 +38,7 @@
 	leases  leaseservice.Place
 	rolls   versionaudit.Pace
 	control adminsocket.Place
-	release releasing.Place
+	release rolloutservice.Place
 }
 
 // readParts reads the operator's file, "" for none.
@@ -52,7 +52,7 @@
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
 	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.Read(leases), versionaudit.Read(leases.Part("roll-call")),
-		adminsocket.Read(file.Part("control")), releasing.Read(releases)}
+		adminsocket.Read(file.Part("control")), rolloutservice.Read(releases)}
 	if w.duties.Given && !own.Given() {
 		duties.Wrong("", "duties without a fleet", "a part fleet, which says who shares them")
 	}
@@ -74,7 +74,7 @@
 	leases    *leaseservice.Leasing
 	rolls     *versionaudit.Roll
 	control   *adminsocket.Server
-	releasing atomic.Pointer[releasing.Releasing] // messages may come before it has begun
+	releasing atomic.Pointer[rolloutservice.Releasing] // messages may come before it has begun
 }
 
 // join starts what the operator's file asks for. It is called before the engine runs.
@@ -143,7 +143,7 @@
 		}
 		if w.release.Given {
 			e.Accompany(targets)
-			r := releasing.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.Longest, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Any)
+			r := rolloutservice.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.Longest, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Any)
 			r.Start()
 			c.releasing.Store(r)
 			if c.control != nil {
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -6,8 +6,8 @@
 
 	"cairntiller/internal/engine"
 	"cairntiller/internal/inflight"
-	"cairntiller/internal/releasing"
 	"cairntiller/internal/rollout"
+	"cairntiller/internal/rolloutservice"
 )
 
 // self is the router as its part in releases sees it.
@@ -20,31 +20,31 @@
 	leave   chan struct{}
 }
 
-// Figures implements releasing.Router.
+// Figures implements rolloutservice.Router.
 func (s *self) Figures() (f rollout.Served, ready bool, startedIn int64) {
 	done, bad, refused := inflight.Totals()
 	startedIn = s.ready.Load()
 	return rollout.Served{Commands: done + bad + refused, Failed: bad, Late: engine.Late(), Throttled: refused}, startedIn > 0 && !s.leaving.Load(), startedIn
 }
 
-// Drain implements releasing.Router.
+// Drain implements rolloutservice.Router.
 func (s *self) Drain(nodes []string) {
 	s.e.Post(s.now(), func(now int64) { s.e.Drain(now, nodes) })
 }
 
-// Look implements releasing.Router.
-func (s *self) Look(take func([]releasing.Node)) {
+// Look implements rolloutservice.Router.
+func (s *self) Look(take func([]rolloutservice.Node)) {
 	s.e.Post(s.now(), func(now int64) {
-		var all []releasing.Node
+		var all []rolloutservice.Node
 		for _, k := range s.e.Look() {
-			all = append(all, releasing.Node{Box: rollout.Box{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Up,
+			all = append(all, rolloutservice.Node{Box: rollout.Box{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Up,
 				Near: rollout.Near(now - k.Position)}, Open: k.Open, Answered: k.Answered})
 		}
 		take(all)
 	})
 }
 
-// Leave implements releasing.Router.
+// Leave implements rolloutservice.Router.
 func (s *self) Leave() {
 	s.leaving.Store(true)
 	select {
--- a/internal/standin/proof/releases.go
+++ b/internal/standin/proof/releases.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"cairntiller/internal/adminsocket"
-	"cairntiller/internal/releasing"
 	"cairntiller/internal/rollout"
+	"cairntiller/internal/rolloutservice"
 	"cairntiller/internal/standin/client"
 	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
@@ -135,7 +135,7 @@
 	took := time.Since(began)
 	rate := float64(c.answered.Load()-before) / took.Seconds() / calm
 	c.stop()
-	return c.judge(releasing.Status{}, took, rate)
+	return c.judge(rolloutservice.Status{}, took, rate)
 }
 
 func (c *rollingOut) open() (err error) {
@@ -292,7 +292,7 @@
 	return nil
 }
 
-func (c *rollingOut) status(i int) (s releasing.Status, err error) {
+func (c *rollingOut) status(i int) (s rolloutservice.Status, err error) {
 	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "fleet-status"}, &s)
 	return s, err
 }
@@ -348,7 +348,7 @@
 }
 
 // await waits until all plans are finished, or one halts.
-func (c *rollingOut) await(plans []rollout.Plan) (s releasing.Status, err error) {
+func (c *rollingOut) await(plans []rollout.Plan) (s rolloutservice.Status, err error) {
 	last := ""
 	for end := time.Now().Add(endWait); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
 		for i := range c.p.Routers {
@@ -422,7 +422,7 @@
 	c.done.Wait()
 }
 
-func (c *rollingOut) judge(s releasing.Status, took time.Duration, rate float64) (line string, err error) {
+func (c *rollingOut) judge(s rolloutservice.Status, took time.Duration, rate float64) (line string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var wrong []error
@@ -456,7 +456,7 @@
 
 // sayWord says a word through one router.
 func sayWord(socket string, w rollout.Word) error {
-	text, err := releasing.WordText(w)
+	text, err := rolloutservice.WordText(w)
 	if err != nil {
 		return err
 	}
