--- a/internal/packing/packing.go
+++ b/internal/codec/packing.go
@@ -1,5 +1,5 @@
-// Package packing is CBOR (RFC 8949) as members send and keep it: deterministic on the way out, bounded on the way in.
-package packing
+// Package codec is CBOR (RFC 8949) as members send and keep it: deterministic on the way out, bounded on the way in.
+package codec
 
 import "github.com/fxamacker/cbor/v2"
 
--- a/internal/leaseservice/desk.go
+++ b/internal/leaseservice/desk.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"cairntiller/internal/adminsocket"
+	"cairntiller/internal/codec"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/membership"
-	"cairntiller/internal/packing"
 )
 
 // What operators may ask of a running router; cmd/cairntiller speaks it.
@@ -154,7 +154,7 @@
 		}
 		if n.Holder == l.self {
 			l.wanted(x.Name, "an operator frees it")
-		} else if err := l.send(n.Holder, membership.KindLeases, packing.Encode(poll{Version: pollVersion, Free: x.Name})); err != nil {
+		} else if err := l.send(n.Holder, membership.KindLeases, codec.Encode(poll{Version: pollVersion, Free: x.Name})); err != nil {
 			return fmt.Errorf("%s, which holds it, can't be reached; what it holds runs out within %d ms: %w", n.Holder, n.LeftMS, err)
 		}
 		return x.Say(n)
--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/bbolt"
 
+	"cairntiller/internal/codec"
 	"cairntiller/internal/lease"
-	"cairntiller/internal/packing"
 )
 
 // The lasting place of a voter: one file of the storage library, whose commits are atomic and synced. Each record has a
@@ -148,7 +148,7 @@
 }
 
 func put(b *bbolt.Bucket, key []byte, v any) error {
-	raw := packing.Encode(v)
+	raw := codec.Encode(v)
 	return b.Put(key, binary.BigEndian.AppendUint64(raw, sum(key, raw)))
 }
 
--- a/internal/leaseservice/wire.go
+++ b/internal/leaseservice/wire.go
@@ -5,8 +5,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"cairntiller/internal/codec"
 	"cairntiller/internal/lease"
-	"cairntiller/internal/packing"
 )
 
 // The form of messages: CBOR arrays (RFC 8949), described in docs/leases.md. A change that others can't read takes
@@ -52,7 +52,7 @@
 }
 
 var (
-	decoding = packing.Strict(6, mostItems, 16)
+	decoding = codec.Strict(6, mostItems, 16)
 
 	errBounds  = errors.New("a field out of bounds")
 	errVersion = errors.New("unknown version")
@@ -66,7 +66,7 @@
 		w.Items = append(w.Items, wireItem{Lease: it.Lease, Term: it.Term, Length: it.Length, Full: it.Full, Over: it.Over,
 			Priority: it.Priority, Ticket: it.Ticket, Verdict: uint8(it.Verdict), Holder: it.Holder, Wait: it.Wait})
 	}
-	return packing.Encode(w)
+	return codec.Encode(w)
 }
 
 // Decode reads a member's message, all or nothing.
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"cairntiller/internal/assignment"
-	"cairntiller/internal/packing"
+	"cairntiller/internal/codec"
 )
 
 // The form of messages: CBOR arrays (RFC 8949), described in docs/duties.md. A change that others can't read takes
@@ -95,11 +95,11 @@
 	KindRelease                  // internal/rolloutservice
 )
 
-var decoding = packing.Strict(8, mostWords, 16)
+var decoding = codec.Strict(8, mostWords, 16)
 
 var errBounds = errors.New("a field out of bounds")
 
-func encode(v any) []byte { return packing.Encode(v) }
+func encode(v any) []byte { return codec.Encode(v) }
 
 func onWire(w assignment.Word) word {
 	return word{Key: w.Key, Holder: w.Holder, Term: w.Term, Age: w.Age, Started: w.Started, Silent: w.Silent, Pos: w.Pos,
--- a/internal/rolloutservice/wire.go
+++ b/internal/rolloutservice/wire.go
@@ -5,7 +5,7 @@
 
 	"github.com/klauspost/compress/s2"
 
-	"cairntiller/internal/packing"
+	"cairntiller/internal/codec"
 	"cairntiller/internal/rollout"
 )
 
@@ -49,7 +49,7 @@
 }
 
 var (
-	decoding = packing.Strict(10, 2*rollout.MostUnits, 64)
+	decoding = codec.Strict(10, 2*rollout.MostUnits, 64)
 
 	errVersion = errors.New("unknown version")
 	errBounds  = errors.New("a message out of bounds")
@@ -58,7 +58,7 @@
 // encode packs a message.
 func encode(m message) []byte {
 	m.Version = version
-	return s2.Encode(nil, packing.Encode(m))
+	return s2.Encode(nil, codec.Encode(m))
 }
 
 // decode reads one, all or nothing.
--- a/internal/versionaudit/rollcall.go
+++ b/internal/versionaudit/rollcall.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
+	"cairntiller/internal/codec"
 	"cairntiller/internal/counters"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
-	"cairntiller/internal/packing"
 	"cairntiller/internal/sexp"
 )
 
@@ -35,7 +35,7 @@
 	unread = counters.New("roll call messages unread")
 )
 
-var decoding = packing.Strict(4, 16, 16)
+var decoding = codec.Strict(4, 16, 16)
 
 // message is a question or its answer.
 type message struct {
@@ -160,7 +160,7 @@
 	r.number++
 	r.tally, r.look = t, look
 	t.note(look, r.self, r.list.Load())
-	raw := packing.Encode(message{Version: version, Number: r.number})
+	raw := codec.Encode(message{Version: version, Number: r.number})
 	r.mu.Unlock()
 	for _, name := range t.members {
 		if ctx.Err() != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	if !m.Answer {
-		if err := r.send(from, membership.KindRoll, packing.Encode(message{Version: version, Number: m.Number, Answer: true, List: r.list.Load()})); err != nil {
+		if err := r.send(from, membership.KindRoll, codec.Encode(message{Version: version, Number: m.Number, Answer: true, List: r.list.Load()})); err != nil {
 			slog.Debug("not answered", "member", from, "err", err)
 		}
 		return
