--- a/internal/adminsocket/control.go
+++ b/internal/adminsocket/control.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"cairntiller/internal/counters"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/sexp"
 )
 
@@ -31,8 +31,8 @@
 )
 
 var (
-	requests = counters.New("operators' requests")
-	faulty   = counters.New("operators' requests refused")
+	requests = metrics.New("operators' requests")
+	faulty   = metrics.New("operators' requests refused")
 )
 
 // Place is where the socket is.
--- a/internal/assert/assert.go
+++ b/internal/assert/assert.go
@@ -1,9 +1,9 @@
 // Package assert states what must hold: it stops a debug build and is counted by a release build.
 package assert
 
-import "cairntiller/internal/counters"
+import "cairntiller/internal/metrics"
 
-var broken = counters.New("assertions broken")
+var broken = metrics.New("assertions broken")
 
 // That tells whether something that must hold does; what names it.
 func That(holds bool, what string) bool {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -8,8 +8,8 @@
 	"log/slog"
 	"slices"
 
-	"cairntiller/internal/counters"
 	"cairntiller/internal/inflight"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/stream"
@@ -27,14 +27,14 @@
 )
 
 var (
-	sent    = counters.New("dispatches written")
-	probed  = counters.New("probes written")
-	dialled = counters.New("node connections opened")
-	refused = counters.New("node connections failed")
-	garbage = counters.New("node connections untrusted")
-	surplus = counters.New("replies with more behind them")
-	crowded = counters.New("dispatches without descriptor")
-	late    = counters.New("dispatches that may not begin any more")
+	sent    = metrics.New("dispatches written")
+	probed  = metrics.New("probes written")
+	dialled = metrics.New("node connections opened")
+	refused = metrics.New("node connections failed")
+	garbage = metrics.New("node connections untrusted")
+	surplus = metrics.New("replies with more behind them")
+	crowded = metrics.New("dispatches without descriptor")
+	late    = metrics.New("dispatches that may not begin any more")
 )
 
 // Post hands what happened at a time to the engine's goroutine.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,7 +12,7 @@
 	"net/http"
 	"time"
 
-	"cairntiller/internal/counters"
+	"cairntiller/internal/metrics"
 )
 
 // What discovery tells counts as told 6 s after it fell silent, or had a change and could be reached. The longest way
@@ -28,8 +28,8 @@
 )
 
 var (
-	watches = counters.New("watches started")
-	broken  = counters.New("lists refused")
+	watches = metrics.New("watches started")
+	broken  = metrics.New("lists refused")
 )
 
 // Unknown is no version: the whole list is asked for. Another discovery may count its versions anew.
--- a/internal/engine/company.go
+++ b/internal/engine/company.go
@@ -4,16 +4,16 @@
 	"maps"
 	"slices"
 
-	"cairntiller/internal/counters"
 	"cairntiller/internal/discovery"
 	"cairntiller/internal/inflight"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/routing"
 )
 
 // What a router does for a fleet's releases: nodes that plans drain, and what it has open at each. Off unless Accompany is
 // called before Run.
 
-var lateAnswers = counters.New("answers behind their target")
+var lateAnswers = metrics.New("answers behind their target")
 
 // company is kept where a fleet's plans may drain nodes.
 type company struct {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -9,32 +9,32 @@
 	"time"
 
 	"cairntiller/internal/assert"
-	"cairntiller/internal/counters"
 	"cairntiller/internal/decimal"
 	"cairntiller/internal/discovery"
 	"cairntiller/internal/inflight"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 )
 
 var (
-	taken    = counters.New("commands taken")
-	doubles  = counters.New("commands with an id in hand")
-	lateFire = counters.New("timers late by 5 ms or more")
-	latest   = counters.New("latest timer, us")
-	queued   = counters.New("latest event, us")
-	lists    = counters.New("lists taken")
-	untrue   = counters.New("reports that can't be true")
-	outcomes = [...]*counters.Counter{
-		routing.Errored:     counters.New("dispatches errored"),
-		routing.Answered:    counters.New("dispatches answered"),
-		routing.Full:        counters.New("dispatches turned away"),
-		routing.TimedOut:    counters.New("dispatches timed out"),
-		routing.Unconnected: counters.New("dispatches unconnected"),
-		routing.Broken:      counters.New("dispatches broken"),
-		routing.Withdrawn:   counters.New("dispatches withdrawn"),
-		routing.Unsent:      counters.New("dispatches unsent"),
-		routing.Missed:      counters.New("dispatches missed"),
+	taken    = metrics.New("commands taken")
+	doubles  = metrics.New("commands with an id in hand")
+	lateFire = metrics.New("timers late by 5 ms or more")
+	latest   = metrics.New("latest timer, us")
+	queued   = metrics.New("latest event, us")
+	lists    = metrics.New("lists taken")
+	untrue   = metrics.New("reports that can't be true")
+	outcomes = [...]*metrics.Counter{
+		routing.Errored:     metrics.New("dispatches errored"),
+		routing.Answered:    metrics.New("dispatches answered"),
+		routing.Full:        metrics.New("dispatches turned away"),
+		routing.TimedOut:    metrics.New("dispatches timed out"),
+		routing.Unconnected: metrics.New("dispatches unconnected"),
+		routing.Broken:      metrics.New("dispatches broken"),
+		routing.Withdrawn:   metrics.New("dispatches withdrawn"),
+		routing.Unsent:      metrics.New("dispatches unsent"),
+		routing.Missed:      metrics.New("dispatches missed"),
 	}
 )
 
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"cairntiller/internal/backend"
-	"cairntiller/internal/counters"
 	"cairntiller/internal/discovery"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
 	"cairntiller/internal/inflight"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/settings"
@@ -710,7 +710,7 @@
 // counted is a counter's figure as it is printed.
 func counted(name string) (n int64) {
 	var all bytes.Buffer
-	counters.Print(&all)
+	metrics.Print(&all)
 	if _, rest, found := strings.Cut(all.String(), name); found {
 		fmt.Sscan(rest, &n)
 	}
--- a/internal/frontend/clients.go
+++ b/internal/frontend/clients.go
@@ -17,8 +17,8 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"cairntiller/internal/counters"
 	"cairntiller/internal/inflight"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/stream"
 )
@@ -41,19 +41,19 @@
 )
 
 var (
-	accepted  = counters.New("client connections")
-	evicted   = counters.New("client connections evicted")
-	turned    = counters.New("client connections over limit")
-	crowded   = counters.New("commands over what is in hand")
-	parted    = counters.New("client connections long idle")
-	silent    = counters.New("client connections of no use")
-	malformed = counters.New("client streams malformed")
-	unread    = counters.New("queries refused")
-	empties   = counters.New("empty queries")
-	crossed   = counters.New("reads after our end")
-	cancelled = counters.New("commands cancelled")
-	strangers = counters.New("cancels without a command")
-	parting   = counters.New("commands while leaving")
+	accepted  = metrics.New("client connections")
+	evicted   = metrics.New("client connections evicted")
+	turned    = metrics.New("client connections over limit")
+	crowded   = metrics.New("commands over what is in hand")
+	parted    = metrics.New("client connections long idle")
+	silent    = metrics.New("client connections of no use")
+	malformed = metrics.New("client streams malformed")
+	unread    = metrics.New("queries refused")
+	empties   = metrics.New("empty queries")
+	crossed   = metrics.New("reads after our end")
+	cancelled = metrics.New("commands cancelled")
+	strangers = metrics.New("cancels without a command")
+	parting   = metrics.New("commands while leaving")
 )
 
 // Front takes clients' connections.
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -4,17 +4,17 @@
 
 import (
 	"cairntiller/internal/assert"
-	"cairntiller/internal/counters"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 )
 
 var (
-	answered  = counters.New("commands answered")
-	throttled = counters.New("commands throttled")
-	failed    = counters.New("commands failed")
-	left      = counters.New("commands left by clients")
-	late      = counters.New("answers after the final one")
+	answered  = metrics.New("commands answered")
+	throttled = metrics.New("commands throttled")
+	failed    = metrics.New("commands failed")
+	left      = metrics.New("commands left by clients")
+	late      = metrics.New("answers after the final one")
 )
 
 // Client is where a command's final answer goes.
--- a/internal/leaseservice/leasing.go
+++ b/internal/leaseservice/leasing.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"cairntiller/internal/counters"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/membership"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/sexp"
 )
 
@@ -30,18 +30,18 @@
 )
 
 var (
-	begun      = counters.New("leases held")
-	lost       = counters.New("leases lost")
-	yielded    = counters.New("leases wanted by others")
-	asked      = counters.New("lease messages sent")
-	heard      = counters.New("lease messages taken")
-	unread     = counters.New("lease messages unread")
-	dropped    = counters.New("lease messages dropped, too many")
-	unsent     = counters.New("lease messages unsent")
-	turnedAway = counters.New("acts not begun, lease not held")
-	overran    = counters.New("acts past their lease")
-	clocksOff  = counters.New("clocks outside the bound")
-	unkept     = counters.New("votes withheld, not kept")
+	begun      = metrics.New("leases held")
+	lost       = metrics.New("leases lost")
+	yielded    = metrics.New("leases wanted by others")
+	asked      = metrics.New("lease messages sent")
+	heard      = metrics.New("lease messages taken")
+	unread     = metrics.New("lease messages unread")
+	dropped    = metrics.New("lease messages dropped, too many")
+	unsent     = metrics.New("lease messages unsent")
+	turnedAway = metrics.New("acts not begun, lease not held")
+	overran    = metrics.New("acts past their lease")
+	clocksOff  = metrics.New("clocks outside the bound")
+	unkept     = metrics.New("votes withheld, not kept")
 )
 
 // Place is what the operator's file says of leases.
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -23,7 +23,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"cairntiller/internal/assignment"
-	"cairntiller/internal/counters"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/sexp"
 )
 
@@ -43,22 +43,22 @@
 )
 
 var (
-	joined    = counters.New("members joined")
-	lost      = counters.New("members lost")
-	refusedV  = counters.New("members of another version")
-	refusedC  = counters.New("members of another cluster")
-	refusedK  = counters.New("members with a wrong key")
-	refusedF  = counters.New("members over the bounds")
-	conflicts = counters.New("members under a name taken")
-	said      = counters.New("messages to members")
-	taken     = counters.New("messages of members")
-	known     = counters.New("messages of members, known")
-	unread    = counters.New("messages of members, unread")
-	seeks     = counters.New("looks for missing members")
-	givenUp   = counters.New("messages to members given up")
-	sentTo    = counters.New("messages to one member")
-	toldBy    = counters.New("messages from one member")
-	toldOver  = counters.New("messages from one member over its rate")
+	joined    = metrics.New("members joined")
+	lost      = metrics.New("members lost")
+	refusedV  = metrics.New("members of another version")
+	refusedC  = metrics.New("members of another cluster")
+	refusedK  = metrics.New("members with a wrong key")
+	refusedF  = metrics.New("members over the bounds")
+	conflicts = metrics.New("members under a name taken")
+	said      = metrics.New("messages to members")
+	taken     = metrics.New("messages of members")
+	known     = metrics.New("messages of members, known")
+	unread    = metrics.New("messages of members, unread")
+	seeks     = metrics.New("looks for missing members")
+	givenUp   = metrics.New("messages to members given up")
+	sentTo    = metrics.New("messages to one member")
+	toldBy    = metrics.New("messages from one member")
+	toldOver  = metrics.New("messages from one member over its rate")
 )
 
 // Events are what the fleet tells; each is called on a goroutine of the library's and must not block.
--- a/internal/counters/counters.go
+++ b/internal/metrics/counters.go
@@ -1,5 +1,5 @@
-// Package counters counts what the router takes in, sends and answers.
-package counters
+// Package metrics counts what the router takes in, sends and answers.
+package metrics
 
 import (
 	"fmt"
--- a/internal/rolloutservice/releasing.go
+++ b/internal/rolloutservice/releasing.go
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"cairntiller/internal/counters"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/rollout"
 	"cairntiller/internal/sexp"
 )
@@ -41,15 +41,15 @@
 )
 
 var (
-	leads    = counters.New("times that this router led releases")
-	slots    = counters.New("times that this router went out by a plan")
-	drained  = counters.New("changes of drained nodes")
-	unread   = counters.New("release messages unread")
-	dropped  = counters.New("release messages dropped, too many")
-	unsent   = counters.New("release messages unsent")
-	fenced   = counters.New("release messages kept back, lease not held")
-	obeyed   = counters.New("operators' words on plans taken")
-	rejected = counters.New("operators' words on plans refused")
+	leads    = metrics.New("times that this router led releases")
+	slots    = metrics.New("times that this router went out by a plan")
+	drained  = metrics.New("changes of drained nodes")
+	unread   = metrics.New("release messages unread")
+	dropped  = metrics.New("release messages dropped, too many")
+	unsent   = metrics.New("release messages unsent")
+	fenced   = metrics.New("release messages kept back, lease not held")
+	obeyed   = metrics.New("operators' words on plans taken")
+	rejected = metrics.New("operators' words on plans refused")
 )
 
 // Place is what the operator's file says of releases.
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -21,10 +21,10 @@
 	"time"
 
 	"cairntiller/internal/backend"
-	"cairntiller/internal/counters"
 	"cairntiller/internal/discovery"
 	"cairntiller/internal/engine"
 	"cairntiller/internal/frontend"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/settings"
 	"cairntiller/internal/stream"
@@ -45,9 +45,9 @@
 )
 
 var (
-	reloads  = counters.New("configurations read anew")
-	rejected = counters.New("configurations rejected")
-	keyed    = counters.New("keys changed")
+	reloads  = metrics.New("configurations read anew")
+	rejected = metrics.New("configurations rejected")
+	keyed    = metrics.New("keys changed")
 )
 
 // told is what the platform tells a router.
@@ -203,7 +203,7 @@
 			return fmt.Errorf("no longer listening: %w", err)
 		case s := <-calls:
 			if s == syscall.SIGUSR1 {
-				counters.Print(os.Stderr)
+				metrics.Print(os.Stderr)
 				continue
 			}
 			var moved string
@@ -230,7 +230,7 @@
 		close(gone)
 	}()
 	leave(e, front, gone, last)
-	counters.Print(os.Stderr)
+	metrics.Print(os.Stderr)
 	return nil
 }
 
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"cairntiller/internal/assignment"
-	"cairntiller/internal/counters"
 	"cairntiller/internal/membership"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 )
 
@@ -96,7 +96,7 @@
 	if got := answer(empty); !strings.Contains(got, "C57P03") {
 		t.Errorf("without a list: %q", got)
 	}
-	hangUp := func(text string, counted *counters.Counter) {
+	hangUp := func(text string, counted *metrics.Counter) {
 		t.Helper()
 		if err := os.WriteFile(os.Getenv("RELAY_CONFIG"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	defer m.Cut()
-	hangUp := func(counted *counters.Counter) {
+	hangUp := func(counted *metrics.Counter) {
 		t.Helper()
 		before := counted.Count()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
--- a/internal/sharedprobes/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"cairntiller/internal/assignment"
-	"cairntiller/internal/counters"
 	"cairntiller/internal/membership"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/sexp"
 )
@@ -21,11 +21,11 @@
 )
 
 var (
-	shared  = counters.New("duties run")
-	checked = counters.New("second opinions")
-	words   = counters.New("words heard")
-	used    = counters.New("words used")
-	claims  = counters.New("duties taken over")
+	shared  = metrics.New("duties run")
+	checked = metrics.New("second opinions")
+	words   = metrics.New("words heard")
+	used    = metrics.New("words used")
+	claims  = metrics.New("duties taken over")
 )
 
 // Engine is what the patrol needs of the router's engine.
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -12,7 +12,7 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"cairntiller/internal/counters"
+	"cairntiller/internal/metrics"
 )
 
 const (
@@ -25,8 +25,8 @@
 )
 
 var (
-	stuck   = counters.New("writes given up")
-	flooded = counters.New("peers that read too little")
+	stuck   = metrics.New("writes given up")
+	flooded = metrics.New("peers that read too little")
 )
 
 // ErrUnwritten tells that the peer's machine was handed nothing of what was to be written.
--- a/internal/versionaudit/rollcall.go
+++ b/internal/versionaudit/rollcall.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"cairntiller/internal/codec"
-	"cairntiller/internal/counters"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
 	"cairntiller/internal/membership"
+	"cairntiller/internal/metrics"
 	"cairntiller/internal/sexp"
 )
 
@@ -30,9 +30,9 @@
 )
 
 var (
-	calls  = counters.New("roll calls")
-	faults = counters.New("members behind or silent at roll calls")
-	unread = counters.New("roll call messages unread")
+	calls  = metrics.New("roll calls")
+	faults = metrics.New("members behind or silent at roll calls")
+	unread = metrics.New("roll call messages unread")
 )
 
 var decoding = codec.Strict(4, 16, 16)
