--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"cairntiller/internal/assert"
 	"cairntiller/internal/decimal"
 	"cairntiller/internal/discovery"
 	"cairntiller/internal/inflight"
+	"cairntiller/internal/invariant"
 	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
@@ -372,7 +372,7 @@
 // Dispatch implements routing.Actions.
 func (e *Engine) Dispatch(cmd, node string, timeout, within int64) {
 	x := e.table[cmd]
-	if !assert.That(x != nil && !x.Final(), "a command is dispatched before its final answer") {
+	if !invariant.That(x != nil && !x.Final(), "a command is dispatched before its final answer") {
 		return
 	}
 	d := x.Begin(node, e.clock, timeout, within)
@@ -397,7 +397,7 @@
 
 // Throttle implements routing.Actions.
 func (e *Engine) Throttle(cmd string, retryIn int64) {
-	if x := e.table[cmd]; assert.That(x != nil, "a throttled command is in hand") {
+	if x := e.table[cmd]; invariant.That(x != nil, "a throttled command is in hand") {
 		x.Throttle(retryIn)
 		e.settled(x)
 	}
@@ -405,7 +405,7 @@
 
 // Fail implements routing.Actions.
 func (e *Engine) Fail(cmd string) {
-	if x := e.table[cmd]; assert.That(x != nil, "a failed command is in hand") {
+	if x := e.table[cmd]; invariant.That(x != nil, "a failed command is in hand") {
 		x.Fail()
 		e.settled(x)
 	}
@@ -414,7 +414,7 @@
 // Withdraw implements routing.Actions.
 func (e *Engine) Withdraw(cmd string, dispatch int) {
 	x := e.table[cmd]
-	if assert.That(x != nil && dispatch < len(x.Dispatches), "a withdrawn dispatch was made") {
+	if invariant.That(x != nil && dispatch < len(x.Dispatches), "a withdrawn dispatch was made") {
 		e.abandon(x.Dispatches[dispatch], routing.Withdrawn)
 	}
 }
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -3,7 +3,7 @@
 package inflight
 
 import (
-	"cairntiller/internal/assert"
+	"cairntiller/internal/invariant"
 	"cairntiller/internal/metrics"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
@@ -114,7 +114,7 @@
 
 // End closes a dispatch; it tells whether that is news.
 func (x *Exchange) End(d *Dispatch) bool {
-	if !assert.That(!d.Ended, "a dispatch ends once") {
+	if !invariant.That(!d.Ended, "a dispatch ends once") {
 		return false
 	}
 	d.Ended = true
@@ -139,7 +139,7 @@
 
 // Throttle tells the client that nothing ran and when to come again.
 func (x *Exchange) Throttle(wait int64) {
-	if assert.That(!x.final, "a command is throttled before its final answer") {
+	if invariant.That(!x.final, "a command is throttled before its final answer") {
 		x.final = true
 		throttled.Add()
 		x.client.Throttle(x, wait)
@@ -148,7 +148,7 @@
 
 // Fail tells the client nothing but that it failed.
 func (x *Exchange) Fail() {
-	if assert.That(!x.final, "a command fails before its final answer") {
+	if invariant.That(!x.final, "a command fails before its final answer") {
 		x.final = true
 		failed.Add()
 		x.client.Fail(x)
--- a/internal/assert/assert.go
+++ b/internal/invariant/assert.go
@@ -1,5 +1,5 @@
-// Package assert states what must hold: it stops a debug build and is counted by a release build.
-package assert
+// Package invariant states what must hold: it stops a debug build and is counted by a release build.
+package invariant
 
 import "cairntiller/internal/metrics"
 
--- a/internal/assert/debug.go
+++ b/internal/invariant/debug.go
@@ -1,5 +1,5 @@
 //go:build debug
 
-package assert
+package invariant
 
 func report(what string) { panic("assertion broken: " + what) }
--- a/internal/assert/release.go
+++ b/internal/invariant/release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-package assert
+package invariant
 
 import "log/slog"
 
