--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -14,8 +14,8 @@
 
 	"cairntiller/internal/assignment"
 	"cairntiller/internal/sexp"
-	"cairntiller/internal/standin/badnet"
 	"cairntiller/internal/standin/seeded"
+	"cairntiller/internal/testcluster/faultnet"
 )
 
 // TestMain fixes the seed of generated tests.
@@ -24,7 +24,7 @@
 // member is a fleet of one instance with what it was told.
 type member struct {
 	*Fleet
-	net     *badnet.Net
+	net     *faultnet.Net
 	mu      sync.Mutex
 	up      map[string]uint64
 	left    map[string]bool
@@ -36,7 +36,7 @@
 
 func start(t *testing.T, name, cluster string, keys [][]byte, join ...string) *member {
 	t.Helper()
-	m := &member{net: badnet.New(uint64(len(name))), up: map[string]uint64{}, left: map[string]bool{}}
+	m := &member{net: faultnet.New(uint64(len(name))), up: map[string]uint64{}, left: map[string]bool{}}
 	f, err := Start(Place{Name: name, Cluster: cluster, Listen: "127.0.0.1:0", Join: join, Keys: keys, Most: 64, Weight: 1, Bandwidth: 1 << 20},
 		Events{
 			Up: func(name string, _ float64, born uint64) {
--- a/internal/standin/proof/duties.go
+++ b/internal/standin/proof/duties.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"cairntiller/internal/serve"
-	"cairntiller/internal/standin/badnet"
 	"cairntiller/internal/standin/database"
 	"cairntiller/internal/standin/site"
+	"cairntiller/internal/testcluster/faultnet"
 )
 
 // The limits that the proof of shared duties holds the routers to.
@@ -51,7 +51,7 @@
 // Child is the program that the proof starts as a router: it cuts its own network where it is told so on standard
 // input ("cut", "heal"), and ends with the one that started it.
 func Child(file string) error {
-	n := badnet.New(1)
+	n := faultnet.New(1)
 	go func() {
 		lines := bufio.NewScanner(os.Stdin)
 		for lines.Scan() {
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"cairntiller/internal/standin/badnet"
 	"cairntiller/internal/standin/site"
+	"cairntiller/internal/testcluster/faultnet"
 )
 
 // LateBy is how late a packet may be that is very late.
@@ -24,7 +24,7 @@
 // Rig is router processes in front of one site.
 type Rig struct {
 	Site    *site.Site
-	Relays  *badnet.Relays
+	Relays  *faultnet.Relays
 	Folder  string
 	Log     io.Writer
 	Writes  io.Writer // what is done, as it is done
@@ -61,7 +61,7 @@
 	}
 	_, port, _ := net.SplitHostPort(at)
 	number, _ := strconv.Atoi(port)
-	if r.Relays, err = badnet.NewRelays(seed, len(machines), number); err != nil {
+	if r.Relays, err = faultnet.NewRelays(seed, len(machines), number); err != nil {
 		return nil, err
 	}
 	var join []string
@@ -197,7 +197,7 @@
 	case "cut":
 		r.cut(one.Args)
 	case "heal":
-		r.each(func(f *badnet.Fate) { f.Cut = false })
+		r.each(func(f *faultnet.Fate) { f.Cut = false })
 	case "fate":
 		return r.fate(one.Args)
 	default:
@@ -234,7 +234,7 @@
 	}
 }
 
-func (r *Rig) each(change func(f *badnet.Fate)) {
+func (r *Rig) each(change func(f *faultnet.Fate)) {
 	for i := range r.routers {
 		for j := range r.routers {
 			if i != j {
@@ -257,7 +257,7 @@
 			return err
 		}
 	}
-	r.each(func(f *badnet.Fate) {
+	r.each(func(f *faultnet.Fate) {
 		f.Loss, f.Twice, f.Corrupt, f.Delay, f.Late, f.LateBy = v[0], v[1], v[2], time.Duration(v[3]*float64(time.Millisecond)), v[4], LateBy
 	})
 	return nil
--- a/internal/standin/badnet/badnet.go
+++ b/internal/testcluster/faultnet/badnet.go
@@ -1,6 +1,6 @@
-// Package badnet stands between a member and the network and loses, doubles and delays what passes, or cuts it off
+// Package faultnet stands between a member and the network and loses, doubles and delays what passes, or cuts it off
 // either way. It is for tests and proofs.
-package badnet
+package faultnet
 
 import (
 	"errors"
--- a/internal/standin/badnet/relay.go
+++ b/internal/testcluster/faultnet/relay.go
@@ -1,4 +1,4 @@
-package badnet
+package faultnet
 
 import (
 	"errors"
