--- a/internal/standin/proof/releases.go
+++ b/internal/standin/proof/releases.go
@@ -15,9 +15,9 @@
 	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/rollout"
 	"cairntiller/internal/rolloutservice"
-	"cairntiller/internal/standin/client"
 	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
+	"cairntiller/internal/testcluster/client"
 )
 
 // The limits that the proof of releases holds the routers to.
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"cairntiller/internal/standin/client"
 	"cairntiller/internal/standin/database"
 	"cairntiller/internal/standin/discovery"
+	"cairntiller/internal/testcluster/client"
 )
 
 // The command groups of every site, by their names.
