--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -13,9 +13,9 @@
 	"text/tabwriter"
 	"time"
 
-	"cairntiller/internal/standin/database"
 	"cairntiller/internal/standin/site"
 	"cairntiller/internal/testcluster/client"
+	"cairntiller/internal/testcluster/database"
 )
 
 const (
--- a/internal/standin/proof/duties.go
+++ b/internal/standin/proof/duties.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"cairntiller/internal/serve"
-	"cairntiller/internal/standin/database"
 	"cairntiller/internal/standin/site"
+	"cairntiller/internal/testcluster/database"
 	"cairntiller/internal/testcluster/faultnet"
 )
 
