--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"cairntiller/internal/standin/discovery"
 	"cairntiller/internal/testcluster/client"
 	"cairntiller/internal/testcluster/database"
+	"cairntiller/internal/testcluster/discovery"
 )
 
 // The command groups of every site, by their names.
