--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -13,9 +13,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"cairntiller/internal/standin/proof"
 	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/supervisor"
+	"cairntiller/internal/testcluster/proof"
 )
 
 type line struct {
