--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -20,10 +20,10 @@
 	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
-	"cairntiller/internal/standin/resource"
 	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
 	"cairntiller/internal/supervisor"
+	"cairntiller/internal/testcluster/resource"
 )
 
 // The limits that the proof of leases holds the routers to.
