--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/supervisor"
+	"cairntiller/internal/testcluster/process"
 	"cairntiller/internal/testcluster/proof"
 )
 
@@ -97,7 +97,7 @@
 		if err != nil {
 			return err
 		}
-		if p.Script, err = rig.Parse(string(raw)); err != nil {
+		if p.Script, err = process.Parse(string(raw)); err != nil {
 			return err
 		}
 	}
--- a/internal/standin/rig/script.go
+++ b/internal/testcluster/process/script.go
@@ -1,8 +1,8 @@
-// Package rig starts many router processes before stand-in nodes and plays faults between them from outside: links that
+// Package process starts many router processes before stand-in nodes and plays faults between them from outside: links that
 // are cut one way or both, that lose, double, delay, spoil or bring very late what passes; processes that are killed,
 // stopped, continued and started anew, with or without what they kept; clocks that are off, drift and jump. What is
 // played is a script, a value that can be printed, read, replayed and shrunk. The truth is what stand-ins wrote down.
-package rig
+package process
 
 import (
 	"bufio"
--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/supervisor"
+	"cairntiller/internal/testcluster/process"
 )
 
 // Hidden are the commands by which a proof starts its own program again, as the processes it is made of.
@@ -30,7 +30,7 @@
 	Clock, Own, File string
 }
 
-func (s *self) at() rig.Self { return rig.Self{File: s.File, Clock: s.Clock, Own: s.Own} }
+func (s *self) at() process.Self { return process.Self{File: s.File, Clock: s.Clock, Own: s.Own} }
 
 func logAll() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})))
@@ -51,7 +51,7 @@
 
 func (l *childReleases) Run() error {
 	logAll()
-	return rig.Child(l.at(), nil, nil)
+	return process.Child(l.at(), nil, nil)
 }
 
 type holdLine struct {
--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -20,9 +20,9 @@
 	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
-	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
 	"cairntiller/internal/supervisor"
+	"cairntiller/internal/testcluster/process"
 	"cairntiller/internal/testcluster/resource"
 )
 
@@ -44,8 +44,8 @@
 	Seed    uint64
 	Voters  int
 	Others  int
-	Span    time.Duration // of mixed faults
-	Script  rig.Script    // played instead of them
+	Span    time.Duration  // of mixed faults
+	Script  process.Script // played instead of them
 	Lasting bool
 	Unkept  bool    // a fault on purpose: commands run without a keeper
 	Times   int     // takeovers and hand-overs measured
@@ -57,8 +57,8 @@
 }
 
 // LeaseChild is the program that the proof starts as a router: it acts under each task's lease while it has it.
-func LeaseChild(at rig.Self, address, name string, bulk int) error {
-	return rig.Child(at, nil, func(l *leaseservice.Leasing) {
+func LeaseChild(at process.Self, address, name string, bulk int) error {
+	return process.Child(at, nil, func(l *leaseservice.Leasing) {
 		for n := range bulk {
 			if _, err := l.Want(lease.Wish{Lease: fmt.Sprint("bulk-", n), Length: leaseLength.Microseconds()}, nil); err != nil {
 				fmt.Fprintln(os.Stderr, "no lease:", err)
@@ -124,7 +124,7 @@
 type tribunal struct {
 	p     Leases
 	s     *site.Site
-	r     *rig.Rig
+	r     *process.Rig
 	res   *resource.Server
 	rng   *rand.Rand
 	over  chan struct{}
@@ -139,7 +139,7 @@
 	if c.s, err = site.New(c.p.Seed, 1, 2); err != nil {
 		return err
 	}
-	if c.res, err = resource.Start(rig.True); err == nil {
+	if c.res, err = resource.Start(process.True); err == nil {
 		err = c.start()
 	}
 	if err != nil {
@@ -169,7 +169,7 @@
 	if err = c.await(20 * time.Second); err != nil {
 		return "", err
 	}
-	began := rig.True()
+	began := process.True()
 	script := p.Script
 	if script == nil {
 		script = p.Draw()
@@ -177,7 +177,7 @@
 	if err = c.r.Play(script); err != nil {
 		return "", err
 	}
-	faults := rig.True()
+	faults := process.True()
 	if err = c.await(30 * time.Second); err != nil {
 		return "", err
 	}
@@ -193,11 +193,11 @@
 	n := c.p.Voters + c.p.Others
 	var voters []string
 	for i := range c.p.Voters {
-		voters = append(voters, rig.Name(i))
+		voters = append(voters, process.Name(i))
 	}
-	var machines []rig.Machine
+	var machines []process.Machine
 	for i := range n {
-		skew := rig.Skew{Rate: 1 + leaseDrift*(2*c.rng.Float64()-1), Offset: time.Duration(c.rng.Int64N(int64(24 * time.Hour)))}
+		skew := process.Skew{Rate: 1 + leaseDrift*(2*c.rng.Float64()-1), Offset: time.Duration(c.rng.Int64N(int64(24 * time.Hour)))}
 		if i == 0 && c.p.Rate > 0 {
 			skew.Rate = c.p.Rate
 		}
@@ -206,9 +206,9 @@
 			bulk = 0
 		}
 		file := c.file(voters, 1, nil, i)
-		machines = append(machines, rig.Machine{Skew: skew, File: file, Args: []string{"--acts", c.res.Address(), "--name", rig.Name(i), "--bulk", strconv.Itoa(bulk)}})
+		machines = append(machines, process.Machine{Skew: skew, File: file, Args: []string{"--acts", c.res.Address(), "--name", process.Name(i), "--bulk", strconv.Itoa(bulk)}})
 	}
-	c.r, err = rig.New(c.p.Seed, c.s, machines, c.p.Log, c.p.Writes, "child-leases")
+	c.r, err = process.New(c.p.Seed, c.s, machines, c.p.Log, c.p.Writes, "child-leases")
 	if err != nil {
 		return err
 	}
@@ -228,13 +228,13 @@
 }
 
 func init() {
-	rig.Verb("free", "LEASE: ask its holder to give it up")
-	rig.Verb("stop-hold", "N/LEASE: hold the asker of a command still")
-	rig.Verb("cont-hold", "N/LEASE: let it go on")
-	rig.Verb("stop-at", "LEASE: hold the router still that has it")
-	rig.Verb("kill-at", "LEASE: kill the router that has it")
-	rig.Verb("voters", "NUMBER NAMES BEFORE: another set of voters in every file, names joined by commas")
-	rig.Verb("up", "let every process go on, and start those that were killed")
+	process.Verb("free", "LEASE: ask its holder to give it up")
+	process.Verb("stop-hold", "N/LEASE: hold the asker of a command still")
+	process.Verb("cont-hold", "N/LEASE: let it go on")
+	process.Verb("stop-at", "LEASE: hold the router still that has it")
+	process.Verb("kill-at", "LEASE: kill the router that has it")
+	process.Verb("voters", "NUMBER NAMES BEFORE: another set of voters in every file, names joined by commas")
+	process.Verb("up", "let every process go on, and start those that were killed")
 }
 
 // file is what a machine's operator says of leases.
@@ -244,7 +244,7 @@
 		was = fmt.Sprintf("(before %s)", strings.Join(before, " "))
 	}
 	return fmt.Sprintf("(leases (longest %dms) (drift %g) %s (voters (number %d) (names %s) %s) (roll-call (every 5s)))\n(control (socket %q))",
-		leaseLength.Milliseconds(), leaseDrift*100, c.folder(i), number, strings.Join(voters, " "), was, c.s.Folder+"/"+rig.Name(i)+".sock")
+		leaseLength.Milliseconds(), leaseDrift*100, c.folder(i), number, strings.Join(voters, " "), was, c.s.Folder+"/"+process.Name(i)+".sock")
 }
 
 // folder is a machine's lasting place, where it has one.
@@ -252,7 +252,7 @@
 	if !c.p.Lasting {
 		return ""
 	}
-	return fmt.Sprintf("(folder %q)", c.s.Folder+"/keep-"+rig.Name(i))
+	return fmt.Sprintf("(folder %q)", c.s.Folder+"/keep-"+process.Name(i))
 }
 
 // voters brings another set of voters to every process.
@@ -277,23 +277,23 @@
 }
 
 // Draw makes the script of mixed faults.
-func (p Leases) Draw() rig.Script {
+func (p Leases) Draw() process.Script {
 	n := p.Voters + p.Others
-	step := func(at time.Duration, do string, args ...string) rig.Step {
-		return rig.Step{At: at, Do: do, Args: args}
+	step := func(at time.Duration, do string, args ...string) process.Step {
+		return process.Step{At: at, Do: do, Args: args}
 	}
-	s := rig.Draw(p.Seed, n, leaseLength/2, p.Span,
-		func(rng *rand.Rand, at time.Duration) []rig.Step {
-			return []rig.Step{step(at, "free", fmt.Sprint("task-", rng.IntN(tasks)))}
+	s := process.Draw(p.Seed, n, leaseLength/2, p.Span,
+		func(rng *rand.Rand, at time.Duration) []process.Step {
+			return []process.Step{step(at, "free", fmt.Sprint("task-", rng.IntN(tasks)))}
 		},
-		func(rng *rand.Rand, at time.Duration) []rig.Step {
+		func(rng *rand.Rand, at time.Duration) []process.Step {
 			who := fmt.Sprintf("%d/work-%d", rng.IntN(n), rng.IntN(works))
-			return []rig.Step{step(at, "stop-hold", who), step(at+time.Duration(rng.Int64N(int64(2*leaseLength))), "cont-hold", who)}
+			return []process.Step{step(at, "stop-hold", who), step(at+time.Duration(rng.Int64N(int64(2*leaseLength))), "cont-hold", who)}
 		},
-		func(rng *rand.Rand, at time.Duration) []rig.Step {
-			return []rig.Step{step(at, "stop-at", fmt.Sprint("work-", rng.IntN(works)))}
+		func(rng *rand.Rand, at time.Duration) []process.Step {
+			return []process.Step{step(at, "stop-at", fmt.Sprint("work-", rng.IntN(works)))}
 		},
-		func(rng *rand.Rand, at time.Duration) (all []rig.Step) {
+		func(rng *rand.Rand, at time.Duration) (all []process.Step) {
 			if rng.IntN(2) == 0 {
 				return nil
 			}
@@ -311,7 +311,7 @@
 	var errs []error
 	for i := range c.p.Voters + c.p.Others {
 		c.r.Router(i).Signal(syscall.SIGCONT)
-		errs = append(errs, c.r.Do(rig.Step{Do: "start", Args: []string{strconv.Itoa(i)}}))
+		errs = append(errs, c.r.Do(process.Step{Do: "start", Args: []string{strconv.Itoa(i)}}))
 	}
 	c.mu.Lock()
 	for _, one := range c.holds {
@@ -343,7 +343,7 @@
 
 func (c *tribunal) at(args []string, do string) error {
 	if n := c.holder(args[0]); n >= 0 && c.r.Up(n) {
-		return c.r.Do(rig.Step{Do: do, Args: []string{strconv.Itoa(n)}})
+		return c.r.Do(process.Step{Do: do, Args: []string{strconv.Itoa(n)}})
 	}
 	return nil
 }
@@ -366,7 +366,7 @@
 			keep = "bad-keep"
 		}
 		cmd := exec.Command(self, "hold", "--socket", c.r.Socket(i), "--clock", c.r.Skew(i).String(), "--keeper", keep, "--length", leaseLength.String(),
-			"--acts", c.res.Address(), "--holder", rig.Name(i), name)
+			"--acts", c.res.Address(), "--holder", process.Name(i), name)
 		cmd.Stderr = c.p.Log
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		c.mu.Lock()
@@ -438,7 +438,7 @@
 		for _, r := range c.res.Runs() {
 			delete(missing, r.Lease)
 		}
-		since := rig.True() - 500_000
+		since := process.True() - 500_000
 		for _, a := range c.res.Acts() {
 			if a.Taken && a.At > since {
 				delete(missing, a.Lease)
@@ -489,8 +489,8 @@
 		name := fmt.Sprint("task-", n%tasks)
 		was := c.last(name)
 		i := c.holder(name)
-		began := rig.True()
-		if err := c.r.Do(rig.Step{Do: "kill", Args: []string{strconv.Itoa(i)}}); err != nil {
+		began := process.True()
+		if err := c.r.Do(process.Step{Do: "kill", Args: []string{strconv.Itoa(i)}}); err != nil {
 			return nil, nil, err
 		}
 		at, err := wait(name, was.Term, began)
@@ -498,7 +498,7 @@
 			return nil, nil, err
 		}
 		took = append(took, time.Duration(at-began)*time.Microsecond)
-		if err := c.r.Do(rig.Step{Do: "start", Args: []string{strconv.Itoa(i)}}); err != nil {
+		if err := c.r.Do(process.Step{Do: "start", Args: []string{strconv.Itoa(i)}}); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -527,7 +527,7 @@
 func (c *tribunal) show() {
 	for i := range c.p.Voters + c.p.Others {
 		o, err := c.knows(i)
-		fmt.Fprintf(c.p.Writes, "%s knows: %+v %v\n", rig.Name(i), o, err)
+		fmt.Fprintf(c.p.Writes, "%s knows: %+v %v\n", process.Name(i), o, err)
 	}
 }
 
@@ -673,7 +673,7 @@
 
 // Keep is its keeper.
 func Keep(clock string, room time.Duration, command []string) (int, error) {
-	skew, err := rig.ParseSkew(clock)
+	skew, err := process.ParseSkew(clock)
 	if err != nil {
 		return 1, err
 	}
--- a/internal/testcluster/proof/leases_test.go
+++ b/internal/testcluster/proof/leases_test.go
@@ -14,8 +14,8 @@
 	"github.com/alecthomas/kong"
 
 	"cairntiller/internal/leaseservice"
-	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/supervisor"
+	"cairntiller/internal/testcluster/process"
 )
 
 // child runs the command that a proof started this program again for, if it is one.
@@ -66,9 +66,9 @@
 12000 up
 `
 
-func script(t *testing.T, text string) rig.Script {
+func script(t *testing.T, text string) process.Script {
 	t.Helper()
-	s, err := rig.Parse(text)
+	s, err := process.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,13 +185,13 @@
 			}
 		}
 	}
-	n := wait("all are held", func(n map[string]int) bool { return n[rig.Name(3)]+n[rig.Name(4)] == bulk })
+	n := wait("all are held", func(n map[string]int) bool { return n[process.Name(3)]+n[process.Name(4)] == bulk })
 	most, other := "3", 4
-	if n[rig.Name(4)] > n[rig.Name(3)] {
+	if n[process.Name(4)] > n[process.Name(3)] {
 		most, other = "4", 3
 	}
-	c.r.Do(rig.Step{Do: "kill", Args: []string{most}})
+	c.r.Do(process.Step{Do: "kill", Args: []string{most}})
 	began := time.Now()
-	wait("the other one has them", func(n map[string]int) bool { return n[rig.Name(other)] == bulk })
+	wait("the other one has them", func(n map[string]int) bool { return n[process.Name(other)] == bulk })
 	t.Logf("%v to a new holder of all", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/testcluster/proof/releases.go
+++ b/internal/testcluster/proof/releases.go
@@ -15,9 +15,9 @@
 	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/rollout"
 	"cairntiller/internal/rolloutservice"
-	"cairntiller/internal/standin/rig"
 	"cairntiller/internal/standin/site"
 	"cairntiller/internal/testcluster/client"
+	"cairntiller/internal/testcluster/process"
 )
 
 // The limits that the proof of releases holds the routers to.
@@ -48,7 +48,7 @@
 type rollingOut struct {
 	p     Releases
 	s     *site.Site
-	r     *rig.Rig
+	r     *process.Rig
 	over  chan struct{}
 	done  sync.WaitGroup
 	mu    sync.Mutex
@@ -81,7 +81,7 @@
 	}
 	var routers, nodes []string
 	for i := range p.Routers {
-		routers = append(routers, rig.Name(i))
+		routers = append(routers, process.Name(i))
 	}
 	for g := range p.Nodes {
 		nodes = append(nodes, fmt.Sprintf("s-%d%c", g%p.Groups, 'a'+(g/p.Groups+g)%3))
@@ -141,15 +141,15 @@
 func (c *rollingOut) open() (err error) {
 	var voters []string
 	for i := range c.p.Voters {
-		voters = append(voters, rig.Name(i))
+		voters = append(voters, process.Name(i))
 	}
-	var machines []rig.Machine
+	var machines []process.Machine
 	for i := range c.p.Routers {
 		file := fmt.Sprintf("(duties (instances %d) (probe (every 500ms)))\n(leases (longest %dms) (voters (names %s)))\n(control (socket %q))\n(releases (zone %q))",
-			c.p.Routers, releaseLease.Milliseconds(), strings.Join(voters, " "), c.s.Folder+"/"+rig.Name(i)+".sock", "abc"[i%3:i%3+1])
-		machines = append(machines, rig.Machine{Skew: rig.Skew{Rate: 1}, File: file})
+			c.p.Routers, releaseLease.Milliseconds(), strings.Join(voters, " "), c.s.Folder+"/"+process.Name(i)+".sock", "abc"[i%3:i%3+1])
+		machines = append(machines, process.Machine{Skew: process.Skew{Rate: 1}, File: file})
 	}
-	if c.r, err = rig.New(c.p.Seed, c.s, machines, c.p.Log, c.p.Writes, "child-releases"); err != nil {
+	if c.r, err = process.New(c.p.Seed, c.s, machines, c.p.Log, c.p.Writes, "child-releases"); err != nil {
 		return err
 	}
 	for i := range c.p.Routers {
@@ -392,9 +392,9 @@
 			if err != nil || !s.Leads || len(s.Plans) == 0 || len(s.Plans[0].Holding) == 0 {
 				continue
 			}
-			c.r.Do(rig.Step{Do: "kill", Args: []string{fmt.Sprint(i)}})
+			c.r.Do(process.Step{Do: "kill", Args: []string{fmt.Sprint(i)}})
 			time.Sleep(time.Second)
-			if err := c.r.Do(rig.Step{Do: "start", Args: []string{fmt.Sprint(i)}}); err != nil {
+			if err := c.r.Do(process.Step{Do: "start", Args: []string{fmt.Sprint(i)}}); err != nil {
 				c.broken("%v", err)
 				return
 			}
@@ -406,7 +406,7 @@
 
 // faults kills and stops routers and spoils links while plans run; a killed one is started again by its supervisor.
 func (c *rollingOut) faults() {
-	script := rig.Draw(c.p.Seed, c.p.Routers, 3*time.Second, 30*time.Second)
+	script := process.Draw(c.p.Seed, c.p.Routers, 3*time.Second, 30*time.Second)
 	if err := c.r.Play(script); err != nil {
 		c.broken("%v", err)
 	}
