--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -14,7 +14,7 @@
 	"cairntiller/internal/inflight"
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
-	"cairntiller/internal/standin/scripted"
+	"cairntiller/internal/testcluster/scriptedserver"
 )
 
 // Each test here makes two events meet in their bad order; docs/crossings.md has the table.
@@ -45,7 +45,7 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			if _, err := scripted.ReadFrame(c, false); err == nil {
+			if _, err := scriptedserver.ReadFrame(c, false); err == nil {
 				h.came <- c
 			}
 		}
@@ -55,15 +55,15 @@
 
 // up lets a connection come up, and tells what it is asked.
 func (h *held) up(c net.Conn) {
-	io.WriteString(c, scripted.Welcome)
+	io.WriteString(c, scriptedserver.Welcome)
 	go func() {
 		for {
-			q, err := scripted.ReadFrame(c, true)
+			q, err := scriptedserver.ReadFrame(c, true)
 			if err != nil {
 				return
 			}
 			h.queries <- string(q)
-			io.WriteString(c, scripted.Row+scripted.Ready)
+			io.WriteString(c, scriptedserver.Row+scriptedserver.Ready)
 		}
 	}()
 }
@@ -86,7 +86,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := hold(t)
-			p, e := pool(t, 9, &scripted.Node{Addr: h.addr})
+			p, e := pool(t, 9, &scriptedserver.Node{Addr: h.addr})
 			x := e.dispatch(p, "n0", c.client, 0, c.within).Exchange
 			conn := <-h.came // it waits for this one
 			e.mu.Lock()
@@ -113,13 +113,13 @@
 // node than may be open and closing, and none is forgotten.
 func TestDescriptorsOfConnectionsThatClose(t *testing.T) {
 	h := hold(t)
-	p, e := pool(t, 4, &scripted.Node{Addr: h.addr})
+	p, e := pool(t, 4, &scriptedserver.Node{Addr: h.addr})
 	for range 200 {
 		d := e.send(p, "n0", 0)
 		select {
 		case c := <-h.came:
-			io.WriteString(c, scripted.Welcome)
-			if _, err := scripted.ReadFrame(c, true); err != nil {
+			io.WriteString(c, scriptedserver.Welcome)
+			if _, err := scriptedserver.ReadFrame(c, true); err != nil {
 				t.Fatal(err)
 			}
 			e.mu.Lock()
@@ -177,7 +177,7 @@
 // TestCancel: the key of its connection ends the command in hand at once, at its node too; no other key does anything,
 // nor does one whose connection has ended. The connection lives on.
 func TestCancel(t *testing.T) {
-	primary, replica := scripted.Start(t, scripted.Welcome), scripted.Start(t, scripted.Welcome, "", scripted.Row+scripted.Ready)
+	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "", scriptedserver.Row+scriptedserver.Ready)
 	r := start(t, 9, primary, replica)
 	gone, old := key(t, r)
 	gone.Close()
@@ -215,7 +215,7 @@
 // TestACancelThatCrossesItsAnswer hits no later command: its connection is there before the next command comes, and
 // what it says is read behind that.
 func TestACancelThatCrossesItsAnswer(t *testing.T) {
-	primary, replica := scripted.Start(t, scripted.Welcome), scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready, "")
+	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, "")
 	r := start(t, 9, primary, replica)
 	c, k := key(t, r)
 	ask(c, "1", "look", "900")
@@ -237,7 +237,7 @@
 	if n := r.engine.Owed(); n != 1 {
 		t.Fatal("the command that came behind the cancelled one was hit")
 	}
-	replica.Opened()[0].Write([]byte(scripted.Row + scripted.Ready))
+	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := brief(until(t, c, 'Z')); got != "row" {
 		t.Errorf("the later command: %q", got)
 	}
@@ -247,7 +247,7 @@
 // comes up late, then leave in each way there is; nothing is written for them.
 func TestACrowdThatLeaves(t *testing.T) {
 	h := hold(t)
-	r := start(t, 999, &scripted.Node{Addr: h.addr})
+	r := start(t, 999, &scriptedserver.Node{Addr: h.addr})
 	const crowd = 200
 	over := func() int64 { // a few may have had their dispatches before their clients went
 		return counted("commands left by clients") + counted("commands throttled")
@@ -299,7 +299,7 @@
 // TestACommandBehindTheLastAnswer: while the router leaves, what a client sends behind a command in hand is turned away
 // in its turn and nothing is lost; the connection ends behind it.
 func TestACommandBehindTheLastAnswer(t *testing.T) {
-	primary, replica := scripted.Start(t, scripted.Welcome), scripted.Start(t, scripted.Welcome, "")
+	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := start(t, 9, primary, replica)
 	c := r.dial(t)
 	ask(c, "1", "look", "5000")
@@ -312,7 +312,7 @@
 	for counted("commands while leaving") < before+3 {
 		time.Sleep(time.Millisecond)
 	}
-	replica.Opened()[0].Write([]byte(scripted.Row + scripted.Ready))
+	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	for i, want := range []string{"row", "57P03", "57P03", "57P03", "end"} {
 		if got := code(until(t, c, 'Z')); got != want {
 			t.Errorf("%d: %q, want %q", i, got, want)
@@ -325,7 +325,7 @@
 
 // TestStoppedWhileNodesHang: what is owed when the router must be gone is answered then.
 func TestStoppedWhileNodesHang(t *testing.T) {
-	primary, replica := scripted.Start(t, scripted.Welcome, ""), scripted.Start(t, scripted.Welcome)
+	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome, ""), scriptedserver.Start(t, scriptedserver.Welcome)
 	r := start(t, 9, primary, replica)
 	write, waits := r.dial(t), r.dial(t)
 	ask(write, "1", "put", "60000")
@@ -352,8 +352,8 @@
 
 // TestComeWhileLeaving: one that has just come brings its command with its startup, in one segment, and is served once.
 func TestComeWhileLeaving(t *testing.T) {
-	replica := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready)
-	r := start(t, 9, scripted.Start(t, scripted.Welcome), replica)
+	replica := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
+	r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), replica)
 	r.dial(t).Close()
 	r.front.End()
 	c, err := net.Dial("tcp", r.addr)
@@ -373,7 +373,7 @@
 
 // TestAShortIdleLimit: a node that closes idle connections soon has each used again all the same, for half of that time.
 func TestAShortIdleLimit(t *testing.T) {
-	s := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready, scripted.Row+scripted.Ready, scripted.Row+scripted.Ready)
+	s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready)
 	e := &ends{now: engine.Clock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go e.run()
 	p := backend.New(e.now, e.post, e.after, e, 500_000, 900_000, 9)
@@ -394,7 +394,7 @@
 // connection that comes up late at the old one carries nothing.
 func TestAnAddressMovesUnderAWait(t *testing.T) {
 	before, after := hold(t), hold(t)
-	p, e := pool(t, 9, &scripted.Node{Addr: before.addr})
+	p, e := pool(t, 9, &scriptedserver.Node{Addr: before.addr})
 	e.send(p, "n0", 0)
 	old := <-before.came
 	e.mu.Lock()
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -20,7 +20,7 @@
 	"cairntiller/internal/pgwire"
 	"cairntiller/internal/routing"
 	"cairntiller/internal/settings"
-	"cairntiller/internal/standin/scripted"
+	"cairntiller/internal/testcluster/scriptedserver"
 )
 
 // ends collects what a pool reports, in place of an engine.
@@ -67,7 +67,7 @@
 	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { e.post(e.now(), do) })
 }
 
-func pool(t *testing.T, most int, placed ...*scripted.Node) (*backend.Pool, *ends) {
+func pool(t *testing.T, most int, placed ...*scriptedserver.Node) (*backend.Pool, *ends) {
 	e := &ends{now: engine.Clock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go e.run()
 	p := backend.New(e.now, e.post, e.after, e, 500_000, 15_000_000, most)
@@ -101,44 +101,44 @@
 		greeting, reply string
 		want            routing.Outcome
 	}{
-		"row":                          {scripted.Welcome, scripted.Status("role", "primary") + scripted.Row + scripted.Ready, routing.Answered},
-		"row, closed before ready":     {scripted.Welcome, scripted.Row + "!", routing.Answered},
-		"no primary":                   {scripted.Welcome, scripted.Failure("25006"), routing.Missed},
-		"too far behind":               {scripted.Welcome, scripted.Failure("72000"), routing.Missed},
-		"error":                        {scripted.Welcome, scripted.Failure("XX000"), routing.Errored},
-		"fatal error":                  {scripted.Welcome, string(pgwire.AppendError(nil, true, "XX000", "no", 0)) + "!", routing.Errored},
-		"turned away":                  {scripted.Welcome, scripted.Failure("53300"), routing.Full},
+		"row":                          {scriptedserver.Welcome, scriptedserver.Status("role", "primary") + scriptedserver.Row + scriptedserver.Ready, routing.Answered},
+		"row, closed before ready":     {scriptedserver.Welcome, scriptedserver.Row + "!", routing.Answered},
+		"no primary":                   {scriptedserver.Welcome, scriptedserver.Failure("25006"), routing.Missed},
+		"too far behind":               {scriptedserver.Welcome, scriptedserver.Failure("72000"), routing.Missed},
+		"error":                        {scriptedserver.Welcome, scriptedserver.Failure("XX000"), routing.Errored},
+		"fatal error":                  {scriptedserver.Welcome, string(pgwire.AppendError(nil, true, "XX000", "no", 0)) + "!", routing.Errored},
+		"turned away":                  {scriptedserver.Welcome, scriptedserver.Failure("53300"), routing.Full},
 		"turned away while signing on": {string(pgwire.AppendError(nil, true, "53300", "no", 0)), "", routing.Full},
 		"not let in":                   {string(pgwire.AppendError(nil, true, "28000", "no", 0)), "", routing.Unconnected},
 		"password wanted":              {"R\x00\x00\x00\x08\x00\x00\x00\x03", "", routing.Unconnected},
 		"never comes up":               {"", "", routing.Unconnected},
-		"closed after the query":       {scripted.Welcome, "!", routing.Broken},
-		"closed within the row":        {scripted.Welcome, scripted.RowStart + scripted.RowValue + "!", routing.Broken},
-		"garbage":                      {scripted.Welcome, "what is this", routing.Broken},
-		"an error within the row":      {scripted.Welcome, scripted.RowStart + scripted.RowValue + scripted.Failure("53300"), routing.Errored},
-		"a miss within the row":        {scripted.Welcome, scripted.RowStart + scripted.Failure("25006"), routing.Errored},
-		"an error cut short":           {scripted.Welcome, scripted.Failure("53300")[:9] + "!", routing.Broken},
-		"the tag's last byte missing":  {scripted.Welcome, scripted.Row[:len(scripted.Row)-1] + "!", routing.Broken},
-		"two rows":                     {scripted.Welcome, scripted.RowStart + scripted.RowValue + scripted.RowValue + scripted.RowEnd + scripted.Ready, routing.Broken},
-		"a value too long":             {scripted.Welcome, scripted.RowStart + "D\x00\x03\x00\x00", routing.Broken},
-		"ready out of turn":            {scripted.Welcome, scripted.Ready, routing.Broken},
-		"a description cut short":      {scripted.Welcome, "T\x00\x00\x00\x0a\x00\x01ab\x00\x00" + scripted.RowValue + scripted.RowEnd + scripted.Ready, routing.Broken},
-		"a tag that does not end":      {scripted.Welcome, scripted.RowStart + scripted.RowValue + "C\x00\x00\x00\x05x" + scripted.Ready, routing.Broken},
-		"reports that can't be read": {scripted.Welcome, scripted.Status("load", "x0=\xff,x1") + scripted.Status("applied_ms", "soon") +
-			"S\x00\x00\x00\x06no" + scripted.Row + scripted.Ready, routing.Answered},
+		"closed after the query":       {scriptedserver.Welcome, "!", routing.Broken},
+		"closed within the row":        {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + "!", routing.Broken},
+		"garbage":                      {scriptedserver.Welcome, "what is this", routing.Broken},
+		"an error within the row":      {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + scriptedserver.Failure("53300"), routing.Errored},
+		"a miss within the row":        {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.Failure("25006"), routing.Errored},
+		"an error cut short":           {scriptedserver.Welcome, scriptedserver.Failure("53300")[:9] + "!", routing.Broken},
+		"the tag's last byte missing":  {scriptedserver.Welcome, scriptedserver.Row[:len(scriptedserver.Row)-1] + "!", routing.Broken},
+		"two rows":                     {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + scriptedserver.RowValue + scriptedserver.RowEnd + scriptedserver.Ready, routing.Broken},
+		"a value too long":             {scriptedserver.Welcome, scriptedserver.RowStart + "D\x00\x03\x00\x00", routing.Broken},
+		"ready out of turn":            {scriptedserver.Welcome, scriptedserver.Ready, routing.Broken},
+		"a description cut short":      {scriptedserver.Welcome, "T\x00\x00\x00\x0a\x00\x01ab\x00\x00" + scriptedserver.RowValue + scriptedserver.RowEnd + scriptedserver.Ready, routing.Broken},
+		"a tag that does not end":      {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + "C\x00\x00\x00\x05x" + scriptedserver.Ready, routing.Broken},
+		"reports that can't be read": {scriptedserver.Welcome, scriptedserver.Status("load", "x0=\xff,x1") + scriptedserver.Status("applied_ms", "soon") +
+			"S\x00\x00\x00\x06no" + scriptedserver.Row + scriptedserver.Ready, routing.Answered},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := scripted.Start(t, c.greeting, c.reply)
+			s := scriptedserver.Start(t, c.greeting, c.reply)
 			p, e := pool(t, 9, s)
 			e.send(p, "n0", 0)
 			got := <-e.results
-			if got.o != c.want || got.o == routing.Answered && string(got.r.Value) != scripted.Row {
+			if got.o != c.want || got.o == routing.Answered && string(got.r.Value) != scriptedserver.Row {
 				t.Errorf("%d, want %d: %+v", got.o, c.want, got.r)
 			}
 		})
 	}
-	p, e := pool(t, 9, &scripted.Node{Addr: "127.0.0.1:1"})
+	p, e := pool(t, 9, &scriptedserver.Node{Addr: "127.0.0.1:1"})
 	e.send(p, "n0", 0)
 	e.send(p, "nowhere", 0)
 	for range 2 {
@@ -150,7 +150,7 @@
 
 // TestRowsNobodyAskedFor guards against an early row that would pass for the next query's answer.
 func TestRowsNobodyAskedFor(t *testing.T) {
-	s := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready+scripted.Row+scripted.Ready, scripted.Row+scripted.Ready)
+	s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready+scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready)
 	p, e := pool(t, 9, s)
 	for range 2 {
 		e.send(p, "n0", 0)
@@ -169,16 +169,16 @@
 // TestWhatStandsBehindAnAnswer: the answer is good, and its connection carries nothing more, also where the rest
 // comes in a piece of its own.
 func TestWhatStandsBehindAnAnswer(t *testing.T) {
-	for _, behind := range []string{scripted.Row + scripted.Ready, "noise", "\x00"} {
+	for _, behind := range []string{scriptedserver.Row + scriptedserver.Ready, "noise", "\x00"} {
 		for tries := 1; ; tries++ {
-			s := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready+behind, scripted.Row+scripted.Ready+"|"+behind, scripted.Row+scripted.Ready)
+			s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready+behind, scriptedserver.Row+scriptedserver.Ready+"|"+behind, scriptedserver.Row+scriptedserver.Ready)
 			p, e := pool(t, 9, s)
 			ends := "" // 1 is Answered
 			for range 3 {
 				e.send(p, "n0", 0)
 				got := <-e.results
 				ends += fmt.Sprint(got.o)
-				if got.o == routing.Answered && string(got.r.Value) != scripted.Row {
+				if got.o == routing.Answered && string(got.r.Value) != scriptedserver.Row {
 					t.Fatalf("%q behind: %q", behind, got.r.Value)
 				}
 			}
@@ -194,8 +194,8 @@
 
 // TestAnAnswerThatDoesNotEnd guards against messages cut short, which would hold their command to its end.
 func TestAnAnswerThatDoesNotEnd(t *testing.T) {
-	for _, part := range []string{"T", scripted.RowStart + scripted.RowValue[:9], "S\x00\x00\x80\x00load"} {
-		p, e := pool(t, 9, scripted.Start(t, scripted.Welcome, part))
+	for _, part := range []string{"T", scriptedserver.RowStart + scriptedserver.RowValue[:9], "S\x00\x00\x80\x00load"} {
+		p, e := pool(t, 9, scriptedserver.Start(t, scriptedserver.Welcome, part))
 		began := time.Now()
 		e.send(p, "n0", 0)
 		if got := <-e.results; got.o != routing.Broken || time.Since(began) > 5*time.Second {
@@ -205,7 +205,7 @@
 }
 
 func TestConnectionsAreKeptReleasedAndBounded(t *testing.T) {
-	a, b := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready, scripted.Row+scripted.Ready, "", scripted.Row+scripted.Ready), scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready, "")
+	a, b := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready, "", scriptedserver.Row+scriptedserver.Ready), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, "")
 	p, e := pool(t, 2, a, b)
 	answered := func(node string) {
 		t.Helper()
@@ -221,8 +221,8 @@
 	}
 	hung := e.send(p, "n0", 0) // no answer: it holds the first
 	answered("n1")
-	full := e.send(p, "n1", 0)                          // holds the second, so there is no room for a third
-	for _, s := range []*scripted.Node{a, a, a, b, b} { // all are written
+	full := e.send(p, "n1", 0)                                // holds the second, so there is no room for a third
+	for _, s := range []*scriptedserver.Node{a, a, a, b, b} { // all are written
 		<-s.Queries
 	}
 	e.send(p, "n0", 0)
@@ -240,7 +240,7 @@
 	e.mu.Lock()
 	p.Release("n0")
 	e.mu.Unlock()
-	for _, s := range []*scripted.Node{a, a, b} { // two of the first, one of the second
+	for _, s := range []*scriptedserver.Node{a, a, b} { // two of the first, one of the second
 		<-s.Ended
 	}
 	e.mu.Lock()
@@ -255,8 +255,8 @@
 func TestProbe(t *testing.T) {
 	value := "x0=17.5,x1=1,inflight=7"
 	cell := fmt.Sprintf("\x00\x01\x00\x00\x00%c%s", len(value), value)
-	s := scripted.Start(t, scripted.Welcome, scripted.RowStart+string(pgwire.Frame{Type: 'D', Body: []byte(cell)}.Append(nil))+scripted.RowEnd+scripted.Ready,
-		scripted.Failure("57P03"), "")
+	s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.RowStart+string(pgwire.Frame{Type: 'D', Body: []byte(cell)}.Append(nil))+scriptedserver.RowEnd+scriptedserver.Ready,
+		scriptedserver.Failure("57P03"), "")
 	p, e := pool(t, 9, s)
 	for _, want := range []result{{o: routing.Answered, probe: value}, {o: routing.Errored}, {o: routing.TimedOut}} {
 		e.mu.Lock()
@@ -278,7 +278,7 @@
 	front  *frontend.Front
 }
 
-func start(t *testing.T, most int, placed ...*scripted.Node) *router {
+func start(t *testing.T, most int, placed ...*scriptedserver.Node) *router {
 	t.Helper()
 	now := engine.Clock()
 	e := engine.New(now)
@@ -336,7 +336,7 @@
 func until(t *testing.T, c net.Conn, last byte) (all []byte) {
 	t.Helper()
 	for {
-		f, err := scripted.ReadFrame(c, true)
+		f, err := scriptedserver.ReadFrame(c, true)
 		if err != nil {
 			return append(all, "end"...)
 		}
@@ -351,7 +351,7 @@
 	if i := bytes.Index(p, []byte("\x00C")); i >= 0 && p[0] == 'E' {
 		return string(p[i+2 : i+7])
 	}
-	if string(p) == scripted.Row+scripted.Ready {
+	if string(p) == scriptedserver.Row+scriptedserver.Ready {
 		return "row"
 	}
 	return string(p)
@@ -363,7 +363,7 @@
 
 // TestOneAnswerUnderEveryEnding: whatever the nodes do, each command has one answer, and the next one its own.
 func TestOneAnswerUnderEveryEnding(t *testing.T) {
-	bad, good := scripted.Failure("XX000"), scripted.Row+scripted.Ready
+	bad, good := scriptedserver.Failure("XX000"), scriptedserver.Row+scriptedserver.Ready
 	for name, c := range map[string]struct {
 		group, want      string
 		primary, replica []string
@@ -371,14 +371,14 @@
 		"answered":                      {"put", "row", []string{good}, nil},
 		"a write that may have run":     {"put", "58000", []string{"!", good}, nil},
 		"a write with no end":           {"put", "58000", []string{"", good}, nil},
-		"a write turned away once":      {"put", "row", []string{scripted.Failure("53300"), good}, nil},
+		"a write turned away once":      {"put", "row", []string{scriptedserver.Failure("53300"), good}, nil},
 		"a read that broke goes again":  {"look", "row", []string{good}, []string{"!", good}},
 		"a read with no end":            {"look", "53300", nil, nil},
 		"a read that meets errors only": {"look", "53300", []string{bad, bad, bad}, []string{bad, bad, bad}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, 9, scripted.Start(t, scripted.Welcome, c.primary...), scripted.Start(t, scripted.Welcome, c.replica...))
+			r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome, c.primary...), scriptedserver.Start(t, scriptedserver.Welcome, c.replica...))
 			conn := r.dial(t)
 			ask(conn, "1", c.group, "900")
 			if got := brief(until(t, conn, 'Z')); got != c.want {
@@ -397,13 +397,13 @@
 
 // TestPipelinedAnswersKeepTheirOrder: the second is answered first, and waits for its turn.
 func TestPipelinedAnswersKeepTheirOrder(t *testing.T) {
-	primary, replica := scripted.Start(t, scripted.Welcome, scripted.Failure("XX000")), scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready)
+	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Failure("XX000")), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	r := start(t, 9, primary, replica)
 	c := r.dial(t)
 	ask(c, "1", "put", "900")
 	ask(c, "2", "look", "900")
 	c.Write(pgwire.AppendQuery(nil, ""))
-	for _, want := range []string{"58000", "row", "I\x00\x00\x00\x04" + scripted.Ready} {
+	for _, want := range []string{"58000", "row", "I\x00\x00\x00\x04" + scriptedserver.Ready} {
 		if got := brief(until(t, c, 'Z')); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
@@ -413,7 +413,7 @@
 // TestAnswersOwedAreBounded: behind a command in hand a client can pile up errors of ours only to a bound; what was
 // taken is answered first, then the connection ends.
 func TestAnswersOwedAreBounded(t *testing.T) {
-	primary := scripted.Start(t, scripted.Welcome, "")
+	primary := scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := start(t, 9, primary)
 	c := r.dial(t)
 	ask(c, "1", "put", "400") // it has no answer, so the errors wait behind it
@@ -431,7 +431,7 @@
 
 // TestClientGone: its command's dispatch is called off, and the router owes nothing.
 func TestClientGone(t *testing.T) {
-	primary, replica := scripted.Start(t, scripted.Welcome), scripted.Start(t, scripted.Welcome, "")
+	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := start(t, 9, primary, replica)
 	c := r.dial(t)
 	ask(c, "1", "look", "900")
@@ -445,7 +445,7 @@
 
 // TestEndBetweenCommands is a planned restart: what is taken is answered, then each connection ends.
 func TestEndBetweenCommands(t *testing.T) {
-	primary, replica := scripted.Start(t, scripted.Welcome), scripted.Start(t, scripted.Welcome, "")
+	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := start(t, 9, primary, replica)
 	busy, idle := r.dial(t), r.dial(t)
 	ask(busy, "1", "look", "900")
@@ -454,7 +454,7 @@
 	if got := until(t, idle, 'Z'); string(got) != "end" {
 		t.Errorf("between commands: %q", got)
 	}
-	replica.Opened()[0].Write([]byte(scripted.Row + scripted.Ready))
+	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := brief(until(t, busy, 'Z')); got != "row" {
 		t.Errorf("taken before: %q", got)
 	}
@@ -471,7 +471,7 @@
 	until(t, late, 'Z')
 	ask(late, "2", "look", "900")
 	<-replica.Queries
-	replica.Opened()[0].Write([]byte(scripted.Row + scripted.Ready))
+	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := brief(until(t, late, 'Z')); got != "row" {
 		t.Errorf("come while leaving: %q", got)
 	}
@@ -483,7 +483,7 @@
 
 // TestBadInput: each gets its code; the connection lives on unless its stream can't be trusted any more.
 func TestBadInput(t *testing.T) {
-	r := start(t, 9, scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready))
+	r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready))
 	query := func(s string) string { return string(pgwire.AppendQuery(nil, s)) }
 	for in, c := range map[string]struct {
 		code  string
@@ -525,7 +525,7 @@
 
 func TestOpenings(t *testing.T) {
 	t.Parallel()
-	slow := scripted.Start(t, scripted.Welcome)
+	slow := scriptedserver.Start(t, scriptedserver.Welcome)
 	r := start(t, 2, slow)
 	first := r.dial(t)
 	ask(first, "1", "put", "5000")
@@ -566,7 +566,7 @@
 	if got := brief(until(t, third, 0)); got != "53300" {
 		t.Errorf("one too many: %q", got)
 	}
-	slow.Opened()[0].Write([]byte(scripted.Row + scripted.Ready))
+	slow.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := brief(until(t, first, 'Z')); got != "row" {
 		t.Errorf("the first connection then said %q", got)
 	}
@@ -575,7 +575,7 @@
 	if r.dial(t); string(until(t, first, 0)) != "end" { // it has had nothing to do for long, and makes room
 		t.Error("the first connection goes on")
 	}
-	slow.Opened()[1].Write([]byte(scripted.Row + scripted.Ready))
+	slow.Opened()[1].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := brief(until(t, second, 'Z')); got != "row" {
 		t.Errorf("the busy connection then said %q", got)
 	}
@@ -585,7 +585,7 @@
 // room among them at once, and each of them is told an error in its time.
 func TestACrowdOfNoUse(t *testing.T) {
 	t.Parallel()
-	r := start(t, 40, scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready, scripted.Row+scripted.Ready))
+	r := start(t, 40, scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready))
 	half := pgwire.AppendQuery(nil, "/* id=9,c=look,t=acme,d=900,cluster=0 */ SELECT '"+strings.Repeat("x", 150_000))
 	half = append(pgwire.AppendStartup(nil, "a", "b"), half[:len(half)-9]...)
 	var crowd []net.Conn
@@ -611,7 +611,7 @@
 	for i, c := range crowd {
 		all := until(t, c, 'E')
 		if i%4 == 0 && len(all) > 0 && all[0] == 'R' {
-			all = all[bytes.Index(all, []byte(scripted.Ready))+len(scripted.Ready):]
+			all = all[bytes.Index(all, []byte(scriptedserver.Ready))+len(scriptedserver.Ready):]
 		}
 		if got := brief(all); got != "53300" && got != "57P05" && got != "end" {
 			t.Fatalf("%d: %q", i, got)
@@ -627,7 +627,7 @@
 // time find room, and do not end one another before they have asked.
 func TestNewcomersAmongTheIdle(t *testing.T) {
 	t.Parallel()
-	r := start(t, 20, scripted.Start(t, scripted.Welcome, strings.Split(strings.Repeat(scripted.Row+scripted.Ready+";", 40), ";")...))
+	r := start(t, 20, scriptedserver.Start(t, scriptedserver.Welcome, strings.Split(strings.Repeat(scriptedserver.Row+scriptedserver.Ready+";", 40), ";")...))
 	served := func(c net.Conn, id string) {
 		t.Helper()
 		ask(c, id, "put", "900")
@@ -659,7 +659,7 @@
 // but a sixteenth of the places are freed of them, the longest idle first.
 func TestFewStandIdle(t *testing.T) {
 	t.Parallel()
-	r := start(t, 32, scripted.Start(t, scripted.Welcome, strings.Split(strings.Repeat(scripted.Row+scripted.Ready+";", 20), ";")...))
+	r := start(t, 32, scriptedserver.Start(t, scriptedserver.Welcome, strings.Split(strings.Repeat(scriptedserver.Row+scriptedserver.Ready+";", 20), ";")...))
 	var conns []net.Conn
 	for i := range 10 {
 		c := r.dial(t)
@@ -683,7 +683,7 @@
 // TestWhatComesAfterAnErrorIsNotKept: the claim of a huge value is answered at once, and what follows is read,
 // so that the error arrives, and thrown away.
 func TestWhatComesAfterAnErrorIsNotKept(t *testing.T) {
-	r := start(t, 9, scripted.Start(t, scripted.Welcome))
+	r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome))
 	c := r.dial(t)
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -731,8 +731,8 @@
 	}{"true": {-time.Second, "x0=%s,x1=0", 0}, "later than now": {time.Hour, "x0=%s,x1=0", 2},
 		"noise behind": {-time.Second, "x0=%s,x1=?", 1}} {
 		millis, seconds := told(c.late)
-		r := start(t, 9, scripted.Start(t, scripted.Welcome), scripted.Start(t, scripted.Welcome,
-			scripted.Status("role", "replica")+scripted.Status("applied_ms", millis)+scripted.Status("load", fmt.Sprintf(c.load, seconds))+scripted.Row+scripted.Ready))
+		r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome,
+			scriptedserver.Status("role", "replica")+scriptedserver.Status("applied_ms", millis)+scriptedserver.Status("load", fmt.Sprintf(c.load, seconds))+scriptedserver.Row+scriptedserver.Ready))
 		before := counted("reports that can't be true")
 		conn := r.dial(t)
 		ask(conn, "1", "look", "900")
--- a/internal/serve/crossings_test.go
+++ b/internal/serve/crossings_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/standin/scripted"
+	"cairntiller/internal/testcluster/scriptedserver"
 )
 
 // entry is one node as discovery's list names it, the first of a group as its primary.
@@ -64,7 +64,7 @@
 func (c *client) answer(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
-	for !strings.HasSuffix(all.String(), scripted.Ready) {
+	for !strings.HasSuffix(all.String(), scriptedserver.Ready) {
 		b, err := c.in.ReadByte()
 		if err != nil {
 			t.Fatal(err)
@@ -100,7 +100,7 @@
 // TestTheAgentsListComesFirst: a new process knows an older list in which a node may be used that drains by now. What
 // its agent has counts as told from its first moment, so it waits for that before it takes a command.
 func TestTheAgentsListComesFirst(t *testing.T) {
-	old, next := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready), scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready)
+	old, next := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	speak := make(chan bool)
 	listen, ended := begin(t, entry("old", old.Addr, "active"), func(w http.ResponseWriter, r *http.Request) {
 		<-speak
@@ -117,7 +117,7 @@
 	}
 	close(speak)
 	c.ready(t)
-	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); got != scripted.Row+scripted.Ready {
+	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); got != scriptedserver.Row+scriptedserver.Ready {
 		t.Errorf("then: %q", got)
 	}
 	if len(old.Queries) > 0 || len(next.Queries) != 1 {
@@ -129,7 +129,7 @@
 
 // TestReadyWhileDiscoveryIsDown: with an agent that says nothing the list from the file serves, soon.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
-	node := scripted.Start(t, scripted.Welcome, scripted.Row+scripted.Ready)
+	node := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	listen, ended := begin(t, entry("n", node.Addr, "active"), func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	began := time.Now()
 	c := connect(t, listen)
@@ -137,7 +137,7 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("ready after %v", took)
 	}
-	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); got != scripted.Row+scripted.Ready {
+	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); got != scriptedserver.Row+scriptedserver.Ready {
 		t.Errorf("then: %q", got)
 	}
 	c.Close()
@@ -147,7 +147,7 @@
 // TestAStopEnds: all that is owed is owed by a node that hangs, until a client timeout that lies far behind SIGKILL. It
 // is answered before that, and the process ends; a second SIGTERM changes nothing.
 func TestAStopEnds(t *testing.T) {
-	node := scripted.Start(t, scripted.Welcome, "")
+	node := scriptedserver.Start(t, scriptedserver.Welcome, "")
 	listen, ended := begin(t, entry("n", node.Addr, "active"), func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	c, rests := connect(t, listen), connect(t, listen)
 	c.ready(t)
@@ -188,9 +188,9 @@
 // TestAReloadDuringAHandOver: the lead has passed on, as the new primary's own answer told, and a reload leads to a
 // discovery whose older list marks the former one: the answer counts, and nothing is asked of that one.
 func TestAReloadDuringAHandOver(t *testing.T) {
-	miss := scripted.Status("role", "replica") + scripted.Failure(pgwire.CodeNoPrimary) + scripted.Ready
-	row := scripted.Status("role", "primary") + scripted.Row + scripted.Ready
-	was, leads := scripted.Start(t, scripted.Welcome, miss, miss, miss, miss), scripted.Start(t, scripted.Welcome, row, row)
+	miss := scriptedserver.Status("role", "replica") + scriptedserver.Failure(pgwire.CodeNoPrimary) + scriptedserver.Ready
+	row := scriptedserver.Status("role", "primary") + scriptedserver.Row + scriptedserver.Ready
+	was, leads := scriptedserver.Start(t, scriptedserver.Welcome, miss, miss, miss, miss), scriptedserver.Start(t, scriptedserver.Welcome, row, row)
 	list := func(index int, taken chan bool, first, second string) http.HandlerFunc {
 		replica := strings.Replace(second, `"primary"`, `"replica"`, 1)
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -210,7 +210,7 @@
 	listen, ended := begin(t, "", list(9, make(chan bool), b, a))
 	c := connect(t, listen)
 	c.ready(t)
-	if got := c.ask(t, "/* id=1,c=put,d=900,cluster=3 */ INSERT"); !strings.HasSuffix(got, scripted.Row+scripted.Ready) {
+	if got := c.ask(t, "/* id=1,c=put,d=900,cluster=3 */ INSERT"); !strings.HasSuffix(got, scriptedserver.Row+scriptedserver.Ready) {
 		t.Errorf("at the hand-over: %q", got)
 	}
 	next := httptest.NewServer(list(3, taken, a, b))
@@ -222,7 +222,7 @@
 		t.Fatal(err)
 	}
 	<-taken
-	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); !strings.HasSuffix(got, scripted.Row+scripted.Ready) {
+	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); !strings.HasSuffix(got, scriptedserver.Row+scriptedserver.Ready) {
 		t.Errorf("behind the reload: %q", got)
 	}
 	if n := len(was.Queries); n > 0 {
--- a/internal/standin/scripted/scripted.go
+++ b/internal/testcluster/scriptedserver/scripted.go
@@ -1,6 +1,6 @@
-// Package scripted is a stand-in node that says, for each query in turn, what a test wrote down: whole replies, parts
+// Package scriptedserver is a stand-in node that says, for each query in turn, what a test wrote down: whole replies, parts
 // of them, noise, or the end of the connection.
-package scripted
+package scriptedserver
 
 import (
 	"encoding/binary"
