--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 	"pgregory.net/rapid"
 
-	"cairntiller/internal/standin/seeded"
+	"cairntiller/internal/testcluster/seeded"
 )
 
 // TestMain fixes the seed of generated tests.
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"cairntiller/internal/standin/seeded"
+	"cairntiller/internal/testcluster/seeded"
 )
 
 // TestMain fixes the seed of generated tests.
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -14,8 +14,8 @@
 
 	"cairntiller/internal/assignment"
 	"cairntiller/internal/sexp"
-	"cairntiller/internal/standin/seeded"
 	"cairntiller/internal/testcluster/faultnet"
+	"cairntiller/internal/testcluster/seeded"
 )
 
 // TestMain fixes the seed of generated tests.
