--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -13,8 +13,8 @@
 	"text/tabwriter"
 	"time"
 
-	"cairntiller/internal/standin/site"
 	"cairntiller/internal/testcluster/client"
+	"cairntiller/internal/testcluster/cluster"
 	"cairntiller/internal/testcluster/database"
 )
 
@@ -47,7 +47,7 @@
 	if l.Groups < 1 || l.Groups > 20 || l.Seconds < 4*time.Second {
 		return fmt.Errorf("from 1 to 20 groups, and 4 seconds at least")
 	}
-	s, err := site.New(l.Seed, l.Groups, 3)
+	s, err := cluster.New(l.Seed, l.Groups, 3)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 }
 
 // session sends one client's mix until the end.
-func (l *demoLine) session(r *site.Router, i int, end time.Time, seen *tally) {
+func (l *demoLine) session(r *cluster.Router, i int, end time.Time, seen *tally) {
 	rng := rand.New(rand.NewPCG(l.Seed, uint64(i)))
 	c := r.Session(fmt.Sprint("session", i))
 	defer c.Close()
@@ -131,11 +131,11 @@
 		var err error
 		switch {
 		case kind < 2:
-			a, err = c.Write(site.Write, group)
+			a, err = c.Write(cluster.Write, group)
 		case kind < 6:
-			a, err = c.Read(site.ReadOwn, group, true)
+			a, err = c.Read(cluster.ReadOwn, group, true)
 		default:
-			a, err = c.Read(site.ReadAny, group, false)
+			a, err = c.Read(cluster.ReadAny, group, false)
 		}
 		seen.Lock()
 		switch {
--- a/internal/standin/site/site.go
+++ b/internal/testcluster/cluster/site.go
@@ -1,6 +1,6 @@
-// Package site puts stand-in nodes and a stand-in discovery together with router processes in front of them, all on
+// Package cluster puts stand-in nodes and a stand-in discovery together with router processes in front of them, all on
 // free ports of loopback, for the demo, proofs and tests.
-package site
+package cluster
 
 import (
 	"encoding/json"
--- a/internal/testcluster/process/rig.go
+++ b/internal/testcluster/process/rig.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"cairntiller/internal/standin/site"
+	"cairntiller/internal/testcluster/cluster"
 	"cairntiller/internal/testcluster/faultnet"
 )
 
@@ -23,13 +23,13 @@
 
 // Rig is router processes in front of one site.
 type Rig struct {
-	Site    *site.Site
+	Site    *cluster.Site
 	Relays  *faultnet.Relays
 	Folder  string
 	Log     io.Writer
 	Writes  io.Writer // what is done, as it is done
 	skews   []Skew
-	routers []*site.Router
+	routers []*cluster.Router
 	fleets  []string // each process's part fleet of the operator's file
 	extra   map[string]func(args []string) error
 
@@ -53,9 +53,9 @@
 
 // New starts a site's routers, one on each machine, all members of one fleet by relays. child begins the arguments with
 // which this program is a router, as Child reads them.
-func New(seed uint64, s *site.Site, machines []Machine, log, writes io.Writer, child ...string) (r *Rig, err error) {
+func New(seed uint64, s *cluster.Site, machines []Machine, log, writes io.Writer, child ...string) (r *Rig, err error) {
 	r = &Rig{Site: s, Folder: s.Folder, Log: log, Writes: writes, extra: map[string]func([]string) error{}, killed: make([]bool, len(machines))}
-	at, err := site.Free()
+	at, err := cluster.Free()
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 func (r *Rig) File(i int, text string) error { return r.routers[i].File(r.fleets[i] + text) }
 
 // Router is a process.
-func (r *Rig) Router(i int) *site.Router { return r.routers[i] }
+func (r *Rig) Router(i int) *cluster.Router { return r.routers[i] }
 
 // Skew is a machine's clock.
 func (r *Rig) Skew(i int) Skew { return r.skews[i] }
--- a/internal/testcluster/proof/duties.go
+++ b/internal/testcluster/proof/duties.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"cairntiller/internal/serve"
-	"cairntiller/internal/standin/site"
+	"cairntiller/internal/testcluster/cluster"
 	"cairntiller/internal/testcluster/database"
 	"cairntiller/internal/testcluster/faultnet"
 )
@@ -104,8 +104,8 @@
 // crew is three routers in front of one site.
 type crew struct {
 	p       Duties
-	s       *site.Site
-	routers []*site.Router
+	s       *cluster.Site
+	routers []*cluster.Router
 	began   int64
 	marks   []mark
 	shared  bool
@@ -127,7 +127,7 @@
 
 // play runs three routers through the faults; unshared ones run only as long as their probes need to be counted.
 func (p Duties) play(shared bool) (res result, err error) {
-	s, err := site.New(p.Seed, p.Boxes, 1)
+	s, err := cluster.New(p.Seed, p.Boxes, 1)
 	if err != nil {
 		return res, err
 	}
@@ -181,7 +181,7 @@
 	key := base64.StdEncoding.EncodeToString([]byte("a key for the proof, of 32 bytes"))
 	var places []string
 	for range 3 {
-		at, err := site.Free()
+		at, err := cluster.Free()
 		if err != nil {
 			return err
 		}
--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -20,8 +20,8 @@
 	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/lease"
 	"cairntiller/internal/leaseservice"
-	"cairntiller/internal/standin/site"
 	"cairntiller/internal/supervisor"
+	"cairntiller/internal/testcluster/cluster"
 	"cairntiller/internal/testcluster/process"
 	"cairntiller/internal/testcluster/resource"
 )
@@ -123,7 +123,7 @@
 // tribunal is a run under way.
 type tribunal struct {
 	p     Leases
-	s     *site.Site
+	s     *cluster.Site
 	r     *process.Rig
 	res   *resource.Server
 	rng   *rand.Rand
@@ -136,7 +136,7 @@
 // open starts what a run needs.
 func (c *tribunal) open() (err error) {
 	c.over, c.holds, c.rng = make(chan struct{}), map[string]*exec.Cmd{}, rand.New(rand.NewPCG(c.p.Seed, 8))
-	if c.s, err = site.New(c.p.Seed, 1, 2); err != nil {
+	if c.s, err = cluster.New(c.p.Seed, 1, 2); err != nil {
 		return err
 	}
 	if c.res, err = resource.Start(process.True); err == nil {
--- a/internal/testcluster/proof/releases.go
+++ b/internal/testcluster/proof/releases.go
@@ -15,8 +15,8 @@
 	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/rollout"
 	"cairntiller/internal/rolloutservice"
-	"cairntiller/internal/standin/site"
 	"cairntiller/internal/testcluster/client"
+	"cairntiller/internal/testcluster/cluster"
 	"cairntiller/internal/testcluster/process"
 )
 
@@ -47,7 +47,7 @@
 // rollingOut is a run under way.
 type rollingOut struct {
 	p     Releases
-	s     *site.Site
+	s     *cluster.Site
 	r     *process.Rig
 	over  chan struct{}
 	done  sync.WaitGroup
@@ -63,7 +63,7 @@
 // Run plays the proof and returns its closing line; the error says which limits do not hold.
 func (p Releases) Run() (line string, err error) {
 	c := &rollingOut{p: p, over: make(chan struct{}), start: make([]int64, p.Routers), down: make([]bool, p.Routers)}
-	if c.s, err = site.New(p.Seed, p.Groups, 3); err != nil {
+	if c.s, err = cluster.New(p.Seed, p.Groups, 3); err != nil {
 		return "", err
 	}
 	defer c.s.Close()
@@ -231,9 +231,9 @@
 		var a client.Answer
 		var err error
 		if n%4 == 0 {
-			a, err = s.Write(site.Write, group)
+			a, err = s.Write(cluster.Write, group)
 		} else {
-			a, err = s.Read(site.ReadAny, group, false)
+			a, err = s.Read(cluster.ReadAny, group, false)
 		}
 		switch {
 		case err != nil: // its connection ended, or none came up
