--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -19,7 +19,7 @@
 
 // Run prints class, cost, shape, route and reason of each statement, with tabs between; a dash for what is not known.
 func (l *classifyLine) Run(out io.Writer) error {
-	file, err := sexp.Empty(), error(nil)
+	file, err := sexp.EmptyFile(), error(nil)
 	if l.File != "" {
 		if file, err = sexp.ReadFile(l.File); err != nil {
 			return err
@@ -27,8 +27,8 @@
 	}
 	k := sql.ReadKnowledge(file.Part("statements"))
 	if l.File != "" {
-		file.Part("fleet").Skip()
-		file.Part("duties").Skip()
+		file.Part("fleet").AcceptAllNames()
+		file.Part("duties").AcceptAllNames()
 		if err := file.Faults(); err != nil {
 			return err
 		}
--- a/internal/adminsocket/control.go
+++ b/internal/adminsocket/control.go
@@ -43,9 +43,9 @@
 
 // Read takes it from the operator's file.
 func Read(p *sexp.Part) Place {
-	at := Place{p.Given(), p.Text("socket", "")}
+	at := Place{p.Present(), p.Text("socket", "")}
 	if at.Given && !filepath.IsAbs(at.Socket) {
-		p.Wrong("socket", fmt.Sprintf("%q", at.Socket), `a path such as "/run/cairntiller/control.sock"`)
+		p.AddFault("socket", fmt.Sprintf("%q", at.Socket), `a path such as "/run/cairntiller/control.sock"`)
 	}
 	return at
 }
--- a/internal/leaseservice/leasing.go
+++ b/internal/leaseservice/leasing.go
@@ -56,25 +56,25 @@
 // Read takes it from the operator's file.
 func Read(p *sexp.Part) Place {
 	v := p.Part("voters")
-	at := Place{Given: p.Given(), Longest: p.Time("longest", 10_000_000, 1_000_000, 600_000_000),
-		Drift: int64(p.Number("drift", 1, 0.01, 10) * 10_000), Most: p.Whole("most", 20_000, 1, 1_000_000),
+	at := Place{Given: p.Present(), Longest: p.Duration("longest", 10_000_000, 1_000_000, 600_000_000),
+		Drift: int64(p.Number("drift", 1, 0.01, 10) * 10_000), Most: p.Integer("most", 20_000, 1, 1_000_000),
 		Folder: p.Text("folder", ""),
-		Voters: lease.Voters{Number: uint64(v.Whole("number", 1, 1, 1<<30)), Names: v.Texts("names"), Before: v.Texts("before")}}
+		Voters: lease.Voters{Number: uint64(v.Integer("number", 1, 1, 1<<30)), Names: v.Texts("names"), Before: v.Texts("before")}}
 	if !at.Given {
 		return at
 	}
 	n := len(at.Voters.Names)
 	switch distinct := slices.Compact(slices.Sorted(slices.Values(at.Voters.Names))); {
 	case n == 0 || n > lease.MostVoters-1:
-		v.Wrong("names", fmt.Sprintf("%d voters", n), "the names of 1, 3, 5 or 7 members")
+		v.AddFault("names", fmt.Sprintf("%d voters", n), "the names of 1, 3, 5 or 7 members")
 	case len(distinct) != n:
-		v.Wrong("names", "a name twice", "each voter once")
+		v.AddFault("names", "a name twice", "each voter once")
 	case len(at.Voters.Before) > 0 && !lease.Next(at.Voters.Before, at.Voters.Names):
-		v.Wrong("before", "a set that differs by more than one voter", "the set before, one voter more or less")
+		v.AddFault("before", "a set that differs by more than one voter", "the set before, one voter more or less")
 	case len(at.Voters.Before) > 0 && at.Voters.Number == 1:
-		v.Wrong("number", "1 with a set before it", "a number above the former one's")
+		v.AddFault("number", "1 with a set before it", "a number above the former one's")
 	case n%2 == 0 && len(at.Voters.Before) == 0:
-		v.Wrong("names", fmt.Sprintf("%d voters", n), "an odd number: an even one bears no more losses than one fewer; while one is replaced, name the former ones in (before …)")
+		v.AddFault("names", fmt.Sprintf("%d voters", n), "an odd number: an even one bears no more losses than one fewer; while one is replaced, name the former ones in (before …)")
 	}
 	return at
 }
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -107,15 +107,15 @@
 func Read(p *sexp.Part, otherwise string) Place {
 	at := Place{Name: p.Text("name", otherwise), Cluster: p.Text("cluster", "cairntiller"),
 		Listen: p.Text("listen", ""), Advertise: p.Text("advertise", ""), Join: p.Texts("join"),
-		Most: p.Whole("members", 256, 1, 10_000), Weight: p.Number("weight", 1, 0.01, 1000),
+		Most: p.Integer("members", 256, 1, 10_000), Weight: p.Number("weight", 1, 0.01, 1000),
 		Bandwidth: int(p.Size("bandwidth", 1<<20, 1<<14, 1<<30))}
 	keys := p.Texts("keys")
 	file := p.Text("key-file", "")
-	if !p.Given() {
+	if !p.Present() {
 		return at
 	}
 	if at.Name == "" || len(at.Name) > mostName {
-		p.Wrong("name", fmt.Sprintf("a name of %d bytes", len(at.Name)), fmt.Sprintf("one of 1 to %d, no other member's", mostName))
+		p.AddFault("name", fmt.Sprintf("a name of %d bytes", len(at.Name)), fmt.Sprintf("one of 1 to %d, no other member's", mostName))
 	}
 	for name, address := range map[string]string{"listen": at.Listen, "advertise": at.Advertise} {
 		if address == "" && name == "advertise" {
@@ -123,31 +123,31 @@
 		}
 		host, port, err := net.SplitHostPort(address)
 		if _, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || net.ParseIP(host) == nil {
-			p.Wrong(name, strconv.Quote(address), `an address such as "10.0.0.1:7946"`)
+			p.AddFault(name, strconv.Quote(address), `an address such as "10.0.0.1:7946"`)
 		}
 	}
 	for _, one := range at.Join {
 		if _, _, err := net.SplitHostPort(one); err != nil {
-			p.Wrong("join", strconv.Quote(one), `addresses such as "10.0.0.1:7946"`)
+			p.AddFault("join", strconv.Quote(one), `addresses such as "10.0.0.1:7946"`)
 		}
 	}
 	if file != "" {
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			p.Wrong("key-file", err.Error(), "a file with one key a line")
+			p.AddFault("key-file", err.Error(), "a file with one key a line")
 		}
 		keys = append(keys, strings.Fields(string(raw))...)
 	}
 	for _, one := range keys {
 		key, err := base64.StdEncoding.DecodeString(one)
 		if err != nil || memberlist.ValidateKey(key) != nil {
-			p.Wrong("keys", fmt.Sprintf("a key of %d signs", len(one)), "16, 24 or 32 random bytes in base64")
+			p.AddFault("keys", fmt.Sprintf("a key of %d signs", len(one)), "16, 24 or 32 random bytes in base64")
 			continue
 		}
 		at.Keys = append(at.Keys, key)
 	}
 	if len(keys) == 0 && file == "" {
-		p.Wrong("keys", "no key", "at least one, in keys or key-file: 16, 24 or 32 random bytes in base64")
+		p.AddFault("keys", "no key", "at least one, in keys or key-file: 16, 24 or 32 random bytes in base64")
 	}
 	return at
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -483,7 +483,7 @@
 
 // TestPlace reads an instance's place, and every fault in one go.
 func TestPlace(t *testing.T) {
-	f, err := sexp.Read("f", []byte(`(fleet (name "r1") (cluster "kandy") (listen "127.0.0.1:7946") (join "10.0.0.1:7946")
+	f, err := sexp.Parse("f", []byte(`(fleet (name "r1") (cluster "kandy") (listen "127.0.0.1:7946") (join "10.0.0.1:7946")
 		(keys "AQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQE="))`))
 	if err != nil {
 		t.Fatal(err)
@@ -492,7 +492,7 @@
 	if err := f.Faults(); err != nil || at.Name != "r1" || !bytes.Equal(at.Keys[0], key(1)) || at.Most != 256 {
 		t.Errorf("%+v, %v", at, err)
 	}
-	f, _ = sexp.Read("f", []byte(`(fleet (listen "here") (join "10.0.0.1") (keys "short") (members 0))`))
+	f, _ = sexp.Parse("f", []byte(`(fleet (listen "here") (join "10.0.0.1") (keys "short") (members 0))`))
 	Read(f.Part("fleet"), "")
 	err = f.Faults()
 	for _, want := range []string{"a name of 0 bytes", `found "\"here\""`, `found "\"10.0.0.1\""`, "a key of 5 signs", "a whole number from 1 to 10000"} {
@@ -500,12 +500,12 @@
 			t.Errorf("no %s in %v", want, err)
 		}
 	}
-	f, _ = sexp.Read("f", []byte(`(fleet (name a) (listen "127.0.0.1:1"))`))
+	f, _ = sexp.Parse("f", []byte(`(fleet (name a) (listen "127.0.0.1:1"))`))
 	Read(f.Part("fleet"), "")
 	if err := f.Faults(); err == nil || !strings.Contains(err.Error(), "no key") {
 		t.Error(err)
 	}
-	if got := Read(sexp.Empty().Part("fleet"), "n0"); got.Name != "n0" {
+	if got := Read(sexp.EmptyFile().Part("fleet"), "n0"); got.Name != "n0" {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/rolloutservice/desk.go
+++ b/internal/rolloutservice/desk.go
@@ -150,25 +150,25 @@
 	part := file.Part("plan")
 	b := part.Part("budget")
 	kind := part.Text("kind", "")
-	p = rollout.Plan{ID: part.Text("id", ""), Kind: kinds[kind], Units: part.Texts("units"), Want: uint64(part.Whole("want", 0, 0, 1<<40)),
-		Was: uint64(part.Whole("was", 0, 0, 1<<40)), Watch: part.Time("watch", 0, 0, 86_400_000_000), Rest: part.Time("rest", 0, 0, 86_400_000_000),
-		Patience: part.Time("patience", 0, 0, 86_400_000_000), Stay: part.Text("stay", "no") == "yes",
-		Budget: rollout.Budget{Most: b.Whole("most", 0, 0, rollout.MostUnits), Share: b.Number("share", 0, 0, 100) / 100, Zone: b.Whole("zone", 0, 0, rollout.MostUnits),
-			Group: b.Whole("group", 0, 0, 100), Replicas: b.Whole("replicas", 0, 0, 100), Work: b.Number("work", 0, 0, 100) / 100}}
+	p = rollout.Plan{ID: part.Text("id", ""), Kind: kinds[kind], Units: part.Texts("units"), Want: uint64(part.Integer("want", 0, 0, 1<<40)),
+		Was: uint64(part.Integer("was", 0, 0, 1<<40)), Watch: part.Duration("watch", 0, 0, 86_400_000_000), Rest: part.Duration("rest", 0, 0, 86_400_000_000),
+		Patience: part.Duration("patience", 0, 0, 86_400_000_000), Stay: part.Text("stay", "no") == "yes",
+		Budget: rollout.Budget{Most: b.Integer("most", 0, 0, rollout.MostUnits), Share: b.Number("share", 0, 0, 100) / 100, Zone: b.Integer("zone", 0, 0, rollout.MostUnits),
+			Group: b.Integer("group", 0, 0, 100), Replicas: b.Integer("replicas", 0, 0, 100), Work: b.Number("work", 0, 0, 100) / 100}}
 	for _, one := range part.Texts("waves") {
 		n, err := strconv.Atoi(one)
 		if err != nil || n < 1 {
-			part.Wrong("waves", strconv.Quote(one), "how many units, such as 3")
+			part.AddFault("waves", strconv.Quote(one), "how many units, such as 3")
 		}
 		p.Waves = append(p.Waves, n)
 	}
 	if p.Kind == 0 {
-		part.Wrong("kind", strconv.Quote(kind), "one of nodes, restart, version")
+		part.AddFault("kind", strconv.Quote(kind), "one of nodes, restart, version")
 	} else if why := p.Wrong(); why != "" {
-		part.Wrong("", why, "a plan that can be played")
+		part.AddFault("", why, "a plan that can be played")
 	}
 	if slices.Contains(p.Units, "") {
-		part.Wrong("units", "an empty name", "names of members or nodes")
+		part.AddFault("units", "an empty name", "names of members or nodes")
 	}
 	return p, file.Faults()
 }
--- a/internal/rolloutservice/releasing.go
+++ b/internal/rolloutservice/releasing.go
@@ -62,9 +62,9 @@
 
 // Read takes it from the operator's file.
 func Read(p *sexp.Part) Place {
-	at := Place{Given: p.Given(), Zone: p.Text("zone", ""), Version: uint64(p.Whole("version", 1, 1, 1<<40)), Next: p.Text("next", "")}
+	at := Place{Given: p.Present(), Zone: p.Text("zone", ""), Version: uint64(p.Integer("version", 1, 1, 1<<40)), Next: p.Text("next", "")}
 	if at.Next != "" && !filepath.IsAbs(at.Next) {
-		p.Wrong("next", fmt.Sprintf("%q", at.Next), `a path such as "/var/lib/cairntiller/next"`)
+		p.AddFault("next", fmt.Sprintf("%q", at.Next), `a path such as "/var/lib/cairntiller/next"`)
 	}
 	return at
 }
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -43,7 +43,7 @@
 
 // readParts reads the operator's file, "" for none.
 func readParts(path, name string) (w wishes, err error) {
-	file := sexp.Empty()
+	file := sexp.EmptyFile()
 	if path != "" {
 		if file, err = sexp.ReadFile(path); err != nil {
 			return w, err
@@ -53,14 +53,14 @@
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
 	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.Read(leases), versionaudit.Read(leases.Part("roll-call")),
 		adminsocket.Read(file.Part("control")), rolloutservice.Read(releases)}
-	if w.duties.Given && !own.Given() {
-		duties.Wrong("", "duties without a fleet", "a part fleet, which says who shares them")
+	if w.duties.Given && !own.Present() {
+		duties.AddFault("", "duties without a fleet", "a part fleet, which says who shares them")
 	}
-	if w.leases.Given && !own.Given() {
-		leases.Wrong("", "leases without a fleet", "a part fleet, which says among whom")
+	if w.leases.Given && !own.Present() {
+		leases.AddFault("", "leases without a fleet", "a part fleet, which says among whom")
 	}
 	if w.release.Given && !w.leases.Given {
-		releases.Wrong("", "releases without leases", "a part leases, whose voters keep what is decided")
+		releases.AddFault("", "releases without leases", "a part leases, whose voters keep what is decided")
 	}
 	return w, file.Faults()
 }
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -27,9 +27,9 @@
 )
 
 const (
-	mostBytes  = 1 << 20 // bytes of a file: far over any hand-written one
-	mostDepth  = 32      // lists within lists: far over what any part needs
-	nearEnough = 0.6     // of a name's letters that must agree for it to be offered in place of an unknown one
+	maxFileBytes  = 1 << 20 // bytes of a file: far over any hand-written one
+	maxListDepth  = 32      // lists within lists: far over what any part needs
+	suggestionThreshold = 0.6     // of a name's letters that must agree for it to be offered in place of an unknown one
 )
 
 type node struct {
@@ -44,13 +44,13 @@
 	Items []*node `parser:"'(' @@* ')'"`
 }
 
-type root struct {
+type syntaxTree struct {
 	Lists []*node `parser:"@@*"`
 }
 
 // parser is made when a file is first read: a router without one has no use for it.
-var parser = sync.OnceValue(func() *participle.Parser[root] {
-	return participle.MustBuild[root](participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
+var parser = sync.OnceValue(func() *participle.Parser[syntaxTree] {
+	return participle.MustBuild[syntaxTree](participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Comment", Pattern: `;[^\n]*`},
 		{Name: "Space", Pattern: `\s+`},
 		{Name: "String", Pattern: `"(\\.|[^"\\])*"`},
@@ -75,14 +75,14 @@
 // File is a file that has been read; its parts are taken from it by name.
 type File struct {
 	name   string
-	parts  *Part
+	root  *Part
 	faults []Fault
 }
 
 // Empty is a file without parts: every part has its defaults.
-func Empty() *File {
+func EmptyFile() *File {
 	f := &File{name: "none"}
-	f.parts = &Part{file: f, taken: map[string]bool{}}
+	f.root = &Part{file: f, requested: map[string]bool{}}
 	return f
 }
 
@@ -92,43 +92,43 @@
 	if err != nil {
 		return nil, err
 	}
-	if st.Size() > mostBytes {
-		return nil, fmt.Errorf("%s: %d bytes, want %d at most", path, st.Size(), mostBytes)
+	if st.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, want %d at most", path, st.Size(), maxFileBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Read(path, raw)
+	return Parse(path, raw)
 }
 
 // Read reads a file's text under a name for its faults.
-func Read(name string, raw []byte) (*File, error) {
+func Parse(name string, raw []byte) (*File, error) {
 	f := &File{name: name}
 	if !utf8.Valid(raw) {
-		return nil, Fault{name, 1 + strings.Count(string(raw[:valid(raw)]), "\n"), 1, "bytes that are no text", "UTF-8"}
+		return nil, Fault{name, 1 + strings.Count(string(raw[:validUTF8Prefix(raw)]), "\n"), 1, "bytes that are no text", "UTF-8"}
 	}
-	if line, column, ok := shallow(raw); !ok {
-		return nil, Fault{name, line, column, "a list too deep", fmt.Sprint(mostDepth, " within one another at most")}
+	if line, column, ok := checkDepth(raw); !ok {
+		return nil, Fault{name, line, column, "a list too deep", fmt.Sprint(maxListDepth, " within one another at most")}
 	}
 	tree, err := parser().ParseBytes(name, raw)
 	if err != nil {
 		var at participle.Error
 		if errors.As(err, &at) {
-			return nil, Fault{name, at.Position().Line, at.Position().Column, place(at.Message()),
+			return nil, Fault{name, at.Position().Line, at.Position().Column, describeParserMessage(at.Message()),
 				`lists such as (name value), each "(" with its ")" and each text with both its marks`}
 		}
 		return nil, err
 	}
-	f.parts = &Part{file: f, items: tree.Lists, taken: map[string]bool{}}
+	f.root = &Part{file: f, items: tree.Lists, requested: map[string]bool{}}
 	for _, one := range tree.Lists {
-		f.parts.named(one)
+		f.root.checkNamedList(one)
 	}
 	return f, nil
 }
 
 // place words the parser's message as what was found.
-func place(message string) string {
+func describeParserMessage(message string) string {
 	message = strings.TrimPrefix(message, "lexer: ")
 	if i := strings.Index(message, " ("); i > 0 {
 		message = message[:i]
@@ -139,7 +139,7 @@
 	return strings.TrimPrefix(message, "unexpected token ")
 }
 
-func valid(raw []byte) (n int) {
+func validUTF8Prefix(raw []byte) (n int) {
 	for n < len(raw) {
 		r, size := utf8.DecodeRune(raw[n:])
 		if r == utf8.RuneError && size <= 1 {
@@ -151,7 +151,7 @@
 }
 
 // shallow looks at the depth before the parser does, for the parser recurs.
-func shallow(raw []byte) (line, column int, ok bool) {
+func checkDepth(raw []byte) (line, column int, ok bool) {
 	depth, text := 0, false
 	line, column = 1, 0
 	for i := 0; i < len(raw); i++ {
@@ -170,7 +170,7 @@
 				i++
 			}
 		case c == '(':
-			if depth++; depth > mostDepth {
+			if depth++; depth > maxListDepth {
 				return line, column, false
 			}
 		case c == ')':
@@ -180,16 +180,16 @@
 	return 0, 0, true
 }
 
-func (f *File) fault(at lexer.Position, found, want string) {
+func (f *File) addFault(at lexer.Position, found, want string) {
 	f.faults = append(f.faults, Fault{f.name, at.Line, at.Column, found, want})
 }
 
 // Part takes the list of that name; where there is none, a part that gives every default.
-func (f *File) Part(name string) *Part { return f.parts.Part(name) }
+func (f *File) Part(name string) *Part { return f.root.Part(name) }
 
 // Faults ends the reading: parts and names that nobody asked for are faults too. They come in the file's order.
 func (f *File) Faults() error {
-	f.parts.unknown()
+	f.root.reportUnknownNames()
 	slices.SortStableFunc(f.faults, func(a, b Fault) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
@@ -204,24 +204,24 @@
 // Part is one list whose values are taken by name.
 type Part struct {
 	file  *File
-	pos   lexer.Position
+	position   lexer.Position
 	name  string
 	items []*node // what follows the name
-	taken map[string]bool
-	subs  []*Part
-	given bool
+	requested map[string]bool
+	subparts  []*Part
+	present bool
 }
 
 // Given tells whether the part stands in the file.
-func (p *Part) Given() bool { return p.given }
+func (p *Part) Present() bool { return p.present }
 
 // named checks that a node is a list that begins with a name.
-func (p *Part) named(n *node) (name string, items []*node, ok bool) {
+func (p *Part) checkNamedList(n *node) (name string, items []*node, ok bool) {
 	switch {
 	case n.List == nil:
-		p.file.fault(n.Pos, n.String(), "a list such as (name value)")
+		p.file.addFault(n.Pos, n.String(), "a list such as (name value)")
 	case len(n.List.Items) == 0 || n.List.Items[0].Word == nil:
-		p.file.fault(n.Pos, "a list that begins with no name", "a list such as (name value)")
+		p.file.addFault(n.Pos, "a list that begins with no name", "a list such as (name value)")
 	default:
 		return *n.List.Items[0].Word, n.List.Items[1:], true
 	}
@@ -240,14 +240,14 @@
 }
 
 // find is the one list of a name among a part's items.
-func (p *Part) find(name string) (at *node, items []*node) {
-	p.taken[name] = true
+func (p *Part) lookup(name string) (at *node, items []*node) {
+	p.requested[name] = true
 	for _, one := range p.items {
 		if one.List == nil || len(one.List.Items) == 0 || one.List.Items[0].Word == nil || *one.List.Items[0].Word != name {
 			continue
 		}
 		if at != nil {
-			p.file.fault(one.Pos, "a second "+strconv.Quote(name), fmt.Sprint("one, as in line ", at.Pos.Line))
+			p.file.addFault(one.Pos, "a second "+strconv.Quote(name), fmt.Sprint("one, as in line ", at.Pos.Line))
 			continue
 		}
 		at, items = one, one.List.Items[1:]
@@ -257,42 +257,42 @@
 
 // Part is the list of that name within this one.
 func (p *Part) Part(name string) *Part {
-	sub := &Part{file: p.file, pos: p.pos, name: name, taken: map[string]bool{}}
-	if at, items := p.find(name); at != nil {
-		sub.pos, sub.items, sub.given = at.Pos, items, true
+	sub := &Part{file: p.file, position: p.position, name: name, requested: map[string]bool{}}
+	if at, items := p.lookup(name); at != nil {
+		sub.position, sub.items, sub.present = at.Pos, items, true
 		for _, one := range items {
-			sub.named(one)
+			sub.checkNamedList(one)
 		}
 	}
-	p.subs = append(p.subs, sub)
+	p.subparts = append(p.subparts, sub)
 	return sub
 }
 
 // Skip leaves a part's names to whom it sets up.
-func (p *Part) Skip() {
+func (p *Part) AcceptAllNames() {
 	for _, one := range p.items {
 		if one.List != nil && len(one.List.Items) > 0 && one.List.Items[0].Word != nil {
-			p.taken[*one.List.Items[0].Word] = true
+			p.requested[*one.List.Items[0].Word] = true
 		}
 	}
 }
 
 // unknown finds the names that nobody asked for.
-func (p *Part) unknown() {
+func (p *Part) reportUnknownNames() {
 	for _, one := range p.items {
-		if one.List == nil || len(one.List.Items) == 0 || one.List.Items[0].Word == nil || p.taken[*one.List.Items[0].Word] {
+		if one.List == nil || len(one.List.Items) == 0 || one.List.Items[0].Word == nil || p.requested[*one.List.Items[0].Word] {
 			continue
 		}
 		name := *one.List.Items[0].Word
-		p.file.fault(one.List.Items[0].Pos, "the unknown name "+strconv.Quote(name), near(name, p.taken))
+		p.file.addFault(one.List.Items[0].Pos, "the unknown name "+strconv.Quote(name), suggestName(name, p.requested))
 	}
-	for _, sub := range p.subs {
-		sub.unknown()
+	for _, sub := range p.subparts {
+		sub.reportUnknownNames()
 	}
 }
 
 // near words the known names, the nearest first.
-func near(name string, known map[string]bool) string {
+func suggestName(name string, known map[string]bool) string {
 	best, share := "", 0.0
 	var all []string
 	for one := range known {
@@ -301,7 +301,7 @@
 			best, share = one, v
 		}
 	}
-	if share >= nearEnough {
+	if share >= suggestionThreshold {
 		return strconv.Quote(best)
 	}
 	slices.Sort(all)
@@ -312,17 +312,17 @@
 }
 
 // word is a name's single value, "" where it is not given.
-func (p *Part) word(name, want string) (n *node) {
-	at, items := p.find(name)
+func (p *Part) singleValue(name, want string) (n *node) {
+	at, items := p.lookup(name)
 	if at == nil {
 		return nil
 	}
 	if len(items) != 1 {
-		p.file.fault(at.Pos, fmt.Sprintf("%q with %d values", name, len(items)), "one: "+want)
+		p.file.addFault(at.Pos, fmt.Sprintf("%q with %d values", name, len(items)), "one: "+want)
 		return nil
 	}
 	if items[0].List != nil {
-		p.file.fault(items[0].Pos, "a list", want)
+		p.file.addFault(items[0].Pos, "a list", want)
 		return nil
 	}
 	return items[0]
@@ -330,7 +330,7 @@
 
 // Text is a name's text.
 func (p *Part) Text(name, otherwise string) string {
-	n := p.word(name, "a text")
+	n := p.singleValue(name, "a text")
 	switch {
 	case n == nil:
 		return otherwise
@@ -342,7 +342,7 @@
 
 // Texts are a name's texts, none or more.
 func (p *Part) Texts(name string) (all []string) {
-	_, items := p.find(name)
+	_, items := p.lookup(name)
 	for _, n := range items {
 		switch {
 		case n.Text != nil:
@@ -350,7 +350,7 @@
 		case n.Word != nil:
 			all = append(all, *n.Word)
 		default:
-			p.file.fault(n.Pos, "a list", "a text")
+			p.file.addFault(n.Pos, "a list", "a text")
 		}
 	}
 	return all
@@ -358,8 +358,8 @@
 
 // Number is a name's number within bounds.
 func (p *Part) Number(name string, otherwise, least, most float64) float64 {
-	want := fmt.Sprintf("a number from %s to %s", short(least), short(most))
-	n := p.word(name, want)
+	want := fmt.Sprintf("a number from %s to %s", formatNumber(least), formatNumber(most))
+	n := p.singleValue(name, want)
 	if n == nil {
 		return otherwise
 	}
@@ -370,18 +370,18 @@
 		v, err = strconv.ParseFloat(*n.Word, 64)
 	}
 	if err != nil || !(v >= least && v <= most) {
-		p.file.fault(n.Pos, n.String(), want)
+		p.file.addFault(n.Pos, n.String(), want)
 		return otherwise
 	}
 	return v
 }
 
-func short(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 // Whole is a name's whole number within bounds.
-func (p *Part) Whole(name string, otherwise, least, most int) int {
+func (p *Part) Integer(name string, otherwise, least, most int) int {
 	want := fmt.Sprintf("a whole number from %d to %d", least, most)
-	n := p.word(name, want)
+	n := p.singleValue(name, want)
 	if n == nil {
 		return otherwise
 	}
@@ -392,7 +392,7 @@
 		v, err = strconv.Atoi(*n.Word)
 	}
 	if err != nil || v < least || v > most {
-		p.file.fault(n.Pos, n.String(), want)
+		p.file.addFault(n.Pos, n.String(), want)
 		return otherwise
 	}
 	return v
@@ -401,27 +401,27 @@
 // unit is a suffix and how many of the smallest unit it stands for.
 type unit struct {
 	name string
-	of   float64
+	factor   float64
 }
 
 var (
-	times = []unit{{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}, {"h", 3600e6}}
-	sizes = []unit{{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
+	durationUnits = []unit{{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}, {"h", 3600e6}}
+	sizeUnits = []unit{{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
 )
 
 // Time is a name's time in us, within bounds.
-func (p *Part) Time(name string, otherwise, least, most int64) int64 {
-	return p.measured(name, otherwise, least, most, "a time", times)
+func (p *Part) Duration(name string, otherwise, least, most int64) int64 {
+	return p.quantity(name, otherwise, least, most, "a time", durationUnits)
 }
 
 // Size is a name's size in bytes, within bounds.
 func (p *Part) Size(name string, otherwise, least, most int64) int64 {
-	return p.measured(name, otherwise, least, most, "a size", sizes)
+	return p.quantity(name, otherwise, least, most, "a size", sizeUnits)
 }
 
-func (p *Part) measured(name string, otherwise, least, most int64, what string, units []unit) int64 {
-	want := fmt.Sprintf("%s from %s to %s", what, amount(least, units), amount(most, units))
-	n := p.word(name, want)
+func (p *Part) quantity(name string, otherwise, least, most int64, what string, units []unit) int64 {
+	want := fmt.Sprintf("%s from %s to %s", what, formatQuantity(least, units), formatQuantity(most, units))
+	n := p.singleValue(name, want)
 	if n == nil {
 		return otherwise
 	}
@@ -435,19 +435,19 @@
 			if err != nil {
 				continue
 			}
-			if v = math.Round(v * u.of); v >= float64(least) && v <= float64(most) {
+			if v = math.Round(v * u.factor); v >= float64(least) && v <= float64(most) {
 				return int64(v)
 			}
 		}
 	}
-	p.file.fault(n.Pos, n.String(), want)
+	p.file.addFault(n.Pos, n.String(), want)
 	return otherwise
 }
 
 // amount words a measure in its largest whole unit.
-func amount(v int64, units []unit) string {
+func formatQuantity(v int64, units []unit) string {
 	for i := len(units) - 1; i > 0; i-- {
-		if of := int64(units[i].of); v >= of && v%of == 0 {
+		if of := int64(units[i].factor); v >= of && v%of == 0 {
 			return fmt.Sprint(v/of, units[i].name)
 		}
 	}
@@ -455,14 +455,14 @@
 }
 
 // Wrong notes a fault that only the part's owner can see, at the place of one of its names.
-func (p *Part) Wrong(name, found, want string) {
-	at, items := p.find(name)
+func (p *Part) AddFault(name, found, want string) {
+	at, items := p.lookup(name)
 	switch {
 	case at == nil:
-		p.file.fault(p.pos, found, want)
+		p.file.addFault(p.position, found, want)
 	case len(items) > 0:
-		p.file.fault(items[0].Pos, found, want)
+		p.file.addFault(items[0].Pos, found, want)
 	default:
-		p.file.fault(at.Pos, found, want)
+		p.file.addFault(at.Pos, found, want)
 	}
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -7,7 +7,7 @@
 
 func read(t *testing.T, text string) *File {
 	t.Helper()
-	f, err := Read("f", []byte(text))
+	f, err := Parse("f", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	if got := p.Texts("join"); len(got) != 2 || got[1] != "y z" {
 		t.Errorf("%q", got)
 	}
-	if got := p.Time("every", 1, 1, 1e9); got != 250_000 {
+	if got := p.Duration("every", 1, 1, 1e9); got != 250_000 {
 		t.Error(got)
 	}
 	if got := p.Size("room", 1, 1, 1<<40); got != 64<<20 {
@@ -34,13 +34,13 @@
 	if got := p.Number("load", 1, 0, 9); got != 2.5 {
 		t.Error(got)
 	}
-	if got := p.Whole("most", 1, 0, 9); got != 7 {
+	if got := p.Integer("most", 1, 0, 9); got != 7 {
 		t.Error(got)
 	}
-	if got := p.Part("inner").Time("every", 1, 1, 1e9); got != 120e6 {
+	if got := p.Part("inner").Duration("every", 1, 1, 1e9); got != 120e6 {
 		t.Error(got)
 	}
-	if got := p.Part("absent").Time("every", 42, 1, 1e9); got != 42 || p.Part("absent").Given() {
+	if got := p.Part("absent").Duration("every", 42, 1, 1e9); got != 42 || p.Part("absent").Present() {
 		t.Error(got)
 	}
 	if err := f.Faults(); err != nil {
@@ -62,9 +62,9 @@
 (dutys)
 7`)
 	p := f.Part("duties")
-	p.Time("every", 1, 1_000, 10_000_000)
+	p.Duration("every", 1, 1_000, 10_000_000)
 	p.Number("load", 1, 0, 9)
-	p.Whole("most", 1, 0, 9)
+	p.Integer("most", 1, 0, 9)
 	p.Text("name", "")
 	p.Size("room", 1, 1, 1<<20)
 	err := f.Faults()
@@ -98,20 +98,20 @@
 		strings.Repeat("(", 100_000):    "f:1:33: found a list too deep",
 		strings.Repeat("(a ", 33) + ")": "f:1:97: found a list too deep",
 	} {
-		if _, err := Read("f", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if _, err := Parse("f", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%.20q: %v, want %s", text, err, want)
 		}
 	}
 	f := read(t, strings.Repeat("(a ", 31)+"1"+strings.Repeat(")", 31)+` ; (((((((((((((((((((((((((((((((((((
 (b "((((((((((((((((((((((((((((((((((((")`)
-	if f.Part("a"); f.Part("b").Given() != true {
+	if f.Part("a"); f.Part("b").Present() != true {
 		t.Error("a list is missing")
 	}
 }
 
 func TestEmpty(t *testing.T) {
-	for _, f := range []*File{Empty(), read(t, ""), read(t, " ; nothing\n")} {
-		if f.Part("any").Given() || f.Faults() != nil {
+	for _, f := range []*File{EmptyFile(), read(t, ""), read(t, " ; nothing\n")} {
+		if f.Part("any").Present() || f.Faults() != nil {
 			t.Error("an empty file holds something")
 		}
 	}
@@ -122,13 +122,13 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		file, err := Read("f", raw)
+		file, err := Parse("f", raw)
 		if err != nil {
 			return
 		}
 		p := file.Part("a")
 		p.Text("b", "")
-		p.Time("c", 1, 1, 10)
+		p.Duration("c", 1, 1, 10)
 		file.Faults()
 	})
 }
--- a/internal/sharedprobes/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -49,8 +49,8 @@
 // Read takes the pace from the operator's file.
 func Read(p *sexp.Part) Pace {
 	probe := p.Part("probe")
-	return Pace{Given: p.Given(), Every: probe.Time("every", 1_000_000, 100_000, 60_000_000),
-		Size: p.Whole("instances", 1, 1, 10_000), BoxLoad: p.Number("box-load", 4, 0.1, 1000),
+	return Pace{Given: p.Present(), Every: probe.Duration("every", 1_000_000, 100_000, 60_000_000),
+		Size: p.Integer("instances", 1, 1, 10_000), BoxLoad: p.Number("box-load", 4, 0.1, 1000),
 		TakeOver: p.Number("take-over", 50, 1, 100_000)}
 }
 
--- a/internal/sharedprobes/patrol_test.go
+++ b/internal/sharedprobes/patrol_test.go
@@ -194,14 +194,14 @@
 }
 
 func TestPace(t *testing.T) {
-	f, err := sexp.Read("f", []byte(`(duties (instances 3) (box-load 2) (take-over 9) (probe (every 2s)))`))
+	f, err := sexp.Parse("f", []byte(`(duties (instances 3) (box-load 2) (take-over 9) (probe (every 2s)))`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := Read(f.Part("duties")); got != (Pace{true, 2_000_000, 3, 2, 9}) || f.Faults() != nil {
 		t.Errorf("%+v, %v", got, f.Faults())
 	}
-	if got := Read(sexp.Empty().Part("duties")); got != (Pace{false, 1_000_000, 1, 4, 50}) {
+	if got := Read(sexp.EmptyFile().Part("duties")); got != (Pace{false, 1_000_000, 1, 4, 50}) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/sql/read.go
+++ b/internal/sql/read.go
@@ -19,7 +19,7 @@
 	}{{"harmless", Harmless}, {"session", Bound}, {"writes", Writes}} {
 		for _, f := range p.Texts(one.name) {
 			if seen[f] {
-				p.Wrong(one.name, f+" a second time", "each function under one of harmless, session and writes")
+				p.AddFault(one.name, f+" a second time", "each function under one of harmless, session and writes")
 			}
 			seen[f] = true
 			k.Catalogue.Function(f, one.v)
@@ -39,7 +39,7 @@
 	case "unknown":
 		k.Strings = Unknown
 	default:
-		p.Wrong("strings", how, "standard, backslash or unknown: how the servers read a backslash in plain quotes")
+		p.AddFault("strings", how, "standard, backslash or unknown: how the servers read a backslash in plain quotes")
 	}
 	return k
 }
--- a/internal/sql/read_test.go
+++ b/internal/sql/read_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestKnowledge(t *testing.T) {
-	f, err := sexp.Read("f", []byte(`(statements (harmless shop.price) (session enter) (writes lower) (types mood) (writing-views v) (strings standard) (cache 1MiB))`))
+	f, err := sexp.Parse("f", []byte(`(statements (harmless shop.price) (session enter) (writes lower) (types mood) (writing-views v) (strings standard) (cache 1MiB))`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 			t.Errorf("%q: %+v, %v", text, s, err)
 		}
 	}
-	f, _ = sexp.Read("f", []byte(`(statements (harmless a) (writes a) (strings odd))`))
+	f, _ = sexp.Parse("f", []byte(`(statements (harmless a) (writes a) (strings odd))`))
 	ReadKnowledge(f.Part("statements"))
 	if err := f.Faults(); err == nil || !strings.Contains(err.Error(), "a second time") || !strings.Contains(err.Error(), "found odd") {
 		t.Error(err)
--- a/internal/versionaudit/rollcall.go
+++ b/internal/versionaudit/rollcall.go
@@ -50,7 +50,7 @@
 type Pace struct{ Every int64 } // us
 
 // Read takes it from the operator's file.
-func Read(p *sexp.Part) Pace { return Pace{p.Time("every", 60_000_000, 1_000_000, 86_400_000_000)} }
+func Read(p *sexp.Part) Pace { return Pace{p.Duration("every", 60_000_000, 1_000_000, 86_400_000_000)} }
 
 // Roll is one instance's part.
 type Roll struct {
