--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	maxFileBytes  = 1 << 20 // bytes of a file: far over any hand-written one
-	maxListDepth  = 32      // lists within lists: far over what any part needs
+	maxFileBytes        = 1 << 20 // bytes of a file: far over any hand-written one
+	maxListDepth        = 32      // lists within lists: far over what any part needs
 	suggestionThreshold = 0.6     // of a name's letters that must agree for it to be offered in place of an unknown one
 )
 
@@ -75,7 +75,7 @@
 // File is a file that has been read; its parts are taken from it by name.
 type File struct {
 	name   string
-	root  *Part
+	root   *Part
 	faults []Fault
 }
 
@@ -203,13 +203,13 @@
 
 // Part is one list whose values are taken by name.
 type Part struct {
-	file  *File
-	position   lexer.Position
-	name  string
-	items []*node // what follows the name
+	file      *File
+	position  lexer.Position
+	name      string
+	items     []*node // what follows the name
 	requested map[string]bool
 	subparts  []*Part
-	present bool
+	present   bool
 }
 
 // Given tells whether the part stands in the file.
@@ -400,13 +400,13 @@
 
 // unit is a suffix and how many of the smallest unit it stands for.
 type unit struct {
-	name string
-	factor   float64
+	name   string
+	factor float64
 }
 
 var (
 	durationUnits = []unit{{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}, {"h", 3600e6}}
-	sizeUnits = []unit{{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
+	sizeUnits     = []unit{{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
 )
 
 // Time is a name's time in us, within bounds.
