--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -1,6 +1,9 @@
 package sexp
 
 import (
+	"errors"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -132,3 +135,17 @@
 		file.Faults()
 	})
 }
+
+// TestReadFileRefusesAnOversizedFile: an operator names a log or a disk image by mistake. The file is refused by its size,
+// before any of it is read.
+func TestReadFileRefusesAnOversizedFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "large")
+	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, err := ReadFile(path)
+	var size FileSizeError
+	if !errors.As(err, &size) || size.Bytes != maxFileBytes+1 || !strings.Contains(err.Error(), "1048577 bytes, want 1048576 at most") {
+		t.Fatal(err)
+	}
+}
