--- a/cmd/cairntiller/main.go
+++ b/cmd/cairntiller/main.go
@@ -43,7 +43,7 @@
 }
 
 func (l *checkLine) Run(out io.Writer) error {
-	if err := serve.Check(l.File); err != nil {
+	if err := serve.CheckFile(l.File); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s: no faults\n", l.File)
@@ -117,7 +117,7 @@
 // start runs a router to its end.
 func start(errs io.Writer, l *runLine, level slog.Level) int {
 	logTo(errs, level)
-	if err := serve.Run(l.File, serve.Instead{}); err != nil {
+	if err := serve.Run(l.File, serve.TestHooks{}); err != nil {
 		slog.Error("cannot run", "err", err)
 		return exitFault
 	}
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -32,7 +32,7 @@
 	spent atomic.Bool // nothing more of it can be believed
 
 	split    *pgwire.Splitter // reader's goroutine
-	greeting *pgwire.Greeting
+	greeting *pgwire.StartupReply
 	reply    *pgwire.Reply
 	told     int64 // replies read from it
 	begun    int64 // the last of them that began, by its number
@@ -47,10 +47,10 @@
 	if err != nil {
 		return nil, "", err
 	}
-	l = &link{node: n, pool: p, split: pgwire.NewSplitter(mostReply, false), greeting: &pgwire.Greeting{},
+	l = &link{node: n, pool: p, split: pgwire.NewSplitter(mostReply, false), greeting: &pgwire.StartupReply{},
 		reply: &pgwire.Reply{}, ready: make(chan greeted, 1)}
 	l.stream = stream.New(conn)
-	l.stream.Start(stream.Events{Bytes: l.bytes, Ended: l.end})
+	l.stream.Start(stream.Events{Received: l.bytes, Closed: l.end})
 	l.stream.Write(pgwire.AppendStartup(nil, pgwire.User, pgwire.Database), nil)
 	left := time.NewTimer(limit - time.Since(began))
 	defer left.Stop()
@@ -107,7 +107,7 @@
 	for !l.spent.Load() {
 		f, whole, err := l.split.Next()
 		if err == nil && !whole {
-			if begun := l.told + 1; l.greeting == nil && l.begun != begun && (l.split.Left() > 0 || l.reply.Begun()) {
+			if begun := l.told + 1; l.greeting == nil && l.begun != begun && (l.split.Buffered() > 0 || l.reply.Begun()) {
 				l.begun = begun
 				l.pool.post(at, func(int64) { l.pool.expect(l, begun) })
 			}
@@ -130,7 +130,7 @@
 
 // greet takes a message of signing on; refused tells that the node has ended it.
 func (l *link) greet(f pgwire.Frame) (refused bool, err error) {
-	done, err := l.greeting.Take(f)
+	done, err := l.greeting.Add(f)
 	if !done || err != nil {
 		return false, err
 	}
@@ -145,18 +145,18 @@
 
 // answer takes a message of a reply and passes on a whole one.
 func (l *link) answer(at int64, f pgwire.Frame) error {
-	done, err := l.reply.Take(f)
+	done, err := l.reply.Add(f)
 	if err != nil {
 		return err
 	}
 	if l.told == l.asked.Load() && (done || l.reply.Begun()) { // it answers what nobody asked
-		return pgwire.ErrTurn
+		return pgwire.ErrUnexpectedMessage
 	}
 	if done {
 		l.told++
 		r := l.reply
 		l.reply = &pgwire.Reply{}
-		if l.split.Left() > 0 { // the answer is good, but what stands behind it must not meet the next query
+		if l.split.Buffered() > 0 { // the answer is good, but what stands behind it must not meet the next query
 			surplus.Add()
 			l.spent.Store(true)
 		}
@@ -239,7 +239,7 @@
 		return
 	}
 	l.job = nil
-	if r != nil && (r.Whole() || r.Code != "") {
+	if r != nil && (r.Complete() || r.Code != "") {
 		p.end(now, j, outcome(r), r)
 	} else {
 		p.end(now, j, routing.Broken, nil)
@@ -254,7 +254,7 @@
 	switch r.Code {
 	case "":
 		return routing.Answered
-	case pgwire.CodeThrottled:
+	case pgwire.CodeRejected:
 		return routing.Full
 	case pgwire.CodeNoPrimary, pgwire.CodeTooOld:
 		return routing.Missed
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -45,7 +45,7 @@
 	now     func() int64
 	post    Post
 	after   func(in int64, do func(now int64))
-	ender   inflight.Ender
+	ender   inflight.ResultHandler
 	connect int64 // us in which a connection must be up, and a probe answered
 	idle    int64 // us after which a connection without work is closed
 	most    int   // connections to all nodes together
@@ -53,7 +53,7 @@
 	closing int   // those that were dropped and still hold a descriptor
 	spared  int   // how many may
 	nodes   map[string]*node
-	at      map[*inflight.Dispatch]*job
+	at      map[*inflight.Attempt]*job
 }
 
 // node is one node's connections: idle ones, the latest used last, and jobs that wait for one.
@@ -68,7 +68,7 @@
 
 // job is one query for a node: a dispatch, or a probe where there is none.
 type job struct {
-	d        *inflight.Dispatch
+	d        *inflight.Attempt
 	node     *node
 	began    int64
 	link     *link // that carries it, nil while it waits for one
@@ -77,22 +77,22 @@
 }
 
 // New makes a pool; its calls come from the goroutine that runs what is posted.
-func New(now func() int64, post Post, after func(int64, func(int64)), ender inflight.Ender, connect, idle int64,
+func New(now func() int64, post Post, after func(int64, func(int64)), ender inflight.ResultHandler, connect, idle int64,
 	most int) *Pool {
 	p := &Pool{now: now, post: post, after: after, ender: ender, connect: connect, idle: max(idle-idleMargin, idle/2),
-		most: most - most/closingPart, spared: max(leastClosing, most/closingPart), nodes: map[string]*node{}, at: map[*inflight.Dispatch]*job{}}
+		most: most - most/closingPart, spared: max(leastClosing, most/closingPart), nodes: map[string]*node{}, at: map[*inflight.Attempt]*job{}}
 	p.after(sweepEvery, p.sweep)
 	return p
 }
 
-// Place implements inflight.Nodes; connections to a former address are closed once they have ended their work.
-func (p *Pool) Place(name, address string) {
+// Place implements inflight.NodeConnections; connections to a former address are closed once they have ended their work.
+func (p *Pool) SetAddress(name, address string) {
 	n := p.nodes[name]
 	if n != nil && n.address == address {
 		return
 	}
 	if n != nil {
-		p.Release(name)
+		p.CloseIdle(name)
 	}
 	fresh := &node{name: name, address: address}
 	if n != nil { // what waits goes on at the new address
@@ -106,8 +106,8 @@
 	p.nodes[name] = fresh
 }
 
-// Release implements inflight.Nodes.
-func (p *Pool) Release(name string) {
+// Release implements inflight.NodeConnections.
+func (p *Pool) CloseIdle(name string) {
 	if n := p.nodes[name]; n != nil {
 		n.released++
 		for _, l := range n.idle {
@@ -117,8 +117,8 @@
 	}
 }
 
-// Bar implements inflight.Nodes.
-func (p *Pool) Bar(name string) {
+// Bar implements inflight.NodeConnections.
+func (p *Pool) FailWaiting(name string) {
 	if n := p.nodes[name]; n != nil {
 		for _, j := range n.waiting {
 			if j.d != nil {
@@ -129,17 +129,17 @@
 	}
 }
 
-// Forget implements inflight.Nodes; what is under way ends by itself.
-func (p *Pool) Forget(name string) {
-	p.Release(name)
+// Forget implements inflight.NodeConnections; what is under way ends by itself.
+func (p *Pool) Remove(name string) {
+	p.CloseIdle(name)
 	delete(p.nodes, name)
 }
 
-// Send implements inflight.Nodes.
-func (p *Pool) Send(d *inflight.Dispatch) { p.begin(&job{d: d, began: d.Sent}, d.Node) }
+// Send implements inflight.NodeConnections.
+func (p *Pool) Send(d *inflight.Attempt) { p.begin(&job{d: d, began: d.StartedAt}, d.Node) }
 
-// Probe implements inflight.Nodes.
-func (p *Pool) Probe(name string) { p.begin(&job{began: p.now()}, name) }
+// Probe implements inflight.NodeConnections.
+func (p *Pool) HealthCheck(name string) { p.begin(&job{began: p.now()}, name) }
 
 func (p *Pool) begin(j *job, name string) {
 	n := p.nodes[name]
@@ -234,7 +234,7 @@
 				j := n.waiting[0]
 				n.waiting = n.waiting[1:]
 				o := routing.Unconnected
-				if code == pgwire.CodeThrottled {
+				if code == pgwire.CodeRejected {
 					o = routing.Full
 				}
 				p.end(now, j, o, nil)
@@ -308,14 +308,14 @@
 		})
 	} else {
 		now := p.now()
-		if !j.d.May(now) {
+		if !j.d.MayStart(now) {
 			late.Add()
 			p.later(j, routing.Unsent)
 			p.free(now, l)
 			return
 		}
 		sent.Add()
-		query = j.d.Exchange.Command.AppendFor(nil, j.d.Deadline-now)
+		query = j.d.Request.Command.AppendQuery(nil, j.d.Deadline-now)
 	}
 	j.link, l.job = l, j
 	l.asked.Add(1)
@@ -347,18 +347,18 @@
 	j.over = true
 	if j.d != nil {
 		delete(p.at, j.d)
-		p.ender.Ended(now, j.d, o, r)
+		p.ender.AttemptEnded(now, j.d, o, r)
 		return
 	}
 	load := ""
 	if r != nil && o == routing.Answered {
 		load = string(r.First)
 	}
-	p.ender.Probed(now, j.node.name, now-j.began, o, load)
+	p.ender.HealthCheckEnded(now, j.node.name, now-j.began, o, load)
 }
 
-// Stop implements inflight.Nodes.
-func (p *Pool) Stop(d *inflight.Dispatch) bool {
+// Stop implements inflight.NodeConnections.
+func (p *Pool) Cancel(d *inflight.Attempt) bool {
 	j := p.at[d]
 	if j == nil {
 		return true
@@ -370,7 +370,7 @@
 		return false
 	}
 	p.down(j.link)
-	j.link.stream.Cut()
+	j.link.stream.ShutdownNow()
 	return true
 }
 
--- a/internal/discovery/nodelist.go
+++ b/internal/discovery/nodelist.go
@@ -10,23 +10,23 @@
 )
 
 // Node is one entry.
-type Node struct {
+type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Shard                     int
 	State                     routing.State
 	Primary                   bool
-	Started                   int64 // us in Unix time, 0 for long ago
+	StartedAt                 int64 // us in Unix time, 0 for long ago
 }
 
 // List is the whole list, or the entries changed since another version.
-type List struct {
-	Index int64
-	Whole bool
-	Nodes []Node
+type EndpointList struct {
+	Version   int64
+	Complete  bool
+	Endpoints []Endpoint
 }
 
 // Decode reads one list as discovery gives it; a broken one changes nothing, so it is refused whole.
-func Decode(raw []byte) (*List, error) {
+func DecodeEndpointList(raw []byte) (*EndpointList, error) {
 	var wire struct {
 		Index     *int64
 		Snapshot  bool
@@ -42,10 +42,10 @@
 	if wire.Index == nil {
 		return nil, errors.New("no version")
 	}
-	l := &List{Index: *wire.Index, Whole: wire.Snapshot, Nodes: make([]Node, 0, len(wire.Endpoints))}
+	l := &EndpointList{Version: *wire.Index, Complete: wire.Snapshot, Endpoints: make([]Endpoint, 0, len(wire.Endpoints))}
 	for _, e := range wire.Endpoints {
-		n := Node{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Shard: e.Group,
-			Primary: e.Role == "primary", Started: int64(e.Since * 1000)}
+		n := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Shard: e.Group,
+			Primary: e.Role == "primary", StartedAt: int64(e.Since * 1000)}
 		switch e.Status {
 		case "active":
 		case "leaving":
@@ -58,7 +58,7 @@
 		if e.Name == "" || e.Address == "" && n.State != routing.Removed {
 			return nil, errors.New("a node without name or address")
 		}
-		l.Nodes = append(l.Nodes, n)
+		l.Endpoints = append(l.Endpoints, n)
 	}
 	return l, nil
 }
--- a/internal/discovery/nodelist_test.go
+++ b/internal/discovery/nodelist_test.go
@@ -15,15 +15,15 @@
 	`"since_ms":17.5,"role":"primary","new":{}}`
 
 func TestDecode(t *testing.T) {
-	l, err := Decode([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entry + `],"more":1}`))
-	want := Node{"s-1", "127.0.0.1:1", "a", "m", 3, routing.Draining, true, 17_500}
-	if err != nil || l.Index != 41 || !l.Whole || len(l.Nodes) != 1 || l.Nodes[0] != want {
+	l, err := DecodeEndpointList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entry + `],"more":1}`))
+	want := Endpoint{"s-1", "127.0.0.1:1", "a", "m", 3, routing.Draining, true, 17_500}
+	if err != nil || l.Version != 41 || !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0] != want {
 		t.Errorf("%+v, %v", l, err)
 	}
 	for _, bad := range []string{"", "{", `{"endpoints":[]}`, `{"index":"1"}`, `[1]`,
 		`{"index":1,"endpoints":[` + strings.Replace(entry, "leaving", "asleep", 1) + `]}`,
 		`{"index":1,"endpoints":[` + strings.Replace(entry, "s-1", "", 1) + `]}`} {
-		if l, err := Decode([]byte(bad)); err == nil {
+		if l, err := DecodeEndpointList([]byte(bad)); err == nil {
 			t.Errorf("%q was read as %+v", bad, l)
 		}
 	}
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	got := make(chan int64, 9)
-	go Watch(ctx, strings.TrimPrefix(srv.URL, "http://"), 3, func(l *List) { got <- l.Index })
+	go Watch(ctx, strings.TrimPrefix(srv.URL, "http://"), 3, func(l *EndpointList) { got <- l.Version })
 	for _, want := range []int64{5, 6, 8} {
 		if i := <-got; i != want {
 			t.Errorf("version %d, want %d", i, want)
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	moves, got, over := make(chan string), make(chan int64, 9), make(chan bool)
 	go func() {
-		Follow(ctx, at(50), 41, moves, func(l *List) { got <- l.Index })
+		Follow(ctx, at(50), 41, moves, func(l *EndpointList) { got <- l.Version })
 		close(over)
 	}()
 	if i := <-got; i != 50 {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -33,11 +33,11 @@
 )
 
 // Unknown is no version: the whole list is asked for. Another discovery may count its versions anew.
-const Unknown = -1
+const UnknownVersion = -1
 
 // Follow watches discovery at an address, and from a move on at another, until the context ends. A watch that
 // was left is over before the next begins, so its lists never come after newer ones.
-func Follow(ctx context.Context, address string, index int64, moves <-chan string, on func(*List)) {
+func Follow(ctx context.Context, address string, index int64, moves <-chan string, on func(*EndpointList)) {
 	for ctx.Err() == nil {
 		life, end := context.WithCancel(ctx)
 		over := make(chan struct{})
@@ -47,7 +47,7 @@
 		}(address, index)
 		select {
 		case address = <-moves:
-			index = Unknown
+			index = UnknownVersion
 		case <-ctx.Done():
 		}
 		end()
@@ -57,14 +57,14 @@
 
 // Watch keeps asking discovery at an address for what comes after a version and hands each list on, until
 // the context ends.
-func Watch(ctx context.Context, address string, index int64, on func(*List)) {
+func Watch(ctx context.Context, address string, index int64, on func(*EndpointList)) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: answerWait,
 		DialContext: (&net.Dialer{Timeout: answerWait}).DialContext}}
 	back := backFirst
 	for ctx.Err() == nil {
 		watches.Add()
 		query := ""
-		if index != Unknown {
+		if index != UnknownVersion {
 			query = fmt.Sprintf("?follow=1&since=%d", index)
 		}
 		brought, err := ask(ctx, client, address, query, &index, on)
@@ -90,7 +90,7 @@
 )
 
 // ask hands on the lists in one answer of discovery's; brought tells that there was one.
-func ask(ctx context.Context, client *http.Client, address, query string, index *int64, on func(*List)) (brought bool, err error) {
+func ask(ctx context.Context, client *http.Client, address, query string, index *int64, on func(*EndpointList)) (brought bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/targets"+query, nil)
@@ -120,14 +120,14 @@
 		}
 		life.Reset(lifeWait)
 		body.between()
-		l, err := Decode(raw)
+		l, err := DecodeEndpointList(raw)
 		if err != nil {
 			broken.Add()
 			return brought, err
 		}
 		// A discovery that started anew counts from one again, and what it says first is whole: that stands, or no list
 		// would be taken ever after. An older list that is not whole, or comes behind a newer one, is no news.
-		if l.Index < *index && (brought || !l.Whole) {
+		if l.Version < *index && (brought || !l.Complete) {
 			broken.Add()
 			continue
 		}
@@ -135,8 +135,8 @@
 			return brought, context.Cause(ctx)
 		}
 		brought = true
-		first := *index == Unknown
-		*index = l.Index
+		first := *index == UnknownVersion
+		*index = l.Version
 		on(l)
 		if first {
 			return true, errWhole
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -10,7 +10,7 @@
 // TestEndpointListAsItStandsOnTheWire reads a list with each status and role, an unknown field and a fraction of a
 // millisecond. What comes of it was recorded from the code as it was before its rewrite for readability.
 func TestEndpointListAsItStandsOnTheWire(t *testing.T) {
-	got, err := Decode([]byte(`{"index":41,"snapshot":true,"more":[1],"endpoints":[` +
+	got, err := DecodeEndpointList([]byte(`{"index":41,"snapshot":true,"more":[1],"endpoints":[` +
 		`{"name":"s-1","address":"10.0.0.1:5432","zone":"a","type":"m","group":3,"status":"active","role":"primary","since_ms":1767225600123.4567},` +
 		`{"name":"s-2","address":"10.0.0.2:5432","zone":"b","type":"l","group":3,"status":"leaving","role":"replica","since_ms":0},` +
 		`{"name":"s-3","zone":"b","group":-1,"status":"left"},` +
@@ -18,11 +18,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &List{Index: 41, Whole: true, Nodes: []Node{
-		{Name: "s-1", Address: "10.0.0.1:5432", Zone: "a", Kind: "m", Shard: 3, State: routing.Up, Primary: true, Started: 1767225600123456},
+	want := &EndpointList{Version: 41, Complete: true, Endpoints: []Endpoint{
+		{Name: "s-1", Address: "10.0.0.1:5432", Zone: "a", Kind: "m", Shard: 3, State: routing.Up, Primary: true, StartedAt: 1767225600123456},
 		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", Kind: "l", Shard: 3, State: routing.Draining},
 		{Name: "s-3", Zone: "b", Shard: -1, State: routing.Removed},
-		{Name: "s-4", Address: "[::1]:1", State: routing.Up, Started: -1500},
+		{Name: "s-4", Address: "[::1]:1", State: routing.Up, StartedAt: -1500},
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read     %+v\nrecorded %+v", got, want)
@@ -33,7 +33,7 @@
 		`{"index":1,"endpoints":[{"name":"s","status":"active"}]}`:             "a node without name or address",
 		`{"index":1,"endpoints":[{"address":"x","status":"active"}]}`:          "a node without name or address",
 	} {
-		if l, err := Decode([]byte(raw)); l != nil || err == nil || err.Error() != recorded {
+		if l, err := DecodeEndpointList([]byte(raw)); l != nil || err == nil || err.Error() != recorded {
 			t.Errorf("%s: %+v, %v; recorded %s", raw, l, err, recorded)
 		}
 	}
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -22,7 +22,7 @@
 // leaver is a client that has gone without anyone having been told.
 type leaver struct{ patient }
 
-func (leaver) Here() bool { return false }
+func (leaver) Connected() bool { return false }
 
 // held is a node whose connections come up only once they are let.
 type held struct {
@@ -74,20 +74,20 @@
 	for name, c := range map[string]struct {
 		client    inflight.Client
 		within    int64
-		meanwhile func(p interface{ Bar(string) }, x *inflight.Exchange)
+		meanwhile func(p interface{ FailWaiting(string) }, x *inflight.Request)
 		want      string
 	}{
 		"nothing happened":      {patient{}, 400_000, nil, "written"},
 		"its client has gone":   {leaver{}, 0, nil, "unsent"},
-		"its command is over":   {patient{}, 0, func(_ interface{ Bar(string) }, x *inflight.Exchange) { x.Leave() }, "unsent"},
+		"its command is over":   {patient{}, 0, func(_ interface{ FailWaiting(string) }, x *inflight.Request) { x.ClientGone() }, "unsent"},
 		"its window has passed": {patient{}, 1, nil, "unsent"},
-		"its node drains":       {patient{}, 0, func(p interface{ Bar(string) }, _ *inflight.Exchange) { p.Bar("n0") }, "unsent"},
+		"its node drains":       {patient{}, 0, func(p interface{ FailWaiting(string) }, _ *inflight.Request) { p.FailWaiting("n0") }, "unsent"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := hold(t)
 			p, e := pool(t, 9, &scriptedserver.Node{Addr: h.addr})
-			x := e.dispatch(p, "n0", c.client, 0, c.within).Exchange
+			x := e.dispatch(p, "n0", c.client, 0, c.within).Request
 			conn := <-h.came // it waits for this one
 			e.mu.Lock()
 			if c.meanwhile != nil {
@@ -123,7 +123,7 @@
 				t.Fatal(err)
 			}
 			e.mu.Lock()
-			p.Stop(d)
+			p.Cancel(d)
 			e.mu.Unlock()
 		case got := <-e.results:
 			t.Fatalf("no room: %d", got.o)
@@ -193,7 +193,7 @@
 	for _, k := range [][]byte{old, wrong, others, make([]byte, 8), append(right[:4:4], 0, 0, 0, 0)} {
 		r.cancel(t, nil, k)
 	}
-	if n := r.engine.Owed(); n != 1 {
+	if n := r.engine.Unanswered(); n != 1 {
 		t.Fatalf("%d commands owed after cancels with wrong keys", n)
 	}
 	r.cancel(t, nil, right)
@@ -234,7 +234,7 @@
 	ask(c, "2", "look", "15000")
 	<-replica.Queries
 	r.cancel(t, late, k)
-	if n := r.engine.Owed(); n != 1 {
+	if n := r.engine.Unanswered(); n != 1 {
 		t.Fatal("the command that came behind the cancelled one was hit")
 	}
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
@@ -275,7 +275,7 @@
 			c.Write([]byte("X\x00\x00\x00\x04"))
 		}
 	}
-	for r.engine.Owed() > 0 || over() < before+crowd {
+	for r.engine.Unanswered() > 0 || over() < before+crowd {
 		time.Sleep(time.Millisecond)
 	}
 	h.up(conn)
@@ -304,7 +304,7 @@
 	c := r.dial(t)
 	ask(c, "1", "look", "5000")
 	<-replica.Queries
-	r.front.End()
+	r.front.BeginDrain()
 	before := counted("commands while leaving")
 	for i := range 3 {
 		ask(c, fmt.Sprint("late", i), "look", "5000")
@@ -333,10 +333,10 @@
 	for i := range 30 { // most wait unsent behind a limit
 		ask(waits, fmt.Sprint("w", i), "put", "60000")
 	}
-	for r.engine.Owed() < 31 {
+	for r.engine.Unanswered() < 31 {
 		time.Sleep(time.Millisecond)
 	}
-	r.engine.Leave()
+	r.engine.GiveUpAll()
 	if got := brief(until(t, write, 'Z')); got != "58000" {
 		t.Errorf("a write that may have run: %q", got)
 	}
@@ -345,7 +345,7 @@
 			t.Errorf("%d: %q", i, got)
 		}
 	}
-	if n := r.engine.Owed(); n > 0 {
+	if n := r.engine.Unanswered(); n > 0 {
 		t.Errorf("%d still owed", n)
 	}
 }
@@ -355,7 +355,7 @@
 	replica := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), replica)
 	r.dial(t).Close()
-	r.front.End()
+	r.front.BeginDrain()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -374,10 +374,10 @@
 // TestAShortIdleLimit: a node that closes idle connections soon has each used again all the same, for half of that time.
 func TestAShortIdleLimit(t *testing.T) {
 	s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready)
-	e := &ends{now: engine.Clock(), queue: make(chan func(), 999), results: make(chan result, 99)}
+	e := &ends{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go e.run()
 	p := backend.New(e.now, e.post, e.after, e, 500_000, 900_000, 9)
-	p.Place("n0", s.Addr)
+	p.SetAddress("n0", s.Addr)
 	for i, rest := range []time.Duration{0, 0, 700 * time.Millisecond} {
 		time.Sleep(rest) // past half of the limit, not past the limit
 		e.send(p, "n0", 0)
@@ -398,7 +398,7 @@
 	e.send(p, "n0", 0)
 	old := <-before.came
 	e.mu.Lock()
-	p.Place("n0", after.addr)
+	p.SetAddress("n0", after.addr)
 	e.mu.Unlock()
 	before.up(old)
 	after.up(<-after.came)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -44,29 +44,29 @@
 )
 
 // Clock gives whole microseconds of Unix time that never go backwards: it is tied to Unix time once.
-func Clock() func() int64 {
+func NewClock() func() int64 {
 	start := time.Now()
 	zero := start.UnixMicro()
 	return func() int64 { return zero + time.Since(start).Microseconds() }
 }
 
 // Patrol shares periodic probes with other instances; its calls come on the engine's goroutine.
-type Patrol interface {
+type SharedProbes interface {
 	// Node is one entry of a list, and Listed its end; a whole one names all nodes that there are.
-	Node(now int64, name string, state routing.State, started int64)
-	Listed(now int64, whole bool)
+	EndpointListed(now int64, name string, state routing.State, started int64)
+	ListApplied(now int64, whole bool)
 	// Probed is the end of a probe, whoever asked for it: the position and role that the node told.
-	Probed(now int64, node string, o routing.Outcome, pos int64, lead int8, load string)
+	HealthCheckEnded(now int64, node string, o routing.Outcome, pos int64, lead int8, load string)
 }
 
 // Engine runs one router's decisions.
 type Engine struct {
 	now     func() int64
 	router  *routing.Router
-	nodes   inflight.Nodes
-	patrol  Patrol   // nil for none
-	company *company // nil for none
-	table   map[string]*inflight.Exchange
+	nodes   inflight.NodeConnections
+	patrol  SharedProbes // nil for none
+	company *company     // nil for none
+	table   map[string]*inflight.Request
 	clock   int64 // time of the event being handled
 	timers  timers
 
@@ -99,15 +99,17 @@
 
 // New makes an engine; the module and the nodes are set by Join before Run.
 func New(now func() int64) *Engine {
-	return &Engine{now: now, table: map[string]*inflight.Exchange{}, wake: make(chan struct{}, 1),
+	return &Engine{now: now, table: map[string]*inflight.Request{}, wake: make(chan struct{}, 1),
 		idle: make(chan struct{}, 1)}
 }
 
 // Join sets the module that decides and the nodes that carry.
-func (e *Engine) Join(r *routing.Router, nodes inflight.Nodes) { e.router, e.nodes = r, nodes }
+func (e *Engine) Attach(r *routing.Router, nodes inflight.NodeConnections) {
+	e.router, e.nodes = r, nodes
+}
 
 // Share lets probes be shared with other instances; it is called before Run.
-func (e *Engine) Share(p Patrol) { e.patrol = p }
+func (e *Engine) SetSharedProbes(p SharedProbes) { e.patrol = p }
 
 // Post hands an event to the engine's goroutine; it never blocks.
 func (e *Engine) Post(at int64, do func(now int64)) {
@@ -138,14 +140,14 @@
 			return
 		}
 		for _, one := range batch {
-			queued.Peak(e.now() - one.at)
+			queued.RaiseTo(e.now() - one.at)
 			e.handle(one)
 		}
 		for now := e.now(); len(e.timers) > 0 && e.timers[0].at <= now; {
 			one := heap.Pop(&e.timers).(event)
 			if by := now - one.at; by >= lateFrom {
 				lateFire.Add()
-				latest.Peak(by)
+				latest.RaiseTo(by)
 			}
 			e.handle(event{now, one.do})
 		}
@@ -169,7 +171,7 @@
 }
 
 // Leave ends all that is still owed an answer.
-func (e *Engine) Leave() {
+func (e *Engine) GiveUpAll() {
 	e.Post(e.now(), func(int64) { e.router.Leave() })
 }
 
@@ -182,10 +184,10 @@
 }
 
 // Idle tells whenever no command is owed an answer any more.
-func (e *Engine) Idle() <-chan struct{} { return e.idle }
+func (e *Engine) AllAnswered() <-chan struct{} { return e.idle }
 
 // Owed is the number of commands without their final answer.
-func (e *Engine) Owed() int {
+func (e *Engine) Unanswered() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owed
@@ -204,8 +206,8 @@
 	}
 }
 
-// Take implements inflight.Taker.
-func (e *Engine) Take(at int64, x *inflight.Exchange) {
+// Take implements inflight.Intake.
+func (e *Engine) Submit(at int64, x *inflight.Request) {
 	e.owe(1)
 	e.Post(at, func(now int64) {
 		id := x.Command.ID
@@ -218,17 +220,17 @@
 		taken.Add()
 		e.table[id] = x
 		since := int64(0)
-		if x.Command.After > 0 {
-			since = max(1, now-x.Command.After)
+		if x.Command.LastCommit > 0 {
+			since = max(1, now-x.Command.LastCommit)
 		}
 		e.router.Arrive(now, id, x.Group, x.Tenant, x.Command.Session, x.Deadline-now, x.Command.Shard, since)
 	})
 }
 
-// Gone implements inflight.Taker.
-func (e *Engine) Gone(at int64, x *inflight.Exchange) {
+// Gone implements inflight.Intake.
+func (e *Engine) ClientGone(at int64, x *inflight.Request) {
 	e.Post(at, func(now int64) {
-		if x.Leave() {
+		if x.ClientGone() {
 			e.router.Gone(now, x.Command.ID)
 			e.settled(x)
 		}
@@ -236,26 +238,26 @@
 }
 
 // settled notes a final answer; the exchange goes once no dispatch of it is out.
-func (e *Engine) settled(x *inflight.Exchange) {
+func (e *Engine) settled(x *inflight.Request) {
 	e.owe(-1)
 	e.forget(x)
 }
 
-func (e *Engine) forget(x *inflight.Exchange) {
-	if x.Final() && x.Open == 0 && e.table[x.Command.ID] == x {
+func (e *Engine) forget(x *inflight.Request) {
+	if x.Concluded() && x.OpenAttempts == 0 && e.table[x.Command.ID] == x {
 		delete(e.table, x.Command.ID)
 	}
 }
 
-// Ended implements inflight.Ender.
-func (e *Engine) Ended(now int64, d *inflight.Dispatch, o routing.Outcome, r *pgwire.Reply) {
-	x := d.Exchange
-	if !x.End(d) {
+// Ended implements inflight.ResultHandler.
+func (e *Engine) AttemptEnded(now int64, d *inflight.Attempt, o routing.Outcome, r *pgwire.Reply) {
+	x := d.Request
+	if !x.EndAttempt(d) {
 		return
 	}
 	outcomes[o].Add()
 	e.company.ended(x, d.Node, o, now)
-	took := now - d.Sent
+	took := now - d.StartedAt
 	if o == routing.Answered && x.Answer(r.Value) {
 		e.owe(-1)
 	}
@@ -272,21 +274,21 @@
 		e.router.Seen(now, d.Node, role, r.Position)
 		e.report(now, d.Node, r.Load)
 	}
-	e.router.Result(now, x.Command.ID, d.Node, d.Number, o, took, x.Final())
+	e.router.Result(now, x.Command.ID, d.Node, d.Number, o, took, x.Concluded())
 	e.forget(x)
 }
 
-// Probed implements inflight.Ender.
-func (e *Engine) Probed(now int64, node string, took int64, o routing.Outcome, load string) {
+// Probed implements inflight.ResultHandler.
+func (e *Engine) HealthCheckEnded(now int64, node string, took int64, o routing.Outcome, load string) {
 	pos, lead := e.report(now, node, load)
 	e.router.Probed(now, node, took, o)
 	if e.patrol != nil {
-		e.patrol.Probed(now, node, o, pos, lead, load)
+		e.patrol.HealthCheckEnded(now, node, o, pos, lead, load)
 	}
 }
 
 // Heard hands the module what a peer learnt of a node; a position that can't be true is left out.
-func (e *Engine) Heard(now int64, node string, at, pos int64, lead int8, silent, alive bool) {
+func (e *Engine) ApplyGossip(now int64, node string, at, pos int64, lead int8, silent, alive bool) {
 	if !passed(now, pos) {
 		pos = 0
 	}
@@ -294,7 +296,7 @@
 }
 
 // Left tells the module whether a peer looks after a node.
-func (e *Engine) Left(node string, to bool) { e.router.Left(node, to) }
+func (e *Engine) DelegateHealthChecks(node string, to bool) { e.router.Left(node, to) }
 
 // report passes on the figures that a node tells of itself, all or none: positions are Unix seconds on sockets. It
 // returns the position and whether the node leads, as far as they were told.
@@ -343,39 +345,39 @@
 }
 
 // Listed hands the module a list of nodes, whole or changed entries; it runs on the engine's goroutine.
-func (e *Engine) Listed(now int64, l *discovery.List) {
+func (e *Engine) ApplyEndpointList(now int64, l *discovery.EndpointList) {
 	lists.Add()
 	e.hand(now, l)
 }
 
 // hand hands the module a list, with what plans drain as draining.
-func (e *Engine) hand(now int64, l *discovery.List) {
-	e.router.ListBegins(now, l.Whole)
-	for _, n := range l.Nodes {
+func (e *Engine) hand(now int64, l *discovery.EndpointList) {
+	e.router.ListBegins(now, l.Complete)
+	for _, n := range l.Endpoints {
 		if n.State == routing.Removed {
-			e.nodes.Release(n.Name)
+			e.nodes.CloseIdle(n.Name)
 		} else {
-			e.nodes.Place(n.Name, n.Address)
+			e.nodes.SetAddress(n.Name, n.Address)
 		}
 		state := e.company.listed(n)
-		e.router.ListNode(now, n.Name, n.Zone, n.Kind, n.Shard, state, n.Primary, n.Started)
+		e.router.ListNode(now, n.Name, n.Zone, n.Kind, n.Shard, state, n.Primary, n.StartedAt)
 		if e.patrol != nil {
-			e.patrol.Node(now, n.Name, state, n.Started)
+			e.patrol.EndpointListed(now, n.Name, state, n.StartedAt)
 		}
 	}
 	e.router.ListEnds(now)
 	if e.patrol != nil {
-		e.patrol.Listed(now, l.Whole)
+		e.patrol.ListApplied(now, l.Complete)
 	}
 }
 
 // Dispatch implements routing.Actions.
 func (e *Engine) Dispatch(cmd, node string, timeout, within int64) {
 	x := e.table[cmd]
-	if !invariant.That(x != nil && !x.Final(), "a command is dispatched before its final answer") {
+	if !invariant.That(x != nil && !x.Concluded(), "a command is dispatched before its final answer") {
 		return
 	}
-	d := x.Begin(node, e.clock, timeout, within)
+	d := x.StartAttempt(node, e.clock, timeout, within)
 	e.company.dispatched(node)
 	e.nodes.Send(d)
 	e.After(d.Deadline-e.clock, func(now int64) {
@@ -384,21 +386,21 @@
 }
 
 // abandon stops a dispatch; the module learns it as an event of its own, once the connection has ended.
-func (e *Engine) abandon(d *inflight.Dispatch, o routing.Outcome) {
-	if d.Ended || d.Stopped {
+func (e *Engine) abandon(d *inflight.Attempt, o routing.Outcome) {
+	if d.Ended || d.Abandoned {
 		return
 	}
-	d.Stopped = true
-	if !e.nodes.Stop(d) {
+	d.Abandoned = true
+	if !e.nodes.Cancel(d) {
 		o = routing.Unsent
 	}
-	e.Post(e.now(), func(now int64) { e.Ended(now, d, o, nil) })
+	e.Post(e.now(), func(now int64) { e.AttemptEnded(now, d, o, nil) })
 }
 
 // Throttle implements routing.Actions.
 func (e *Engine) Throttle(cmd string, retryIn int64) {
 	if x := e.table[cmd]; invariant.That(x != nil, "a throttled command is in hand") {
-		x.Throttle(retryIn)
+		x.Reject(retryIn)
 		e.settled(x)
 	}
 }
@@ -414,8 +416,8 @@
 // Withdraw implements routing.Actions.
 func (e *Engine) Withdraw(cmd string, dispatch int) {
 	x := e.table[cmd]
-	if invariant.That(x != nil && dispatch < len(x.Dispatches), "a withdrawn dispatch was made") {
-		e.abandon(x.Dispatches[dispatch], routing.Withdrawn)
+	if invariant.That(x != nil && dispatch < len(x.Attempts), "a withdrawn dispatch was made") {
+		e.abandon(x.Attempts[dispatch], routing.Withdrawn)
 	}
 }
 
@@ -425,16 +427,16 @@
 }
 
 // Probe implements routing.Actions.
-func (e *Engine) Probe(node string) { e.nodes.Probe(node) }
+func (e *Engine) Probe(node string) { e.nodes.HealthCheck(node) }
 
 // Release implements routing.Actions.
-func (e *Engine) Release(node string) { e.nodes.Release(node) }
+func (e *Engine) Release(node string) { e.nodes.CloseIdle(node) }
 
 // Bar implements routing.Actions.
-func (e *Engine) Bar(node string) { e.nodes.Bar(node) }
+func (e *Engine) Bar(node string) { e.nodes.FailWaiting(node) }
 
 // Forget implements routing.Actions.
-func (e *Engine) Forget(node string) { e.nodes.Forget(node) }
+func (e *Engine) Forget(node string) { e.nodes.Remove(node) }
 
 // Follow implements routing.Actions; on sockets the list is always followed.
 func (e *Engine) Follow() {}
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -40,16 +40,16 @@
 // patient is a client that stays, whatever it is told.
 type patient struct{}
 
-func (patient) Answer(*inflight.Exchange, []byte)  {}
-func (patient) Throttle(*inflight.Exchange, int64) {}
-func (patient) Fail(*inflight.Exchange)            {}
-func (patient) Here() bool                         { return true }
+func (patient) Answer(*inflight.Request, []byte) {}
+func (patient) Reject(*inflight.Request, int64)  {}
+func (patient) Fail(*inflight.Request)           {}
+func (patient) Connected() bool                  { return true }
 
-func (e *ends) Ended(_ int64, _ *inflight.Dispatch, o routing.Outcome, r *pgwire.Reply) {
+func (e *ends) AttemptEnded(_ int64, _ *inflight.Attempt, o routing.Outcome, r *pgwire.Reply) {
 	e.results <- result{o: o, r: r}
 }
 
-func (e *ends) Probed(_ int64, _ string, _ int64, o routing.Outcome, load string) {
+func (e *ends) HealthCheckEnded(_ int64, _ string, _ int64, o routing.Outcome, load string) {
 	e.results <- result{o: o, probe: load}
 }
 
@@ -68,27 +68,27 @@
 }
 
 func pool(t *testing.T, most int, placed ...*scriptedserver.Node) (*backend.Pool, *ends) {
-	e := &ends{now: engine.Clock(), queue: make(chan func(), 999), results: make(chan result, 99)}
+	e := &ends{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go e.run()
 	p := backend.New(e.now, e.post, e.after, e, 500_000, 15_000_000, most)
 	for i, s := range placed {
-		p.Place(fmt.Sprint("n", i), s.Addr)
+		p.SetAddress(fmt.Sprint("n", i), s.Addr)
 	}
 	return p, e
 }
 
-func (e *ends) send(p *backend.Pool, node string, timeout int64) *inflight.Dispatch {
+func (e *ends) send(p *backend.Pool, node string, timeout int64) *inflight.Attempt {
 	return e.dispatch(p, node, patient{}, timeout, 0)
 }
 
 // dispatch gives the pool a command's first dispatch, with what its client says and how soon it must begin.
-func (e *ends) dispatch(p *backend.Pool, node string, client inflight.Client, timeout, within int64) *inflight.Dispatch {
+func (e *ends) dispatch(p *backend.Pool, node string, client inflight.Client, timeout, within int64) *inflight.Attempt {
 	c, err := pgwire.DecodeCommand([]byte("/* id=1,c=look,d=1000,cluster=0 */ SELECT '1'"))
 	if err != nil {
 		panic(err)
 	}
 	now := e.now()
-	d := inflight.New(c, client, 0, -1, now).Begin(node, now, timeout, within)
+	d := inflight.NewRequest(c, client, 0, -1, now).StartAttempt(node, now, timeout, within)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p.Send(d)
@@ -230,21 +230,21 @@
 		t.Fatalf("beyond the limit: %d", got.o)
 	}
 	e.mu.Lock()
-	for _, d := range []*inflight.Dispatch{hung, full} {
-		if !p.Stop(d) {
+	for _, d := range []*inflight.Attempt{hung, full} {
+		if !p.Cancel(d) {
 			t.Error("a written dispatch that is stopped may have run")
 		}
 	}
 	e.mu.Unlock()
 	answered("n0")
 	e.mu.Lock()
-	p.Release("n0")
+	p.CloseIdle("n0")
 	e.mu.Unlock()
 	for _, s := range []*scriptedserver.Node{a, a, b} { // two of the first, one of the second
 		<-s.Ended
 	}
 	e.mu.Lock()
-	p.Forget("n1")
+	p.Remove("n1")
 	e.mu.Unlock()
 	e.send(p, "n1", 0)
 	if got := <-e.results; got.o != routing.Unconnected || len(b.Opened()) != 1 {
@@ -260,7 +260,7 @@
 	p, e := pool(t, 9, s)
 	for _, want := range []result{{o: routing.Answered, probe: value}, {o: routing.Errored}, {o: routing.TimedOut}} {
 		e.mu.Lock()
-		p.Probe("n0")
+		p.HealthCheck("n0")
 		e.mu.Unlock()
 		if got := <-e.results; got.o != want.o || got.probe != want.probe {
 			t.Errorf("%+v, want %+v", got, want)
@@ -275,38 +275,38 @@
 type router struct {
 	addr   string
 	engine *engine.Engine
-	front  *frontend.Front
+	front  *frontend.Server
 }
 
 func start(t *testing.T, most int, placed ...*scriptedserver.Node) *router {
 	t.Helper()
-	now := engine.Clock()
+	now := engine.NewClock()
 	e := engine.New(now)
 	r := routing.New(7, e)
 	names, err := settings.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
 		"classes.0.effect": "safe", "classes.0.aim": "400", "classes.0.hardLimit": "1000", "classes.0.points": "1",
 		"classes.1.name": "put", "classes.1.effect": "unsafe", "classes.1.aim": "400", "classes.1.hardLimit": "1000",
 		"classes.1.points": "1", "domain.readLevel": "any,write", "limits.maxAttempts": "3", "limits.cancel": "true",
-		"tenants.count": "1", "tenants.0.name": "acme", "tenants.0.quotaPerS": "100"}.Hand(r, 0)
+		"tenants.count": "1", "tenants.0.name": "acme", "tenants.0.quotaPerS": "100"}.Configure(r, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool := backend.New(now, e.Post, e.After, e, 250_000, 15_000_000, 99)
-	e.Join(r, pool)
-	front := frontend.New(now, e, names.Groups, names.Tenants, most, 32<<20)
+	e.Attach(r, pool)
+	front := frontend.New(now, e, names.GroupNumbers, names.TenantNumbers, most, 32<<20)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := &discovery.List{Index: 1, Whole: true}
+	list := &discovery.EndpointList{Version: 1, Complete: true}
 	for i, s := range placed {
-		list.Nodes = append(list.Nodes, discovery.Node{Name: fmt.Sprint("n", i), Address: s.Addr, Zone: "a",
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: fmt.Sprint("n", i), Address: s.Addr, Zone: "a",
 			Kind: "m", Primary: i == 0})
 	}
 	e.Post(now(), r.Start)
 	e.Post(now(), func(now int64) {
-		e.Listed(now, list)
-		front.Open()
+		e.ApplyEndpointList(now, list)
+		front.SetReady()
 	})
 	go e.Run()
 	go front.Serve(ln)
@@ -388,8 +388,8 @@
 			if got := until(t, conn, 'Z'); got[0] != 'I' {
 				t.Errorf("after its answer the connection said %q", got)
 			}
-			for r.engine.Owed() > 0 {
-				<-r.engine.Idle()
+			for r.engine.Unanswered() > 0 {
+				<-r.engine.AllAnswered()
 			}
 		})
 	}
@@ -437,8 +437,8 @@
 	ask(c, "1", "look", "900")
 	<-replica.Queries
 	c.Close()
-	for r.engine.Owed() > 0 {
-		<-r.engine.Idle()
+	for r.engine.Unanswered() > 0 {
+		<-r.engine.AllAnswered()
 	}
 	<-replica.Ended
 }
@@ -450,7 +450,7 @@
 	busy, idle := r.dial(t), r.dial(t)
 	ask(busy, "1", "look", "900")
 	<-replica.Queries
-	r.front.End()
+	r.front.BeginDrain()
 	if got := until(t, idle, 'Z'); string(got) != "end" {
 		t.Errorf("between commands: %q", got)
 	}
@@ -478,7 +478,7 @@
 	late.Close()
 	busy.Close()
 	idle.Close()
-	r.front.Wait(5*time.Second, time.Now().Add(5*time.Second))
+	r.front.WaitClosed(5*time.Second, time.Now().Add(5*time.Second))
 }
 
 // TestBadInput: each gets its code; the connection lives on unless its stream can't be trusted any more.
--- a/internal/frontend/clients.go
+++ b/internal/frontend/clients.go
@@ -57,9 +57,9 @@
 )
 
 // Front takes clients' connections.
-type Front struct {
+type Server struct {
 	now       func() int64
-	taker     inflight.Taker
+	taker     inflight.Intake
 	groups    map[string]int
 	tenants   map[string]int
 	most      int   // connections at once
@@ -80,17 +80,17 @@
 
 // New makes a front that knows command groups and tenants by name; it holds so many connections at most, and
 // a part of so many bytes of memory.
-func New(now func() int64, taker inflight.Taker, groups, tenants map[string]int, most int, memory int64) *Front {
+func New(now func() int64, taker inflight.Intake, groups, tenants map[string]int, most int, memory int64) *Server {
 	ended := most / endingPart
-	return &Front{now: now, taker: taker, groups: groups, tenants: tenants, most: most - ended, mostEnded: ended, mostIdle: most / idlePart,
+	return &Server{now: now, taker: taker, groups: groups, tenants: tenants, most: most - ended, mostEnded: ended, mostIdle: most / idlePart,
 		mostHeld: memory / heldPart, mostBegun: memory / begunPart, conns: map[uint32]*conn{}}
 }
 
 // Open tells that commands can be taken from now on.
-func (f *Front) Open() { f.ready.Store(true) }
+func (f *Server) SetReady() { f.ready.Store(true) }
 
 // Serve takes connections; it returns only when that fails.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	loop, err := netpoll.NewEventLoop(func(context.Context, netpoll.Connection) error { return nil },
 		netpoll.WithOnPrepare(func(c netpoll.Connection) context.Context {
 			f.admit(c)
@@ -111,7 +111,7 @@
 
 // admit takes a connection. At the limit another makes room, by rank; none with a command is ended. Guards against
 // those who connect and ask nothing, and those who asked once and stay.
-func (f *Front) admit(nc netpoll.Connection) {
+func (f *Server) admit(nc netpoll.Connection) {
 	accepted.Add()
 	c := &conn{front: f, split: pgwire.NewSplitter(mostStartup, true), stream: stream.New(nc)}
 	var secret [4]byte
@@ -131,16 +131,16 @@
 		evicted.Add()
 		out.evict()
 	}
-	c.stream.Start(stream.Events{Bytes: c.bytes, Ended: c.ended})
+	c.stream.Start(stream.Events{Received: c.bytes, Closed: c.ended})
 	if over {
 		turned.Add()
-		c.refuse(true, pgwire.CodeThrottled, "too many connections")
+		c.refuse(true, pgwire.CodeRejected, "too many connections")
 	}
 }
 
 // room names the connection that has to end for one more, and one that has ended and must be closed for it; over
 // tells that there is no place. Called under the lock.
-func (f *Front) room() (out, ended *conn, over bool) {
+func (f *Server) room() (out, ended *conn, over bool) {
 	if len(f.conns) < f.most {
 		return nil, nil, false
 	}
@@ -168,7 +168,7 @@
 }
 
 // all lists the connections.
-func (f *Front) all() []*conn {
+func (f *Server) all() []*conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := make([]*conn, 0, len(f.conns))
@@ -180,7 +180,7 @@
 
 // sweep ends connections of no use: without a command from the start, or with a message that does not get whole,
 // and the longest idle where too many are.
-func (f *Front) sweep() {
+func (f *Server) sweep() {
 	now := f.now()
 	var idle []*conn
 	for _, c := range f.all() {
@@ -201,7 +201,7 @@
 }
 
 // End closes connections as soon as nothing is owed on them; what still comes behind that is turned away.
-func (f *Front) End() {
+func (f *Server) BeginDrain() {
 	f.ending.Store(true)
 	for _, c := range f.all() {
 		c.endBetween()
@@ -210,12 +210,12 @@
 
 // Wait returns once clients have ended all connections, but for so long at most behind the last answer's leave; and
 // until the last answers have left only up to a time.
-func (f *Front) Wait(most time.Duration, until time.Time) {
+func (f *Server) WaitClosed(most time.Duration, until time.Time) {
 	for end := time.Now().Add(most); ; time.Sleep(5 * time.Millisecond) {
 		now := time.Now()
 		all := f.all()
 		for _, c := range all {
-			if !c.stream.Finished() && c.phase.Load() != fresh { // who never asked anything is owed nothing
+			if !c.stream.WriteSideClosed() && c.phase.Load() != fresh { // who never asked anything is owed nothing
 				end = now.Add(most)
 			}
 		}
@@ -226,7 +226,7 @@
 }
 
 // cancel ends the command in hand on a connection, by the key that its client was told: its client has given it up.
-func (f *Front) cancel(process, secret uint32, asked int64) {
+func (f *Server) cancel(process, secret uint32, asked int64) {
 	f.mu.Lock()
 	c := f.conns[process]
 	f.mu.Unlock()
@@ -247,7 +247,7 @@
 
 // conn is one client's connection.
 type conn struct {
-	front   *Front
+	front   *Server
 	stream  *stream.Stream
 	number  uint32
 	secret  uint32 // who knows it may cancel the connection's commands
@@ -267,7 +267,7 @@
 
 // slot is the place of one answer.
 type slot struct {
-	x     *inflight.Exchange
+	x     *inflight.Request
 	at    int64 // when its command came
 	bytes []byte
 	fatal bool
@@ -300,7 +300,7 @@
 func (c *conn) evict() {
 	switch c.phase.Load() {
 	case fresh:
-		c.refuse(true, pgwire.CodeThrottled, "too many connections")
+		c.refuse(true, pgwire.CodeRejected, "too many connections")
 	case calm:
 		c.endBetween()
 	}
@@ -320,7 +320,7 @@
 			break
 		}
 		if !whole {
-			c.hold(at, int64(c.split.Left()))
+			c.hold(at, int64(c.split.Buffered()))
 			return
 		}
 		c.begunAt.Store(0)
@@ -352,7 +352,7 @@
 		c.begunAt.Store(0)
 	} else if c.begunAt.CompareAndSwap(0, at); all > f.mostBegun && left > f.mostBegun/int64(f.most) {
 		turned.Add()
-		c.refuse(true, pgwire.CodeThrottled, "too much in hand")
+		c.refuse(true, pgwire.CodeRejected, "too much in hand")
 		c.hold(at, 0)
 	}
 }
@@ -370,7 +370,7 @@
 		c.local(nil, true) // nothing is ever said to one
 	case opening == pgwire.OpenStartup || opening == pgwire.OpenStartupNewer:
 		c.started = true
-		c.split.Typed(mostQuery)
+		c.split.ExpectTyped(mostQuery)
 		c.stream.Write(pgwire.AppendWelcome(nil, opening == pgwire.OpenStartupNewer, c.number, c.secret), nil)
 	default:
 		malformed.Add()
@@ -411,7 +411,7 @@
 		c.refuse(false, pgwire.CodeNotReady, "the router is starting up")
 		return
 	}
-	if pgwire.Blank(statement) {
+	if pgwire.IsEmptyQuery(statement) {
 		empties.Add()
 		c.local(pgwire.AppendEmpty(nil), false)
 		return
@@ -439,7 +439,7 @@
 		c.refuse(false, code, err.Error())
 		return
 	}
-	x := inflight.New(cmd, c, group, tenant, at)
+	x := inflight.NewRequest(cmd, c, group, tenant, at)
 	c.mu.Lock()
 	if c.closed { // it was ended for another while this was read: an answer could not be given any more
 		c.mu.Unlock()
@@ -456,13 +456,13 @@
 	}
 	c.mu.Unlock()
 	if room {
-		c.front.taker.Take(at, x)
+		c.front.taker.Submit(at, x)
 	} else if leaving {
 		parting.Add()
 		c.refuse(false, pgwire.CodeNotReady, "the router is leaving; nothing was done")
 	} else {
 		crowded.Add()
-		c.refuse(false, pgwire.CodeThrottled, "too many commands in hand")
+		c.refuse(false, pgwire.CodeRejected, "too many commands in hand")
 	}
 }
 
@@ -480,7 +480,7 @@
 	}
 	if !fatal && len(c.slots) >= mostOwed {
 		turned.Add()
-		p, fatal = pgwire.AppendError(nil, true, pgwire.CodeThrottled, "too many answers owed", 0), true
+		p, fatal = pgwire.AppendError(nil, true, pgwire.CodeRejected, "too many answers owed", 0), true
 	}
 	if fatal {
 		c.closed = true
@@ -508,7 +508,7 @@
 		}
 		if s.fatal {
 			c.turn(gone)
-			c.stream.End()
+			c.stream.CloseGracefully()
 			return
 		}
 	}
@@ -532,12 +532,12 @@
 	if len(c.slots) == 0 && !c.closed {
 		c.closed = true
 		c.turn(gone)
-		c.stream.End()
+		c.stream.CloseGracefully()
 	}
 }
 
 // fill puts a command's answer in its place.
-func (c *conn) fill(x *inflight.Exchange, p []byte) {
+func (c *conn) fill(x *inflight.Request, p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.slots {
@@ -563,13 +563,13 @@
 	c.flush()
 	c.mu.Unlock()
 	cancelled.Add()
-	c.front.taker.Gone(c.front.now(), s.x)
+	c.front.taker.ClientGone(c.front.now(), s.x)
 	return true
 }
 
 // Here implements inflight.Client.
-func (c *conn) Here() bool {
-	if c.stream.Present() {
+func (c *conn) Connected() bool {
+	if c.stream.PeerPresent() {
 		return true
 	}
 	c.leave(c.front.now())
@@ -577,15 +577,15 @@
 }
 
 // Answer implements inflight.Client.
-func (c *conn) Answer(x *inflight.Exchange, value []byte) { c.fill(x, pgwire.AppendReady(value)) }
+func (c *conn) Answer(x *inflight.Request, value []byte) { c.fill(x, pgwire.AppendReady(value)) }
 
 // Throttle implements inflight.Client.
-func (c *conn) Throttle(x *inflight.Exchange, wait int64) {
-	c.fill(x, pgwire.AppendError(nil, false, pgwire.CodeThrottled, "not now; nothing was done", wait))
+func (c *conn) Reject(x *inflight.Request, wait int64) {
+	c.fill(x, pgwire.AppendError(nil, false, pgwire.CodeRejected, "not now; nothing was done", wait))
 }
 
 // Fail implements inflight.Client.
-func (c *conn) Fail(x *inflight.Exchange) {
+func (c *conn) Fail(x *inflight.Request) {
 	c.fill(x, pgwire.AppendError(nil, false, pgwire.CodeFailed, "the command failed", 0))
 }
 
@@ -611,7 +611,7 @@
 			if s.bytes == nil {
 				c.front.held.Add(-int64(s.x.Command.Size()))
 			}
-			c.front.taker.Gone(at, s.x)
+			c.front.taker.ClientGone(at, s.x)
 		}
 	}
 }
--- a/internal/frontend/clients_test.go
+++ b/internal/frontend/clients_test.go
@@ -8,8 +8,8 @@
 
 type taker struct{ taken int }
 
-func (t *taker) Take(int64, *inflight.Exchange) { t.taken++ }
-func (t *taker) Gone(int64, *inflight.Exchange) {}
+func (t *taker) Submit(int64, *inflight.Request)     { t.taken++ }
+func (t *taker) ClientGone(int64, *inflight.Request) {}
 
 // TestNothingIsTakenAfterTheEnd guards against a command read just as its connection is ended to make room: it
 // would run, and its answer could not be given.
@@ -17,7 +17,7 @@
 	for _, closed := range []bool{false, true} {
 		got := &taker{}
 		f := New(func() int64 { return 1 }, got, map[string]int{"look": 0}, nil, 9, 1<<20)
-		f.Open()
+		f.SetReady()
 		c := &conn{front: f, closed: closed}
 		c.query(1, []byte("/* id=1,c=look,d=9,cluster=0 */ SELECT 1"))
 		if got.taken == 1 == closed {
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -26,7 +26,7 @@
 func (c *Counter) Add() { c.n.Add(1) }
 
 // Peak keeps the highest value seen.
-func (c *Counter) Peak(v int64) {
+func (c *Counter) RaiseTo(v int64) {
 	for {
 		old := c.n.Load()
 		if v <= old || c.n.CompareAndSwap(old, v) {
--- a/internal/pgwire/backend.go
+++ b/internal/pgwire/backend.go
@@ -8,7 +8,7 @@
 )
 
 // ErrTurn tells that a node said what does not follow: nothing more of its connection can be believed.
-var ErrTurn = errors.New("message out of turn")
+var ErrUnexpectedMessage = errors.New("message out of turn")
 
 // The words of our protocol page: how the router signs on, and under which names a node tells of itself.
 const (
@@ -20,8 +20,8 @@
 	statusLoad     = "load"
 )
 
-// Standing is what a node tells of itself beside an answer.
-type Standing struct {
+// NodeReport is what a node tells of itself beside an answer.
+type NodeReport struct {
 	Primary, Replica bool
 	Position         int64  // us in Unix time, 0 for none
 	Load             string // its report, as it stands on the wire
@@ -29,7 +29,7 @@
 
 // Reply collects what a node sends back for one query, up to ReadyForQuery.
 type Reply struct {
-	Standing
+	NodeReport
 	Code  string // of its ErrorResponse, "" for none
 	Fatal bool   // the connection ends with it
 	Value []byte // RowDescription, DataRow and CommandComplete as they came
@@ -38,13 +38,13 @@
 }
 
 // Whole tells whether the row is complete, though ReadyForQuery may be still to come.
-func (r *Reply) Whole() bool { return r.last == 'C' }
+func (r *Reply) Complete() bool { return r.last == 'C' }
 
 // Begun tells whether any part of an answer has come.
 func (r *Reply) Begun() bool { return r.last != 0 }
 
 // Take adds one message; done tells that the node is ready for the next query.
-func (r *Reply) Take(f Frame) (done bool, err error) {
+func (r *Reply) Add(f Frame) (done bool, err error) {
 	switch f.Type {
 	case 'S':
 		r.status(f)
@@ -53,15 +53,15 @@
 		return false, nil
 	case 'Z':
 		if r.last != 'C' && r.last != 'E' || len(f.Body) != 1 {
-			return false, ErrTurn
+			return false, ErrUnexpectedMessage
 		}
 		return true, nil
 	case 'T', 'D', 'C':
 		if f.Type == 'T' && r.last != 0 || f.Type == 'D' && r.last != 'T' || f.Type == 'C' && r.last != 'D' {
-			return false, ErrTurn
+			return false, ErrUnexpectedMessage
 		}
 		if !shaped(f) {
-			return false, ErrTurn
+			return false, ErrUnexpectedMessage
 		}
 		if f.Type == 'D' {
 			r.First = append(r.First, f.Body[6:]...)
@@ -69,13 +69,13 @@
 		r.Value = f.Append(r.Value)
 	case 'E':
 		if r.last == 'C' || r.last == 'E' { // it may break off a row, not follow a whole one
-			return false, ErrTurn
+			return false, ErrUnexpectedMessage
 		}
 		if r.Code, r.Fatal, err = decodeError(f); err != nil {
 			return false, err
 		}
 	default:
-		return false, ErrTurn
+		return false, ErrUnexpectedMessage
 	}
 	r.last = f.Type
 	return false, nil
@@ -118,17 +118,17 @@
 }
 
 // Greeting collects what a node sends back for a startup; done tells that it is ready.
-type Greeting struct {
+type StartupReply struct {
 	Code    string
 	allowed bool
 }
 
 // Take adds one message.
-func (g *Greeting) Take(f Frame) (done bool, err error) {
+func (g *StartupReply) Add(f Frame) (done bool, err error) {
 	switch f.Type {
 	case 'R':
 		if len(f.Body) != 4 || binary.BigEndian.Uint32(f.Body) != 0 { // it wants more than a name
-			return false, ErrTurn
+			return false, ErrUnexpectedMessage
 		}
 		g.allowed = true
 	case 'S', 'N', 'K':
@@ -137,11 +137,11 @@
 		return true, err
 	case 'Z':
 		if !g.allowed {
-			return false, ErrTurn
+			return false, ErrUnexpectedMessage
 		}
 		return true, nil
 	default:
-		return false, ErrTurn
+		return false, ErrUnexpectedMessage
 	}
 	return false, nil
 }
@@ -150,7 +150,7 @@
 	for b := f.Body; len(b) > 0 && b[0] != 0; {
 		value, rest, ok := text(b[1:])
 		if !ok {
-			return "", false, ErrTurn
+			return "", false, ErrUnexpectedMessage
 		}
 		switch b[0] {
 		case 'C':
@@ -161,7 +161,7 @@
 		b = rest
 	}
 	if code == "" {
-		return "", false, ErrTurn
+		return "", false, ErrUnexpectedMessage
 	}
 	return code, fatal, nil
 }
--- a/internal/pgwire/command.go
+++ b/internal/pgwire/command.go
@@ -13,7 +13,7 @@
 type Command struct {
 	ID, Group, Tenant, Session string
 	Timeout                    int64 // us that the client waits
-	After                      int64 // us in Unix time of the session's last commit, 0 for none
+	LastCommit                 int64 // us in Unix time of the session's last commit, 0 for none
 	Shard                      int
 	statement                  []byte
 	timeFrom, timeTo           int // where the statement holds the client's timeout
@@ -85,8 +85,8 @@
 	case "cluster":
 		c.Shard, err = strconv.Atoi(string(value))
 	case "after":
-		c.After, err = decimal.Micros(value)
-		if err == nil && c.After < 0 {
+		c.LastCommit, err = decimal.Micros(value)
+		if err == nil && c.LastCommit < 0 {
 			return invalid(name, "before all time")
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 // AppendFor encodes the query for a node: as the client sent it, but for the time that is left, in us.
-func (c *Command) AppendFor(dst []byte, left int64) []byte {
+func (c *Command) AppendQuery(dst []byte, left int64) []byte {
 	body := make([]byte, 0, len(c.statement)+8)
 	body = append(body, c.statement[:c.timeFrom]...)
 	body = strconv.AppendInt(body, max(1, left/1000), 10)
@@ -133,4 +133,4 @@
 func (c *Command) Size() int { return len(c.statement) }
 
 // Blank tells whether a query holds nothing to do.
-func Blank(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
+func IsEmptyQuery(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -14,7 +14,7 @@
 }
 
 // ErrLength tells that a message claims a length that none can have here: the stream can't be trusted.
-var ErrLength = errors.New("invalid message length")
+var ErrMessageLength = errors.New("invalid message length")
 
 // Splitter cuts a stream into messages, however its bytes arrive. It never holds more than has arrived.
 type Splitter struct {
@@ -40,10 +40,10 @@
 }
 
 // Typed tells that from now on messages have a type byte, and bodies up to most bytes.
-func (s *Splitter) Typed(most int) { s.untyped, s.most = false, most }
+func (s *Splitter) ExpectTyped(most int) { s.untyped, s.most = false, most }
 
 // Left is how many bytes have arrived of messages not taken yet.
-func (s *Splitter) Left() int { return len(s.buf) - s.from }
+func (s *Splitter) Buffered() int { return len(s.buf) - s.from }
 
 // Next takes the next whole message; whole is false until more has arrived.
 func (s *Splitter) Next() (f Frame, whole bool, err error) {
@@ -56,7 +56,7 @@
 	}
 	n := int64(binary.BigEndian.Uint32(b[head-4:])) - 4
 	if n < 0 || n > int64(s.most) {
-		return f, false, ErrLength
+		return f, false, ErrMessageLength
 	}
 	if int64(len(b)-head) < n {
 		return f, false, nil
--- a/internal/pgwire/frontend.go
+++ b/internal/pgwire/frontend.go
@@ -7,7 +7,7 @@
 
 // SQLSTATEs that this router gives or is given.
 const (
-	CodeThrottled   = "53300" // too_many_connections: nothing ran, come again
+	CodeRejected    = "53300" // too_many_connections: nothing ran, come again
 	CodeNotReady    = "57P03" // cannot_connect_now
 	CodeIdle        = "57P05" // idle_session_timeout
 	CodeFailed      = "58000" // system_error
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -16,11 +16,11 @@
 		t.Fatal(err)
 	}
 	if c.ID != "9b1f" || c.Group != "post" || c.Tenant != "acme" || c.Timeout != 480_000 || c.Shard != 2 ||
-		c.After != 1767225600123_000 || c.Session != "7f3a" {
+		c.LastCommit != 1767225600123_000 || c.Session != "7f3a" {
 		t.Errorf("%+v", c)
 	}
 	want := AppendQuery(nil, strings.Replace(post, "d=480", "d=77", 1))
-	if got := c.AppendFor(nil, 77_900); !bytes.Equal(got, want) {
+	if got := c.AppendQuery(nil, 77_900); !bytes.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
 }
@@ -64,13 +64,13 @@
 			return
 		}
 		s := NewSplitter(1<<20, false)
-		s.Feed(c.AppendFor(nil, left))
+		s.Feed(c.AppendQuery(nil, left))
 		q, whole, err := s.Next()
 		if !whole || err != nil {
 			t.Fatal(whole, err)
 		}
 		again, err := DecodeCommand(q.Body[:len(q.Body)-1])
-		if err != nil || again.ID != c.ID || again.Shard != c.Shard || again.After != c.After ||
+		if err != nil || again.ID != c.ID || again.Shard != c.Shard || again.LastCommit != c.LastCommit ||
 			again.Session != c.Session || again.Timeout != max(1, left/1000)*1000 {
 			t.Fatalf("%q: %+v, %v", in, again, err)
 		}
@@ -111,7 +111,7 @@
 					if !whole {
 						break
 					}
-					if done, err := r.Take(fr); done || err != nil {
+					if done, err := r.Add(fr); done || err != nil {
 						return r, done, err
 					}
 				}
@@ -121,10 +121,10 @@
 		a, doneA, errA := read(len(in) + 1)
 		b, doneB, errB := read(1)
 		if doneA != doneB || errA != errB || a.Code != b.Code || !bytes.Equal(a.Value, b.Value) ||
-			a.Standing != b.Standing || a.last != b.last {
+			a.NodeReport != b.NodeReport || a.last != b.last {
 			t.Fatalf("%+v %v %v; %+v %v %v", a, doneA, errA, b, doneB, errB)
 		}
-		if doneA && a.Code == "" && (!a.Whole() || len(a.Value) > len(in)) {
+		if doneA && a.Code == "" && (!a.Complete() || len(a.Value) > len(in)) {
 			t.Fatalf("an answer of no whole row: %+v", a)
 		}
 	})
@@ -147,10 +147,10 @@
 		for whole := true; whole && err == nil; {
 			var f Frame
 			if f, whole, err = s.Next(); whole && err == nil {
-				_, err = r.Take(f)
+				_, err = r.Add(f)
 			}
 		}
-		if err != ErrTurn {
+		if err != ErrUnexpectedMessage {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -160,7 +160,7 @@
 	for _, in := range []string{"Q\x00\x00\x00\x03", "Q\xff\xff\xff\xff", "Q\x00\x01\x00\x00"} {
 		s := NewSplitter(1000, false)
 		s.Feed([]byte(in))
-		if _, _, err := s.Next(); err != ErrLength {
+		if _, _, err := s.Next(); err != ErrMessageLength {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -18,7 +18,7 @@
 )
 
 // Instead is what tests and proofs put in the place of the machine's own; each may be nil.
-type Instead struct {
+type TestHooks struct {
 	Wrap   membership.Wrap             // stands before the network among instances
 	Clock  func() int64                // of leases
 	Leases func(*leaseservice.Leasing) // is told of the router's part in leases, once it has begun
@@ -26,7 +26,7 @@
 
 // Check reads the operator's file as a start would, for a router whose own name is not known; the error holds every
 // fault.
-func Check(path string) error {
+func CheckFile(path string) error {
 	_, err := readParts(path, "n0")
 	return err
 }
@@ -78,7 +78,7 @@
 }
 
 // join starts what the operator's file asks for. It is called before the engine runs.
-func join(w wishes, name string, now func() int64, e *engine.Engine, me *self, targets []int64, probes bool, in Instead) (c *company, err error) {
+func join(w wishes, name string, now func() int64, e *engine.Engine, me *self, targets []int64, probes bool, in TestHooks) (c *company, err error) {
 	c = &company{name: name, wishes: w}
 	defer func() {
 		if err != nil {
@@ -130,7 +130,7 @@
 	close(ready)
 	if c.shares != nil {
 		c.shares.Join(now(), c.fleet, w.fleet, w.duties)
-		e.Share(c.shares)
+		e.SetSharedProbes(c.shares)
 	}
 	if c.leases != nil {
 		c.leases.Start()
@@ -142,7 +142,7 @@
 			c.leases.Serve(c.control)
 		}
 		if w.release.Given {
-			e.Accompany(targets)
+			e.EnableClusterServices(targets)
 			r := rolloutservice.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.Longest, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Any)
 			r.Start()
 			c.releasing.Store(r)
--- a/internal/serve/crossings_test.go
+++ b/internal/serve/crossings_test.go
@@ -37,7 +37,7 @@
 	configured(t, strings.Replace(fmt.Sprintf(config, listen, strings.TrimPrefix(discovery.URL, "http://")),
 		`"settings"`, `"known":{"index":7,"snapshot":true,"endpoints":[`+known+`]},"settings"`, 1))
 	ended = make(chan error, 1)
-	go func() { ended <- Run("", Instead{}) }()
+	go func() { ended <- Run("", TestHooks{}) }()
 	return listen, ended
 }
 
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -24,21 +24,21 @@
 func (s *self) Figures() (f rollout.Served, ready bool, startedIn int64) {
 	done, bad, refused := inflight.Totals()
 	startedIn = s.ready.Load()
-	return rollout.Served{Commands: done + bad + refused, Failed: bad, Late: engine.Late(), Throttled: refused}, startedIn > 0 && !s.leaving.Load(), startedIn
+	return rollout.Served{Commands: done + bad + refused, Failed: bad, Late: engine.LateAnswers(), Throttled: refused}, startedIn > 0 && !s.leaving.Load(), startedIn
 }
 
 // Drain implements rolloutservice.Router.
 func (s *self) Drain(nodes []string) {
-	s.e.Post(s.now(), func(now int64) { s.e.Drain(now, nodes) })
+	s.e.Post(s.now(), func(now int64) { s.e.SetDrained(now, nodes) })
 }
 
 // Look implements rolloutservice.Router.
 func (s *self) Look(take func([]rolloutservice.Node)) {
 	s.e.Post(s.now(), func(now int64) {
 		var all []rolloutservice.Node
-		for _, k := range s.e.Look() {
-			all = append(all, rolloutservice.Node{Box: rollout.Box{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Up,
-				Near: rollout.Near(now - k.Position)}, Open: k.Open, Answered: k.Answered})
+		for _, k := range s.e.NodeStatuses() {
+			all = append(all, rolloutservice.Node{Box: rollout.Box{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Available,
+				Near: rollout.Near(now - k.Position)}, Open: k.OpenAttempts, Answered: k.Answered})
 		}
 		take(all)
 	})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -63,7 +63,7 @@
 }
 
 // read takes the configuration whole or not at all.
-func read() (t told, known *discovery.List, values settings.Values, err error) {
+func read() (t told, known *discovery.EndpointList, values settings.Values, err error) {
 	path := os.Getenv("RELAY_CONFIG")
 	raw, err := os.ReadFile(path)
 	if err == nil {
@@ -76,7 +76,7 @@
 		return t, nil, nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(t.Known) > 0 && string(t.Known) != "null" {
-		if known, err = discovery.Decode(t.Known); err != nil {
+		if known, err = discovery.DecodeEndpointList(t.Known); err != nil {
 			return t, nil, nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 // Run runs a router until a stop, with the operator's file, "" for none.
-func Run(path string, in Instead) error {
+func Run(path string, in TestHooks) error {
 	began := time.Now()
 	// Before all else: a signal that nobody waits for would end the process.
 	stops, calls := make(chan os.Signal, 1), make(chan os.Signal, 8)
@@ -146,40 +146,40 @@
 	}
 	forClients := int(float64(sockets-spareSockets) * clientShare)
 
-	if err := stream.Setup(slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn).Writer()); err != nil {
+	if err := stream.ConfigureLibrary(slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn).Writer()); err != nil {
 		return err
 	}
-	now := engine.Clock()
+	now := engine.NewClock()
 	e := engine.New(now)
 	r := routing.New(seed(t.Seed), e)
 	limits := settings.Reader{Values: values}
 	connect, idle := limits.Time("limits.connectTimeout"), limits.Time("limits.connIdle")
-	names, err := values.Hand(r, connect)
+	names, err := values.Configure(r, connect)
 	if err = errors.Join(limits.Err, err); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	pool := backend.New(now, e.Post, e.After, e, connect, idle, sockets-spareSockets-forClients)
-	e.Join(r, pool)
+	e.Attach(r, pool)
 	me := &self{now: now, e: e, began: began, leave: make(chan struct{}, 1)}
-	others, err := join(with, t.Name, now, e, me, names.Targets, values.Probes(), in)
+	others, err := join(with, t.Name, now, e, me, names.LatencyObjectives, values.HealthChecksAllowed(), in)
 	if err != nil {
 		return err
 	}
-	front := frontend.New(now, e, names.Groups, names.Tenants, forClients, memory)
+	front := frontend.New(now, e, names.GroupNumbers, names.TenantNumbers, forClients, memory)
 
 	ln, err := net.Listen("tcp", t.Listen)
 	if err != nil {
 		return err
 	}
 	listened := false // to discovery, this process; engine's goroutine
-	take := func(now int64, l *discovery.List) {
+	take := func(now int64, l *discovery.EndpointList) {
 		listened = true
-		e.Listed(now, l)
-		others.listed(l.Index)
-		front.Open()
+		e.ApplyEndpointList(now, l)
+		others.listed(l.Version)
+		front.SetReady()
 		me.opened()
 	}
-	listed := func(l *discovery.List) { e.Post(now(), func(now int64) { take(now, l) }) }
+	listed := func(l *discovery.EndpointList) { e.Post(now(), func(now int64) { take(now, l) }) }
 	e.Post(now(), r.Start)
 	if known != nil {
 		e.After(knownWait, func(now int64) {
@@ -192,7 +192,7 @@
 	defer cancel()
 	go e.Run()
 	moves := make(chan string, 1)
-	go discovery.Follow(ctx, t.Discovery, discovery.Unknown, moves, listed)
+	go discovery.Follow(ctx, t.Discovery, discovery.UnknownVersion, moves, listed)
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(ln) }()
 	slog.Info("serving", "name", t.Name, "listen", t.Listen, "sockets", sockets)
@@ -212,18 +212,18 @@
 			}
 			others.reload(path)
 		case <-stops:
-			return stop(e, front, me, others, names.Longest)
+			return stop(e, front, me, others, names.LongestClientTimeout)
 		case <-me.leave:
-			return stop(e, front, me, others, names.Longest)
+			return stop(e, front, me, others, names.LongestClientTimeout)
 		}
 	}
 }
 
 // stop leaves in order: the others take over while it answers what it owes. longest is the longest client timeout, us.
-func stop(e *engine.Engine, front *frontend.Front, me *self, others *company, longest int64) error {
+func stop(e *engine.Engine, front *frontend.Server, me *self, others *company, longest int64) error {
 	last := time.Now().Add(min(time.Duration(longest)*time.Microsecond, killFrom) + killAfter - killMargin)
 	me.leaving.Store(true)
-	slog.Info("leaving", "owed", e.Owed())
+	slog.Info("leaving", "owed", e.Unanswered())
 	gone := make(chan struct{})
 	go func() {
 		others.leave()
@@ -237,24 +237,24 @@
 // leave goes on taking what still arrives while the front moves away, then ends each connection between
 // commands, and returns when nothing is owed and the others know. What nodes keep to themselves until last is given up
 // then, before the platform kills. It serves to its end: who comes meanwhile must not wait at an engine that has stopped.
-func leave(e *engine.Engine, front *frontend.Front, gone <-chan struct{}, last time.Time) {
+func leave(e *engine.Engine, front *frontend.Server, gone <-chan struct{}, last time.Time) {
 	time.Sleep(min(moveAway, time.Until(last)))
-	front.End()
+	front.BeginDrain()
 	select {
 	case <-gone:
 	case <-time.After(min(partWait, time.Until(last))):
 	}
 	alarm := time.NewTimer(time.Until(last))
-	for end := false; !end && e.Owed() > 0; {
+	for end := false; !end && e.Unanswered() > 0; {
 		select {
-		case <-e.Idle():
+		case <-e.AllAnswered():
 		case <-alarm.C:
 			end = time.Since(last) >= killMargin/2
-			e.Leave()
+			e.GiveUpAll()
 			alarm.Reset(killMargin / 2)
 		}
 	}
-	front.Wait(lastWait, last.Add(killMargin/2))
+	front.WaitClosed(lastWait, last.Add(killMargin/2))
 	e.Stop()
 	slog.Info("left")
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -67,7 +67,7 @@
 	configured(t, fmt.Sprintf(config, listen, "127.0.0.1:1")) // where nobody answers
 	t.Setenv("RELAY_DISCOVERY", "127.0.0.1:1")
 	ended := make(chan error, 1)
-	go func() { ended <- Run("", Instead{}) }()
+	go func() { ended <- Run("", TestHooks{}) }()
 
 	var c net.Conn
 	for c, err = net.Dial("tcp", listen); err != nil; c, err = net.Dial("tcp", listen) {
@@ -143,12 +143,12 @@
 		`{"listen":"nowhere at all","discovery":"d","settings":{"limits":{"connIdle":"15000"}}}`: "nowhere",
 	} {
 		configured(t, text)
-		if err := Run("", Instead{}); err == nil || !strings.Contains(err.Error(), want) {
+		if err := Run("", TestHooks{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
 	t.Setenv("RELAY_CONFIG", "/nowhere")
-	if err := Run("", Instead{}); err == nil {
+	if err := Run("", TestHooks{}); err == nil {
 		t.Error("it runs without a configuration")
 	}
 }
@@ -178,7 +178,7 @@
 	word := func(key []byte) string { return `"` + base64.StdEncoding.EncodeToString(key) + `"` }
 	write(word(old))
 	ended := make(chan error, 1)
-	go func() { ended <- Run(path, Instead{}) }()
+	go func() { ended <- Run(path, TestHooks{}) }()
 	for c, err := net.Dial("tcp", listen); ; c, err = net.Dial("tcp", listen) {
 		if err == nil {
 			c.Close()
@@ -235,7 +235,7 @@
 	if err := os.WriteFile(path, []byte(`(releases (zone "a"))`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := Check(path); err == nil || !strings.Contains(err.Error(), "releases without leases") || strings.Contains(err.Error(), "unknown") {
+	if err := CheckFile(path); err == nil || !strings.Contains(err.Error(), "releases without leases") || strings.Contains(err.Error(), "unknown") {
 		t.Error(err)
 	}
 }
--- a/internal/settings/opening.go
+++ b/internal/settings/opening.go
@@ -23,10 +23,10 @@
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Why }
 
 // Names are the numbers under which the module knows command groups and tenants.
-type Names struct {
-	Groups, Tenants map[string]int
-	Targets         []int64 // of groups by number, us
-	Longest         int64   // client timeout of any group, us
+type Catalog struct {
+	GroupNumbers, TenantNumbers map[string]int
+	LatencyObjectives           []int64 // of groups by number, us
+	LongestClientTimeout        int64   // client timeout of any group, us
 }
 
 // FromJSON flattens nested values into paths: list entries by number with their count, plain lists joined.
@@ -85,7 +85,7 @@
 func (v Values) on(key string) bool { return v[key] == "true" || v[key] == "1" }
 
 // Probes tells whether nodes may be probed.
-func (v Values) Probes() bool { return v.on("limits.probes") }
+func (v Values) HealthChecksAllowed() bool { return v.on("limits.probes") }
 
 // List is a list of plain values.
 func (v Values) List(key string) []string {
@@ -122,7 +122,7 @@
 }
 
 // Num is a whole number; 0 where it is absent.
-func (n *Reader) Num(key string) int {
+func (n *Reader) Int(key string) int {
 	if n.Values[key] == "" {
 		return 0
 	}
@@ -154,12 +154,12 @@
 
 // Hand gives each part of the module its few values. A dispatch may leave up to sendLate after it was
 // decided; the age that a read's data may have when it is sent is cut by that.
-func (v Values) Hand(r *routing.Router, sendLate int64) (Names, error) {
+func (v Values) Configure(r *routing.Router, sendLate int64) (Catalog, error) {
 	n := Reader{Values: v}
-	names := Names{Groups: map[string]int{}, Tenants: map[string]int{}}
-	r.Place(v["az"], n.Num("siblings"), n.Time("round"))
+	names := Catalog{GroupNumbers: map[string]int{}, TenantNumbers: map[string]int{}}
+	r.Place(v["az"], n.Int("siblings"), n.Time("round"))
 	levels, bounds := v.List("domain.readLevel"), v.List("domain.oldestData")
-	for i := range n.Num("classes.count") {
+	for i := range n.Int("classes.count") {
 		at := "classes." + strconv.Itoa(i) + "."
 		effect := routing.Mutating
 		switch v[at+"effect"] {
@@ -168,24 +168,24 @@
 		case "keyed":
 			effect = routing.Keyed
 		}
-		names.Groups[v[at+"name"]] = i
-		names.Targets = append(names.Targets, n.Time(at+"aim"))
-		names.Longest = max(names.Longest, n.Time(at+"hardLimit"))
+		names.GroupNumbers[v[at+"name"]] = i
+		names.LatencyObjectives = append(names.LatencyObjectives, n.Time(at+"aim"))
+		names.LongestClientTimeout = max(names.LongestClientTimeout, n.Time(at+"hardLimit"))
 		bound := n.timeOf("domain.oldestData", nth(bounds, i))
 		r.Group(effect, v[at+"group"] == "all", level(nth(levels, i)), max(0, bound-sendLate),
 			n.Time(at+"window"), n.Time(at+"aim"), n.Time(at+"hardLimit"), n.Float(at+"points"),
 			n.Float(at+"lateValue"))
 	}
-	for i := range n.Num("tenants.count") {
+	for i := range n.Int("tenants.count") {
 		at := "tenants." + strconv.Itoa(i) + "."
-		names.Tenants[v[at+"name"]] = i
+		names.TenantNumbers[v[at+"name"]] = i
 		r.Tenant(n.Float(at + "quotaPerS"))
 	}
 	r.Shares(n.Float("overShareWorth"))
-	r.Dispatches(n.Num("limits.maxAttempts"), v.on("limits.cancel"), v.on("limits.secondCopies"))
+	r.Dispatches(n.Int("limits.maxAttempts"), v.on("limits.cancel"), v.on("limits.secondCopies"))
 	fields := v.List("report.fields")
 	reports := func(name string) bool { return v["report.how"] != "none" && slices.Contains(fields, name) }
-	r.Probes(v.Probes(), reports("x0"), reports("x1"))
+	r.Probes(v.HealthChecksAllowed(), reports("x0"), reports("x1"))
 	r.Tokens(v["domain.writeMarks"] == "carried")
 	r.ColdStart(n.Time("rules.cold"), n.Float("rules.coldFrom"), n.Float("rules.fallMultiple"), n.Time("rules.fall"))
 	r.Drains(v.on("rules.droppedStayOpen"))
--- a/internal/settings/opening_test.go
+++ b/internal/settings/opening_test.go
@@ -26,7 +26,7 @@
 
 func TestUnreadableValueIsNamed(t *testing.T) {
 	v := Values{"classes.count": "1", "classes.0.aim": "soon"}
-	_, err := v.Hand(routing.New(1, nil), 0)
+	_, err := v.Configure(routing.New(1, nil), 0)
 	var field *FieldError
 	if !errors.As(err, &field) || field.Field != "classes.0.aim" {
 		t.Error(err)
--- a/internal/sharedprobes/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -32,8 +32,8 @@
 type Engine interface {
 	Post(at int64, do func(now int64))
 	After(in int64, do func(now int64))
-	Heard(now int64, node string, at, pos int64, lead int8, silent, alive bool)
-	Left(node string, to bool)
+	ApplyGossip(now int64, node string, at, pos int64, lead int8, silent, alive bool)
+	DelegateHealthChecks(node string, to bool)
 	Probe(node string)
 }
 
@@ -99,8 +99,8 @@
 	slog.Info("sharing probes", "name", at.Name, "cluster", at.Cluster, "address", f.Address(), "born", f.Born())
 }
 
-// Node implements engine.Patrol: a node that left the list, or drained and is gone, is nobody's duty.
-func (p *Patrol) Node(now int64, name string, state routing.State, started int64) {
+// EndpointListed implements engine.SharedProbes: a node that left the list, or drained and is gone, is nobody's duty.
+func (p *Patrol) EndpointListed(now int64, name string, state routing.State, started int64) {
 	if state != routing.Up { // what drains is left alone
 		p.drop(name)
 		return
@@ -112,8 +112,8 @@
 	p.table.Add(now, probing+name, started)
 }
 
-// Listed implements engine.Patrol.
-func (p *Patrol) Listed(_ int64, whole bool) {
+// ListApplied implements engine.SharedProbes.
+func (p *Patrol) ListApplied(_ int64, whole bool) {
 	if whole {
 		for name := range p.left {
 			if !p.listed[name] {
@@ -160,7 +160,7 @@
 	for name, was := range p.left {
 		if left := p.table.Left(now, probing+name); left != was {
 			p.left[name] = left
-			p.engine.Left(name, left)
+			p.engine.DelegateHealthChecks(name, left)
 		}
 	}
 	if taken, _, live, slow := p.table.Figures(now); taken != p.taken {
@@ -172,8 +172,8 @@
 	}
 }
 
-// Probed implements engine.Patrol.
-func (p *Patrol) Probed(now int64, node string, o routing.Outcome, pos int64, lead int8, load string) {
+// HealthCheckEnded implements engine.SharedProbes.
+func (p *Patrol) HealthCheckEnded(now int64, node string, o routing.Outcome, pos int64, lead int8, load string) {
 	check, ours := p.asked[node]
 	if !ours {
 		return
@@ -190,7 +190,7 @@
 		u := p.table.Hear(now, w)
 		if u.Pos > 0 || u.Lead != 0 || u.Silent || u.Alive {
 			used.Add()
-			p.engine.Heard(now, strings.TrimPrefix(w.Key, probing), u.At, u.Pos, u.Lead, u.Silent, u.Alive)
+			p.engine.ApplyGossip(now, strings.TrimPrefix(w.Key, probing), u.At, u.Pos, u.Lead, u.Silent, u.Alive)
 		}
 	}
 }
--- a/internal/sharedprobes/patrol_test.go
+++ b/internal/sharedprobes/patrol_test.go
@@ -40,10 +40,10 @@
 func (l *loop) After(in int64, do func(int64)) {
 	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { l.do(do) })
 }
-func (l *loop) Heard(_ int64, node string, _, pos int64, _ int8, _, _ bool) {
+func (l *loop) ApplyGossip(_ int64, node string, _, pos int64, _ int8, _, _ bool) {
 	l.heard[node] = max(l.heard[node], pos)
 }
-func (l *loop) Left(node string, to bool) { l.left[node] = to }
+func (l *loop) DelegateHealthChecks(node string, to bool) { l.left[node] = to }
 func (l *loop) Probe(node string) {
 	l.probes = append(l.probes, node)
 	if l.hold[node] {
@@ -51,9 +51,9 @@
 	}
 	l.After(1_000, func(now int64) {
 		if l.dead[node] {
-			l.p.Probed(now, node, routing.TimedOut, 0, 0, "")
+			l.p.HealthCheckEnded(now, node, routing.TimedOut, 0, 0, "")
 		} else {
-			l.p.Probed(now, node, routing.Answered, now, -1, "x0=1")
+			l.p.HealthCheckEnded(now, node, routing.Answered, now, -1, "x0=1")
 		}
 	})
 }
@@ -84,9 +84,9 @@
 func (l *loop) list(whole bool, state routing.State, names ...string) {
 	l.do(func(now int64) {
 		for _, one := range names {
-			l.p.Node(now, one, state, 7)
+			l.p.EndpointListed(now, one, state, 7)
 		}
-		l.p.Listed(now, whole)
+		l.p.ListApplied(now, whole)
 	})
 }
 
--- a/internal/simwire/open.go
+++ b/internal/simwire/open.go
@@ -27,12 +27,12 @@
 	n := settings.Reader{Values: values}
 	o.zero = n.Time("domain.countedFrom")
 	o.router = routing.New(seed, o)
-	names, err := values.Hand(o.router, 0) // a send takes effect at the time of its event here
+	names, err := values.Configure(o.router, 0) // a send takes effect at the time of its event here
 	var field *settings.FieldError
 	if errors.As(errors.Join(n.Err, err), &field) {
 		return h.bad(field.Field, field.Why)
 	}
-	o.groups, o.teams = names.Groups, names.Tenants
+	o.groups, o.teams = names.GroupNumbers, names.TenantNumbers
 	h.routers[o.name] = o
 	o.router.Start(h.clock)
 	return nil
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -34,8 +34,8 @@
 
 // Events are what a connection tells its owner; each is called on a goroutine of the library's.
 type Events struct {
-	Bytes func(p []byte) // p stands only until it returns
-	Ended func()         // once, whoever ended the connection
+	Received func(p []byte) // p stands only until it returns
+	Closed   func()         // once, whoever ended the connection
 }
 
 // Stream is one connection.
@@ -57,7 +57,7 @@
 }
 
 // Setup gives the library one poller, which is enough for one core, and a place for its log.
-func Setup(log io.Writer) error {
+func ConfigureLibrary(log io.Writer) error {
 	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log})
 }
 
@@ -84,14 +84,14 @@
 		s.mu.Lock()
 		s.closed, s.ending = true, true
 		s.mu.Unlock()
-		ev.Ended()
+		ev.Closed()
 		return nil
 	})
 	conn.SetOnRequest(func(_ context.Context, c netpoll.Connection) error {
 		r := c.Reader()
 		p, err := r.Next(r.Len())
 		if err == nil {
-			ev.Bytes(p)
+			ev.Received(p)
 			err = r.Release()
 		}
 		return err
@@ -201,7 +201,7 @@
 
 // Present tells whether the peer has not gone, as the kernel knows it now: its end may have come and not been read.
 // What it sent before its end hides that.
-func (s *Stream) Present() bool {
+func (s *Stream) PeerPresent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -212,14 +212,14 @@
 }
 
 // Finished tells whether nothing more will leave: our side has ended, behind all that was queued.
-func (s *Stream) Finished() bool {
+func (s *Stream) WriteSideClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed || s.ending && !s.writing
 }
 
 // End closes the connection once all that is queued is out and read.
-func (s *Stream) End() {
+func (s *Stream) CloseGracefully() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ending {
@@ -231,7 +231,7 @@
 }
 
 // Cut ends our side at once: the peer sees it before anything that is sent elsewhere after this returns.
-func (s *Stream) Cut() {
+func (s *Stream) ShutdownNow() {
 	s.mu.Lock()
 	s.ending = true
 	if !s.closed {
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	s, peer := deaf(t)
 	in, ended := make(chan []byte, 9), make(chan struct{})
-	s.Start(Events{Bytes: func(p []byte) { in <- append([]byte(nil), p...) }, Ended: func() { close(ended) }})
+	s.Start(Events{Received: func(p []byte) { in <- append([]byte(nil), p...) }, Closed: func() { close(ended) }})
 	return s, peer, in, ended
 }
 
@@ -68,7 +68,7 @@
 func TestEndLetsAllBytesOut(t *testing.T) {
 	s, peer, _, ended := pair(t)
 	s.Write(make([]byte, 4<<20), nil)
-	s.End()
+	s.CloseGracefully()
 	s.Write([]byte("late"), func(err error) {
 		if !errors.Is(err, ErrUnwritten) {
 			t.Error(err)
@@ -87,7 +87,7 @@
 	if p := <-in; string(p) != "x" {
 		t.Errorf("%q", p)
 	}
-	s.Cut()
+	s.ShutdownNow()
 	if _, err := peer.Read(make([]byte, 1)); err == nil {
 		t.Error("the peer still reads something")
 	}
@@ -108,11 +108,11 @@
 		"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		s, peer := deaf(t)
-		if !s.Present() {
+		if !s.PeerPresent() {
 			t.Errorf("%s: gone before it went", name)
 		}
 		leave(peer.(*net.TCPConn))
-		for end := time.Now().Add(5 * time.Second); s.Present(); {
+		for end := time.Now().Add(5 * time.Second); s.PeerPresent(); {
 			if time.Now().After(end) {
 				t.Fatalf("%s: still present", name)
 			}
@@ -179,7 +179,7 @@
 		}
 	}()
 	s.Write([]byte("the last words"), nil)
-	s.End()
+	s.CloseGracefully()
 	all := make([]byte, 0, 99)
 	for p := make([]byte, 99); ; {
 		n, err := peer.Read(p)
--- a/internal/testcluster/database/database.go
+++ b/internal/testcluster/database/database.go
@@ -305,7 +305,7 @@
 			}
 			if !open {
 				open = true
-				split.Typed(mostMessage)
+				split.ExpectTyped(mostMessage)
 				if n.stuck() {
 					continue
 				}
@@ -361,7 +361,7 @@
 	}
 	if n.waiting >= n.most {
 		n.c.mu.Unlock()
-		return pgwire.AppendError(nil, false, pgwire.CodeThrottled, "too much to do", 0), true
+		return pgwire.AppendError(nil, false, pgwire.CodeRejected, "too much to do", 0), true
 	}
 	n.waiting++
 	work := n.work
--- a/internal/testcluster/process/child.go
+++ b/internal/testcluster/process/child.go
@@ -40,7 +40,7 @@
 	bound := func(t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 		return &source{t, net.ParseIP(at.Own)}
 	}
-	return serve.Run(at.File, serve.Instead{Wrap: bound, Clock: skew.Clock, Leases: leases})
+	return serve.Run(at.File, serve.TestHooks{Wrap: bound, Clock: skew.Clock, Leases: leases})
 }
 
 // source lets connections go out from the address at which a member listens.
