--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -138,7 +138,7 @@
 				return nil
 			}
 			if one.Over() {
-				return supervisor.Exit(exitHalted)
+				return supervisor.ExitCode(exitHalted)
 			}
 		}
 	}
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -57,15 +57,15 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VOTER\tANSWERS\tSET\tABSTAINS\tWHY")
 	for _, v := range o.Voters {
-		fmt.Fprintf(w, "%s\t%v\t%d\t%v\t%s\n", v.Voter, v.Answers, v.Set, time.Duration(v.AbstainMS)*time.Millisecond, v.Why)
+		fmt.Fprintf(w, "%s\t%v\t%d\t%v\t%s\n", v.Voter, v.Answers, v.SetNumber, time.Duration(v.AbstainsMS)*time.Millisecond, v.Reason)
 	}
 	fmt.Fprintln(w, "\nLEASE\tHOLDER\tTERM\tLEFT\tWAITING\tGRANTED BY")
 	for _, n := range o.Leases {
-		holder, left := n.Holder, time.Duration(n.LeftMS)*time.Millisecond
+		holder, left := n.Holder, time.Duration(n.RemainingMS)*time.Millisecond
 		if holder == "" {
 			holder = "-"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%d\t%s of %d\n", n.Lease, holder, n.Term, left, n.Waiting, strings.Join(n.Voters, ","), n.Of)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%d\t%s of %d\n", n.Lease, holder, n.Term, left, n.Waiting, strings.Join(n.GrantedBy, ","), n.Answers)
 	}
 	return w.Flush()
 }
@@ -76,7 +76,7 @@
 }
 
 func (l *leaseFreeLine) Run(out io.Writer) error {
-	var n leaseservice.Line
+	var n leaseservice.LeaseStatus
 	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Verb: "lease-free", Name: l.Name}, &n); err != nil {
 		return err
 	}
@@ -102,12 +102,12 @@
 	if err != nil {
 		return err
 	}
-	code, err := supervisor.Hold(l.Socket, l.Args[0], supervisor.Wish{Length: l.Length, Turn: l.Turn, Priority: l.Priority, Wait: l.Wait},
+	code, err := supervisor.RunWithLease(l.Socket, l.Args[0], supervisor.Options{Length: l.Length, YieldAfter: l.Turn, Priority: l.Priority, Wait: l.Wait},
 		[]string{self, "lease", "keep"}, l.Args[2:])
 	if err != nil {
 		return err
 	}
-	return supervisor.Exit(code)
+	return supervisor.ExitCode(code)
 }
 
 type leaseKeepLine struct {
@@ -116,5 +116,5 @@
 }
 
 func (l *leaseKeepLine) Run(_ io.Writer) error {
-	return supervisor.Exit(supervisor.Run(l.Args, os.Stdin, leaseservice.Clock, l.Room))
+	return supervisor.ExitCode(supervisor.Supervise(l.Args, os.Stdin, leaseservice.Clock, l.Room))
 }
--- a/cmd/cairntiller/main.go
+++ b/cmd/cairntiller/main.go
@@ -100,7 +100,7 @@
 	}
 	logTo(errs, l.Log)
 	if err := ctx.Run(); err != nil {
-		var code supervisor.Exit
+		var code supervisor.ExitCode
 		if errors.As(err, &code) {
 			return int(code)
 		}
--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -184,7 +184,7 @@
 	var l line
 	ctx := kong.Parse(&l, kong.Name("proof"), kong.Description("Proofs of the project's subsystems."), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
-		var code supervisor.Exit
+		var code supervisor.ExitCode
 		if errors.As(err, &code) {
 			os.Exit(int(code))
 		}
--- a/internal/lease/claimant.go
+++ b/internal/lease/claimant.go
@@ -10,7 +10,7 @@
 )
 
 // Claimant is one process's part: the leases that it wants or holds.
-type Claimant struct {
+type Candidate struct {
 	self  string
 	born  uint64
 	drift int64 // parts of a million by which a clock's rate may be off
@@ -31,11 +31,11 @@
 }
 
 // Wish is a lease that a process wants.
-type Wish struct {
-	Lease    string
-	Length   int64 // us
-	Turn     int64 // us after which it yields to others of its priority who wait, 0 for never
-	Priority int8
+type Request struct {
+	Lease      string
+	Length     int64 // us
+	YieldAfter int64 // us after which it yields to others of its priority who wait, 0 for never
+	Priority   int8
 }
 
 // freeing is a lease given up that voters are still to be told of.
@@ -107,22 +107,22 @@
 
 // NewClaimant makes a process's part. born is a number that no other process of its name has; drift is in parts of a
 // million; number and names are the set of voters that it goes by.
-func NewClaimant(self string, born uint64, drift int64, number uint64, names []string) *Claimant {
-	c := &Claimant{self: self, born: born, drift: drift, seed: born, sent: map[uint64]int64{}, oldest: 1}
+func NewCandidate(self string, born uint64, drift int64, number uint64, names []string) *Candidate {
+	c := &Candidate{self: self, born: born, drift: drift, seed: born, sent: map[uint64]int64{}, oldest: 1}
 	c.voter.index, c.lease.index = map[string]int{}, map[string]int{}
 	c.know(number, names)
 	return c
 }
 
 // Take returns what is to be done, in order.
-func (c *Claimant) Take() []Out {
+func (c *Candidate) TakeActions() []Out {
 	out := c.out
 	c.out = nil
 	return out
 }
 
 // chance draws a number below n.
-func (c *Claimant) chance(n int64) int64 {
+func (c *Candidate) chance(n int64) int64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], c.seed)
 	binary.LittleEndian.PutUint64(b[8:], c.draw)
@@ -131,8 +131,8 @@
 }
 
 // know takes in a set of voters; the two newest are kept, for a change takes a while to reach all.
-func (c *Claimant) know(number uint64, names []string) {
-	if len(names) == 0 || len(names) > MostVoters {
+func (c *Candidate) know(number uint64, names []string) {
+	if len(names) == 0 || len(names) > MaxVoters {
 		return
 	}
 	for i := range c.sets {
@@ -166,10 +166,10 @@
 }
 
 // SetVoters tells of the set of voters that the operator's file names.
-func (c *Claimant) SetVoters(number uint64, names []string) { c.know(number, names) }
+func (c *Candidate) SetVoters(number uint64, names []string) { c.know(number, names) }
 
 // asked tells whether a voter belongs to a set that is known.
-func (c *Claimant) asked(i int) bool {
+func (c *Candidate) asked(i int) bool {
 	for _, s := range c.sets {
 		if s.has(c.voter.name[i]) {
 			return true
@@ -179,10 +179,10 @@
 }
 
 // Want begins to ask for a lease; a wish for one that is wanted already changes nothing but its priority and turn.
-func (c *Claimant) Want(now int64, w Wish) {
+func (c *Candidate) RequestLease(now int64, w Request) {
 	s := &c.lease
 	if l, known := s.index[w.Lease]; known {
-		s.priority[l], s.turn[l] = w.Priority, w.Turn
+		s.priority[l], s.turn[l] = w.Priority, w.YieldAfter
 		return
 	}
 	l := len(s.name)
@@ -192,7 +192,7 @@
 	s.index[w.Lease] = l
 	dense.Put(&s.name, l, w.Lease)
 	dense.Put(&s.length, l, w.Length)
-	dense.Put(&s.turn, l, w.Turn)
+	dense.Put(&s.turn, l, w.YieldAfter)
 	dense.Put(&s.priority, l, w.Priority)
 	dense.Put(&s.phase, l, waits)
 	dense.Put(&s.term, l, 0)
@@ -208,7 +208,7 @@
 }
 
 // Drop ends a wish; what is held is given up. Its acts must have ended.
-func (c *Claimant) Drop(now int64, lease string) {
+func (c *Candidate) Withdraw(now int64, lease string) {
 	s := &c.lease
 	l, known := s.index[lease]
 	if !known {
@@ -221,19 +221,19 @@
 }
 
 // Abandon ends a wish without a word: what is held runs out at the voters, for its acts may not have ended.
-func (c *Claimant) Abandon(now int64, lease string) {
+func (c *Candidate) Abandon(now int64, lease string) {
 	s := &c.lease
 	if l, known := s.index[lease]; known {
 		if s.phase[l] == holds || s.phase[l] == asks {
 			c.anew(now)
 		}
 		s.phase[l] = waits
-		c.Drop(now, lease)
+		c.Withdraw(now, lease)
 	}
 }
 
 // VoterNames are the voters that are asked.
-func (c *Claimant) VoterNames() (all []string) {
+func (c *Candidate) VoterNames() (all []string) {
 	for i, name := range c.voter.name {
 		if c.asked(i) {
 			all = append(all, name)
@@ -244,7 +244,7 @@
 
 // Release gives a lease up to who is next, "" for whoever comes. Its acts must have ended. The wish stays, behind the
 // others.
-func (c *Claimant) Release(now int64, lease, next string) {
+func (c *Candidate) Release(now int64, lease, next string) {
 	s := &c.lease
 	if l, known := s.index[lease]; known {
 		c.leave(now, l, next)
@@ -253,7 +253,7 @@
 }
 
 // leave tells the voters that a term is over here.
-func (c *Claimant) leave(now int64, l int, next string) {
+func (c *Candidate) leave(now int64, l int, next string) {
 	s := &c.lease
 	if s.phase[l] != asks && s.phase[l] != holds {
 		return
@@ -271,7 +271,7 @@
 }
 
 // Term is under which term a lease is held, and until when; 0 where it is not.
-func (c *Claimant) Term(lease string) (term uint64, until int64) {
+func (c *Candidate) HeldTerm(lease string) (term uint64, until int64) {
 	s := &c.lease
 	if l, known := s.index[lease]; known && s.phase[l] == holds {
 		return s.term[l], s.until[l]
@@ -280,7 +280,7 @@
 }
 
 // Tick asks, extends and gives up what is due.
-func (c *Claimant) Tick(now int64) {
+func (c *Candidate) Tick(now int64) {
 	for c.oldest <= c.round && now-c.sent[c.oldest] > mostAnswer {
 		delete(c.sent, c.oldest) // a later answer counts for nothing
 		c.oldest++
@@ -321,7 +321,7 @@
 		c.renewAt = now + least/renewPart
 		for i := range c.voter.name {
 			if c.asked(i) {
-				c.send(now, i, &Message{Kind: Renew})
+				c.send(now, i, &Message{Kind: KindRenewRequest})
 			}
 		}
 	}
@@ -332,7 +332,7 @@
 const mostAnswer = 60_000_000 // us after which an answer counts for nothing: no lease is longer
 
 // begin starts a try: a short vote, so that one which splits blocks nobody for long.
-func (c *Claimant) begin(now int64, l int) {
+func (c *Candidate) begin(now int64, l int) {
 	s := &c.lease
 	s.phase[l], s.term[l], s.next[l], s.until[l], s.yields[l] = asks, c.seen+termsSlack, 0, 0, false
 	c.seen = s.term[l]
@@ -342,12 +342,12 @@
 	}
 }
 
-func (c *Claimant) trial(l int) int64 {
+func (c *Candidate) trial(l int) int64 {
 	return min(max(c.lease.length[l]/renewPart, leastTrial), mostTrial)
 }
 
 // chase asks the voters whose votes are missing, or can't be extended together with all others.
-func (c *Claimant) chase(now int64, l int) {
+func (c *Candidate) chase(now int64, l int) {
 	s := &c.lease
 	full := s.phase[l] == holds || s.until[l] > now
 	for i := range s.votes[l] {
@@ -357,7 +357,7 @@
 			continue
 		}
 		v.again = now + askAgain
-		it := Item{Lease: s.name[l], Term: term, Over: s.next[l] > 0, Length: s.length[l], Full: full, Priority: s.priority[l], Ticket: s.ticket[l]}
+		it := Item{Lease: s.name[l], Term: term, CarryOver: s.next[l] > 0, Length: s.length[l], Full: full, Priority: s.priority[l], Ticket: s.ticket[l]}
 		if s.phase[l] == holds {
 			v.again = now + s.length[l]/renewPart
 		}
@@ -369,14 +369,14 @@
 }
 
 // flush sends what is queued, as many messages as one tick may send.
-func (c *Claimant) flush(now int64) {
+func (c *Candidate) flush(now int64) {
 	for i, q := range c.voter.queue {
 		if len(q) == 0 {
 			continue
 		}
 		parts := split(q)
 		for _, part := range parts[:min(len(parts), messagesMax)] {
-			c.send(now, i, &Message{Kind: Ask, Items: part})
+			c.send(now, i, &Message{Kind: KindGrantRequest, Items: part})
 		}
 		c.voter.queue[i] = nil
 		for _, part := range parts[min(len(parts), messagesMax):] { // asked with the next tick
@@ -390,15 +390,15 @@
 }
 
 // send gives a question its number and the set of voters that the voter goes by.
-func (c *Claimant) send(now int64, i int, m *Message) {
+func (c *Candidate) send(now int64, i int, m *Message) {
 	c.round++
 	c.sent[c.round] = now
-	m.From, m.Born, m.Set, m.Round, m.Gen = c.self, c.born, c.voter.number[i], c.round, c.gen
+	m.From, m.Incarnation, m.SetNumber, m.RequestID, m.Generation = c.self, c.born, c.voter.number[i], c.round, c.gen
 	c.out = append(c.out, Out{Act: Send, To: c.voter.name[i], Message: m})
 }
 
 // tell sends the word of what was given up, several times, for nobody answers it.
-func (c *Claimant) tell(now int64) {
+func (c *Candidate) tell(now int64) {
 	var items []Item
 	kept := c.frees[:0]
 	for _, f := range c.frees {
@@ -417,14 +417,14 @@
 	for i := range c.voter.name {
 		if c.asked(i) {
 			for _, part := range split(items) {
-				c.send(now, i, &Message{Kind: Free, Items: part})
+				c.send(now, i, &Message{Kind: KindRelease, Items: part})
 			}
 		}
 	}
 }
 
 // fail ends a try that brought no majority; it waits for who has the lease, or for chance to part the askers.
-func (c *Claimant) fail(now int64, l int) {
+func (c *Candidate) fail(now int64, l int) {
 	c.leave(now, l, "")
 	s := &c.lease
 	s.phase[l], s.tries[l] = waits, s.tries[l]+1
@@ -438,7 +438,7 @@
 
 // vacant is when a majority of the voters that answered may have the lease free, as they told; 0 where too few spoke
 // of another holder.
-func (c *Claimant) vacant(l int) int64 {
+func (c *Candidate) vacant(l int) int64 {
 	newest := c.sets[len(c.sets)-1]
 	var all []int64
 	for _, name := range newest.names {
@@ -455,7 +455,7 @@
 
 // lose ends a lease that could not be extended. The voters are not told: they keep to their votes, so that an act which
 // outlasts its bound is over before another holder begins, as far as a lease can see to that.
-func (c *Claimant) lose(now int64, l int, why string) {
+func (c *Candidate) lose(now int64, l int, why string) {
 	s := &c.lease
 	c.out = append(c.out, Out{Act: Lose, Lease: s.name[l], Term: s.term[l], Why: why})
 	c.anew(now)
@@ -464,7 +464,7 @@
 
 // anew begins another generation: what voters granted so far runs out, but for what is asked for once more. So a grant
 // that is held no more, or given up by a word that was lost, is not extended together with all others.
-func (c *Claimant) anew(now int64) {
+func (c *Candidate) anew(now int64) {
 	c.gen++
 	s := &c.lease
 	for l := range s.name {
@@ -481,40 +481,40 @@
 
 // strays finds that a voter extends more than is known to be granted there, again and again: it did not hear that
 // something was given up.
-func (c *Claimant) strays(now int64, i int, m *Message) {
+func (c *Candidate) strays(now int64, i int, m *Message) {
 	known := 0
 	for l := range c.lease.name {
 		if v := &c.lease.votes[l][i]; (c.lease.phase[l] == asks || c.lease.phase[l] == holds) && c.mine(l, v.term) && v.full {
 			known++
 		}
 	}
-	if m.Gen != c.gen || m.Count <= known {
+	if m.Generation != c.gen || m.RenewedCount <= known {
 		c.voter.stray[i] = 0
 	} else if c.voter.stray[i]++; c.voter.stray[i] >= strayTimes {
 		c.voter.stray[i] = 0
-		c.out = append(c.out, Out{Act: Note, Who: c.voter.name[i], Why: fmt.Sprintf("it extends %d grants where %d are known: all are asked for anew", m.Count, known)})
+		c.out = append(c.out, Out{Act: Note, Who: c.voter.name[i], Why: fmt.Sprintf("it extends %d grants where %d are known: all are asked for anew", m.RenewedCount, known)})
 		c.anew(now)
 	}
 }
 
 // Hear takes a voter's message.
-func (c *Claimant) Hear(now int64, m *Message) {
+func (c *Candidate) Receive(now int64, m *Message) {
 	i, known := c.voter.index[m.From]
-	if !known || (m.Kind == Answer || m.Kind == Renewed) && m.Asker != c.born {
+	if !known || (m.Kind == KindGrantResponse || m.Kind == KindRenewResponse) && m.Requester != c.born {
 		return
 	}
-	if len(m.Names) > 0 && m.Kind != Standing {
-		c.know(m.Set, m.Names)
+	if len(m.SetNames) > 0 && m.Kind != KindVoterStatus {
+		c.know(m.SetNumber, m.SetNames)
 	}
-	c.voter.number[i] = m.Set
+	c.voter.number[i] = m.SetNumber
 	switch m.Kind {
-	case Answer, Renewed:
-		sentAt, open := c.sent[m.Round]
+	case KindGrantResponse, KindRenewResponse:
+		sentAt, open := c.sent[m.RequestID]
 		if !open {
 			return
 		}
-		c.compare(i, reading{sentAt, now, m.Clock})
-		if m.Kind == Answer {
+		c.compare(i, reading{sentAt, now, m.VoterClock})
+		if m.Kind == KindGrantResponse {
 			for _, it := range m.Items {
 				c.answered(now, i, sentAt, m, it)
 			}
@@ -522,7 +522,7 @@
 			c.strays(now, i, m)
 			c.renewed(now, i, sentAt, m)
 		}
-	case Vacant:
+	case KindTurnNotice:
 		for _, it := range m.Items {
 			c.seen = max(c.seen, it.Term)
 			l, wanted := c.lease.index[it.Lease]
@@ -538,7 +538,7 @@
 }
 
 // answered takes a voter's verdict on one lease.
-func (c *Claimant) answered(now int64, i int, sentAt int64, m *Message, it Item) {
+func (c *Candidate) answered(now int64, i int, sentAt int64, m *Message, it Item) {
 	s := &c.lease
 	c.seen = max(c.seen, it.Term)
 	l, wanted := s.index[it.Lease]
@@ -554,40 +554,40 @@
 		if !c.mine(l, it.Term) {
 			return
 		}
-		until := sentAt + Usable(it.Length, c.drift)
+		until := sentAt + UsableLength(it.Length, c.drift)
 		if c.mine(l, v.term) {
 			until = max(until, v.until)
 		}
-		*v = vote{term: it.Term, set: m.Set, born: m.Born, until: until, length: it.Length, full: it.Full && m.Gen == c.gen,
-			lost: m.Lost, gen: m.Gen, at: now}
+		*v = vote{term: it.Term, set: m.SetNumber, born: m.Incarnation, until: until, length: it.Length, full: it.Full && m.Generation == c.gen,
+			lost: m.EndedGrants, gen: m.Generation, at: now}
 		c.count(now, l)
-	case Old:
+	case TermTooLow:
 		if s.phase[l] == asks && it.Term >= s.term[l] { // what it was given under that term is of no use
 			c.leave(now, l, "")
 			c.begin(now, l)
 		} else if s.phase[l] == holds && it.Term >= max(s.term[l], s.next[l]) && v.term != it.Term {
 			c.carryOver(now, l)
 		}
-	case Held, Turn:
+	case HeldByOther, OtherGoesFirst:
 		v.wait, v.again = now+it.Wait, now+max(it.Wait, askAgain)
-	case Abstains, Rest:
+	case Abstaining, CoolingDown:
 		v.again = now + max(it.Wait, askAgain)
-	case OtherSet:
+	case OtherVoterSet:
 		v.again = now + askAgain
-		if !c.votesIn(m.Set, m.From) {
+		if !c.votesIn(m.SetNumber, m.From) {
 			v.again = now + askMost
 		}
 	}
 }
 
 // votesIn tells whether a set of voters is known, and a voter belongs to it.
-func (c *Claimant) votesIn(number uint64, name string) bool {
+func (c *Candidate) votesIn(number uint64, name string) bool {
 	return slices.ContainsFunc(c.sets, func(s set) bool { return s.number == number && s.has(name) })
 }
 
 // renewed takes a voter's word that all it granted in full is extended. What it granted is still granted if no grant
 // of this process has ended there since, and if its answer to the grant had come before the question went out.
-func (c *Claimant) renewed(now int64, i int, sentAt int64, m *Message) {
+func (c *Candidate) renewed(now int64, i int, sentAt int64, m *Message) {
 	s := &c.lease
 	for l := range s.name {
 		if s.phase[l] != asks && s.phase[l] != holds {
@@ -595,11 +595,11 @@
 		}
 		switch v := &s.votes[l][i]; {
 		case !c.mine(l, v.term) || !v.full:
-		case v.gen != m.Gen: // a question of before
-		case v.born != m.Born || v.lost != m.Lost || v.set != m.Set:
+		case v.gen != m.Generation: // a question of before
+		case v.born != m.Incarnation || v.lost != m.EndedGrants || v.set != m.SetNumber:
 			v.full, v.again = false, min(v.again, now) // asked for by itself
 		case v.at <= sentAt:
-			v.until = max(v.until, sentAt+Usable(v.length, c.drift))
+			v.until = max(v.until, sentAt+UsableLength(v.length, c.drift))
 			c.count(now, l)
 		}
 	}
@@ -622,10 +622,10 @@
 }
 
 // count finds until when a majority's votes are good. What was earned once stays: the voters keep to it.
-func (c *Claimant) count(now int64, l int) {
+func (c *Candidate) count(now int64, l int) {
 	s := &c.lease
 	best := s.until[l]
-	var all [MostVoters]int64
+	var all [MaxVoters]int64
 	for _, set := range c.sets {
 		n := 0
 		for _, name := range set.names {
@@ -662,13 +662,13 @@
 
 // mine tells whether a term is the one of this try or tenure, or the one that it is being carried over to. What a voter
 // granted under either binds it to this process alone.
-func (c *Claimant) mine(l int, term uint64) bool {
+func (c *Candidate) mine(l int, term uint64) bool {
 	return term > 0 && (term == c.lease.term[l] || term == c.lease.next[l])
 }
 
 // carryOver asks all voters to go on under a later term: one that came back, or voted for another one in vain, can't
 // vote for the present one any more, and the next one that comes back would cost the lease.
-func (c *Claimant) carryOver(now int64, l int) {
+func (c *Candidate) carryOver(now int64, l int) {
 	s := &c.lease
 	c.seen += termsSlack
 	s.next[l] = c.seen
@@ -678,7 +678,7 @@
 }
 
 // carried goes over to the later term once a majority votes for it.
-func (c *Claimant) carried(now int64, l int) bool {
+func (c *Candidate) carried(now int64, l int) bool {
 	s := &c.lease
 	if s.next[l] == 0 || s.phase[l] != holds || now >= s.until[l] {
 		return false
@@ -700,7 +700,7 @@
 
 // compare looks at how fast a voter's clock goes against the own one. Both may be off by the bound; a difference of
 // more than clockDoubt times it is told, once.
-func (c *Claimant) compare(i int, r reading) {
+func (c *Candidate) compare(i int, r reading) {
 	first := c.voter.clock[i]
 	if first.clock > 0 && r.sent < first.got { // an answer that comes late tells nothing new
 		return
@@ -728,4 +728,4 @@
 }
 
 // Round is the number of the newest question.
-func (c *Claimant) Round() uint64 { return c.round }
+func (c *Candidate) LastRequestID() uint64 { return c.round }
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -9,37 +9,37 @@
 package lease
 
 // Kind is what a message is for.
-type Kind uint8
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Ask      Kind = iota + 1 // claimant to voter: grant or extend each of these leases
-	Renew                    // claimant to voter: extend all that this process asked for in full under this generation
-	Free                     // claimant to voter: these are given up
-	Answer                   // voter to claimant, to an Ask
-	Renewed                  // voter to claimant, to a Renew
-	Vacant                   // voter to who waits first: it is your turn
-	Standing                 // voter to voter: how it stands, each second
+	KindGrantRequest  MessageKind = iota + 1 // claimant to voter: grant or extend each of these leases
+	KindRenewRequest                         // claimant to voter: extend all that this process asked for in full under this generation
+	KindRelease                              // claimant to voter: these are given up
+	KindGrantResponse                        // voter to claimant, to an Ask
+	KindRenewResponse                        // voter to claimant, to a Renew
+	KindTurnNotice                           // voter to who waits first: it is your turn
+	KindVoterStatus                          // voter to voter: how it stands, each second
 	kinds
 )
 
 // Known tells whether there is such a kind.
-func (k Kind) Known() bool { return k >= Ask && k < kinds }
+func (k MessageKind) Valid() bool { return k >= KindGrantRequest && k < kinds }
 
 // Verdict is a voter's word on one lease.
 type Verdict uint8
 
 // The verdicts; all but Granted refuse.
 const (
-	Granted  Verdict = iota + 1
-	Held             // another one has it, for Wait at the most
-	Old              // the term must be above Term
-	Turn             // somebody goes first, for Wait at the most
-	Rest             // it let it lapse too often, and rests for Wait
-	Abstains         // the voter has just started
-	OtherSet         // asker and voter know different sets of voters
-	Unfit            // a length or name out of bounds
-	NoRoom           // the voter keeps no more leases
+	Granted        Verdict = iota + 1
+	HeldByOther            // another one has it, for Wait at the most
+	TermTooLow             // the term must be above Term
+	OtherGoesFirst         // somebody goes first, for Wait at the most
+	CoolingDown            // it let it lapse too often, and rests for Wait
+	Abstaining             // the voter has just started
+	OtherVoterSet          // asker and voter know different sets of voters
+	OutOfBounds            // a length or name out of bounds
+	NoCapacity             // the voter keeps no more leases
 	verdicts
 )
 
@@ -56,35 +56,35 @@
 
 // Item is what a message says of one lease.
 type Item struct {
-	Lease    string
-	Term     uint64
-	Length   int64 // us: in an Ask the wish, in an Answer what the vote was extended by
-	Full     bool  // not a trial: a Renew extends it
-	Over     bool  // Ask: its holder carries it over to this later term, for a voter that came back can't vote for the former one
-	Priority int8
-	Ticket   uint64 // Ask: its place in line, the highest term known when the wish began; 0 for none known, behind all others
-	Verdict  Verdict
-	Holder   string // who has it; in a Free who is to have it next, in a Renewed who waits
-	Wait     int64  // us: how long to wait; in a Renewed how long the first one has waited
+	Lease     string
+	Term      uint64
+	Length    int64 // us: in an Ask the wish, in an Answer what the vote was extended by
+	Full      bool  // not a trial: a Renew extends it
+	CarryOver bool  // Ask: its holder carries it over to this later term, for a voter that came back can't vote for the former one
+	Priority  int8
+	Ticket    uint64 // Ask: its place in line, the highest term known when the wish began; 0 for none known, behind all others
+	Verdict   Verdict
+	Holder    string // who has it; in a Free who is to have it next, in a Renewed who waits
+	Wait      int64  // us: how long to wait; in a Renewed how long the first one has waited
 }
 
 // Message is one message between a claimant and a voter, or between voters.
 type Message struct {
-	Kind    Kind
-	From    string
-	Born    uint64 // the sender's process, by a number that no other of its name has
-	Asker   uint64 // in answers: the process that asked
-	Set     uint64 // number of the set of voters that the sender goes by
-	Names   []string
-	Round   uint64 // number of a question at its process; the answer carries it
-	Lost    uint64 // in answers: grants of the asker that ended at this voter so far
-	Gen     uint64 // of an asker's grants: a Renew extends those that were asked for in full under its own; answers carry it
-	Count   int    // Renewed: how many it extended
-	Clock   int64  // in answers: the voter's clock
-	Floor   uint64 // Standing: no term up to this is granted anew
-	Longest int64  // Standing: longest lease
-	Age     int64  // Standing: us since the voter took to its set
-	Items   []Item
+	Kind         MessageKind
+	From         string
+	Incarnation  uint64 // the sender's process, by a number that no other of its name has
+	Requester    uint64 // in answers: the process that asked
+	SetNumber    uint64 // number of the set of voters that the sender goes by
+	SetNames     []string
+	RequestID    uint64 // number of a question at its process; the answer carries it
+	EndedGrants  uint64 // in answers: grants of the asker that ended at this voter so far
+	Generation   uint64 // of an asker's grants: a Renew extends those that were asked for in full under its own; answers carry it
+	RenewedCount int    // Renewed: how many it extended
+	VoterClock   int64  // in answers: the voter's clock
+	TermFloor    uint64 // Standing: no term up to this is granted anew
+	LongestLease int64  // Standing: longest lease
+	SetAge       int64  // Standing: us since the voter took to its set
+	Items        []Item
 }
 
 // Act is a thing to do.
@@ -119,9 +119,9 @@
 
 const (
 	// MostName is the longest name of a lease or a member, in bytes.
-	MostName = 128
+	MaxNameLength = 128
 	// MostVoters is how many voters there may be: one more than seven while one is replaced.
-	MostVoters = 8
+	MaxVoters = 8
 
 	million     = 1_000_000 // parts of a drift, and us in a second
 	itemsBytes  = 1_000     // bytes of items in a message: it fits a datagram with what is put around it
@@ -158,13 +158,13 @@
 // Usable is how much of a vote's length a claimant counts, from before it asked, on its own clock. With every rate
 // between 1-d and 1+d of the true one, a voter's L takes L/(1+d) at least, a claimant's L(1-2d) takes L(1-2d)/(1-d) at
 // most, and (1-2d)(1+d) is under 1-d.
-func Usable(length, drift int64) int64 { return length - (2*length*drift+million-1)/million }
+func UsableLength(length, drift int64) int64 { return length - (2*length*drift+million-1)/million }
 
 // Voters are a set of voters by name, under a number that grows with each change.
-type Voters struct {
-	Number uint64
-	Names  []string
-	Before []string // the set before it, until all go by this one; none for the first
+type VoterSet struct {
+	Number   uint64
+	Names    []string
+	Previous []string // the set before it, until all go by this one; none for the first
 }
 
 // set is a set of voters that somebody goes by.
@@ -186,7 +186,7 @@
 func (s *set) majority() int { return len(s.names)/2 + 1 }
 
 // Next tells whether a set of voters may follow another: it differs by one voter, for then any two majorities meet.
-func Next(was, now []string) bool {
+func ValidSuccessor(was, now []string) bool {
 	missing := func(a, b []string) (n int) {
 		for _, one := range a {
 			if !(&set{names: b}).has(one) {
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -55,17 +55,17 @@
 
 // ask gives the voter a question and checks each word of its answer.
 func (m *model) ask(now int64, q *Message) (wrong string) {
-	m.v.Hear(now, q)
-	by := claim{q.From, q.Born}
-	for _, o := range m.v.Take() {
-		if o.Act != Send || o.To != q.From || o.Message.Kind != Answer && o.Message.Kind != Renewed {
+	m.v.Receive(now, q)
+	by := claim{q.From, q.Incarnation}
+	for _, o := range m.v.TakeActions() {
+		if o.Act != Send || o.To != q.From || o.Message.Kind != KindGrantResponse && o.Message.Kind != KindRenewResponse {
 			continue
 		}
 		a := o.Message
-		if a.Round != q.Round || a.Asker != q.Born || a.Gen != q.Gen {
+		if a.RequestID != q.RequestID || a.Requester != q.Incarnation || a.Generation != q.Generation {
 			return "the answer is to another question"
 		}
-		if a.Kind == Renewed {
+		if a.Kind == KindRenewResponse {
 			return m.renewed(now, by, q, a)
 		}
 		for i, it := range a.Items {
@@ -80,11 +80,11 @@
 func (m *model) item(now int64, by claim, q *Message, want, got Item) string {
 	live := m.live(now, want.Lease)
 	if got.Verdict != Granted {
-		free := live == nil && now >= m.from && q.Set == 1
-		if top, _ := m.top(want.Lease); got.Verdict == Old && free && want.Term > max(top, m.floor) {
+		free := live == nil && now >= m.from && q.SetNumber == 1
+		if top, _ := m.top(want.Lease); got.Verdict == TermTooLow && free && want.Term > max(top, m.floor) {
 			return "a term above all others is called old"
 		}
-		if got.Verdict == Held && (live == nil || live.by == by && live.term == want.Term) {
+		if got.Verdict == HeldByOther && (live == nil || live.by == by && live.term == want.Term) {
 			return "held by nobody else"
 		}
 		return ""
@@ -92,7 +92,7 @@
 	switch {
 	case now < m.from:
 		return "it grants while it abstains"
-	case q.Set != 1:
+	case q.SetNumber != 1:
 		return "it grants under another set of voters"
 	case want.Length <= 0 || want.Length > m.longest:
 		return "it grants a length out of bounds"
@@ -113,7 +113,7 @@
 		if live.length == 0 {
 			live.length = want.Length
 		}
-		length, live.gen = live.length, max(live.gen, q.Gen)
+		length, live.gen = live.length, max(live.gen, q.Generation)
 	}
 	if got.Length != length {
 		return fmt.Sprintf("it says that it granted %d us, and keeps to %d", got.Length, length)
@@ -126,25 +126,25 @@
 	n := 0
 	for _, all := range m.promises {
 		for _, p := range all {
-			if !p.over && now < p.till && p.by == by && p.length > 0 && p.gen == q.Gen && q.Set == 1 && now >= m.from {
+			if !p.over && now < p.till && p.by == by && p.length > 0 && p.gen == q.Generation && q.SetNumber == 1 && now >= m.from {
 				p.till = max(p.till, now+p.length)
 				n++
 			}
 		}
 	}
-	if n != a.Count {
-		return fmt.Sprintf("it extended %d, and should have %d", a.Count, n)
+	if n != a.RenewedCount {
+		return fmt.Sprintf("it extended %d, and should have %d", a.RenewedCount, n)
 	}
 	return ""
 }
 
 // free notes what its holder gave up.
 func (m *model) free(now int64, q *Message) {
-	m.v.Hear(now, q)
-	m.v.Take()
+	m.v.Receive(now, q)
+	m.v.TakeActions()
 	for _, it := range q.Items {
 		for _, p := range m.promises[it.Lease] {
-			if p.by == (claim{q.From, q.Born}) && p.term == it.Term {
+			if p.by == (claim{q.From, q.Incarnation}) && p.term == it.Term {
 				p.over = true
 			}
 		}
@@ -158,8 +158,8 @@
 )
 
 func newModel() *model {
-	v := NewVoter(modelStart, "v1", 7, modelLongest, 1000, modelFloor, Voters{Number: 1, Names: []string{"v1", "v2", "v3"}}, nil)
-	v.Take()
+	v := NewVoter(modelStart, "v1", 7, modelLongest, 1000, modelFloor, VoterSet{Number: 1, Names: []string{"v1", "v2", "v3"}}, nil)
+	v.TakeActions()
 	return &model{v: v, longest: modelLongest, from: modelStart + modelLongest, floor: modelFloor, promises: map[string][]*promise{}}
 }
 
@@ -177,22 +177,22 @@
 	m, now := newModel(), int64(modelStart)
 	for i, e := range all {
 		now += e.after
-		q := &Message{From: string('a' + rune(e.who%4)), Born: uint64(e.who / 4 % 2), Set: uint64(1 + e.set/16%2*(e.set%2)), Round: uint64(i + 1), Gen: uint64(e.gen % 3)}
+		q := &Message{From: string('a' + rune(e.who%4)), Incarnation: uint64(e.who / 4 % 2), SetNumber: uint64(1 + e.set/16%2*(e.set%2)), RequestID: uint64(i + 1), Generation: uint64(e.gen % 3)}
 		name := string('x' + rune(e.lease%3))
 		wrong := ""
 		switch e.what % 8 {
 		case 0, 1, 2, 3:
-			q.Kind, q.Items = Ask, []Item{{Lease: name, Term: e.term, Length: e.length, Full: e.full, Priority: int8(e.gen % 2), Ticket: uint64(e.who)}}
+			q.Kind, q.Items = KindGrantRequest, []Item{{Lease: name, Term: e.term, Length: e.length, Full: e.full, Priority: int8(e.gen % 2), Ticket: uint64(e.who)}}
 			wrong = m.ask(now, q)
 		case 4, 5:
-			q.Kind = Renew
+			q.Kind = KindRenewRequest
 			wrong = m.ask(now, q)
 		case 6:
-			q.Kind, q.Items = Free, []Item{{Lease: name, Term: e.term}}
+			q.Kind, q.Items = KindRelease, []Item{{Lease: name, Term: e.term}}
 			m.free(now, q)
 		default:
 			m.v.Tick(now)
-			m.v.Take()
+			m.v.TakeActions()
 		}
 		if wrong != "" {
 			return fmt.Sprintf("event %d at %d us, %+v: %s", i, now, e, wrong)
@@ -253,13 +253,13 @@
 				c.harm(m.v)
 			}
 			now += e.after
-			wrong = m.ask(now, &Message{Kind: Ask, From: string('a' + rune(e.who)), Set: 1, Items: []Item{{Lease: "x", Term: e.term, Length: e.length, Full: true}}})
+			wrong = m.ask(now, &Message{Kind: KindGrantRequest, From: string('a' + rune(e.who)), SetNumber: 1, Items: []Item{{Lease: "x", Term: e.term, Length: e.length, Full: true}}})
 		}
 		if wrong == "" {
 			t.Errorf("%s: unseen", name)
 		}
 	}
-	if wrong := m.ask(10_000_000, &Message{Kind: Ask, From: "a", Set: 1, Items: []Item{{Lease: "x", Term: 60, Length: 1_000_000}}}); wrong != "" {
+	if wrong := m.ask(10_000_000, &Message{Kind: KindGrantRequest, From: "a", SetNumber: 1, Items: []Item{{Lease: "x", Term: 60, Length: 1_000_000}}}); wrong != "" {
 		t.Error(wrong)
 	}
 }
@@ -269,10 +269,10 @@
 func TestResterLosesNoTurn(t *testing.T) {
 	v := newModel().v
 	now := int64(modelStart + modelLongest)
-	say := func(kind Kind, who string, term, ticket uint64) (called string) {
-		v.Hear(now, &Message{Kind: kind, From: who, Set: 1, Items: []Item{{Lease: "x", Term: term, Length: 1_000_000, Full: true, Ticket: ticket}}})
-		for _, o := range v.Take() {
-			if o.Act == Send && o.Message.Kind == Vacant {
+	say := func(kind MessageKind, who string, term, ticket uint64) (called string) {
+		v.Receive(now, &Message{Kind: kind, From: who, SetNumber: 1, Items: []Item{{Lease: "x", Term: term, Length: 1_000_000, Full: true, Ticket: ticket}}})
+		for _, o := range v.TakeActions() {
+			if o.Act == Send && o.Message.Kind == KindTurnNotice {
 				called = o.To
 			}
 		}
@@ -280,19 +280,19 @@
 	}
 	for term := range uint64(lapseFree + 2) { // a lets it run out, again and again, while b waits
 		now += 4_000_000 * int64(term)
-		say(Ask, "a", 100+term, 1)
-		say(Ask, "b", 100, 2)
+		say(KindGrantRequest, "a", 100+term, 1)
+		say(KindGrantRequest, "b", 100, 2)
 		now += 1_000_000
 		v.Tick(now)
-		v.Take()
+		v.TakeActions()
 		now += 2 * turnSpan // b does not come
 		v.Tick(now)
-		v.Take()
+		v.TakeActions()
 	}
-	say(Ask, "c", 200, 3)
-	say(Ask, "a", 199, 1)
-	say(Ask, "b", 199, 2)
-	if called := say(Free, "c", 200, 0); called != "b" {
+	say(KindGrantRequest, "c", 200, 3)
+	say(KindGrantRequest, "a", 199, 1)
+	say(KindGrantRequest, "b", 199, 2)
+	if called := say(KindRelease, "c", 200, 0); called != "b" {
 		t.Errorf("%q is called, though a rests", called)
 	}
 }
@@ -302,10 +302,10 @@
 func TestTriesAtATime(t *testing.T) {
 	const many = 1000
 	voters := []string{"a", "b", "c"}
-	c := NewClaimant("x", 1, 10_000, 1, voters)
+	c := NewCandidate("x", 1, 10_000, 1, voters)
 	now := int64(1_000_000)
 	for n := range many {
-		c.Want(now, Wish{Lease: fmt.Sprint(n), Length: 2_000_000})
+		c.RequestLease(now, Request{Lease: fmt.Sprint(n), Length: 2_000_000})
 	}
 	held := map[string]bool{}
 	for round := 0; len(held) < many && round < 200; round++ {
@@ -313,11 +313,11 @@
 		c.Tick(now)
 		trials := map[string]map[string]bool{}
 		var answers []*Message
-		for _, o := range c.Take() {
-			if o.Act != Send || o.Message.Kind != Ask {
+		for _, o := range c.TakeActions() {
+			if o.Act != Send || o.Message.Kind != KindGrantRequest {
 				continue
 			}
-			a := &Message{Kind: Answer, From: o.To, Born: 2, Asker: 1, Set: 1, Round: o.Message.Round, Gen: o.Message.Gen, Clock: now}
+			a := &Message{Kind: KindGrantResponse, From: o.To, Incarnation: 2, Requester: 1, SetNumber: 1, RequestID: o.Message.RequestID, Generation: o.Message.Generation, VoterClock: now}
 			for _, it := range o.Message.Items {
 				if !it.Full {
 					if trials[o.To] == nil {
@@ -337,10 +337,10 @@
 		}
 		for _, a := range answers {
 			if round%7 != 0 { // what is not answered is lost
-				c.Hear(now, a)
+				c.Receive(now, a)
 			}
 		}
-		for _, o := range c.Take() {
+		for _, o := range c.TakeActions() {
 			if o.Act == Hold {
 				held[o.Lease] = true
 			}
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -87,23 +87,23 @@
 }
 
 // Kept is what a lasting place holds of one lease.
-type Kept struct {
-	Lease, Holder string
-	Term, Born    uint64
+type GrantRecord struct {
+	Lease, Holder     string
+	Term, Incarnation uint64
 }
 
 // NewVoter makes a voter that has just started. born is its process; longest is the longest lease, in us; most is how
 // many leases it keeps. No term up to floor is ever granted anew: the wall clock's microseconds when it will have
 // abstained, or what was kept if that is more.
-func NewVoter(now int64, self string, born uint64, longest int64, most int, floor uint64, by Voters, kept []Kept) *Voter {
+func NewVoter(now int64, self string, born uint64, longest int64, most int, floor uint64, by VoterSet, kept []GrantRecord) *Voter {
 	v := &Voter{self: self, born: born, longest: longest, most: most, start: now, till: now + longest, floor: floor,
-		set: set{by.Number, slices.Clone(by.Names), now}, before: slices.Clone(by.Before), peers: map[string]peer{},
+		set: set{by.Number, slices.Clone(by.Names), now}, before: slices.Clone(by.Previous), peers: map[string]peer{},
 		standAt: now, process: map[claim]*session{}, lapse: map[string]*lapses{}}
 	v.grant.index = map[string]int{}
 	for _, k := range kept {
 		v.floor = max(v.floor, k.Term) // also where there is no room for it
 		if l, ok := v.enter(now, k.Lease); ok {
-			v.grant.term[l], v.grant.by[l] = k.Term, claim{k.Holder, k.Born}
+			v.grant.term[l], v.grant.by[l] = k.Term, claim{k.Holder, k.Incarnation}
 		}
 	}
 	v.out = append(v.out, Out{Act: KeepSet, Term: by.Number})
@@ -111,23 +111,23 @@
 }
 
 // Take returns what is to be done, in order.
-func (v *Voter) Take() []Out {
+func (v *Voter) TakeActions() []Out {
 	out := v.out
 	v.out = nil
 	return out
 }
 
 // Abstains tells for how long it still abstains, in us.
-func (v *Voter) Abstains(now int64) int64 { return max(0, v.till-now) }
+func (v *Voter) AbstainsFor(now int64) int64 { return max(0, v.till-now) }
 
 // Votes tells whether it belongs to the set that it goes by.
-func (v *Voter) Votes() bool { return v.set.has(v.self) }
+func (v *Voter) IsMember() bool { return v.set.has(v.self) }
 
 // Set is the number of its set of voters, and their names.
-func (v *Voter) Set() (number uint64, names []string) { return v.set.number, v.set.names }
+func (v *Voter) CurrentSet() (number uint64, names []string) { return v.set.number, v.set.names }
 
 // Floor is the term up to which nothing is granted anew.
-func (v *Voter) Floor() uint64 {
+func (v *Voter) TermFloor() uint64 {
 	top := v.floor
 	for _, t := range v.grant.term {
 		top = max(top, t)
@@ -136,21 +136,21 @@
 }
 
 // State is what a voter knows of one lease.
-type State struct {
+type LeaseState struct {
 	Lease, Holder string
 	Term          uint64
-	Left          int64 // us
+	Remaining     int64 // us
 	Waiting       int
 }
 
 // States lists the leases that are granted or waited for.
-func (v *Voter) States(now int64) (all []State) {
+func (v *Voter) LeaseStates(now int64) (all []LeaseState) {
 	g := &v.grant
 	for l, name := range g.name {
 		if name != "" && (g.live[l] || len(g.queue[l]) > 0) {
-			s := State{Lease: name, Term: g.term[l], Waiting: len(g.queue[l])}
+			s := LeaseState{Lease: name, Term: g.term[l], Waiting: len(g.queue[l])}
 			if g.live[l] {
-				s.Holder, s.Left = g.by[l].name, max(0, g.until[l]-now)
+				s.Holder, s.Remaining = g.by[l].name, max(0, g.until[l]-now)
 			}
 			all = append(all, s)
 		}
@@ -206,21 +206,21 @@
 }
 
 // Hear takes a message.
-func (v *Voter) Hear(now int64, m *Message) {
+func (v *Voter) Receive(now int64, m *Message) {
 	switch m.Kind {
-	case Ask:
+	case KindGrantRequest:
 		v.ask(now, m)
-	case Renew:
+	case KindRenewRequest:
 		v.renew(now, m)
-	case Free:
+	case KindRelease:
 		v.give(now, m)
-	case Standing:
+	case KindVoterStatus:
 		v.hearStanding(now, m)
 	}
 }
 
 func (v *Voter) send(to string, m *Message) {
-	m.From, m.Born, m.Set = v.self, v.born, v.set.number
+	m.From, m.Incarnation, m.SetNumber = v.self, v.born, v.set.number
 	v.out = append(v.out, Out{Act: Send, To: to, Message: m})
 }
 
@@ -237,21 +237,21 @@
 
 // ask answers each lease that is asked for.
 func (v *Voter) ask(now int64, m *Message) {
-	by := claim{m.From, m.Born}
-	answer := &Message{Kind: Answer, Asker: m.Born, Round: m.Round, Gen: m.Gen, Clock: now}
-	if m.Set != v.set.number || !v.Votes() {
-		answer.Names = v.set.names
+	by := claim{m.From, m.Incarnation}
+	answer := &Message{Kind: KindGrantResponse, Requester: m.Incarnation, RequestID: m.RequestID, Generation: m.Generation, VoterClock: now}
+	if m.SetNumber != v.set.number || !v.IsMember() {
+		answer.SetNames = v.set.names
 	}
 	for _, it := range m.Items {
-		if m.Set != v.set.number || !v.Votes() {
-			it.Verdict = OtherSet
+		if m.SetNumber != v.set.number || !v.IsMember() {
+			it.Verdict = OtherVoterSet
 		} else {
-			it = v.decide(now, by, m.Gen, it)
+			it = v.decide(now, by, m.Generation, it)
 		}
 		answer.Items = append(answer.Items, it)
 	}
 	if s := v.process[by]; s != nil {
-		answer.Lost = s.lost
+		answer.EndedGrants = s.lost
 	}
 	v.send(m.From, answer)
 }
@@ -264,15 +264,15 @@
 	}
 	switch {
 	case now < v.till: // what a former process granted may still run
-		return refuse(Abstains, v.till-now)
+		return refuse(Abstaining, v.till-now)
 	case len(v.before) > 0: // who goes by the set before the former one may still vote
-		return refuse(Abstains, standEvery)
-	case it.Length <= 0 || it.Length > v.longest || it.Lease == "" || len(it.Lease) > MostName:
-		return refuse(Unfit, 0)
+		return refuse(Abstaining, standEvery)
+	case it.Length <= 0 || it.Length > v.longest || it.Lease == "" || len(it.Lease) > MaxNameLength:
+		return refuse(OutOfBounds, 0)
 	}
 	l, ok := v.enter(now, it.Lease)
 	if !ok {
-		return refuse(NoRoom, 0)
+		return refuse(NoCapacity, 0)
 	}
 	g := &v.grant
 	v.expire(now, l)
@@ -280,28 +280,28 @@
 		if g.by[l] == by && g.term[l] == it.Term {
 			return v.extend(now, l, gen, it)
 		}
-		if g.by[l] == by && it.Over { // nobody else had it here in between
+		if g.by[l] == by && it.CarryOver { // nobody else had it here in between
 			if top := max(g.term[l], v.floor); it.Term <= top {
 				it.Term = top
-				return refuse(Old, 0)
+				return refuse(TermTooLow, 0)
 			}
 			v.mark(l, by, it.Term)
 			return v.extend(now, l, gen, it)
 		}
 		it.Holder, it.Term = g.by[l].name, g.term[l]
 		v.wait(now, l, by, it)
-		return refuse(Held, g.until[l]-now)
+		return refuse(HeldByOther, g.until[l]-now)
 	}
 	if again := it.Term == g.term[l] && g.by[l] == by && !g.released[l]; !again && it.Term <= max(g.term[l], v.floor) {
 		it.Term = max(g.term[l], v.floor)
-		return refuse(Old, 0)
+		return refuse(TermTooLow, 0)
 	}
 	if rest := v.lapse[by.name]; rest != nil && now < rest.till {
-		return refuse(Rest, rest.till-now)
+		return refuse(CoolingDown, rest.till-now)
 	}
-	if q := g.queue[l]; now < g.turnTill[l] && len(q) > 0 && q[0].name != by.name && !it.Over {
+	if q := g.queue[l]; now < g.turnTill[l] && len(q) > 0 && q[0].name != by.name && !it.CarryOver {
 		v.wait(now, l, by, it)
-		return refuse(Turn, g.turnTill[l]-now)
+		return refuse(OtherGoesFirst, g.turnTill[l]-now)
 	}
 	return v.begin(now, l, by, gen, it)
 }
@@ -344,33 +344,33 @@
 // renew extends all that a process has in full under the generation that it goes by: what it was granted before and
 // holds no more, for a word of it was lost, runs out.
 func (v *Voter) renew(now int64, m *Message) {
-	answer := &Message{Kind: Renewed, Asker: m.Born, Round: m.Round, Gen: m.Gen, Clock: now, Lost: math.MaxUint64}
-	s := v.process[claim{m.From, m.Born}]
-	if m.Set != v.set.number || !v.Votes() {
-		answer.Names, s = v.set.names, nil
+	answer := &Message{Kind: KindRenewResponse, Requester: m.Incarnation, RequestID: m.RequestID, Generation: m.Generation, VoterClock: now, EndedGrants: math.MaxUint64}
+	s := v.process[claim{m.From, m.Incarnation}]
+	if m.SetNumber != v.set.number || !v.IsMember() {
+		answer.SetNames, s = v.set.names, nil
 	}
 	if s != nil && now >= v.till && len(v.before) == 0 {
 		g := &v.grant
 		for i := len(s.leases) - 1; i >= 0; i-- { // from the end: one that has run out leaves the list
 			l := s.leases[i]
-			if v.expire(now, l); !g.live[l] || !g.full[l] || g.gen[l] != m.Gen {
+			if v.expire(now, l); !g.live[l] || !g.full[l] || g.gen[l] != m.Generation {
 				continue
 			}
-			answer.Count++
+			answer.RenewedCount++
 			g.until[l] = max(g.until[l], now+g.length[l])
 			if q := g.queue[l]; len(q) > 0 && len(answer.Items) < wantedMost {
 				answer.Items = append(answer.Items, Item{Lease: g.name[l], Term: g.term[l], Holder: q[0].name,
 					Priority: q[0].priority, Wait: now - q[0].since})
 			}
 		}
-		s.at, answer.Lost = now, s.lost
+		s.at, answer.EndedGrants = now, s.lost
 	}
 	v.send(m.From, answer)
 }
 
 // give takes back what its holder gives up; who is to have it next goes first.
 func (v *Voter) give(now int64, m *Message) {
-	g, by := &v.grant, claim{m.From, m.Born}
+	g, by := &v.grant, claim{m.From, m.Incarnation}
 	for _, it := range m.Items {
 		l, known := g.index[it.Lease]
 		if !known || g.by[l] != by || g.term[l] != it.Term {
@@ -441,12 +441,12 @@
 	w := g.queue[l][first]
 	g.queue[l] = slices.Insert(slices.Delete(g.queue[l], first, first+1), 0, w)
 	g.turnTill[l] = now + turnSpan
-	v.send(g.queue[l][0].name, &Message{Kind: Vacant, Clock: now,
+	v.send(g.queue[l][0].name, &Message{Kind: KindTurnNotice, VoterClock: now,
 		Items: []Item{{Lease: g.name[l], Term: max(g.term[l], v.floor)}}})
 }
 
 // Gone tells that a member is gone: it waits for nothing any more. What it holds runs out as if it lived.
-func (v *Voter) Gone(now int64, name string) {
+func (v *Voter) MemberGone(now int64, name string) {
 	g := &v.grant
 	for l, q := range g.queue {
 		first := len(q) > 0 && q[0].name == name
@@ -482,20 +482,20 @@
 // SetVoters tells of the set of voters that the operator's file names. The next one in number is taken to as soon as
 // the one in force is so at a majority of its voters for as long as the longest lease: votes under the one before are
 // over by then. It returns what can't be done, "" for nothing.
-func (v *Voter) SetVoters(now int64, by Voters) string {
+func (v *Voter) SetVoters(now int64, by VoterSet) string {
 	switch {
 	case by.Number == v.set.number:
 		if !slices.Equal(sorted(by.Names), sorted(v.set.names)) {
 			return fmt.Sprintf("other voters under number %d, which is in force", by.Number)
 		}
-		if len(by.Before) == 0 {
+		if len(by.Previous) == 0 {
 			v.before = nil // the operator's word that nobody goes by a former set any more
 		}
 	case by.Number < v.set.number:
 		return fmt.Sprintf("voters number %d, and number %d is in force", by.Number, v.set.number)
 	case by.Number > v.set.number+1:
 		return fmt.Sprintf("voters number %d, and number %d is in force: one change after another", by.Number, v.set.number)
-	case !Next(v.set.names, by.Names):
+	case !ValidSuccessor(v.set.names, by.Names):
 		return fmt.Sprintf("voters number %d differ from number %d by more than one", by.Number, v.set.number)
 	default:
 		v.next = &set{by.Number, slices.Clone(by.Names), now}
@@ -550,15 +550,15 @@
 	if !known || now-p.at > standFresh { // it may not know of this voter
 		v.stand(now, m.From)
 	}
-	if m.Set != p.number && m.Set != v.set.number {
-		v.out = append(v.out, Out{Act: Note, Who: m.From, Why: fmt.Sprintf("goes by voters number %d, this one by %d", m.Set, v.set.number)})
+	if m.SetNumber != p.number && m.SetNumber != v.set.number {
+		v.out = append(v.out, Out{Act: Note, Who: m.From, Why: fmt.Sprintf("goes by voters number %d, this one by %d", m.SetNumber, v.set.number)})
 	}
-	p.number, p.since, p.at = m.Set, now-m.Age, now
+	p.number, p.since, p.at = m.SetNumber, now-m.SetAge, now
 	// What it does not know any more it learns while it abstains, of those alone whose votes it may have to go with: a floor
 	// is above its teller's wall clock, and what is learned of anybody may not be heard again after the next start.
 	if now < v.till && (v.set.has(m.From) || slices.Contains(v.before, m.From)) {
-		v.floor = max(v.floor, m.Floor)
-		v.till = max(v.till, v.start+m.Longest)
+		v.floor = max(v.floor, m.TermFloor)
+		v.till = max(v.till, v.start+m.LongestLease)
 	}
 	v.peers[m.From] = p
 }
@@ -609,5 +609,5 @@
 
 // stand tells another voter how this one stands.
 func (v *Voter) stand(now int64, to string) {
-	v.send(to, &Message{Kind: Standing, Clock: now, Floor: v.Floor(), Longest: v.longest, Age: now - v.set.at, Names: v.set.names})
+	v.send(to, &Message{Kind: KindVoterStatus, VoterClock: now, TermFloor: v.TermFloor(), LongestLease: v.longest, SetAge: now - v.set.at, SetNames: v.set.names})
 }
--- a/internal/leaseservice/desk.go
+++ b/internal/leaseservice/desk.go
@@ -25,117 +25,117 @@
 )
 
 // Line is one lease as the voters know it.
-type Line struct {
-	Lease   string   `json:"lease"`
-	Holder  string   `json:"holder,omitempty"`
-	Term    uint64   `json:"term"`
-	LeftMS  int64    `json:"left_ms,omitempty"`
-	Waiting int      `json:"waiting,omitempty"`
-	Voters  []string `json:"voters"` // that grant it to the holder, or know it as free
-	Of      int      `json:"of"`     // voters that answered
+type LeaseStatus struct {
+	Lease       string   `json:"lease"`
+	Holder      string   `json:"holder,omitempty"`
+	Term        uint64   `json:"term"`
+	RemainingMS int64    `json:"left_ms,omitempty"`
+	Waiting     int      `json:"waiting,omitempty"`
+	GrantedBy   []string `json:"voters"` // that grant it to the holder, or know it as free
+	Answers     int      `json:"of"`     // voters that answered
 }
 
 // Lines puts together what voters told. Of each lease the holder is whom most of them grant it to, the one with the
 // higher term where two have as many: a voter that has come back may try others for a moment, under later terms.
-func Lines(all []Voted) []Line {
+func MergeReports(all []VoterReport) []LeaseStatus {
 	type said struct {
 		holder string
 		term   uint64
 	}
-	byName := map[string]map[said]*Line{}
+	byName := map[string]map[said]*LeaseStatus{}
 	for _, v := range all {
-		for _, s := range v.States {
+		for _, s := range v.Leases {
 			if byName[s.Lease] == nil {
-				byName[s.Lease] = map[said]*Line{}
+				byName[s.Lease] = map[said]*LeaseStatus{}
 			}
 			n := byName[s.Lease][said{s.Holder, s.Term}]
 			if n == nil {
-				n = &Line{Lease: s.Lease, Holder: s.Holder, Term: s.Term, Of: len(all)}
+				n = &LeaseStatus{Lease: s.Lease, Holder: s.Holder, Term: s.Term, Answers: len(all)}
 				byName[s.Lease][said{s.Holder, s.Term}] = n
 			}
-			n.Voters = append(n.Voters, v.Voter)
-			n.LeftMS, n.Waiting = max(n.LeftMS, s.Left/1000), max(n.Waiting, s.Waiting)
+			n.GrantedBy = append(n.GrantedBy, v.Voter)
+			n.RemainingMS, n.Waiting = max(n.RemainingMS, s.Remaining/1000), max(n.Waiting, s.Waiting)
 		}
 	}
-	var lines []Line
+	var lines []LeaseStatus
 	for _, some := range byName {
-		best := slices.MaxFunc(slices.Collect(maps.Values(some)), func(a, b *Line) int {
-			return cmp.Or(cmp.Compare(len(a.Voters), len(b.Voters)), cmp.Compare(a.Term, b.Term), cmp.Compare(a.Holder, b.Holder))
+		best := slices.MaxFunc(slices.Collect(maps.Values(some)), func(a, b *LeaseStatus) int {
+			return cmp.Or(cmp.Compare(len(a.GrantedBy), len(b.GrantedBy)), cmp.Compare(a.Term, b.Term), cmp.Compare(a.Holder, b.Holder))
 		})
 		lines = append(lines, *best)
 	}
-	slices.SortFunc(lines, func(a, b Line) int { return cmp.Compare(a.Lease, b.Lease) })
+	slices.SortFunc(lines, func(a, b LeaseStatus) int { return cmp.Compare(a.Lease, b.Lease) })
 	return lines
 }
 
 // VoterLine is how one voter stands.
-type VoterLine struct {
-	Voter     string `json:"voter"`
-	Answers   bool   `json:"answers"`
-	Set       uint64 `json:"set,omitempty"`
-	AbstainMS int64  `json:"abstains_ms,omitempty"`
-	Why       string `json:"why,omitempty"` // it is out of service
+type VoterStatus struct {
+	Voter      string `json:"voter"`
+	Answers    bool   `json:"answers"`
+	SetNumber  uint64 `json:"set,omitempty"`
+	AbstainsMS int64  `json:"abstains_ms,omitempty"`
+	Reason     string `json:"why,omitempty"` // it is out of service
 }
 
 // Overview is the answer to a list.
 type Overview struct {
-	Voters []VoterLine `json:"voters"`
-	Leases []Line      `json:"leases"`
+	Voters []VoterStatus `json:"voters"`
+	Leases []LeaseStatus `json:"leases"`
 }
 
 // HoldLine is one change told to a command that holds a lease. Until is on the machine's clock since it started.
-type HoldLine struct {
+type HoldUpdate struct {
 	Change string `json:"change"` // held, extended, lost, wanted
 	Lease  string `json:"lease"`
 	Term   uint64 `json:"term,omitempty"`
 	Until  int64  `json:"until_us,omitempty"`
 	Next   string `json:"next,omitempty"`
-	Why    string `json:"why,omitempty"`
+	Reason string `json:"why,omitempty"`
 }
 
 // Ended is what a command says when what ran under its lease is over.
-type Ended struct {
+type CommandEnded struct {
 	Ended bool `json:"ended"`
 }
 
 var changeNames = [...]string{"", "held", "extended", "lost", "wanted"}
 
 // Serve answers operators.
-func (l *Leasing) Serve(s *adminsocket.Server) {
+func (l *Service) RegisterCommands(s *adminsocket.Server) {
 	s.Handle("leases", l.list)
 	s.Handle("lease-hold", l.hold)
 	s.Handle("lease-free", l.free)
 }
 
-func (l *Leasing) overview(ctx context.Context) Overview {
+func (l *Service) overview(ctx context.Context) Overview {
 	ctx, cancel := context.WithTimeout(ctx, listMost)
 	defer cancel()
-	all := l.Ask(ctx)
-	o := Overview{Leases: Lines(all)}
+	all := l.QueryVoters(ctx)
+	o := Overview{Leases: MergeReports(all)}
 	var names []string
 	l.call(func(int64) { names = l.claimant.VoterNames() })
 	for _, name := range names {
-		line := VoterLine{Voter: name}
+		line := VoterStatus{Voter: name}
 		for _, v := range all {
 			if v.Voter == name {
-				line.Answers, line.Set, line.AbstainMS = true, v.Set, v.Away/1000
-				if v.Part {
-					line.Why = "it told a part of what it knows"
+				line.Answers, line.SetNumber, line.AbstainsMS = true, v.SetNumber, v.AbstainsFor/1000
+				if v.Incomplete {
+					line.Reason = "it told a part of what it knows"
 				}
 			}
 		}
-		if err := l.Out(); err != nil && name == l.self {
-			line.Why = err.Error()
+		if err := l.VoterFault(); err != nil && name == l.self {
+			line.Reason = err.Error()
 		}
 		o.Voters = append(o.Voters, line)
 	}
 	return o
 }
 
-func (l *Leasing) list(ctx context.Context, x *adminsocket.Exchange) error {
+func (l *Service) list(ctx context.Context, x *adminsocket.Exchange) error {
 	o := l.overview(ctx)
 	if x.Name != "" {
-		o.Leases = slices.DeleteFunc(o.Leases, func(n Line) bool { return n.Lease != x.Name })
+		o.Leases = slices.DeleteFunc(o.Leases, func(n LeaseStatus) bool { return n.Lease != x.Name })
 		if len(o.Leases) == 0 {
 			return fmt.Errorf("no voter that answered knows a lease %q", x.Name)
 		}
@@ -144,7 +144,7 @@
 }
 
 // free asks a lease's holder to give it up.
-func (l *Leasing) free(ctx context.Context, x *adminsocket.Exchange) error {
+func (l *Service) free(ctx context.Context, x *adminsocket.Exchange) error {
 	for _, n := range l.overview(ctx).Leases {
 		if n.Lease != x.Name {
 			continue
@@ -155,7 +155,7 @@
 		if n.Holder == l.self {
 			l.wanted(x.Name, "an operator frees it")
 		} else if err := l.send(n.Holder, membership.KindLeases, codec.Encode(poll{Version: pollVersion, Free: x.Name})); err != nil {
-			return fmt.Errorf("%s, which holds it, can't be reached; what it holds runs out within %d ms: %w", n.Holder, n.LeftMS, err)
+			return fmt.Errorf("%s, which holds it, can't be reached; what it holds runs out within %d ms: %w", n.Holder, n.RemainingMS, err)
 		}
 		return x.Say(n)
 	}
@@ -177,18 +177,18 @@
 
 // hold wishes for a lease on behalf of a command, tells it of each change, and gives the lease up once the command has
 // ended. Where the command vanishes without that word, the lease runs out by itself: what ran under it may still.
-func (l *Leasing) hold(ctx context.Context, x *adminsocket.Exchange) error {
-	length, err1 := whole(x, "length_us", leastLength, l.at.Longest)
+func (l *Service) hold(ctx context.Context, x *adminsocket.Exchange) error {
+	length, err1 := whole(x, "length_us", leastLength, l.at.LongestLease)
 	turn, err2 := whole(x, "turn_us", 0, 1<<50)
 	priority, err3 := whole(x, "priority", -100, 100)
 	if err := errors.Join(err1, err2, err3); err != nil {
 		return err
 	}
 	if length == 0 {
-		length = min(deskLength, l.at.Longest)
+		length = min(deskLength, l.at.LongestLease)
 	}
 	events := make(chan Event, eventsMost)
-	t, err := l.Want(lease.Wish{Lease: x.Name, Length: length, Turn: turn, Priority: int8(priority)}, func(e Event) {
+	t, err := l.RequestLease(lease.Request{Lease: x.Name, Length: length, YieldAfter: turn, Priority: int8(priority)}, func(e Event) {
 		if e.Change == Extended && len(events) > eventsMost/2 {
 			return
 		}
@@ -202,7 +202,7 @@
 	}
 	ended := make(chan bool, 1)
 	go func() {
-		var e Ended
+		var e CommandEnded
 		err := x.Next(&e)
 		ended <- err == nil && e.Ended
 	}()
@@ -210,17 +210,17 @@
 	for {
 		select {
 		case e := <-events:
-			if e.Change == Wanted {
+			if e.Change == YieldRequested {
 				next = e.Next
 			}
-			if x.Say(HoldLine{changeNames[e.Change], x.Name, e.Term, e.Until, e.Next, e.Why}) != nil {
+			if x.Say(HoldUpdate{changeNames[e.Change], x.Name, e.Term, e.Until, e.Next, e.Reason}) != nil {
 				t.Abandon()
 				return nil
 			}
 		case over := <-ended:
 			if over {
 				t.Release(next)
-				t.Drop()
+				t.Withdraw()
 			} else {
 				t.Abandon()
 			}
--- a/internal/leaseservice/golden_test.go
+++ b/internal/leaseservice/golden_test.go
@@ -19,22 +19,22 @@
 // goldenMessages are one message of every kind, with every field that it may carry and some that it never does.
 func goldenMessages() map[string]*lease.Message {
 	return map[string]*lease.Message{
-		"ask": {Kind: lease.Ask, From: "a", Born: 11, Set: 3, Round: 9, Gen: 2, Items: []lease.Item{
+		"ask": {Kind: lease.KindGrantRequest, From: "a", Incarnation: 11, SetNumber: 3, RequestID: 9, Generation: 2, Items: []lease.Item{
 			{Lease: "nightly", Term: 1 << 50, Length: 10_000_000, Full: true, Priority: -3, Ticket: 77},
-			{Lease: "task", Term: 6, Length: 400_000, Over: true, Priority: 100}}},
-		"renew": {Kind: lease.Renew, From: "a", Born: 11, Set: 3, Round: 10, Gen: 2},
-		"free":  {Kind: lease.Free, From: "a", Born: 11, Set: 3, Round: 12, Items: []lease.Item{{Lease: "task", Term: 6, Holder: "b"}}},
-		"answer": {Kind: lease.Answer, From: "a", Born: 5, Asker: 11, Set: 3, Names: []string{"a", "b", "c"}, Round: 9, Lost: 4, Gen: 2, Clock: 123_456_789,
+			{Lease: "task", Term: 6, Length: 400_000, CarryOver: true, Priority: 100}}},
+		"renew": {Kind: lease.KindRenewRequest, From: "a", Incarnation: 11, SetNumber: 3, RequestID: 10, Generation: 2},
+		"free":  {Kind: lease.KindRelease, From: "a", Incarnation: 11, SetNumber: 3, RequestID: 12, Items: []lease.Item{{Lease: "task", Term: 6, Holder: "b"}}},
+		"answer": {Kind: lease.KindGrantResponse, From: "a", Incarnation: 5, Requester: 11, SetNumber: 3, SetNames: []string{"a", "b", "c"}, RequestID: 9, EndedGrants: 4, Generation: 2, VoterClock: 123_456_789,
 			Items: everyVerdict()},
-		"renewed": {Kind: lease.Renewed, From: "a", Born: 5, Asker: 11, Set: 3, Round: 10, Lost: 1<<64 - 1, Gen: 2, Count: 300, Clock: 99,
+		"renewed": {Kind: lease.KindRenewResponse, From: "a", Incarnation: 5, Requester: 11, SetNumber: 3, RequestID: 10, EndedGrants: 1<<64 - 1, Generation: 2, RenewedCount: 300, VoterClock: 99,
 			Items: []lease.Item{{Lease: "task", Term: 6, Holder: "c", Priority: 1, Wait: 2_000_000}}},
-		"vacant":   {Kind: lease.Vacant, From: "a", Born: 5, Set: 3, Clock: 99, Items: []lease.Item{{Lease: "task", Term: 6}}},
-		"standing": {Kind: lease.Standing, From: "a", Born: 5, Set: 3, Names: []string{"a", "b", "c"}, Clock: 99, Floor: 1 << 60, Longest: 10_000_000, Age: 5},
+		"vacant":   {Kind: lease.KindTurnNotice, From: "a", Incarnation: 5, SetNumber: 3, VoterClock: 99, Items: []lease.Item{{Lease: "task", Term: 6}}},
+		"standing": {Kind: lease.KindVoterStatus, From: "a", Incarnation: 5, SetNumber: 3, SetNames: []string{"a", "b", "c"}, VoterClock: 99, TermFloor: 1 << 60, LongestLease: 10_000_000, SetAge: 5},
 	}
 }
 
 func everyVerdict() (all []lease.Item) {
-	for v := lease.Granted; v <= lease.NoRoom; v++ {
+	for v := lease.Granted; v <= lease.NoCapacity; v++ {
 		all = append(all, lease.Item{Lease: "l" + fmt.Sprint(uint8(v)), Term: uint64(v), Length: 1_000_000, Full: v%2 == 0, Verdict: v, Holder: "b", Wait: int64(v) * 1000})
 	}
 	return all
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	s.close()
-	want := []lease.Kept{{Lease: "nightly", Holder: "b", Term: 7, Born: 11}, {Lease: "task", Holder: "c", Term: 1 << 50, Born: 1<<63 - 1}}
+	want := []lease.GrantRecord{{Lease: "nightly", Holder: "b", Term: 7, Incarnation: 11}, {Lease: "task", Holder: "c", Term: 1 << 50, Incarnation: 1<<63 - 1}}
 	if !reflect.DeepEqual(kept, want) || floor != 1<<50+9 || set != 3 {
 		t.Errorf("the former version's file read as %+v, floor %d, set %d", kept, floor, set)
 	}
--- a/internal/leaseservice/leasing.go
+++ b/internal/leaseservice/leasing.go
@@ -45,50 +45,50 @@
 )
 
 // Place is what the operator's file says of leases.
-type Place struct {
-	Given          bool
-	Voters         lease.Voters
-	Longest, Drift int64 // us, parts of a million
-	Most           int   // leases that a voter keeps
-	Folder         string
+type Settings struct {
+	Given                  bool
+	Voters                 lease.VoterSet
+	LongestLease, MaxDrift int64 // us, parts of a million
+	MaxLeases              int   // leases that a voter keeps
+	Folder                 string
 }
 
 // Read takes it from the operator's file.
-func Read(p *sexp.Part) Place {
+func ReadSettings(p *sexp.Part) Settings {
 	v := p.Part("voters")
-	at := Place{Given: p.Present(), Longest: p.Duration("longest", 10_000_000, 1_000_000, 600_000_000),
-		Drift: int64(p.Number("drift", 1, 0.01, 10) * 10_000), Most: p.Integer("most", 20_000, 1, 1_000_000),
+	at := Settings{Given: p.Present(), LongestLease: p.Duration("longest", 10_000_000, 1_000_000, 600_000_000),
+		MaxDrift: int64(p.Number("drift", 1, 0.01, 10) * 10_000), MaxLeases: p.Integer("most", 20_000, 1, 1_000_000),
 		Folder: p.Text("folder", ""),
-		Voters: lease.Voters{Number: uint64(v.Integer("number", 1, 1, 1<<30)), Names: v.Texts("names"), Before: v.Texts("before")}}
+		Voters: lease.VoterSet{Number: uint64(v.Integer("number", 1, 1, 1<<30)), Names: v.Texts("names"), Previous: v.Texts("before")}}
 	if !at.Given {
 		return at
 	}
 	n := len(at.Voters.Names)
 	switch distinct := slices.Compact(slices.Sorted(slices.Values(at.Voters.Names))); {
-	case n == 0 || n > lease.MostVoters-1:
+	case n == 0 || n > lease.MaxVoters-1:
 		v.AddFault("names", fmt.Sprintf("%d voters", n), "the names of 1, 3, 5 or 7 members")
 	case len(distinct) != n:
 		v.AddFault("names", "a name twice", "each voter once")
-	case len(at.Voters.Before) > 0 && !lease.Next(at.Voters.Before, at.Voters.Names):
+	case len(at.Voters.Previous) > 0 && !lease.ValidSuccessor(at.Voters.Previous, at.Voters.Names):
 		v.AddFault("before", "a set that differs by more than one voter", "the set before, one voter more or less")
-	case len(at.Voters.Before) > 0 && at.Voters.Number == 1:
+	case len(at.Voters.Previous) > 0 && at.Voters.Number == 1:
 		v.AddFault("number", "1 with a set before it", "a number above the former one's")
-	case n%2 == 0 && len(at.Voters.Before) == 0:
+	case n%2 == 0 && len(at.Voters.Previous) == 0:
 		v.AddFault("names", fmt.Sprintf("%d voters", n), "an odd number: an even one bears no more losses than one fewer; while one is replaced, name the former ones in (before …)")
 	}
 	return at
 }
 
 // Leasing is one instance's part in the fleet's leases.
-type Leasing struct {
+type Service struct {
 	self  string
-	at    Place
+	at    Settings
 	clock func() int64
 	send  func(to string, kind uint8, body []byte) error
 	born  uint64
 
-	claimant *lease.Claimant // its goroutine's
-	tenures  map[string]*Tenure
+	claimant *lease.Candidate // its goroutine's
+	tenures  map[string]*Guard
 	answers  chan *lease.Message
 	calls    chan func(now int64)
 
@@ -105,15 +105,15 @@
 }
 
 // New makes an instance's part. send sends a message to one member and must not block for long.
-func New(self, cluster string, at Place, clock func() int64, send func(to string, kind uint8, body []byte) error) *Leasing {
-	l := &Leasing{self: self, at: at, clock: clock, send: send, born: number(), tenures: map[string]*Tenure{},
+func New(self, cluster string, at Settings, clock func() int64, send func(to string, kind uint8, body []byte) error) *Service {
+	l := &Service{self: self, at: at, clock: clock, send: send, born: number(), tenures: map[string]*Guard{},
 		answers: make(chan *lease.Message, inboxMost), calls: make(chan func(int64), 64),
 		questions: make(chan *lease.Message, inboxMost), polls: make(chan func(int64), 64), over: make(chan struct{})}
 	by := at.Voters
-	l.claimant = lease.NewClaimant(self, l.born, at.Drift, by.Number, by.Names)
+	l.claimant = lease.NewCandidate(self, l.born, at.MaxDrift, by.Number, by.Names)
 	// The wall clock when it will have abstained: no term of before is above it, as far as clocks are right.
-	floor := uint64(max(0, time.Now().UnixMicro())) + uint64(at.Longest)
-	var kept []lease.Kept
+	floor := uint64(max(0, time.Now().UnixMicro())) + uint64(at.LongestLease)
+	var kept []lease.GrantRecord
 	if at.Folder != "" {
 		var err error
 		var set, below uint64
@@ -126,11 +126,11 @@
 			return l
 		}
 		if below > floor {
-			slog.Warn("the wall clock went back, or was ahead; terms go on from the record", "record", below, "clock", floor-uint64(at.Longest))
+			slog.Warn("the wall clock went back, or was ahead; terms go on from the record", "record", below, "clock", floor-uint64(at.LongestLease))
 			floor = below
 		}
 	}
-	l.voter = lease.NewVoter(clock(), self, l.born, at.Longest, at.Most, floor, by, kept)
+	l.voter = lease.NewVoter(clock(), self, l.born, at.LongestLease, at.MaxLeases, floor, by, kept)
 	return l
 }
 
@@ -142,13 +142,13 @@
 }
 
 // fall takes the voter out of service.
-func (l *Leasing) fall(err error) {
+func (l *Service) fall(err error) {
 	l.out.Store(&err)
 	slog.Error("no votes", "err", err)
 }
 
 // Out tells why this instance's voter is out of service, nil where it is not.
-func (l *Leasing) Out() error {
+func (l *Service) VoterFault() error {
 	if p := l.out.Load(); p != nil {
 		return *p
 	}
@@ -156,14 +156,14 @@
 }
 
 // Start begins to ask and to vote.
-func (l *Leasing) Start() {
+func (l *Service) Start() {
 	l.done.Go(l.claim)
 	l.done.Go(l.vote)
 	slog.Info("leases", "voters", l.at.Voters.Names, "number", l.at.Voters.Number, "votes", slices.Contains(l.at.Voters.Names, l.self), "lasting", l.store != nil)
 }
 
 // Hear takes a member's message; it never blocks.
-func (l *Leasing) Hear(from string, kind uint8, body []byte) {
+func (l *Service) Receive(from string, kind uint8, body []byte) {
 	if kind == membership.KindLeases {
 		l.hearBoard(from, body)
 		return
@@ -179,10 +179,10 @@
 }
 
 // put hands a message to the claimant or the voter.
-func (l *Leasing) put(m *lease.Message) {
+func (l *Service) put(m *lease.Message) {
 	to := l.answers
 	switch m.Kind {
-	case lease.Ask, lease.Renew, lease.Free, lease.Standing:
+	case lease.KindGrantRequest, lease.KindRenewRequest, lease.KindRelease, lease.KindVoterStatus:
 		to = l.questions
 	}
 	select {
@@ -193,13 +193,13 @@
 }
 
 // call runs something on the claimant's goroutine and waits for it.
-func (l *Leasing) call(do func(now int64)) { l.await(l.calls, do) }
+func (l *Service) call(do func(now int64)) { l.await(l.calls, do) }
 
 // poll runs something on the voter's goroutine and waits for it; not where there is no voter.
-func (l *Leasing) poll(do func(now int64)) { l.await(l.polls, do) }
+func (l *Service) poll(do func(now int64)) { l.await(l.polls, do) }
 
 // await hands something to a goroutine and waits until it is done, or all is over.
-func (l *Leasing) await(on chan<- func(now int64), do func(now int64)) {
+func (l *Service) await(on chan<- func(now int64), do func(now int64)) {
 	done := make(chan struct{})
 	select {
 	case on <- func(now int64) { do(now); close(done) }:
@@ -213,21 +213,21 @@
 }
 
 // ErrTaken tells that this instance wishes for the lease already.
-var ErrTaken = errors.New("this instance asks for that lease already")
+var ErrAlreadyRequested = errors.New("this instance asks for that lease already")
 
 // Want begins to ask for a lease. on is told of each change, on the claimant's goroutine; nil lets the tenure yield by
 // itself, and acts go by Do alone.
-func (l *Leasing) Want(w lease.Wish, on func(Event)) (*Tenure, error) {
-	if w.Lease == "" || len(w.Lease) > lease.MostName || w.Length < leastLength || w.Length > l.at.Longest {
-		return nil, fmt.Errorf("lease %q for %d us: want a name of 1 to %d bytes and %d to %d us", w.Lease, w.Length, lease.MostName,
-			int64(leastLength), l.at.Longest)
+func (l *Service) RequestLease(w lease.Request, on func(Event)) (*Guard, error) {
+	if w.Lease == "" || len(w.Lease) > lease.MaxNameLength || w.Length < leastLength || w.Length > l.at.LongestLease {
+		return nil, fmt.Errorf("lease %q for %d us: want a name of 1 to %d bytes and %d to %d us", w.Lease, w.Length, lease.MaxNameLength,
+			int64(leastLength), l.at.LongestLease)
 	}
-	t := &Tenure{l: l, name: w.Lease, on: on, stops: map[int]context.CancelFunc{}}
-	err := error(ErrTaken)
+	t := &Guard{l: l, name: w.Lease, on: on, stops: map[int]context.CancelFunc{}}
+	err := error(ErrAlreadyRequested)
 	l.call(func(now int64) {
 		if l.tenures[w.Lease] == nil {
 			l.tenures[w.Lease], err = t, nil
-			l.claimant.Want(now, w)
+			l.claimant.RequestLease(now, w)
 		}
 	})
 	if err != nil {
@@ -239,7 +239,7 @@
 const leastLength = 1_000_000 // us: a few renewals of a slow network fit
 
 // SetVoters tells of the set of voters that the operator's file names now; what it returns can't be done.
-func (l *Leasing) SetVoters(by lease.Voters) (refused string) {
+func (l *Service) SetVoters(by lease.VoterSet) (refused string) {
 	l.call(func(now int64) { l.claimant.SetVoters(by.Number, by.Names) })
 	l.poll(func(now int64) {
 		if l.voter != nil {
@@ -250,11 +250,11 @@
 }
 
 // Gone tells that a member is gone; it never blocks.
-func (l *Leasing) Gone(name string) {
+func (l *Service) MemberGone(name string) {
 	select {
 	case l.polls <- func(now int64) {
 		if l.voter != nil {
-			l.voter.Gone(now, name)
+			l.voter.MemberGone(now, name)
 		}
 	}:
 	default:
@@ -263,8 +263,8 @@
 }
 
 // Leave gives up what is held and ends this instance's part.
-func (l *Leasing) Leave() {
-	var all []*Tenure
+func (l *Service) Shutdown() {
+	var all []*Guard
 	l.call(func(int64) {
 		for _, t := range l.tenures {
 			all = append(all, t)
@@ -272,7 +272,7 @@
 	})
 	for _, t := range all {
 		if t.on == nil {
-			t.Drop()
+			t.Withdraw()
 			continue
 		}
 		l.wanted(t.name, "this instance leaves") // what runs under it is not ours to end
@@ -291,16 +291,16 @@
 }
 
 // Stop ends this instance's part without a word.
-func (l *Leasing) Stop() {
+func (l *Service) Stop() {
 	close(l.over)
 	l.done.Wait()
-	if l.store != nil && l.Out() == nil {
+	if l.store != nil && l.VoterFault() == nil {
 		l.store.close()
 	}
 }
 
 // claim runs the claimant.
-func (l *Leasing) claim() {
+func (l *Service) claim() {
 	beat := time.NewTicker(tickEvery)
 	defer beat.Stop()
 	last := int64(0)
@@ -310,20 +310,20 @@
 		case <-l.over:
 			return
 		case m := <-l.answers:
-			l.claimant.Hear(l.clock(), m)
+			l.claimant.Receive(l.clock(), m)
 		case do := <-l.calls:
 			do(l.clock())
 		case <-beat.C:
 			beaten = true
 		}
 		for n := 0; n < atOnce && len(l.answers) > 0; n++ {
-			l.claimant.Hear(l.clock(), <-l.answers)
+			l.claimant.Receive(l.clock(), <-l.answers)
 		}
 		if now := l.clock(); beaten || now-last >= tickLeast {
 			l.claimant.Tick(now)
 			last = now
 		}
-		for _, o := range l.claimant.Take() {
+		for _, o := range l.claimant.TakeActions() {
 			l.do(o)
 		}
 	}
@@ -331,7 +331,7 @@
 
 // vote runs the voter, where this instance has one. What is to be kept is kept, for many answers at once, before any of
 // them goes out.
-func (l *Leasing) vote() {
+func (l *Service) vote() {
 	beat := time.NewTicker(tickEvery)
 	defer beat.Stop()
 	for {
@@ -355,11 +355,11 @@
 		if beaten {
 			l.voter.Tick(l.clock())
 		}
-		outs := l.voter.Take()
+		outs := l.voter.TakeActions()
 		if l.store != nil && slices.ContainsFunc(outs, func(o lease.Out) bool {
 			return o.Act == lease.Keep || o.Act == lease.KeepSet || o.Act == lease.Unkeep
 		}) {
-			if err := l.store.keep(outs, l.voter.Floor()); err != nil {
+			if err := l.store.keep(outs, l.voter.TermFloor()); err != nil {
 				unkept.Add()
 				l.fall(fmt.Errorf("this instance votes no more: %w", err))
 				l.store.close()
@@ -373,14 +373,14 @@
 	}
 }
 
-func (l *Leasing) ask(m *lease.Message) {
+func (l *Service) ask(m *lease.Message) {
 	if l.voter != nil {
-		l.voter.Hear(l.clock(), m)
+		l.voter.Receive(l.clock(), m)
 	}
 }
 
 // do carries out one thing.
-func (l *Leasing) do(o lease.Out) {
+func (l *Service) do(o lease.Out) {
 	switch o.Act {
 	case lease.Send:
 		asked.Add()
--- a/internal/leaseservice/leasing_test.go
+++ b/internal/leaseservice/leasing_test.go
@@ -23,19 +23,19 @@
 // hub joins instances in one process; drop says which messages are lost.
 type hub struct {
 	mu   sync.Mutex
-	all  map[string]*Leasing
+	all  map[string]*Service
 	drop func(from, to string, kind uint8) bool
 }
 
-func (h *hub) join(t *testing.T, name, folder string, voters ...string) *Leasing {
+func (h *hub) join(t *testing.T, name, folder string, voters ...string) *Service {
 	t.Helper()
-	place := Place{Given: true, Longest: 1_000_000, Drift: 10_000, Most: 100, Folder: folder, Voters: lease.Voters{Number: 1, Names: voters}}
+	place := Settings{Given: true, LongestLease: 1_000_000, MaxDrift: 10_000, MaxLeases: 100, Folder: folder, Voters: lease.VoterSet{Number: 1, Names: voters}}
 	l := New(name, "test", place, Clock, func(to string, kind uint8, body []byte) error {
 		h.mu.Lock()
 		other, lost := h.all[to], h.drop != nil && h.drop(name, to, kind)
 		h.mu.Unlock()
 		if other != nil && !lost {
-			go other.Hear(name, kind, body)
+			go other.Receive(name, kind, body)
 		}
 		return nil
 	})
@@ -46,9 +46,9 @@
 	return l
 }
 
-func three(t *testing.T) (*hub, []*Leasing) {
-	h := &hub{all: map[string]*Leasing{}}
-	var all []*Leasing
+func three(t *testing.T) (*hub, []*Service) {
+	h := &hub{all: map[string]*Service{}}
+	var all []*Service
 	for _, name := range []string{"a", "b", "c"} {
 		all = append(all, h.join(t, name, "", "a", "b", "c"))
 	}
@@ -60,9 +60,9 @@
 	return h, all
 }
 
-func want(t *testing.T, l *Leasing, name string) *Tenure {
+func want(t *testing.T, l *Service, name string) *Guard {
 	t.Helper()
-	tenure, err := l.Want(lease.Wish{Lease: name, Length: 1_000_000}, nil)
+	tenure, err := l.RequestLease(lease.Request{Lease: name, Length: 1_000_000}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 func TestOneHolderOverWire(t *testing.T) {
 	_, all := three(t)
 	var inside, most, acts atomic.Int32
-	var tenures []*Tenure
+	var tenures []*Guard
 	over := make(chan struct{})
 	var done sync.WaitGroup
 	for _, l := range all {
@@ -106,7 +106,7 @@
 		})
 	}
 	holder := func() int {
-		return slices.IndexFunc(tenures, func(one *Tenure) bool { term, _ := one.Held(); return term > 0 })
+		return slices.IndexFunc(tenures, func(one *Guard) bool { term, _ := one.Held(); return term > 0 })
 	}
 	eventually(t, "somebody holds it", func() bool { return holder() >= 0 })
 	for range 3 {
@@ -129,14 +129,14 @@
 	if most.Load() > 1 {
 		t.Error("two acted at once")
 	}
-	lines := Lines(all[0].Ask(t.Context()))
-	if len(lines) != 1 || lines[0].Lease != "task" || lines[0].Of != 3 || len(lines[0].Voters) < 2 {
+	lines := MergeReports(all[0].QueryVoters(t.Context()))
+	if len(lines) != 1 || lines[0].Lease != "task" || lines[0].Answers != 3 || len(lines[0].GrantedBy) < 2 {
 		t.Errorf("voters told %+v", lines)
 	}
-	if _, err := all[0].Want(lease.Wish{Lease: "task", Length: 1_000_000}, nil); !errors.Is(err, ErrTaken) {
+	if _, err := all[0].RequestLease(lease.Request{Lease: "task", Length: 1_000_000}, nil); !errors.Is(err, ErrAlreadyRequested) {
 		t.Errorf("a second wish for it: %v", err)
 	}
-	if _, err := all[0].Want(lease.Wish{Lease: "other", Length: 2_000_000}, nil); err == nil {
+	if _, err := all[0].RequestLease(lease.Request{Lease: "other", Length: 2_000_000}, nil); err == nil {
 		t.Error("a lease above the longest was wanted")
 	}
 }
@@ -163,10 +163,10 @@
 // TestLinesOfAContender takes a voter that came back and tries a contender under a later term: the holder is whom most
 // voters grant the lease to. It was the one with the latest term, and free asked the wrong router.
 func TestLinesOfAContender(t *testing.T) {
-	held := []lease.State{{Lease: "task", Holder: "a", Term: 5, Left: 900_000, Waiting: 2}}
-	lines := Lines([]Voted{{Voter: "a", States: held}, {Voter: "b", States: held},
-		{Voter: "c", States: []lease.State{{Lease: "task", Holder: "b", Term: 9, Left: 100_000}}}})
-	if len(lines) != 1 || lines[0].Holder != "a" || lines[0].Term != 5 || !slices.Equal(lines[0].Voters, []string{"a", "b"}) {
+	held := []lease.LeaseState{{Lease: "task", Holder: "a", Term: 5, Remaining: 900_000, Waiting: 2}}
+	lines := MergeReports([]VoterReport{{Voter: "a", Leases: held}, {Voter: "b", Leases: held},
+		{Voter: "c", Leases: []lease.LeaseState{{Lease: "task", Holder: "b", Term: 9, Remaining: 100_000}}}})
+	if len(lines) != 1 || lines[0].Holder != "a" || lines[0].Term != 5 || !slices.Equal(lines[0].GrantedBy, []string{"a", "b"}) {
 		t.Errorf("%+v", lines)
 	}
 }
@@ -180,8 +180,8 @@
 		want(t, all[1], fmt.Sprintf("%03d", n))
 	}
 	told := func() (lines, whole int) {
-		for _, line := range Lines(all[0].Ask(t.Context())) {
-			if lines++; len(line.Voters) == 3 && line.Holder == "b" {
+		for _, line := range MergeReports(all[0].QueryVoters(t.Context())) {
+			if lines++; len(line.GrantedBy) == 3 && line.Holder == "b" {
 				whole++
 			}
 		}
@@ -214,7 +214,7 @@
 	})
 	o := all[0].overview(t.Context())
 	for _, line := range o.Voters {
-		if part := line.Why != ""; !line.Answers || part != (line.Voter == "c") {
+		if part := line.Reason != ""; !line.Answers || part != (line.Voter == "c") {
 			t.Errorf("%+v", line)
 		}
 	}
@@ -237,7 +237,7 @@
 	}
 	s.close()
 	s, kept, floor, set, err = openStore(folder, "kandy", "a")
-	if err != nil || floor != 9 || set != 3 || !reflect.DeepEqual(kept, []lease.Kept{{Lease: "y", Holder: "c", Term: 8, Born: 12}}) {
+	if err != nil || floor != 9 || set != 3 || !reflect.DeepEqual(kept, []lease.GrantRecord{{Lease: "y", Holder: "c", Term: 8, Incarnation: 12}}) {
 		t.Fatal(kept, floor, set, err)
 	}
 	s.close()
@@ -261,8 +261,8 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	refused("copied from another voter", whole, "kandy", "b", ErrOther)
-	refused("of another fleet", whole, "galle", "a", ErrOther)
+	refused("copied from another voter", whole, "kandy", "b", ErrOtherVoter)
+	refused("of another fleet", whole, "galle", "a", ErrOtherVoter)
 	for cut := 4096; cut < len(whole); cut += 4096 { // it ended the process, by a fault that can't be caught
 		other := t.TempDir()
 		if err := os.WriteFile(filepath.Join(other, storeName), whole[:cut], 0o600); err != nil {
@@ -310,18 +310,18 @@
 		t.Fatal(err)
 	}
 	s.close()
-	h := &hub{all: map[string]*Leasing{}}
+	h := &hub{all: map[string]*Service{}}
 	a, b, c := h.join(t, "a", folder, "a", "b", "c"), h.join(t, "b", "", "a", "b", "c"), h.join(t, "c", t.TempDir(), "a", "b", "c")
 	defer c.Stop()
 	defer b.Stop()
 	defer a.Stop()
-	if !errors.Is(a.Out(), ErrOther) || b.Out() != nil || c.Out() != nil {
-		t.Fatal(a.Out(), b.Out(), c.Out())
+	if !errors.Is(a.VoterFault(), ErrOtherVoter) || b.VoterFault() != nil || c.VoterFault() != nil {
+		t.Fatal(a.VoterFault(), b.VoterFault(), c.VoterFault())
 	}
 	tenure := want(t, a, "task")
 	eventually(t, "two voters are enough", func() bool { term, _ := tenure.Held(); return term > 0 })
 	o := a.overview(t.Context())
-	if o.Voters[0].Why == "" || o.Voters[0].Answers || !o.Voters[1].Answers {
+	if o.Voters[0].Reason == "" || o.Voters[0].Answers || !o.Voters[1].Answers {
 		t.Errorf("%+v", o)
 	}
 }
@@ -348,7 +348,7 @@
 			t.Fatal(err)
 		}
 		p := f.Part("leases")
-		Read(p)
+		ReadSettings(p)
 		if err := f.Faults(); (err == nil) != want {
 			t.Errorf("%s: %v", text, err)
 		}
@@ -357,16 +357,16 @@
 
 // FuzzDecode reads anything; what is taken is within its bounds and goes out again as it came in.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(&lease.Message{Kind: lease.Ask, Born: 1, Set: 1, Round: 9, Gen: 2, Items: []lease.Item{{Lease: "x", Term: 5, Length: 7, Full: true, Ticket: 4}}}))
-	f.Add(Encode(&lease.Message{Kind: lease.Renewed, Asker: 3, Names: []string{"a", "b"}, Lost: 4, Count: 2, Clock: 8}))
-	f.Add(Encode(&lease.Message{Kind: lease.Standing, Floor: 8, Longest: 9, Age: 10}))
+	f.Add(Encode(&lease.Message{Kind: lease.KindGrantRequest, Incarnation: 1, SetNumber: 1, RequestID: 9, Generation: 2, Items: []lease.Item{{Lease: "x", Term: 5, Length: 7, Full: true, Ticket: 4}}}))
+	f.Add(Encode(&lease.Message{Kind: lease.KindRenewResponse, Requester: 3, SetNames: []string{"a", "b"}, EndedGrants: 4, RenewedCount: 2, VoterClock: 8}))
+	f.Add(Encode(&lease.Message{Kind: lease.KindVoterStatus, TermFloor: 8, LongestLease: 9, SetAge: 10}))
 	f.Add([]byte{0x8f, 0x02})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, err := Decode("a", raw)
 		if err != nil {
 			return
 		}
-		if !m.Kind.Known() || len(m.Names) > lease.MostVoters || m.Longest < 0 || m.Age < 0 || m.Count < 0 {
+		if !m.Kind.Valid() || len(m.SetNames) > lease.MaxVoters || m.LongestLease < 0 || m.SetAge < 0 || m.RenewedCount < 0 {
 			t.Fatalf("out of bounds: %+v", m)
 		}
 		again, err := Decode("a", Encode(m))
--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -34,9 +34,9 @@
 
 // Why a lasting place is refused.
 var (
-	ErrDamaged = errors.New("a record does not match its sum")
-	ErrOther   = errors.New("it belongs to another voter")
-	ErrNewer   = errors.New("it was written by a later version")
+	ErrDamaged    = errors.New("a record does not match its sum")
+	ErrOtherVoter = errors.New("it belongs to another voter")
+	ErrNewer      = errors.New("it was written by a later version")
 )
 
 // store is an open lasting place.
@@ -63,7 +63,7 @@
 
 // openStore opens a voter's file in a folder, or makes it; kept is what it holds. A file that is damaged, another
 // voter's, or a later version's is refused, and left as it is.
-func openStore(folder, cluster, name string) (s *store, kept []lease.Kept, floor, set uint64, err error) {
+func openStore(folder, cluster, name string) (s *store, kept []lease.GrantRecord, floor, set uint64, err error) {
 	path := filepath.Join(folder, storeName)
 	// The library maps the file: where it was cut short, reading what it says there is would end the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -114,7 +114,7 @@
 		case o.Version > storeVersion:
 			return fmt.Errorf("%w: %d, this one knows %d", ErrNewer, o.Version, storeVersion)
 		case o.Cluster != cluster || o.Name != name:
-			return fmt.Errorf("%w: %q of cluster %q", ErrOther, o.Name, o.Cluster)
+			return fmt.Errorf("%w: %q of cluster %q", ErrOtherVoter, o.Name, o.Cluster)
 		}
 		for key, to := range map[string]*uint64{string(keyFloor): &floor, string(keySet): &set} {
 			if raw := meta.Get([]byte(key)); raw != nil {
@@ -128,7 +128,7 @@
 			if err := get(k, raw, &r); err != nil {
 				return err
 			}
-			kept = append(kept, lease.Kept{Lease: string(k), Holder: r.Holder, Term: r.Term, Born: r.Born})
+			kept = append(kept, lease.GrantRecord{Lease: string(k), Holder: r.Holder, Term: r.Term, Incarnation: r.Born})
 			return nil
 		})
 	})
--- a/internal/leaseservice/tenure.go
+++ b/internal/leaseservice/tenure.go
@@ -18,23 +18,23 @@
 
 // The changes.
 const (
-	Began Change = iota + 1
+	Acquired Change = iota + 1
 	Extended
 	Lost
-	Wanted // somebody else should have it: end what runs under it and call Release
+	YieldRequested // somebody else should have it: end what runs under it and call Release
 )
 
 // Event is one change. Until is on the leases' clock.
 type Event struct {
-	Change    Change
-	Term      uint64
-	Until     int64
-	Next, Why string
+	Change       Change
+	Term         uint64
+	Until        int64
+	Next, Reason string
 }
 
 // Tenure is a lease that is wanted, and perhaps held. Its methods may be called from any goroutine.
-type Tenure struct {
-	l    *Leasing
+type Guard struct {
+	l    *Service
 	name string
 	on   func(Event) // must not block; nil where the tenure itself yields
 	held atomic.Pointer[grant]
@@ -53,7 +53,7 @@
 }
 
 // Held is the term under which the lease is held and until when, 0 where it is not held any more.
-func (t *Tenure) Held() (term uint64, until int64) {
+func (t *Guard) Held() (term uint64, until int64) {
 	if g := t.held.Load(); g != nil && t.l.clock() < g.until {
 		return g.term, g.until
 	}
@@ -64,7 +64,7 @@
 // before the act; the act gets the term, to be passed on to whoever can check it, and a context that ends at its bound
 // and where the lease is lost. What it does must be over then. A process that is stopped between the check and the act
 // acts late: only a receiver that checks the term, or one that ends the act from outside, closes that.
-func (t *Tenure) Do(ctx context.Context, bound time.Duration, act func(ctx context.Context, term uint64) error) error {
+func (t *Guard) Do(ctx context.Context, bound time.Duration, act func(ctx context.Context, term uint64) error) error {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	t.mu.Lock()
@@ -100,7 +100,7 @@
 }
 
 // close lets no act begin any more and waits for those that run.
-func (t *Tenure) close() {
+func (t *Guard) close() {
 	t.mu.Lock()
 	t.shut = true
 	for _, cancel := range t.stops {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (t *Tenure) open() {
+func (t *Guard) open() {
 	t.mu.Lock()
 	t.shut = false
 	t.mu.Unlock()
@@ -127,7 +127,7 @@
 
 // Release ends the acts that run and gives the lease up, to whoever is named where that waits, else to who waits
 // first. The wish stays.
-func (t *Tenure) Release(next string) {
+func (t *Guard) Release(next string) {
 	t.close()
 	t.l.call(func(now int64) {
 		t.held.Store(nil)
@@ -137,17 +137,17 @@
 }
 
 // Drop ends the acts that run, gives the lease up and wishes for it no more.
-func (t *Tenure) Drop() {
+func (t *Guard) Withdraw() {
 	t.close()
 	t.l.call(func(now int64) {
 		t.held.Store(nil)
-		t.l.claimant.Drop(now, t.name)
+		t.l.claimant.Withdraw(now, t.name)
 		delete(t.l.tenures, t.name)
 	})
 }
 
 // Abandon wishes for the lease no more and lets it run out: what runs under it can't be known to have ended.
-func (t *Tenure) Abandon() {
+func (t *Guard) Abandon() {
 	t.l.call(func(now int64) {
 		t.l.claimant.Abandon(now, t.name)
 		delete(t.l.tenures, t.name)
@@ -155,11 +155,11 @@
 }
 
 // heard takes what became of the lease, on the claimant's goroutine.
-func (t *Tenure) heard(o lease.Out) {
-	e := Event{Term: o.Term, Until: o.Until, Next: o.Who, Why: o.Why}
+func (t *Guard) heard(o lease.Out) {
+	e := Event{Term: o.Term, Until: o.Until, Next: o.Who, Reason: o.Why}
 	switch o.Act {
 	case lease.Hold:
-		e.Change = Began
+		e.Change = Acquired
 		t.held.Store(&grant{o.Term, o.Until})
 	case lease.Extended:
 		e.Change = Extended
@@ -173,7 +173,7 @@
 		}
 		t.mu.Unlock()
 	case lease.Yield:
-		e.Change = Wanted
+		e.Change = YieldRequested
 		if t.on == nil {
 			go t.Release(o.Who)
 			return
--- a/internal/leaseservice/wire.go
+++ b/internal/leaseservice/wire.go
@@ -60,10 +60,10 @@
 
 // Encode puts a message on the wire, less its sender, whom the fleet names.
 func Encode(m *lease.Message) []byte {
-	w := wireMessage{Version: version, Kind: uint8(m.Kind), Born: m.Born, Asker: m.Asker, Set: m.Set, Names: m.Names, Round: m.Round,
-		Lost: m.Lost, Gen: m.Gen, Count: m.Count, Clock: m.Clock, Floor: m.Floor, Longest: m.Longest, Age: m.Age, Items: make([]wireItem, 0, len(m.Items))}
+	w := wireMessage{Version: version, Kind: uint8(m.Kind), Born: m.Incarnation, Asker: m.Requester, Set: m.SetNumber, Names: m.SetNames, Round: m.RequestID,
+		Lost: m.EndedGrants, Gen: m.Generation, Count: m.RenewedCount, Clock: m.VoterClock, Floor: m.TermFloor, Longest: m.LongestLease, Age: m.SetAge, Items: make([]wireItem, 0, len(m.Items))}
 	for _, it := range m.Items {
-		w.Items = append(w.Items, wireItem{Lease: it.Lease, Term: it.Term, Length: it.Length, Full: it.Full, Over: it.Over,
+		w.Items = append(w.Items, wireItem{Lease: it.Lease, Term: it.Term, Length: it.Length, Full: it.Full, Over: it.CarryOver,
 			Priority: it.Priority, Ticket: it.Ticket, Verdict: uint8(it.Verdict), Holder: it.Holder, Wait: it.Wait})
 	}
 	return codec.Encode(w)
@@ -83,22 +83,22 @@
 	if err := decoding.Unmarshal(raw, &w); err != nil {
 		return nil, err
 	}
-	m := &lease.Message{Kind: lease.Kind(w.Kind), From: from, Born: w.Born, Asker: w.Asker, Set: w.Set, Names: w.Names,
-		Round: w.Round, Lost: w.Lost, Gen: w.Gen, Count: w.Count, Clock: w.Clock, Floor: w.Floor, Longest: w.Longest, Age: w.Age}
-	if !m.Kind.Known() || len(w.Names) > lease.MostVoters || w.Longest < 0 || w.Longest > mostLease || w.Age < 0 || w.Count < 0 ||
+	m := &lease.Message{Kind: lease.MessageKind(w.Kind), From: from, Incarnation: w.Born, Requester: w.Asker, SetNumber: w.Set, SetNames: w.Names,
+		RequestID: w.Round, EndedGrants: w.Lost, Generation: w.Gen, RenewedCount: w.Count, VoterClock: w.Clock, TermFloor: w.Floor, LongestLease: w.Longest, SetAge: w.Age}
+	if !m.Kind.Valid() || len(w.Names) > lease.MaxVoters || w.Longest < 0 || w.Longest > mostLease || w.Age < 0 || w.Count < 0 ||
 		w.Clock < 0 || w.Clock > mostClock || w.Age > mostClock || w.Floor > 1<<62 {
 		return nil, errBounds
 	}
 	for _, name := range w.Names {
-		if name == "" || len(name) > lease.MostName {
+		if name == "" || len(name) > lease.MaxNameLength {
 			return nil, errBounds
 		}
 	}
 	for _, it := range w.Items {
-		one := lease.Item{Lease: it.Lease, Term: it.Term, Length: it.Length, Full: it.Full, Over: it.Over,
+		one := lease.Item{Lease: it.Lease, Term: it.Term, Length: it.Length, Full: it.Full, CarryOver: it.Over,
 			Priority: it.Priority, Ticket: it.Ticket, Verdict: lease.Verdict(it.Verdict), Holder: it.Holder, Wait: it.Wait}
-		if it.Lease == "" || len(it.Lease) > lease.MostName || len(it.Holder) > lease.MostName || it.Term > 1<<62 || it.Ticket > 1<<62 ||
-			it.Length < 0 || it.Length > mostLease || it.Wait < 0 || it.Wait > mostClock || one.Verdict > lease.NoRoom {
+		if it.Lease == "" || len(it.Lease) > lease.MaxNameLength || len(it.Holder) > lease.MaxNameLength || it.Term > 1<<62 || it.Ticket > 1<<62 ||
+			it.Length < 0 || it.Length > mostLease || it.Wait < 0 || it.Wait > mostClock || one.Verdict > lease.NoCapacity {
 			return nil, errBounds
 		}
 		m.Items = append(m.Items, one)
--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -96,7 +96,7 @@
 	clock   func() int64
 	send    func(to string, kind uint8, body []byte) error
 	members func() []string
-	leases  *leaseservice.Leasing
+	leases  *leaseservice.Service
 	voters  []string
 	length  int64
 
@@ -109,7 +109,7 @@
 	member   *rollout.Member
 	ledger   *rollout.Ledger
 	born     uint64
-	tenure   *leaseservice.Tenure
+	tenure   *leaseservice.Guard
 	term     uint64
 	chief    string
 	reportAt int64
@@ -130,7 +130,7 @@
 }
 
 // New makes an instance's part.
-func New(self string, at Place, voters []string, longest int64, router Router, clock func() int64, leases *leaseservice.Leasing, members func() []string,
+func New(self string, at Place, voters []string, longest int64, router Router, clock func() int64, leases *leaseservice.Service, members func() []string,
 	send func(to string, kind uint8, body []byte) error) *Releasing {
 	born := uint64(time.Now().UnixMicro())
 	r := &Releasing{self: self, at: at, router: router, clock: clock, send: send, members: members, leases: leases, voters: voters, length: min(longest, mostLength),
@@ -165,26 +165,26 @@
 
 // stand asks for the lease as one of a few.
 func (r *Releasing) stand() {
-	var t *leaseservice.Tenure
+	var t *leaseservice.Guard
 	for {
-		stands := lease.Stands(r.self, r.members(), Lease, standMost)
+		stands := lease.Eligible(r.self, r.members(), Lease, standMost)
 		if stands && t == nil {
 			var err error
-			if t, err = r.leases.Want(lease.Wish{Lease: Lease, Length: r.length}, r.changed); err != nil {
+			if t, err = r.leases.RequestLease(lease.Request{Lease: Lease, Length: r.length}, r.changed); err != nil {
 				slog.Error("does not stand for the lead of releases", "err", err)
 			} else {
 				r.post(func(int64) { r.tenure = t })
 			}
 		} else if !stands && t != nil {
 			if term, _ := t.Held(); term == 0 {
-				t.Drop()
+				t.Withdraw()
 				t = nil
 			}
 		}
 		select {
 		case <-r.over:
 			if t != nil {
-				t.Drop()
+				t.Withdraw()
 			}
 			return
 		case <-time.After(standGap):
@@ -196,7 +196,7 @@
 func (r *Releasing) changed(e leaseservice.Event) {
 	r.post(func(now int64) {
 		switch {
-		case e.Change == leaseservice.Began:
+		case e.Change == leaseservice.Acquired:
 			leads.Add()
 			r.term = e.Term
 			r.leader.Lead(now, e.Term)
@@ -205,7 +205,7 @@
 			r.leader.Carried(now, e.Term)
 		case e.Change == leaseservice.Lost:
 			r.lose()
-		case e.Change == leaseservice.Wanted:
+		case e.Change == leaseservice.YieldRequested:
 			r.yield(e.Next)
 		}
 	})
--- a/internal/rolloutservice/service_test.go
+++ b/internal/rolloutservice/service_test.go
@@ -20,7 +20,7 @@
 // TestStopGivesTheLeadUp sees the lease of a leader that stops free at once, not only when it has run out.
 func TestStopGivesTheLeadUp(t *testing.T) {
 	send := func(string, uint8, []byte) error { return nil }
-	l := leaseservice.New("a", "test", leaseservice.Place{Given: true, Longest: 4_000_000, Drift: 10_000, Most: 10, Voters: lease.Voters{Number: 1, Names: []string{"a"}}}, leaseservice.Clock, send)
+	l := leaseservice.New("a", "test", leaseservice.Settings{Given: true, LongestLease: 4_000_000, MaxDrift: 10_000, MaxLeases: 10, Voters: lease.VoterSet{Number: 1, Names: []string{"a"}}}, leaseservice.Clock, send)
 	l.Start()
 	defer l.Stop()
 	r := New("a", Place{}, []string{"a"}, 4_000_000, still{}, leaseservice.Clock, l, func() []string { return nil }, send)
@@ -36,7 +36,7 @@
 	r.Stop()
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) { // half of the lease's length
 		held := false
-		for _, line := range leaseservice.Lines(l.Ask(t.Context())) {
+		for _, line := range leaseservice.MergeReports(l.QueryVoters(t.Context())) {
 			held = held || line.Lease == Lease && line.Holder != ""
 		}
 		if !held {
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -21,7 +21,7 @@
 type TestHooks struct {
 	Wrap   membership.Wrap             // stands before the network among instances
 	Clock  func() int64                // of leases
-	Leases func(*leaseservice.Leasing) // is told of the router's part in leases, once it has begun
+	Leases func(*leaseservice.Service) // is told of the router's part in leases, once it has begun
 }
 
 // Check reads the operator's file as a start would, for a router whose own name is not known; the error holds every
@@ -35,7 +35,7 @@
 type wishes struct {
 	fleet   membership.Place
 	duties  sharedprobes.Pace
-	leases  leaseservice.Place
+	leases  leaseservice.Settings
 	rolls   versionaudit.Pace
 	control adminsocket.Place
 	release rolloutservice.Place
@@ -51,7 +51,7 @@
 		sql.ReadKnowledge(file.Part("statements")) // its faults; for classify, no router uses it yet
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
-	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.Read(leases), versionaudit.Read(leases.Part("roll-call")),
+	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.ReadSettings(leases), versionaudit.Read(leases.Part("roll-call")),
 		adminsocket.Read(file.Part("control")), rolloutservice.Read(releases)}
 	if w.duties.Given && !own.Present() {
 		duties.AddFault("", "duties without a fleet", "a part fleet, which says who shares them")
@@ -71,7 +71,7 @@
 	wishes    wishes
 	fleet     *membership.Fleet
 	shares    *sharedprobes.Patrol
-	leases    *leaseservice.Leasing
+	leases    *leaseservice.Service
 	rolls     *versionaudit.Roll
 	control   *adminsocket.Server
 	releasing atomic.Pointer[rolloutservice.Releasing] // messages may come before it has begun
@@ -108,7 +108,7 @@
 			if down != nil {
 				down(name, born, left)
 			}
-			c.leases.Gone(name)
+			c.leases.MemberGone(name)
 		}
 	}
 	ready := make(chan struct{}) // nothing is sent before there is a fleet
@@ -134,16 +134,16 @@
 	}
 	if c.leases != nil {
 		c.leases.Start()
-		c.rolls.Start(w.leases.Longest)
+		c.rolls.Start(w.leases.LongestLease)
 		if in.Leases != nil {
 			go in.Leases(c.leases)
 		}
 		if c.control != nil {
-			c.leases.Serve(c.control)
+			c.leases.RegisterCommands(c.control)
 		}
 		if w.release.Given {
 			e.EnableClusterServices(targets)
-			r := rolloutservice.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.Longest, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Any)
+			r := rolloutservice.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.LongestLease, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Any)
 			r.Start()
 			c.releasing.Store(r)
 			if c.control != nil {
@@ -165,7 +165,7 @@
 	case kind == membership.KindRoll:
 		c.rolls.Hear(from, body)
 	default:
-		c.leases.Hear(from, kind, body)
+		c.leases.Receive(from, kind, body)
 	}
 }
 
@@ -221,7 +221,7 @@
 		r.Stop()
 	}
 	if c.leases != nil {
-		c.leases.Leave()
+		c.leases.Shutdown()
 	}
 	c.end()
 }
--- a/internal/simulation/eventqueue/agenda.go
+++ b/internal/simulation/eventqueue/agenda.go
@@ -5,7 +5,7 @@
 import "container/heap"
 
 // Agenda holds events; the zero value is empty.
-type Agenda[E any] struct {
+type Queue[E any] struct {
 	items items[E]
 	seq   int64
 }
@@ -32,13 +32,13 @@
 }
 
 // Put notes an event for a time.
-func (a *Agenda[E]) Put(at int64, e E) {
+func (a *Queue[E]) Push(at int64, e E) {
 	a.seq++
 	heap.Push(&a.items, item[E]{at, a.seq, e})
 }
 
 // Next takes the first event that is due up to a time.
-func (a *Agenda[E]) Next(till int64) (at int64, e E, due bool) {
+func (a *Queue[E]) Pop(till int64) (at int64, e E, due bool) {
 	if len(a.items) == 0 || a.items[0].at > till {
 		return 0, e, false
 	}
--- a/internal/simulation/leasesim/council.go
+++ b/internal/simulation/leasesim/council.go
@@ -20,45 +20,45 @@
 )
 
 // Plan is what a run is made of.
-type Plan struct {
-	Seed      uint64
-	Voters    int   // of the first set
-	Others    int   // processes that do not vote
-	Leases    int   // each wanted by everybody
-	Wanted    int   // of the processes, how many want each lease; 0 for all
-	Length    int64 // us
-	Drift     int64 // parts of a million that the processes are told
-	TrueDrift int64 // parts of a million by which their clocks really are off, at most; 0 for as told
-	Lasting   bool  // voters keep their records
-	Span      int64 // us
-	Calm      bool  // no faults but what Kill and others are called for
-	Planted   Fault
+type Scenario struct {
+	Seed           uint64
+	Voters         int   // of the first set
+	Others         int   // processes that do not vote
+	Leases         int   // each wanted by everybody
+	Wanted         int   // of the processes, how many want each lease; 0 for all
+	Length         int64 // us
+	Drift          int64 // parts of a million that the processes are told
+	TrueDrift      int64 // parts of a million by which their clocks really are off, at most; 0 for as told
+	Lasting        bool  // voters keep their records
+	Span           int64 // us
+	Calm           bool  // no faults but what Kill and others are called for
+	PlantedMistake Mistake
 }
 
 // Fault is a planted mistake.
-type Fault int
+type Mistake int
 
 // The planted mistakes; each breaks one rule that the argument for safety rests on.
 const (
-	None            Fault = iota
-	Forgets               // a voter that comes back votes at once
-	NoMargin              // a claimant leaves no room for drift
-	FromAnswer            // a vote counts from its answer, not from its question
-	FormerVoter           // what a voter's new process says stands for what the former one granted
-	TermReused            // a voter that comes back knows no terms, and asks nobody
-	EarlyFree             // a lease is given up while its acts still run
-	NoClock               // a holder goes by what it was told, not by the time that is left
-	TwoAtOnce             // two voters are replaced in one change of the set
-	OldSet                // a voter takes questions under any set of voters
-	ShortVotes            // a voter keeps a grant for less than it said
-	SameProcess           // a process that starts anew takes its former one's number
-	ShortAbstinence       // a voter that comes back abstains for half the longest lease
-	HalfMajority          // half of the voters are enough
-	Faults
+	None            Mistake = iota
+	Forgets                 // a voter that comes back votes at once
+	NoMargin                // a claimant leaves no room for drift
+	FromAnswer              // a vote counts from its answer, not from its question
+	FormerVoter             // what a voter's new process says stands for what the former one granted
+	TermReused              // a voter that comes back knows no terms, and asks nobody
+	EarlyFree               // a lease is given up while its acts still run
+	NoClock                 // a holder goes by what it was told, not by the time that is left
+	TwoAtOnce               // two voters are replaced in one change of the set
+	OldSet                  // a voter takes questions under any set of voters
+	ShortVotes              // a voter keeps a grant for less than it said
+	SameProcess             // a process that starts anew takes its former one's number
+	ShortAbstinence         // a voter that comes back abstains for half the longest lease
+	HalfMajority            // half of the voters are enough
+	MistakeCount
 )
 
 // String names the mistake.
-func (f Fault) String() string {
+func (f Mistake) String() string {
 	return [...]string{"none", "forgets", "no-margin", "from-answer", "former-voter",
 		"term-reused", "early-free", "no-clock", "two-at-once", "old-set", "short-votes", "same-process",
 		"short-abstinence", "half-majority"}[f]
@@ -72,44 +72,44 @@
 
 // Figures are what a run measured.
 type Figures struct {
-	Events    int64
-	Messages  int64
-	Bytes     int64
-	Holds     int64
-	Losses    int64
-	Overs     int64   // times that a lease was carried over to a later term
-	HeldShare float64 // of the time, over all leases
-	Hash      uint64
+	Events     int64
+	Messages   int64
+	Bytes      int64
+	Holds      int64
+	Losses     int64
+	CarryOvers int64   // times that a lease was carried over to a later term
+	HeldShare  float64 // of the time, over all leases
+	Hash       uint64
 }
 
 // World is one run.
-type World struct {
-	Plan
-	Now     int64
-	Broken  string // the first rule that was broken
-	Weigh   func(*lease.Message) int
-	Trace   func(at int64, what string)
-	Observe func(at int64, process string, o lease.Out) // each action, before it is carried out
-	rng     *rand.Rand
-	list    []*process
-	byName  map[string]int
-	index   map[string]int  // of leases
-	Spent   []time.Duration // real time in each process's modules, where Measure is set
-	Measure bool
-	events  eventqueue.Agenda[event]
-	digest  *xxhash.Digest
-	fig     Figures
-	leases  []*held
-	sets    []lease.Voters // by number less one
-	links   []link         // from*n + to
-	loss    float64
-	twice   float64
-	late    int64 // us that a message takes at most
-	cutTill []int64
-	settled int64 // when the set of voters may change again
-	born    uint64
-	label   map[label]uint64 // planted: under which set a question went out
-	scratch [64]byte
+type Simulation struct {
+	Scenario
+	Now         int64
+	Violation   string // the first rule that was broken
+	MessageSize func(*lease.Message) int
+	Trace       func(at int64, what string)
+	Observe     func(at int64, process string, o lease.Out) // each action, before it is carried out
+	rng         *rand.Rand
+	list        []*process
+	byName      map[string]int
+	index       map[string]int  // of leases
+	ModuleTime  []time.Duration // real time in each process's modules, where Measure is set
+	Measure     bool
+	events      eventqueue.Queue[event]
+	digest      *xxhash.Digest
+	fig         Figures
+	leases      []*held
+	sets        []lease.VoterSet // by number less one
+	links       []link           // from*n + to
+	loss        float64
+	twice       float64
+	late        int64 // us that a message takes at most
+	cutTill     []int64
+	settled     int64 // when the set of voters may change again
+	born        uint64
+	label       map[label]uint64 // planted: under which set a question went out
+	scratch     [64]byte
 }
 
 // label names a question.
@@ -131,13 +131,13 @@
 	stopped  bool
 	starts   int // counts up, so that what was due for a former process comes to nothing
 	born     uint64
-	claimant *lease.Claimant
+	claimant *lease.Candidate
 	voter    *lease.Voter
 	rate     float64 // of its clock against the true time
 	zero     int64   // its clock at true time 0
 	wallOff  int64   // of its wall clock
 	number   uint64  // set of voters that its file names
-	kept     map[string]lease.Kept
+	kept     map[string]lease.GrantRecord
 	floor    uint64
 	keptSet  uint64
 	waiting  []arrival         // messages that came while it was stopped
@@ -194,22 +194,22 @@
 )
 
 // New makes a run of a plan; all processes start within a tick.
-func New(p Plan) *World {
+func New(p Scenario) *Simulation {
 	if p.TrueDrift == 0 {
 		p.TrueDrift = p.Drift
 	}
-	w := &World{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 3)), byName: map[string]int{}, index: map[string]int{}, digest: xxhash.New(), late: 5_000}
+	w := &Simulation{Scenario: p, rng: rand.New(rand.NewPCG(p.Seed, 3)), byName: map[string]int{}, index: map[string]int{}, digest: xxhash.New(), late: 5_000}
 	n := p.Voters + p.Others
-	w.links, w.cutTill, w.Spent = make([]link, n*n), make([]int64, n), make([]time.Duration, n)
+	w.links, w.cutTill, w.ModuleTime = make([]link, n*n), make([]int64, n), make([]time.Duration, n)
 	var names []string
 	for i := range n {
-		w.list = append(w.list, &process{name: fmt.Sprintf("r%03d", i), index: i, kept: map[string]lease.Kept{}, number: 1})
+		w.list = append(w.list, &process{name: fmt.Sprintf("r%03d", i), index: i, kept: map[string]lease.GrantRecord{}, number: 1})
 		w.byName[w.list[i].name] = i
 		if i < p.Voters {
 			names = append(names, w.list[i].name)
 		}
 	}
-	w.sets = []lease.Voters{{Number: 1, Names: names}}
+	w.sets = []lease.VoterSet{{Number: 1, Names: names}}
 	for l := range p.Leases {
 		w.leases = append(w.leases, &held{name: fmt.Sprintf("task-%04d", l), since: -1})
 		w.index[w.leases[l].name] = l
@@ -229,14 +229,14 @@
 	return w
 }
 
-func (w *World) push(e event) { w.events.Put(e.at, e) }
+func (w *Simulation) push(e event) { w.events.Push(e.at, e) }
 
 // clock is a process's clock now; back gives the true time of a reading.
 func (p *process) clock(now int64) int64 { return p.zero + int64(float64(now)*p.rate) }
 func (p *process) back(own int64) int64  { return int64(float64(own-p.zero) / p.rate) }
 
 // note mixes an event into the hash.
-func (w *World) note(kind int8, who int, a, b int64) {
+func (w *Simulation) note(kind int8, who int, a, b int64) {
 	binary.LittleEndian.PutUint64(w.scratch[0:], uint64(w.Now))
 	binary.LittleEndian.PutUint64(w.scratch[8:], uint64(kind)<<32|uint64(who))
 	binary.LittleEndian.PutUint64(w.scratch[16:], uint64(a))
@@ -244,22 +244,22 @@
 	w.digest.Write(w.scratch[:32])
 }
 
-func (w *World) trace(format string, args ...any) {
+func (w *Simulation) trace(format string, args ...any) {
 	if w.Trace != nil {
 		w.Trace(w.Now, fmt.Sprintf(format, args...))
 	}
 }
 
 // longest is the longest lease that voters are told of.
-func (w *World) longest() int64 { return w.Length }
+func (w *Simulation) longest() int64 { return w.Length }
 
 // start starts a process, or starts it anew, knowing what it kept and no more.
-func (w *World) start(i int) {
+func (w *Simulation) start(i int) {
 	p := w.list[i]
 	p.starts++
 	p.up, p.stopped, p.waiting = true, false, nil
 	w.born++
-	if p.born == 0 || w.Planted != SameProcess {
+	if p.born == 0 || w.PlantedMistake != SameProcess {
 		p.born = w.born
 	}
 	if p.rate == 0 { // the machine's clock goes on through restarts of the process
@@ -273,7 +273,7 @@
 	}
 	own := p.clock(w.Now)
 	drift := w.Drift
-	if w.Planted == NoMargin {
+	if w.PlantedMistake == NoMargin {
 		drift = 0
 	}
 	number := p.number
@@ -281,12 +281,12 @@
 		number = p.keptSet
 	}
 	by := w.voters(number)
-	p.claimant = lease.NewClaimant(p.name, p.born, drift, by.Number, by.Names)
+	p.claimant = lease.NewCandidate(p.name, p.born, drift, by.Number, by.Names)
 	p.term, p.until, p.heldAt = make([]uint64, w.Leases), make([]int64, w.Leases), make([]int64, w.Leases)
 	p.lostAt, p.voterAt = map[string]uint64{}, map[string]uint64{}
 	for l, h := range w.leases {
 		if w.Wanted == 0 || (i+l)%len(w.list) < w.Wanted {
-			p.claimant.Want(own, w.wish(l, h))
+			p.claimant.RequestLease(own, w.wish(l, h))
 		}
 	}
 	w.vote(p, own, by) // one that is in no set answers nothing, and may be in the next one
@@ -295,9 +295,9 @@
 }
 
 // vote gives a process its voter.
-func (w *World) vote(p *process, own int64, by lease.Voters) {
+func (w *Simulation) vote(p *process, own int64, by lease.VoterSet) {
 	floor, begun := uint64(wall+w.Now+p.wallOff+w.longest()), own
-	var kept []lease.Kept
+	var kept []lease.GrantRecord
 	if w.Lasting {
 		floor = max(floor, p.floor)
 		for _, name := range slices.Sorted(maps.Keys(p.kept)) {
@@ -305,7 +305,7 @@
 		}
 	}
 	longest := w.longest()
-	switch w.Planted {
+	switch w.PlantedMistake {
 	case TermReused:
 		floor, kept = 0, nil
 	case Forgets:
@@ -319,20 +319,22 @@
 }
 
 // wish is what a process wants of a lease.
-func (w *World) wish(l int, h *held) lease.Wish {
-	wish := lease.Wish{Lease: h.name, Length: w.Length}
+func (w *Simulation) wish(l int, h *held) lease.Request {
+	wish := lease.Request{Lease: h.name, Length: w.Length}
 	if !w.Calm && l%3 == 1 {
-		wish.Turn = 4 * w.Length
+		wish.YieldAfter = 4 * w.Length
 	}
 	return wish
 }
 
-func (w *World) voters(number uint64) lease.Voters { return w.sets[min(int(number), len(w.sets))-1] }
+func (w *Simulation) voters(number uint64) lease.VoterSet {
+	return w.sets[min(int(number), len(w.sets))-1]
+}
 
 // Run plays up to a time.
-func (w *World) Run(till int64) {
-	for w.Broken == "" {
-		at, e, due := w.events.Next(till)
+func (w *Simulation) Run(till int64) {
+	for w.Violation == "" {
+		at, e, due := w.events.Pop(till)
 		if !due {
 			break
 		}
@@ -343,7 +345,7 @@
 	w.Now = max(w.Now, till)
 }
 
-func (w *World) handle(e event) {
+func (w *Simulation) handle(e event) {
 	switch e.kind {
 	case evTick:
 		p := w.list[e.who]
@@ -386,34 +388,34 @@
 	}
 }
 
-func (w *World) tick(p *process) {
+func (w *Simulation) tick(p *process) {
 	defer w.spend(p, time.Now())
 	own := p.clock(w.Now)
 	p.claimant.Tick(own)
 	if p.voter != nil {
 		p.voter.Tick(own)
-		if has, _ := p.voter.Set(); has < p.number && w.rng.IntN(20) == 0 { // the operator looks after who is behind
+		if has, _ := p.voter.CurrentSet(); has < p.number && w.rng.IntN(20) == 0 { // the operator looks after who is behind
 			p.voter.SetVoters(own, w.voters(has+1))
 		}
 	}
 	w.carry(p)
 }
 
-func (w *World) spend(p *process, began time.Time) {
+func (w *Simulation) spend(p *process, began time.Time) {
 	if w.Measure {
-		w.Spent[p.index] += time.Since(began)
+		w.ModuleTime[p.index] += time.Since(began)
 	}
 }
 
 // carry does what the modules ask for. A voter's records are kept before its answers go out.
-func (w *World) carry(p *process) {
-	for _, o := range p.claimant.Take() {
+func (w *Simulation) carry(p *process) {
+	for _, o := range p.claimant.TakeActions() {
 		w.do(p, o)
 	}
 	if p.voter == nil {
 		return
 	}
-	for _, o := range p.voter.Take() {
+	for _, o := range p.voter.TakeActions() {
 		if !p.up {
 			return
 		}
@@ -421,9 +423,9 @@
 	}
 }
 
-func (w *World) lease(name string) int { return w.index[name] }
+func (w *Simulation) lease(name string) int { return w.index[name] }
 
-func (w *World) do(p *process, o lease.Out) {
+func (w *Simulation) do(p *process, o lease.Out) {
 	if w.Observe != nil {
 		w.Observe(w.Now, p.name, o)
 	}
@@ -432,12 +434,12 @@
 		w.send(p, o.To, o.Message)
 	case lease.Keep:
 		if w.Lasting {
-			p.kept[o.Lease] = lease.Kept{Lease: o.Lease, Holder: o.Who, Term: o.Term, Born: o.Born}
-			p.floor = max(p.floor, p.voter.Floor())
+			p.kept[o.Lease] = lease.GrantRecord{Lease: o.Lease, Holder: o.Who, Term: o.Term, Incarnation: o.Born}
+			p.floor = max(p.floor, p.voter.TermFloor())
 		}
 	case lease.Unkeep:
 		delete(p.kept, o.Lease)
-		p.floor = max(p.floor, p.voter.Floor())
+		p.floor = max(p.floor, p.voter.TermFloor())
 	case lease.KeepSet:
 		if w.Lasting {
 			p.keptSet = o.Term
@@ -455,7 +457,7 @@
 }
 
 // hold notes a new holder and checks that nobody else can still act.
-func (w *World) hold(p *process, l int, term uint64, until int64) {
+func (w *Simulation) hold(p *process, l int, term uint64, until int64) {
 	h := w.leases[l]
 	w.trace("%s holds %s at %d until %d", p.name, h.name, term, p.back(until))
 	w.note(10, p.index, int64(term), until)
@@ -474,7 +476,7 @@
 	}
 }
 
-func (w *World) extended(p *process, l int, term uint64, until int64) {
+func (w *Simulation) extended(p *process, l int, term uint64, until int64) {
 	w.note(11, p.index, int64(l), until)
 	if h := w.leases[l]; term != p.term[l] { // carried over to a later term
 		w.trace("%s carries %s over to %d", p.name, h.name, term)
@@ -482,7 +484,7 @@
 			w.broken("%s carries %s over to term %d, and %s had it under %d", p.name, h.name, term, h.by, h.top)
 		}
 		h.top, h.by, p.term[l] = term, p.name, term
-		w.fig.Overs++
+		w.fig.CarryOvers++
 	}
 	p.until[l] = until
 	w.alone(p, l, until)
@@ -490,10 +492,10 @@
 
 // alone checks that no other process could act on a lease from now on, up to the end of its time, and notes this one's.
 // A process that was killed counts up to its time too: what it started may go on without it.
-func (w *World) alone(p *process, l int, until int64) {
+func (w *Simulation) alone(p *process, l int, until int64) {
 	h := w.leases[l]
 	me, till := p.me(), p.back(until)
-	if w.Planted == NoClock { // it acts until it is told that it lost
+	if w.PlantedMistake == NoClock { // it acts until it is told that it lost
 		till = w.Now + 10*w.Length
 	}
 	kept := h.past[:0]
@@ -509,27 +511,27 @@
 	h.past = append(kept, span{by: me, till: till})
 }
 
-func (w *World) broken(format string, args ...any) {
-	if w.Broken == "" {
-		w.Broken = fmt.Sprintf("%.3f s: ", float64(w.Now)/1e6) + fmt.Sprintf(format, args...)
-		w.trace("BROKEN %s", w.Broken)
+func (w *Simulation) broken(format string, args ...any) {
+	if w.Violation == "" {
+		w.Violation = fmt.Sprintf("%.3f s: ", float64(w.Now)/1e6) + fmt.Sprintf(format, args...)
+		w.trace("BROKEN %s", w.Violation)
 	}
 }
 
 // lost notes that a process knows that it holds no more. What it did by its guard ended with its time.
-func (w *World) lost(p *process, l int, why string) {
+func (w *Simulation) lost(p *process, l int, why string) {
 	w.trace("%s loses %s: %s", p.name, w.leases[l].name, why)
 	w.note(12, p.index, int64(l), 0)
 	w.fig.Losses++
 	w.away(p, l)
-	if w.Planted == NoClock {
+	if w.PlantedMistake == NoClock {
 		w.end(p, l, w.Now)
 	}
 	p.term[l] = 0
 }
 
 // away notes that nobody holds a lease from when its holder's time was over.
-func (w *World) away(p *process, l int) {
+func (w *Simulation) away(p *process, l int) {
 	if h := w.leases[l]; p.term[l] != 0 && h.top == p.term[l] && h.since >= 0 {
 		end := min(w.Now, max(h.since, p.back(p.until[l])))
 		h.total += end - h.since
@@ -538,13 +540,13 @@
 }
 
 // release gives a lease up after its acts have ended.
-func (w *World) release(p *process, l int, next string) {
+func (w *Simulation) release(p *process, l int, next string) {
 	if p.term[l] == 0 {
 		return
 	}
 	w.note(13, p.index, int64(l), 0)
 	w.away(p, l)
-	if w.Planted == EarlyFree {
+	if w.PlantedMistake == EarlyFree {
 		w.end(p, l, w.Now+w.Length/4) // the act goes on a while
 	} else {
 		w.end(p, l, w.Now)
@@ -554,7 +556,7 @@
 }
 
 // end notes that a process that is up acts on a lease no longer than up to a time.
-func (w *World) end(p *process, l int, till int64) {
+func (w *Simulation) end(p *process, l int, till int64) {
 	me := p.me()
 	for i := range w.leases[l].past {
 		if s := &w.leases[l].past[i]; s.by == me {
@@ -567,16 +569,16 @@
 func (p *process) me() string { return fmt.Sprint(p.name, "/", p.starts) }
 
 // send lets a message out.
-func (w *World) send(p *process, to string, m *lease.Message) {
+func (w *Simulation) send(p *process, to string, m *lease.Message) {
 	i, known := w.byName[to]
 	if !known {
 		return
 	}
 	w.fig.Messages++
-	if w.Weigh != nil {
-		w.fig.Bytes += int64(w.Weigh(m))
+	if w.MessageSize != nil {
+		w.fig.Bytes += int64(w.MessageSize(m))
 	}
-	w.note(14, p.index, int64(i), int64(m.Kind)<<40|int64(m.Round))
+	w.note(14, p.index, int64(i), int64(m.Kind)<<40|int64(m.RequestID))
 	copied := *m // who gets it must not share what the sender still changes
 	copied.Items = slices.Clone(m.Items)
 	if i == p.index { // to itself it is no message
@@ -586,11 +588,11 @@
 	if w.links[p.index*len(w.list)+i].cut || w.rng.Float64() < w.loss {
 		return
 	}
-	if w.Planted == OldSet && (m.Kind == lease.Ask || m.Kind == lease.Renew) {
+	if w.PlantedMistake == OldSet && (m.Kind == lease.KindGrantRequest || m.Kind == lease.KindRenewRequest) {
 		if w.label == nil {
 			w.label = map[label]uint64{}
 		}
-		w.label[label{p.name, to, m.Round}] = m.Set
+		w.label[label{p.name, to, m.RequestID}] = m.SetNumber
 	}
 	slow := w.links[p.index*len(w.list)+i].slow
 	w.push(event{at: w.Now + w.delay(slow), kind: evMessage, who: i, m: &copied})
@@ -601,12 +603,12 @@
 		}
 		w.push(event{at: at, kind: evMessage, who: i, m: &copied})
 	}
-	if !w.Calm && m.Kind == lease.Answer && w.rng.IntN(400) == 0 { // a voter killed between its vote and its answer's arrival
+	if !w.Calm && m.Kind == lease.KindGrantResponse && w.rng.IntN(400) == 0 { // a voter killed between its vote and its answer's arrival
 		w.Kill(p.index, w.rng.Int64N(2*w.Length))
 	}
 }
 
-func (w *World) delay(slow int64) int64 {
+func (w *Simulation) delay(slow int64) int64 {
 	d := 1 + w.rng.Int64N(w.late) + w.rng.Int64N(slow+1)
 	if !w.Calm && w.rng.IntN(50) == 0 {
 		d *= 20
@@ -615,7 +617,7 @@
 }
 
 // arrive hands a message to the process that has the name now.
-func (w *World) arrive(i int, m *lease.Message) {
+func (w *Simulation) arrive(i int, m *lease.Message) {
 	p := w.list[i]
 	if !p.up {
 		return
@@ -626,24 +628,24 @@
 		}
 		return
 	}
-	w.note(evMessage, i, int64(m.Kind)<<40|int64(m.Round), int64(m.Born))
+	w.note(evMessage, i, int64(m.Kind)<<40|int64(m.RequestID), int64(m.Incarnation))
 	w.tamper(p, m)
 	defer w.spend(p, time.Now())
 	own := p.clock(w.Now)
 	switch m.Kind {
-	case lease.Ask, lease.Renew, lease.Free, lease.Standing:
+	case lease.KindGrantRequest, lease.KindRenewRequest, lease.KindRelease, lease.KindVoterStatus:
 		if p.voter != nil {
-			p.voter.Hear(own, m)
+			p.voter.Receive(own, m)
 		}
 	default:
-		p.claimant.Hear(own, m)
+		p.claimant.Receive(own, m)
 		p.claimant.Tick(own)
 	}
 	w.carry(p)
 }
 
 // Kill ends a process at once; it starts anew after a while, or not where that is negative.
-func (w *World) Kill(i int, after int64) {
+func (w *Simulation) Kill(i int, after int64) {
 	p := w.list[i]
 	if !p.up {
 		return
@@ -661,7 +663,7 @@
 }
 
 // Stop holds a process still for a while.
-func (w *World) Stop(i int, span int64) {
+func (w *Simulation) Stop(i int, span int64) {
 	p := w.list[i]
 	if !p.up || p.stopped {
 		return
@@ -673,7 +675,7 @@
 }
 
 // Continue lets a stopped process go on; what came meanwhile is read first, as from a socket.
-func (w *World) Continue(i int) {
+func (w *Simulation) Continue(i int) {
 	p := w.list[i]
 	if !p.up || !p.stopped {
 		return
@@ -688,9 +690,9 @@
 }
 
 // Cut cuts what goes from one process to another, or mends it.
-func (w *World) Cut(from, to int, cut bool) { w.links[from*len(w.list)+to].cut = cut }
+func (w *Simulation) Cut(from, to int, cut bool) { w.links[from*len(w.list)+to].cut = cut }
 
-func (w *World) mend(i int) {
+func (w *Simulation) mend(i int) {
 	if w.Now < w.cutTill[i] {
 		return
 	}
@@ -703,7 +705,7 @@
 }
 
 // Figures ends the run's account.
-func (w *World) Figures() Figures {
+func (w *Simulation) Figures() Figures {
 	total := int64(0)
 	for _, h := range w.leases {
 		total += h.total
@@ -717,7 +719,7 @@
 }
 
 // Took lists the times from a lease's loss to its next holder.
-func (w *World) Took() (all []int64) {
+func (w *Simulation) TakeoverTimes() (all []int64) {
 	for _, h := range w.leases {
 		all = append(all, h.took...)
 	}
@@ -725,7 +727,7 @@
 }
 
 // Holder is the process that holds a lease now, -1 for none.
-func (w *World) Holder(l int) int {
+func (w *Simulation) Holder(l int) int {
 	for i, p := range w.list {
 		if p.up && p.term[l] != 0 && p.clock(w.Now) < p.until[l] {
 			return i
@@ -735,7 +737,7 @@
 }
 
 // Release lets a lease's holder hand it over to another process.
-func (w *World) Release(l, to int) {
+func (w *Simulation) Release(l, to int) {
 	if i := w.Holder(l); i >= 0 {
 		w.release(w.list[i], l, w.list[to].name)
 		w.carry(w.list[i])
@@ -743,9 +745,9 @@
 }
 
 // Mixed draws a plan of mixed faults from a seed.
-func Mixed(seed uint64) Plan {
+func MixedFaults(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 4))
-	p := Plan{Seed: seed, Voters: []int{3, 3, 3, 5, 5, 1}[rng.IntN(6)], Others: rng.IntN(4), Leases: 1 + rng.IntN(3),
+	p := Scenario{Seed: seed, Voters: []int{3, 3, 3, 5, 5, 1}[rng.IntN(6)], Others: rng.IntN(4), Leases: 1 + rng.IntN(3),
 		Length: 1_000_000 + rng.Int64N(1_000_000), Drift: 10_000, Lasting: rng.IntN(2) == 0, Span: 20_000_000}
 	if p.Voters+p.Others < 3 {
 		p.Others = 2
@@ -754,8 +756,8 @@
 }
 
 // Plant returns the plan with a mistake planted, long enough for it to come to light.
-func (p Plan) Plant(f Fault) Plan {
-	p.Planted = f
+func (p Scenario) WithMistake(f Mistake) Scenario {
+	p.PlantedMistake = f
 	if f == OldSet || f == TwoAtOnce { // the set of voters has to change more than once
 		p.Span *= 4
 	}
@@ -766,7 +768,7 @@
 type Message = lease.Message
 
 // HeldBy counts the leases that a process holds now; Held those that anybody does.
-func (w *World) HeldBy(i int) (n int) {
+func (w *Simulation) HeldBy(i int) (n int) {
 	p := w.list[i]
 	for l := range w.leases {
 		if p.up && p.term[l] != 0 && p.clock(w.Now) < p.until[l] {
@@ -777,7 +779,7 @@
 }
 
 // Held counts the leases that somebody holds now.
-func (w *World) Held() (n int) {
+func (w *Simulation) Held() (n int) {
 	for i := range w.list {
 		n += w.HeldBy(i)
 	}
--- a/internal/simulation/leasesim/council_test.go
+++ b/internal/simulation/leasesim/council_test.go
@@ -12,10 +12,10 @@
 // plan draws the shape of a run from its seed.
 func TestMixedFaults(t *testing.T) {
 	for seed := range uint64(*seeds) {
-		w := New(Mixed(seed))
+		w := New(MixedFaults(seed))
 		w.Run(w.Span)
-		if w.Broken != "" {
-			t.Fatalf("seed %d, %+v: %s", seed, w.Plan, w.Broken)
+		if w.Violation != "" {
+			t.Fatalf("seed %d, %+v: %s", seed, w.Scenario, w.Violation)
 		}
 	}
 }
@@ -25,7 +25,7 @@
 	for seed := range uint64(20) {
 		var hash [2]uint64
 		for i := range hash {
-			w := New(Mixed(seed))
+			w := New(MixedFaults(seed))
 			w.Run(w.Span)
 			hash[i] = w.Figures().Hash
 		}
@@ -38,15 +38,15 @@
 // TestPlanted plants each mistake and sees it found. Those that take many seeds begin near one that shows them; the proof
 // searches from the first.
 func TestPlanted(t *testing.T) {
-	near := map[Fault]uint64{FromAnswer: 213, FormerVoter: 129, TwoAtOnce: 67, OldSet: 1320, SameProcess: 4713}
-	for f := None + 1; f < Faults; f++ {
+	near := map[Mistake]uint64{FromAnswer: 213, FormerVoter: 129, TwoAtOnce: 67, OldSet: 1320, SameProcess: 4713}
+	for f := None + 1; f < MistakeCount; f++ {
 		t.Run(fmt.Sprint(f), func(t *testing.T) {
 			t.Parallel()
 			for seed := near[f]; seed < near[f]+45; seed++ {
-				w := New(Mixed(seed).Plant(f))
+				w := New(MixedFaults(seed).WithMistake(f))
 				w.Run(w.Span)
-				if w.Broken != "" {
-					t.Logf("found with seed %d: %s", seed, w.Broken)
+				if w.Violation != "" {
+					t.Logf("found with seed %d: %s", seed, w.Violation)
 					return
 				}
 			}
@@ -59,7 +59,7 @@
 func TestSettles(t *testing.T) {
 	var all []int64
 	for seed := range uint64(*seeds) {
-		w := New(Mixed(seed))
+		w := New(MixedFaults(seed))
 		w.Run(w.Span)
 		w.Settle()
 		w.Run(w.Now + w.Length) // voters that start now abstain
@@ -80,7 +80,7 @@
 // term that the returned one can vote for, and never loses it.
 func TestVotersRestartOneByOne(t *testing.T) {
 	for _, lasting := range []bool{false, true} {
-		w := New(Plan{Seed: 1, Voters: 3, Others: 3, Leases: 20, Wanted: 3, Length: 2_000_000, Drift: 10_000, Lasting: lasting, Calm: true})
+		w := New(Scenario{Seed: 1, Voters: 3, Others: 3, Leases: 20, Wanted: 3, Length: 2_000_000, Drift: 10_000, Lasting: lasting, Calm: true})
 		w.Run(8_000_000)
 		if name := w.Unheld(); name != "" {
 			t.Fatal("nobody holds", name)
@@ -95,9 +95,9 @@
 			}
 		}
 		f := w.Figures()
-		if w.Broken != "" || f.Losses > 0 {
-			t.Errorf("lasting %v: %d lost, %s", lasting, f.Losses, w.Broken)
+		if w.Violation != "" || f.Losses > 0 {
+			t.Errorf("lasting %v: %d lost, %s", lasting, f.Losses, w.Violation)
 		}
-		t.Logf("lasting %v: carried over %d times", lasting, f.Overs)
+		t.Logf("lasting %v: carried over %d times", lasting, f.CarryOvers)
 	}
 }
--- a/internal/simulation/leasesim/faults.go
+++ b/internal/simulation/leasesim/faults.go
@@ -7,7 +7,7 @@
 )
 
 // fault draws the next thing that goes wrong, and when the one after it does.
-func (w *World) fault() {
+func (w *Simulation) fault() {
 	n := len(w.list)
 	i := w.rng.IntN(n)
 	if w.rng.IntN(3) == 0 { // rare states lie near the voters
@@ -96,40 +96,40 @@
 }
 
 // till mends a process's links after a while.
-func (w *World) till(i int, span int64) {
+func (w *Simulation) till(i int, span int64) {
 	w.cutTill[i] = max(w.cutTill[i], w.Now+span)
 	w.push(event{at: w.cutTill[i], kind: evMend, who: i})
 }
 
 // change makes the next set of voters, which differs by one, and brings the file to every process within a while. An
 // operator waits until the one before is everywhere.
-func (w *World) change() {
+func (w *Simulation) change() {
 	if w.Now < w.settled {
 		return
 	}
 	was := w.sets[len(w.sets)-1].Names
 	now := slices.Clone(was)
 	swap := func() {
-		if j := w.rng.IntN(len(w.list)); len(now) < lease.MostVoters && !slices.Contains(now, w.list[j].name) {
+		if j := w.rng.IntN(len(w.list)); len(now) < lease.MaxVoters && !slices.Contains(now, w.list[j].name) {
 			now = append(now, w.list[j].name)
 		}
 	}
 	if len(now) > 2 && w.rng.IntN(2) == 0 {
 		k := w.rng.IntN(len(now))
 		now = slices.Delete(now, k, k+1)
-		if w.Planted == TwoAtOnce {
+		if w.PlantedMistake == TwoAtOnce {
 			swap()
 		}
 	} else {
 		swap()
-		if w.Planted == TwoAtOnce && len(now) > 2 {
+		if w.PlantedMistake == TwoAtOnce && len(now) > 2 {
 			now = now[1:]
 		}
 	}
 	if len(now) == len(was) && slices.Equal(now, was) {
 		return
 	}
-	w.sets = append(w.sets, lease.Voters{Number: uint64(len(w.sets) + 1), Names: now, Before: was})
+	w.sets = append(w.sets, lease.VoterSet{Number: uint64(len(w.sets) + 1), Names: now, Previous: was})
 	w.settled = w.Now + 6*w.Length
 	for i := range w.list {
 		w.push(event{at: w.Now + w.rng.Int64N(2*w.Length), kind: evFile, who: i, arg: int64(len(w.sets))})
@@ -138,7 +138,7 @@
 }
 
 // file gives a process the new file; where it is down it reads it at its next start.
-func (w *World) file(i int, number uint64) {
+func (w *Simulation) file(i int, number uint64) {
 	p := w.list[i]
 	p.number = max(p.number, number)
 	if !p.up {
@@ -154,8 +154,8 @@
 		p.claimant.SetVoters(number, by.Names)
 	}
 	switch {
-	case w.Planted == TwoAtOnce: // it takes to any file, as a voter that starts anew and asks nobody would
-		by.Before = nil
+	case w.PlantedMistake == TwoAtOnce: // it takes to any file, as a voter that starts anew and asks nobody would
+		by.Previous = nil
 		w.vote(p, own, by)
 	default:
 		p.voter.SetVoters(own, by)
@@ -164,64 +164,64 @@
 }
 
 // tamper plants a mistake in a message as it is read, where the plan says so.
-func (w *World) tamper(p *process, m *lease.Message) {
+func (w *Simulation) tamper(p *process, m *lease.Message) {
 	pair := p.name + "<" + m.From
-	switch w.Planted {
+	switch w.PlantedMistake {
 	case FromAnswer: // as if the question had gone out when the answer came: the newest question's number
-		if m.Kind == lease.Answer || m.Kind == lease.Renewed {
-			m.Round = max(m.Round, p.claimant.Round())
+		if m.Kind == lease.KindGrantResponse || m.Kind == lease.KindRenewResponse {
+			m.RequestID = max(m.RequestID, p.claimant.LastRequestID())
 		}
 	case FormerVoter:
-		if m.Kind == lease.Answer {
+		if m.Kind == lease.KindGrantResponse {
 			if p.voterAt[pair] != 0 {
-				m.Born = p.voterAt[pair]
+				m.Incarnation = p.voterAt[pair]
 			}
-			p.lostAt[pair], p.voterAt[pair] = m.Lost, m.Born
-		} else if m.Kind == lease.Renewed {
-			m.Lost, m.Born = p.lostAt[pair], p.voterAt[pair]
+			p.lostAt[pair], p.voterAt[pair] = m.EndedGrants, m.Incarnation
+		} else if m.Kind == lease.KindRenewResponse {
+			m.EndedGrants, m.Incarnation = p.lostAt[pair], p.voterAt[pair]
 		}
 	case OldSet:
 		switch m.Kind {
-		case lease.Ask, lease.Renew:
+		case lease.KindGrantRequest, lease.KindRenewRequest:
 			if p.voter != nil {
-				m.Set, _ = p.voter.Set()
+				m.SetNumber, _ = p.voter.CurrentSet()
 			}
-		case lease.Answer, lease.Renewed:
-			if l, known := w.label[label{p.name, m.From, m.Round}]; known && m.Asker == p.born {
-				m.Set = l
+		case lease.KindGrantResponse, lease.KindRenewResponse:
+			if l, known := w.label[label{p.name, m.From, m.RequestID}]; known && m.Requester == p.born {
+				m.SetNumber = l
 			}
 		}
 	case ShortVotes:
-		if m.Kind == lease.Answer {
+		if m.Kind == lease.KindGrantResponse {
 			for i := range m.Items {
 				m.Items[i].Length += m.Items[i].Length / 10
 			}
 		}
 	case HalfMajority:
-		if m.Kind == lease.Answer && m.Asker == p.born {
+		if m.Kind == lease.KindGrantResponse && m.Requester == p.born {
 			w.second(p, m)
 		}
 	case TermReused:
-		if m.Kind == lease.Standing {
-			m.Floor = 0
+		if m.Kind == lease.KindVoterStatus {
+			m.TermFloor = 0
 		}
 	}
 }
 
 // second lets one voter's word count for two.
-func (w *World) second(p *process, m *lease.Message) {
-	for _, name := range w.voters(m.Set).Names {
+func (w *Simulation) second(p *process, m *lease.Message) {
+	for _, name := range w.voters(m.SetNumber).Names {
 		if name != m.From {
 			other := *m
 			other.From = name
-			p.claimant.Hear(p.clock(w.Now), &other)
+			p.claimant.Receive(p.clock(w.Now), &other)
 			return
 		}
 	}
 }
 
 // Settle ends all that goes wrong: links are whole, processes go on or start anew, messages come soon and once.
-func (w *World) Settle() {
+func (w *Simulation) Settle() {
 	w.Calm = true
 	w.loss, w.twice, w.late = 0, 0, 5_000
 	for k := range w.links {
@@ -236,7 +236,7 @@
 }
 
 // Unheld names a lease that nobody holds and somebody wants, "" for none.
-func (w *World) Unheld() string {
+func (w *Simulation) Unheld() string {
 	for l, h := range w.leases {
 		if w.Holder(l) < 0 {
 			return h.name
--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -15,36 +15,36 @@
 // recording is one run whose actions were recorded before the lease packages were rewritten for their readers.
 type recording struct {
 	name string
-	play func(observe func(at int64, process string, o lease.Out)) *World
+	play func(observe func(at int64, process string, o lease.Out)) *Simulation
 }
 
 // recordings lists the runs: mixed faults, a planted fault each, and calm fleets whose leases are handed over, taken
 // from a killed holder and carried over while voters restart.
 func recordings() (all []recording) {
-	observed := func(p Plan, observe func(at int64, process string, o lease.Out)) *World {
+	observed := func(p Scenario, observe func(at int64, process string, o lease.Out)) *Simulation {
 		w := New(p)
 		w.Observe = observe
 		return w
 	}
 	for seed := range uint64(40) {
-		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Out)) *World {
-			w := observed(Mixed(seed), observe)
+		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Out)) *Simulation {
+			w := observed(MixedFaults(seed), observe)
 			w.Run(w.Span)
 			w.Settle()
 			w.Run(w.Now + 4*w.Length)
 			return w
 		}})
 	}
-	for f := None + 1; f < Faults; f++ {
-		all = append(all, recording{"planted-" + f.String(), func(observe func(int64, string, lease.Out)) *World {
-			w := observed(Mixed(uint64(f)).Plant(f), observe)
+	for f := None + 1; f < MistakeCount; f++ {
+		all = append(all, recording{"planted-" + f.String(), func(observe func(int64, string, lease.Out)) *Simulation {
+			w := observed(MixedFaults(uint64(f)).WithMistake(f), observe)
 			w.Run(w.Span)
 			return w
 		}})
 	}
 	for seed, voters := range []int{3, 5, 3, 5} {
-		all = append(all, recording{fmt.Sprintf("handover-%d", seed), func(observe func(int64, string, lease.Out)) *World {
-			w := observed(Plan{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, Wanted: 4, Length: 2_000_000, Drift: 10_000, Lasting: seed >= 2, Calm: true}, observe)
+		all = append(all, recording{fmt.Sprintf("handover-%d", seed), func(observe func(int64, string, lease.Out)) *Simulation {
+			w := observed(Scenario{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, Wanted: 4, Length: 2_000_000, Drift: 10_000, Lasting: seed >= 2, Calm: true}, observe)
 			w.Run(8_000_000)
 			for l := range 12 {
 				w.Release(l, (l+seed)%(voters+3))
@@ -69,10 +69,10 @@
 	if m == nil {
 		return
 	}
-	fmt.Fprintf(to, " %d %q %d %d %d %q %d %d %d %d %d %d %d %d\n", m.Kind, m.From, m.Born, m.Asker, m.Set, m.Names, m.Round, m.Lost, m.Gen,
-		m.Count, m.Clock, m.Floor, m.Longest, m.Age)
+	fmt.Fprintf(to, " %d %q %d %d %d %q %d %d %d %d %d %d %d %d\n", m.Kind, m.From, m.Incarnation, m.Requester, m.SetNumber, m.SetNames, m.RequestID, m.EndedGrants, m.Generation,
+		m.RenewedCount, m.VoterClock, m.TermFloor, m.LongestLease, m.SetAge)
 	for _, it := range m.Items {
-		fmt.Fprintf(to, "  %q %d %d %v %v %d %d %d %q %d\n", it.Lease, it.Term, it.Length, it.Full, it.Over, it.Priority, it.Ticket, it.Verdict,
+		fmt.Fprintf(to, "  %q %d %d %v %v %d %d %d %q %d\n", it.Lease, it.Term, it.Length, it.Full, it.CarryOver, it.Priority, it.Ticket, it.Verdict,
 			it.Holder, it.Wait)
 	}
 }
--- a/internal/simulation/rolloutsim/rollout.go
+++ b/internal/simulation/rolloutsim/rollout.go
@@ -89,7 +89,7 @@
 	observe func(router string, o rollout.Out)
 
 	rng     *rand.Rand
-	events  eventqueue.Agenda[func()]
+	events  eventqueue.Queue[func()]
 	digest  *xxhash.Digest
 	routers []*router
 	byName  map[string]int
@@ -181,7 +181,7 @@
 	return w
 }
 
-func (w *World) after(d int64, do func()) { w.events.Put(w.Now+d, do) }
+func (w *World) after(d int64, do func()) { w.events.Push(w.Now+d, do) }
 
 func (w *World) note(kind int, who int, a uint64) {
 	var b [32]byte
@@ -209,7 +209,7 @@
 func (w *World) Run() Figures {
 	end := w.Span + w.After
 	for w.Broken == "" {
-		at, do, due := w.events.Next(end)
+		at, do, due := w.events.Pop(end)
 		if !due {
 			break
 		}
--- a/internal/supervisor/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -23,15 +23,15 @@
 
 // The exit codes beside the command's own.
 const (
-	ExitNever  = 123 // the lease was not had in time
-	ExitEnded  = 124 // the command was ended, its time was over
-	ExitFailed = 125 // it could not be started
+	ExitNotAcquired = 123 // the lease was not had in time
+	ExitTimeExpired = 124 // the command was ended, its time was over
+	ExitNotStarted  = 125 // it could not be started
 )
 
 // Exit is an exit code without a word, as an error.
-type Exit int
+type ExitCode int
 
-func (e Exit) Error() string { return "exit code " + strconv.Itoa(int(e)) }
+func (e ExitCode) Error() string { return "exit code " + strconv.Itoa(int(e)) }
 
 const (
 	killShare = 2                     // of the room before the end, one part in so many is left behind the kill
@@ -40,19 +40,19 @@
 )
 
 // Room is how long before the end of its time a command is asked to end, and killed after half of that.
-func Room(length time.Duration) time.Duration {
+func GracePeriod(length time.Duration) time.Duration {
 	return min(max(length/5, 200*time.Millisecond), 5*time.Second)
 }
 
 // Run starts a command and keeps it to the time that lines on in tell: "until T" in us of the clock, "end" to end it at
 // once. room is how long before that time it is told to end; it is killed after half of it. The end of in ends
 // the command. It returns the exit code.
-func Run(command []string, in io.Reader, clock func() int64, room time.Duration) int {
+func Supervise(command []string, in io.Reader, clock func() int64, room time.Duration) int {
 	if len(command) > 0 && command[0] == "--" {
 		command = command[1:]
 	}
 	if len(command) == 0 {
-		return ExitFailed
+		return ExitNotStarted
 	}
 	runtime.LockOSThread() // the system ends the command with the thread that started it
 	// What the command starts and leaves behind comes to this process, so that it can be ended too.
@@ -70,14 +70,14 @@
 	}()
 	until, ok := first(words)
 	if !ok || clock() >= until-room.Microseconds() {
-		return ExitEnded // its time was over before it began
+		return ExitTimeExpired // its time was over before it began
 	}
 	c := exec.Command(command[0], command[1:]...)
 	c.Stdout, c.Stderr = os.Stdout, os.Stderr
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		fmt.Fprintln(os.Stderr, "keeper:", err)
-		return ExitFailed
+		return ExitNotStarted
 	}
 	gone := make(chan error, 1)
 	go func() { gone <- c.Wait() }()
@@ -90,7 +90,7 @@
 		case left <= kill:
 			sweep(c.Process.Pid, true)
 			<-gone
-			return ExitEnded
+			return ExitTimeExpired
 		case left <= room && !ended:
 			ended = true
 			syscall.Kill(-c.Process.Pid, syscall.SIGTERM)
@@ -107,11 +107,11 @@
 			var code *exec.ExitError
 			switch {
 			case ended:
-				return ExitEnded
+				return ExitTimeExpired
 			case errors.As(err, &code) && code.ExitCode() >= 0:
 				return code.ExitCode()
 			case err != nil:
-				return ExitFailed
+				return ExitNotStarted
 			}
 			return 0
 		case word, more := <-words:
--- a/internal/supervisor/keeper_test.go
+++ b/internal/supervisor/keeper_test.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			os.Exit(2)
 		}
-		os.Exit(Run(os.Args[4:], os.Stdin, leaseservice.Clock, room))
+		os.Exit(Supervise(os.Args[4:], os.Stdin, leaseservice.Clock, room))
 	}
 	os.Exit(m.Run())
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := start("task", leaseservice.HoldLine{Term: 7, Until: leaseservice.Clock() + left.Microseconds()}, room, []string{self, "keep"}, append([]string{}, command...))
+	k, err := start("task", leaseservice.HoldUpdate{Term: 7, Until: leaseservice.Clock() + left.Microseconds()}, room, []string{self, "keep"}, append([]string{}, command...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		t.Parallel()
 		child := filepath.Join(t.TempDir(), "child")
 		_, ended, until := keep(t, left, room, "sh", "-c", "trap '' TERM; setsid sh -c 'echo $$ > "+child+"; trap \"\" TERM; sleep 60' & sleep 60")
-		ends(t, ended, ExitEnded, until)
+		ends(t, ended, ExitTimeExpired, until)
 		if !gone(child) {
 			t.Error("what it started lives on")
 		}
@@ -91,7 +91,7 @@
 	t.Run("stopped", func(t *testing.T) {
 		t.Parallel()
 		_, ended, until := keep(t, left, room, "sh", "-c", "kill -STOP $$")
-		ends(t, ended, ExitEnded, until)
+		ends(t, ended, ExitTimeExpired, until)
 	})
 	t.Run("extended", func(t *testing.T) {
 		t.Parallel()
@@ -103,19 +103,19 @@
 		t.Parallel()
 		say, ended, _ := keep(t, time.Minute, room, "sleep", "60")
 		fmt.Fprintln(say, "end")
-		ends(t, ended, ExitEnded, time.Now().Add(room+time.Second))
+		ends(t, ended, ExitTimeExpired, time.Now().Add(room+time.Second))
 	})
 	t.Run("asker gone", func(t *testing.T) {
 		t.Parallel()
 		say, ended, _ := keep(t, time.Minute, room, "sleep", "60")
 		say.Close()
-		ends(t, ended, ExitEnded, time.Now().Add(room+time.Second))
+		ends(t, ended, ExitTimeExpired, time.Now().Add(room+time.Second))
 	})
 	t.Run("its time was over", func(t *testing.T) {
 		t.Parallel()
 		mark := filepath.Join(t.TempDir(), "mark")
 		_, ended, _ := keep(t, room/2, room, "touch", mark)
-		ends(t, ended, ExitEnded, time.Now().Add(5*time.Second))
+		ends(t, ended, ExitTimeExpired, time.Now().Add(5*time.Second))
 		if _, err := os.Stat(mark); err == nil {
 			t.Error("it began all the same")
 		}
--- a/internal/testcluster/process/child.go
+++ b/internal/testcluster/process/child.go
@@ -23,7 +23,7 @@
 // Child runs a router as a process of the rig: it sends from the address it listens at, so that relays know it, has the
 // machine's clock, and ends with the one that started it. hear takes lines on standard input, nil for none; leases is
 // told of the router's part in leases, nil for nobody.
-func Child(at Self, hear func(line string), leases func(*leaseservice.Leasing)) error {
+func Child(at Self, hear func(line string), leases func(*leaseservice.Service)) error {
 	skew, err := ParseSkew(at.Clock)
 	if err != nil {
 		return err
--- a/internal/testcluster/proof/council.go
+++ b/internal/testcluster/proof/council.go
@@ -35,7 +35,7 @@
 	planted := 0
 	if p.Plant > 0 {
 		took := p.plants()
-		for f := leasesim.None + 1; f < leasesim.Faults; f++ {
+		for f := leasesim.None + 1; f < leasesim.MistakeCount; f++ {
 			if took[f] < 0 {
 				errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", f, p.Plant))
 				fmt.Fprintf(p.Writes, "planted %v: not found in %d seeds\n", f, p.Plant)
@@ -53,16 +53,16 @@
 		verdict = "FAILS"
 	}
 	return fmt.Sprintf("proof leases, simulated: %s; seeds=%d from=%d overlaps=%d (limit 0) planted_found=%d of %d", verdict, p.Seeds, p.From,
-		min(len(broken), 1), planted, int(leasesim.Faults)-1), errors.Join(errs...)
+		min(len(broken), 1), planted, int(leasesim.MistakeCount)-1), errors.Join(errs...)
 }
 
 func (p Council) mixed() (events, holds int64, share float64, hashes int, broken string) {
 	sum := 0.0
 	hashes, broken = search(p.From, p.Seeds, p.Twice, func(seed uint64) (f leasesim.Figures, hash uint64, broken string) {
-		w := leasesim.New(leasesim.Mixed(seed))
+		w := leasesim.New(leasesim.MixedFaults(seed))
 		w.Run(w.Span)
 		f = w.Figures()
-		return f, f.Hash, w.Broken
+		return f, f.Hash, w.Violation
 	}, func(f leasesim.Figures) {
 		events, holds, sum = events+f.Events, holds+f.Holds, sum+f.HeldShare
 	})
@@ -71,12 +71,12 @@
 
 // plants finds each planted mistake; -1 for one that was not found.
 func (p Council) plants() []int {
-	took := make([]int, leasesim.Faults)
-	for f := leasesim.None + 1; f < leasesim.Faults; f++ {
+	took := make([]int, leasesim.MistakeCount)
+	for f := leasesim.None + 1; f < leasesim.MistakeCount; f++ {
 		took[f] = first(p.Plant, func(seed uint64) bool {
-			w := leasesim.New(leasesim.Mixed(seed).Plant(f))
+			w := leasesim.New(leasesim.MixedFaults(seed).WithMistake(f))
 			w.Run(w.Span)
-			return w.Broken != ""
+			return w.Violation != ""
 		})
 	}
 	return took
@@ -90,8 +90,8 @@
 		began := time.Now()
 		n, leases := size[0], size[1]
 		length := int64(10_000_000)
-		w := leasesim.New(leasesim.Plan{Seed: p.From, Voters: 3, Others: n - 3, Leases: leases, Wanted: min(n, 3), Length: length, Drift: 10_000, Calm: true})
-		w.Weigh = func(m *leasesim.Message) int { return len(leaseservice.Encode(m)) }
+		w := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: 3, Others: n - 3, Leases: leases, Wanted: min(n, 3), Length: length, Drift: 10_000, Calm: true})
+		w.MessageSize = func(m *leasesim.Message) int { return len(leaseservice.Encode(m)) }
 		w.Run(length) // they abstain
 		held := int64(0)
 		for held = 0; held < 30 && w.Held() < leases; held++ {
@@ -104,16 +104,16 @@
 		w.Run(w.Now + span*1_000_000)
 		after := w.Figures()
 		w.Measure = false
-		voter := slices.Max(w.Spent[:3])
+		voter := slices.Max(w.ModuleTime[:3])
 		holder := time.Duration(0)
 		if n > 3 {
-			holder = slices.Max(w.Spent[3:])
+			holder = slices.Max(w.ModuleTime[3:])
 		}
 		victim := n - 1
 		lost := w.HeldBy(victim)
 		w.Kill(victim, -1)
 		w.Run(w.Now + 3*length)
-		took := w.Took()
+		took := w.TakeoverTimes()
 		slices.Sort(took)
 		half, worst := 0.0, 0.0
 		if len(took) > 0 {
--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	return supervisor.Exit(code)
+	return supervisor.ExitCode(code)
 }
 
 type self struct {
--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -58,9 +58,9 @@
 
 // LeaseChild is the program that the proof starts as a router: it acts under each task's lease while it has it.
 func LeaseChild(at process.Self, address, name string, bulk int) error {
-	return process.Child(at, nil, func(l *leaseservice.Leasing) {
+	return process.Child(at, nil, func(l *leaseservice.Service) {
 		for n := range bulk {
-			if _, err := l.Want(lease.Wish{Lease: fmt.Sprint("bulk-", n), Length: leaseLength.Microseconds()}, nil); err != nil {
+			if _, err := l.RequestLease(lease.Request{Lease: fmt.Sprint("bulk-", n), Length: leaseLength.Microseconds()}, nil); err != nil {
 				fmt.Fprintln(os.Stderr, "no lease:", err)
 			}
 		}
@@ -71,8 +71,8 @@
 }
 
 // act wants a lease for good and acts under it again and again.
-func act(l *leaseservice.Leasing, address, name, task string) {
-	t, err := l.Want(lease.Wish{Lease: task, Length: leaseLength.Microseconds()}, nil)
+func act(l *leaseservice.Service, address, name, task string) {
+	t, err := l.RequestLease(lease.Request{Lease: task, Length: leaseLength.Microseconds()}, nil)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "no lease:", err)
 		return
@@ -418,7 +418,7 @@
 		if !c.r.Up(i) {
 			continue
 		}
-		var n leaseservice.Line
+		var n leaseservice.LeaseStatus
 		if adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "lease-free", Name: name}, &n) == nil {
 			return
 		}
@@ -667,7 +667,7 @@
 	if keep != "keep" { // what outlasts its lease has to be at work when the lease has passed on
 		span *= 5
 	}
-	return supervisor.Hold(socket, name, supervisor.Wish{Length: length}, []string{self, keep, "--clock", clock},
+	return supervisor.RunWithLease(socket, name, supervisor.Options{Length: length}, []string{self, keep, "--clock", clock},
 		[]string{self, "work", "--acts", address, "--holder", holder, "--span", span.String(), name})
 }
 
@@ -677,5 +677,5 @@
 	if err != nil {
 		return 1, err
 	}
-	return supervisor.Run(command, os.Stdin, skew.Clock, room), nil
+	return supervisor.Supervise(command, os.Stdin, skew.Clock, room), nil
 }
--- a/internal/testcluster/proof/leases_test.go
+++ b/internal/testcluster/proof/leases_test.go
@@ -28,7 +28,7 @@
 	if err == nil {
 		os.Exit(0)
 	}
-	if code, is := err.(supervisor.Exit); is {
+	if code, is := err.(supervisor.ExitCode); is {
 		os.Exit(int(code))
 	}
 	fmt.Fprintln(os.Stderr, err)
@@ -160,13 +160,13 @@
 	}
 	defer c.close()
 	// one look tells of both holders: each look is work for the voters whose speed is measured
-	var others []leaseservice.Line
+	var others []leaseservice.LeaseStatus
 	held := func() map[string]int {
 		n := map[string]int{}
 		others = nil
 		o, err := c.knows(0)
 		for _, one := range o.Leases {
-			if err == nil && strings.HasPrefix(one.Lease, "bulk-") && len(one.Voters) > 1 {
+			if err == nil && strings.HasPrefix(one.Lease, "bulk-") && len(one.GrantedBy) > 1 {
 				n[one.Holder]++
 			} else {
 				others = append(others, one)
--- a/internal/versionaudit/rollcall.go
+++ b/internal/versionaudit/rollcall.go
@@ -56,7 +56,7 @@
 type Roll struct {
 	self    string
 	every   time.Duration
-	leases  *leaseservice.Leasing
+	leases  *leaseservice.Service
 	members func() []string
 	send    func(to string, kind uint8, body []byte) error
 	list    atomic.Int64 // version of the list here, -1 for none yet
@@ -70,7 +70,7 @@
 }
 
 // New makes an instance's part.
-func New(self string, pace Pace, leases *leaseservice.Leasing, members func() []string,
+func New(self string, pace Pace, leases *leaseservice.Service, members func() []string,
 	send func(to string, kind uint8, body []byte) error) *Roll {
 	r := &Roll{self: self, every: time.Duration(pace.Every) * time.Microsecond, leases: leases, members: members, send: send, over: make(chan struct{})}
 	r.list.Store(-1)
@@ -99,20 +99,20 @@
 }
 
 func (r *Roll) run(length int64) {
-	var t *leaseservice.Tenure
+	var t *leaseservice.Guard
 	due := time.Now().Add(min(firstLook, r.every))
 	for r.sleep(min(standEvery, r.every)) {
-		stands := lease.Stands(r.self, r.members(), Lease, standMost)
+		stands := lease.Eligible(r.self, r.members(), Lease, standMost)
 		switch {
 		case stands && t == nil:
 			var err error
-			if t, err = r.leases.Want(lease.Wish{Lease: Lease, Length: length}, nil); err != nil {
+			if t, err = r.leases.RequestLease(lease.Request{Lease: Lease, Length: length}, nil); err != nil {
 				slog.Error("no roll calls", "err", err)
 				return
 			}
 		case !stands && t != nil:
 			if term, _ := t.Held(); term == 0 {
-				t.Drop()
+				t.Withdraw()
 				t = nil
 			}
 		}
@@ -126,7 +126,7 @@
 }
 
 // call makes one roll call, if this instance holds the lease; each of its two looks is an act by itself.
-func (r *Roll) call(t *leaseservice.Tenure) bool {
+func (r *Roll) call(t *leaseservice.Guard) bool {
 	if term, _ := t.Held(); term == 0 {
 		return false
 	}
