--- /dev/null
+++ b/internal/engine/endpoint_list.go
@@ -0,0 +1,37 @@
+package engine
+
+import (
+	"cairntiller/internal/discovery"
+	"cairntiller/internal/metrics"
+	"cairntiller/internal/routing"
+)
+
+var listsApplied = metrics.New("lists taken")
+
+// ApplyEndpointList hands discovery's list to all who go by it: a complete one, or the changed endpoints.
+func (e *Engine) ApplyEndpointList(now int64, list *discovery.EndpointList) {
+	listsApplied.Add()
+	e.distribute(now, list)
+}
+
+// distribute hands a list to the connections, the routing module and the shared health checks, with the endpoints that
+// rollouts drain as draining.
+func (e *Engine) distribute(now int64, list *discovery.EndpointList) {
+	e.router.ListBegins(now, list.Complete)
+	for _, n := range list.Endpoints {
+		if n.State == routing.Removed {
+			e.connections.CloseIdle(n.Name)
+		} else {
+			e.connections.SetAddress(n.Name, n.Address)
+		}
+		state := e.services.noteEndpoint(n)
+		e.router.ListNode(now, n.Name, n.Zone, n.Kind, n.Shard, state, n.Primary, n.StartedAt)
+		if e.sharedProbes != nil {
+			e.sharedProbes.EndpointListed(now, n.Name, state, n.StartedAt)
+		}
+	}
+	e.router.ListEnds(now)
+	if e.sharedProbes != nil {
+		e.sharedProbes.ListApplied(now, list.Complete)
+	}
+}
--- /dev/null
+++ b/internal/engine/event_queue.go
@@ -0,0 +1,112 @@
+package engine
+
+import (
+	"container/heap"
+	"sync"
+)
+
+// event is one call on the engine's goroutine.
+type event struct {
+	at     int64 // us: when it happened, or when a timer is due
+	handle func(now int64)
+}
+
+// eventQueue passes events from any goroutine to the engine's, in the order in which they were posted.
+type eventQueue struct {
+	mu      sync.Mutex
+	events  []event
+	stopped bool
+	posted  chan struct{} // holds a value while something was posted that was not taken
+}
+
+// post adds an event; it never blocks.
+func (q *eventQueue) post(ev event) {
+	q.mu.Lock()
+	q.events = append(q.events, ev)
+	q.mu.Unlock()
+	q.wake()
+}
+
+// take removes all events.
+func (q *eventQueue) take() (events []event, stopped bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	events = q.events
+	q.events = nil
+	return events, q.stopped
+}
+
+// stop lets every later take say so.
+func (q *eventQueue) stop() {
+	q.mu.Lock()
+	q.stopped = true
+	q.mu.Unlock()
+	q.wake()
+}
+
+func (q *eventQueue) wake() {
+	select {
+	case q.posted <- struct{}{}:
+	default: // it wakes already
+	}
+}
+
+// timerQueue holds the events that are due later, as a heap with the earliest first. Len, Less, Swap, Push and Pop are
+// for container/heap alone.
+type timerQueue []event
+
+func (t *timerQueue) add(timer event) { heap.Push(t, timer) }
+
+// pop removes the earliest timer; there must be one.
+func (t *timerQueue) pop() event { return heap.Pop(t).(event) }
+
+// next is when the earliest timer is due; there must be one.
+func (t timerQueue) next() int64 { return t[0].at }
+
+// Len implements heap.Interface.
+func (t timerQueue) Len() int { return len(t) }
+
+// Less implements heap.Interface.
+func (t timerQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+
+// Swap implements heap.Interface.
+func (t timerQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+
+// Push implements heap.Interface.
+func (t *timerQueue) Push(timer any) { *t = append(*t, timer.(event)) }
+
+// Pop implements heap.Interface.
+func (t *timerQueue) Pop() any {
+	last := len(*t) - 1
+	timer := (*t)[last]
+	(*t)[last] = event{} // lets go of what its function holds
+	*t = (*t)[:last]
+	return timer
+}
+
+// unansweredCount counts the requests without their final answer.
+type unansweredCount struct {
+	mu          sync.Mutex
+	count       int
+	reachedZero chan struct{} // holds a value once the count has come down to zero
+}
+
+func (c *unansweredCount) value() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.count
+}
+
+func (c *unansweredCount) add(change int) {
+	c.mu.Lock()
+	c.count += change
+	zero := c.count == 0
+	c.mu.Unlock()
+	if !zero {
+		return
+	}
+	select {
+	case c.reachedZero <- struct{}{}:
+	default: // nobody has looked since it was zero before
+	}
+}
--- /dev/null
+++ b/internal/engine/requests.go
@@ -0,0 +1,108 @@
+package engine
+
+import (
+	"cairntiller/internal/inflight"
+	"cairntiller/internal/metrics"
+	"cairntiller/internal/pgwire"
+	"cairntiller/internal/routing"
+)
+
+// Events of requests: one arrives, its client goes, one of its attempts ends.
+
+var (
+	commandsAccepted = metrics.New("commands taken")
+	duplicateIDs     = metrics.New("commands with an id in hand")
+	attemptOutcomes  = [...]*metrics.Counter{
+		routing.Errored:     metrics.New("dispatches errored"),
+		routing.Answered:    metrics.New("dispatches answered"),
+		routing.Full:        metrics.New("dispatches turned away"),
+		routing.TimedOut:    metrics.New("dispatches timed out"),
+		routing.Unconnected: metrics.New("dispatches unconnected"),
+		routing.Broken:      metrics.New("dispatches broken"),
+		routing.Withdrawn:   metrics.New("dispatches withdrawn"),
+		routing.Unsent:      metrics.New("dispatches unsent"),
+		routing.Missed:      metrics.New("dispatches missed"),
+	}
+)
+
+// Submit implements inflight.Intake.
+func (e *Engine) Submit(at int64, request *inflight.Request) {
+	e.unanswered.add(1)
+	e.Post(at, func(now int64) { e.arrive(now, request) })
+}
+
+// arrive hands a request to the routing module. A second command under the id of one in flight is failed: the module
+// knows requests by their id, so the two could not be told apart.
+func (e *Engine) arrive(now int64, request *inflight.Request) {
+	command := request.Command
+	if e.requests[command.ID] != nil {
+		duplicateIDs.Add()
+		request.Fail()
+		e.unanswered.add(-1)
+		return
+	}
+	commandsAccepted.Add()
+	e.requests[command.ID] = request
+	sinceCommit := int64(0) // us since the session's last commit, 0 for none
+	if command.LastCommit > 0 {
+		sinceCommit = max(1, now-command.LastCommit)
+	}
+	e.router.Arrive(now, command.ID, request.Group, request.Tenant, command.Session, request.Deadline-now, command.Shard, sinceCommit)
+}
+
+// ClientGone implements inflight.Intake.
+func (e *Engine) ClientGone(at int64, request *inflight.Request) {
+	e.Post(at, func(now int64) {
+		if request.ClientGone() {
+			e.router.Gone(now, request.Command.ID)
+			e.concluded(request)
+		}
+	})
+}
+
+// AttemptEnded implements inflight.ResultHandler. The client has its answer, and the routing module what the node
+// reported beside it, before the module hears the attempt's outcome.
+func (e *Engine) AttemptEnded(now int64, attempt *inflight.Attempt, outcome routing.Outcome, reply *pgwire.Reply) {
+	request := attempt.Request
+	if !request.EndAttempt(attempt) {
+		return
+	}
+	attemptOutcomes[outcome].Add()
+	e.services.attemptEnded(attempt, outcome, now)
+	elapsed := now - attempt.StartedAt
+	if outcome == routing.Answered && request.Answer(reply.Value) {
+		e.unanswered.add(-1)
+	}
+	if reply != nil {
+		e.applyReplyStatus(now, attempt.Node, reply)
+	}
+	e.router.Result(now, request.Command.ID, attempt.Node, attempt.Number, outcome, elapsed, request.Concluded())
+	e.removeIfDone(request)
+}
+
+// abandonAttempt stops waiting for an attempt. The routing module learns of it as an event of its own, behind the end
+// of the attempt's connection, so that no second attempt can reach a node while the first is open.
+func (e *Engine) abandonAttempt(attempt *inflight.Attempt, outcome routing.Outcome) {
+	if attempt.Ended || attempt.Abandoned {
+		return
+	}
+	attempt.Abandoned = true
+	if mayHaveRun := e.connections.Cancel(attempt); !mayHaveRun {
+		outcome = routing.Unsent
+	}
+	e.Post(e.now(), func(now int64) { e.AttemptEnded(now, attempt, outcome, nil) })
+}
+
+// concluded notes a request's final answer, or that none is needed any more.
+func (e *Engine) concluded(request *inflight.Request) {
+	e.unanswered.add(-1)
+	e.removeIfDone(request)
+}
+
+// removeIfDone forgets a request that is concluded, once none of its attempts is open.
+func (e *Engine) removeIfDone(request *inflight.Request) {
+	id := request.Command.ID
+	if request.Concluded() && request.OpenAttempts == 0 && e.requests[id] == request {
+		delete(e.requests, id)
+	}
+}
--- /dev/null
+++ b/internal/engine/router_actions.go
@@ -0,0 +1,79 @@
+package engine
+
+import (
+	"cairntiller/internal/inflight"
+	"cairntiller/internal/invariant"
+	"cairntiller/internal/routing"
+)
+
+// routerActions carries out what the routing module asks for. The module calls it on the engine's goroutine, while it
+// handles an event.
+type routerActions struct{ engine *Engine }
+
+// Actions returns what the routing module is made with.
+func (e *Engine) Actions() routing.Actions { return routerActions{e} }
+
+// Dispatch implements routing.Actions.
+func (a routerActions) Dispatch(cmd, node string, timeout, within int64) {
+	e := a.engine
+	request := e.requests[cmd]
+	if !invariant.That(request != nil && !request.Concluded(), "a command is dispatched before its final answer") {
+		return
+	}
+	attempt := request.StartAttempt(node, e.eventTime, timeout, within)
+	e.services.attemptStarted(node)
+	e.connections.Send(attempt)
+	e.After(attempt.Deadline-e.eventTime, func(int64) { e.abandonAttempt(attempt, routing.TimedOut) })
+}
+
+// Throttle implements routing.Actions.
+func (a routerActions) Throttle(cmd string, retryIn int64) {
+	request := a.engine.requests[cmd]
+	if invariant.That(request != nil, "a throttled command is in hand") {
+		request.Reject(retryIn)
+		a.engine.concluded(request)
+	}
+}
+
+// Fail implements routing.Actions.
+func (a routerActions) Fail(cmd string) {
+	request := a.engine.requests[cmd]
+	if invariant.That(request != nil, "a failed command is in hand") {
+		request.Fail()
+		a.engine.concluded(request)
+	}
+}
+
+// Withdraw implements routing.Actions.
+func (a routerActions) Withdraw(cmd string, dispatch int) {
+	request := a.engine.requests[cmd]
+	if invariant.That(request != nil && dispatch < len(request.Attempts), "a withdrawn dispatch was made") {
+		a.engine.abandonAttempt(request.Attempts[dispatch], routing.Withdrawn)
+	}
+}
+
+// Timer implements routing.Actions.
+func (a routerActions) Timer(in int64, cookie uint64) {
+	a.engine.After(in, func(now int64) { a.engine.router.Timer(now, cookie) })
+}
+
+// Probe implements routing.Actions.
+func (a routerActions) Probe(node string) { a.engine.connections.HealthCheck(node) }
+
+// Release implements routing.Actions.
+func (a routerActions) Release(node string) { a.engine.connections.CloseIdle(node) }
+
+// Bar implements routing.Actions.
+func (a routerActions) Bar(node string) { a.engine.connections.FailWaiting(node) }
+
+// Forget implements routing.Actions.
+func (a routerActions) Forget(node string) { a.engine.connections.Remove(node) }
+
+// Follow implements routing.Actions; a router on sockets always follows the endpoint list.
+func (routerActions) Follow() {}
+
+// Tell implements routing.Actions; routers on sockets pass no notes of the routing module's.
+func (routerActions) Tell(int, []byte) {}
+
+var _ inflight.Intake = (*Engine)(nil)
+var _ inflight.ResultHandler = (*Engine)(nil)
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -282,7 +282,7 @@
 	t.Helper()
 	now := engine.NewClock()
 	e := engine.New(now)
-	r := routing.New(7, e)
+	r := routing.New(7, e.Actions())
 	names, err := settings.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
 		"classes.0.effect": "safe", "classes.0.aim": "400", "classes.0.hardLimit": "1000", "classes.0.points": "1",
 		"classes.1.name": "put", "classes.1.effect": "unsafe", "classes.1.aim": "400", "classes.1.hardLimit": "1000",
--- a/internal/pgwire/backend.go
+++ b/internal/pgwire/backend.go
@@ -20,6 +20,12 @@
 	statusLoad     = "load"
 )
 
+// The figures of a node's load report: its replicated position, and a number that is highest at a primary.
+const (
+	LoadPosition = "x0"
+	LoadPrimary  = "x1"
+)
+
 // NodeReport is what a node tells of itself beside an answer.
 type NodeReport struct {
 	Primary, Replica bool
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -22,9 +22,9 @@
 
 // Figures implements rolloutservice.Router.
 func (s *self) Figures() (f rollout.Served, ready bool, startedIn int64) {
-	done, bad, refused := inflight.Totals()
+	totals := inflight.ReadTotals()
 	startedIn = s.ready.Load()
-	return rollout.Served{Commands: done + bad + refused, Failed: bad, Late: engine.LateAnswers(), Throttled: refused}, startedIn > 0 && !s.leaving.Load(), startedIn
+	return rollout.Served{Commands: totals.Answered + totals.Failed + totals.Rejected, Failed: totals.Failed, Late: engine.LateAnswers(), Throttled: totals.Rejected}, startedIn > 0 && !s.leaving.Load(), startedIn
 }
 
 // Drain implements rolloutservice.Router.
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -151,7 +151,7 @@
 	}
 	now := engine.NewClock()
 	e := engine.New(now)
-	r := routing.New(seed(t.Seed), e)
+	r := routing.New(seed(t.Seed), e.Actions())
 	limits := settings.Reader{Values: values}
 	connect, idle := limits.Time("limits.connectTimeout"), limits.Time("limits.connIdle")
 	names, err := values.Configure(r, connect)
--- a/internal/sharedprobes/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -34,7 +34,7 @@
 	After(in int64, do func(now int64))
 	ApplyGossip(now int64, node string, at, pos int64, lead int8, silent, alive bool)
 	DelegateHealthChecks(node string, to bool)
-	Probe(node string)
+	HealthCheck(node string)
 }
 
 // Pace is how duties are divided: the times in us, and the bounds.
@@ -143,7 +143,7 @@
 			checked.Add()
 		}
 		p.asked[name] = one.Check
-		p.engine.Probe(name)
+		p.engine.HealthCheck(name)
 	}
 	if p.ticks++; p.ticks%sayEvery == 0 {
 		if len(p.said) > 0 {
--- a/internal/sharedprobes/patrol_test.go
+++ b/internal/sharedprobes/patrol_test.go
@@ -44,7 +44,7 @@
 	l.heard[node] = max(l.heard[node], pos)
 }
 func (l *loop) DelegateHealthChecks(node string, to bool) { l.left[node] = to }
-func (l *loop) Probe(node string) {
+func (l *loop) HealthCheck(node string) {
 	l.probes = append(l.probes, node)
 	if l.hold[node] {
 		return
