--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	defer log.Close()
-	r, err := s.Router("demo", 1, "", log, "run")
+	r, err := s.StartRouter("demo", 1, "", log, "run")
 	if err != nil {
 		return err
 	}
@@ -72,8 +72,8 @@
 	}
 	time.Sleep(l.Seconds / 2)
 	calm := seen.line()
-	counts := commands(s.Cluster)
-	victim, heir := s.Cluster.Nodes()[0], s.Cluster.Nodes()[1]
+	counts := commands(s.Database)
+	victim, heir := s.Database.Nodes()[0], s.Database.Nodes()[1]
 	died := time.Now()
 	victim.Kill()
 	fmt.Fprintf(out, "half-way   %s\n", calm)
@@ -82,18 +82,18 @@
 	heir.Promote()
 	fmt.Fprintf(out, "%9v  %s takes its place; discovery does not know yet\n", time.Since(died).Round(time.Millisecond), heir.Name)
 	time.Sleep(demoList)
-	s.List(victim, "left")
-	s.List(heir, "active")
+	s.Announce(victim, "left")
+	s.Announce(heir, "active")
 	fmt.Fprintf(out, "%9v  discovery tells of it\n", time.Since(died).Round(time.Millisecond))
 	all.Wait()
 
 	first, gap := seen.changeOver(died)
 	fmt.Fprintf(out, "%9v  the first write of group 0 is answered again; none was for %v\n", first.Round(time.Millisecond), gap.Round(time.Millisecond))
 	fmt.Fprintf(out, "at the end %s\n\n", seen.line())
-	table(out, s.Cluster, counts)
+	table(out, s.Database, counts)
 	fmt.Fprintf(out, "\n%d reads of a session's own row waited for a replica to reach its last write, %v at the longest\n",
 		seen.waited, seen.longest.Round(time.Millisecond))
-	if broken := append(seen.broken, s.Cluster.Broken()...); len(broken) > 0 {
+	if broken := append(seen.broken, s.Database.Violations()...); len(broken) > 0 {
 		for _, one := range broken {
 			fmt.Fprintln(out, "broken:", one)
 		}
@@ -122,7 +122,7 @@
 // session sends one client's mix until the end.
 func (l *demoLine) session(r *cluster.Router, i int, end time.Time, seen *tally) {
 	rng := rand.New(rand.NewPCG(l.Seed, uint64(i)))
-	c := r.Session(fmt.Sprint("session", i))
+	c := r.NewSession(fmt.Sprint("session", i))
 	defer c.Close()
 	group := i % l.Groups
 	for time.Now().Before(end) {
@@ -131,19 +131,19 @@
 		var err error
 		switch {
 		case kind < 2:
-			a, err = c.Write(cluster.Write, group)
+			a, err = c.Write(cluster.ClassWrite, group)
 		case kind < 6:
-			a, err = c.Read(cluster.ReadOwn, group, true)
+			a, err = c.Read(cluster.ClassReadOwn, group, true)
 		default:
-			a, err = c.Read(cluster.ReadAny, group, false)
+			a, err = c.Read(cluster.ClassReadAny, group, false)
 		}
 		seen.Lock()
 		switch {
 		case err != nil:
 			seen.dropped++
-		case a.Code == "53300":
+		case a.ErrorCode == "53300":
 			seen.throttled++
-		case a.Code != "":
+		case a.ErrorCode != "":
 			seen.failed++
 		default:
 			seen.answered++
@@ -159,7 +159,7 @@
 		time.Sleep(time.Duration(rng.Int64N(int64(2 * demoPause))))
 	}
 	seen.Lock()
-	seen.broken = append(seen.broken, c.Broken...)
+	seen.broken = append(seen.broken, c.Violations...)
 	seen.Unlock()
 }
 
@@ -188,7 +188,7 @@
 func commands(c *database.Cluster) map[string]int {
 	counts := map[string]int{}
 	for _, n := range c.Nodes() {
-		counts[n.Name] = n.Queries()
+		counts[n.Name] = n.QueryCount()
 	}
 	return counts
 }
@@ -199,10 +199,10 @@
 	fmt.Fprintln(w, "node\trole\tcommands before\tafter\tprobes\t")
 	for _, n := range c.Nodes() {
 		role := "replica"
-		if n.Primary() {
+		if n.IsPrimary() {
 			role = "primary"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", n.Name, role, before[n.Name], n.Queries()-before[n.Name], len(n.Probes()))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", n.Name, role, before[n.Name], n.QueryCount()-before[n.Name], len(n.ProbeTimes()))
 	}
 	w.Flush()
 }
--- a/internal/testcluster/client/client.go
+++ b/internal/testcluster/client/client.go
@@ -1,6 +1,6 @@
-// Package client is a stand-in for a router's clients: sessions that write and read their own rows back, one command
-// at a time on one connection, and that notice what must not be: no answer in time, an answer that is not theirs, or a
-// read that misses the session's own write.
+// Package client simulates a router's clients: sessions that write and read their own rows back, one command at a time on
+// one connection. A session records as a violation what must not happen: no answer in time, an answer to another command, or
+// a read that misses the session's own write.
 package client
 
 import (
@@ -17,9 +17,9 @@
 
 // Answer is how a command ended.
 type Answer struct {
-	Value string
-	Code  string // of an error, "" for a row
-	Took  time.Duration
+	Value     string
+	ErrorCode string // of an error, "" for a row
+	Took      time.Duration
 }
 
 // Session is one client's session.
@@ -27,13 +27,14 @@
 	address, key string
 	timeout      time.Duration
 	conn         net.Conn
-	next         int
-	written      int // number of the last write that was answered
-	maybe        int // of the last that was sent and may have run
-	Broken       []string
+	lastSent int
+	lastAnswered int // number of the last write that was answered
+	lastPossible int // of the last that was sent and may have run
+	Violations   []string
 }
 
-// New makes a session of a key, with the time that it waits for each answer.
+// New returns a session that writes and reads the row of a key and waits up to timeout for each answer. It connects with its
+// first command.
 func New(address, key string, timeout time.Duration) *Session {
 	return &Session{address: address, key: key, timeout: timeout}
 }
@@ -46,14 +47,15 @@
 	}
 }
 
-// Move lets the session go on at another router.
-func (s *Session) Move(address string) {
+// SwitchRouter closes the connection and continues the session at another router.
+func (s *Session) SwitchRouter(address string) {
 	s.Close()
 	s.address = address
 }
 
-// margin is what an answer may come later than the client's time: this process has no core of its own.
-const margin = 400 * time.Millisecond
+// lateTolerance is how much later than the client's timeout an answer may come before it counts as missing. The test process
+// shares its cores with the routers.
+const lateTolerance = 400 * time.Millisecond
 
 func (s *Session) dial() error {
 	c, err := net.DialTimeout("tcp", s.address, s.timeout)
@@ -62,7 +64,7 @@
 	}
 	c.SetDeadline(time.Now().Add(s.timeout))
 	if _, err = c.Write(pgwire.AppendStartup(nil, pgwire.User, pgwire.Database)); err == nil {
-		err = frames(c, func(pgwire.Frame) {})
+		err = readReply(c, func(pgwire.Frame) {})
 	}
 	if err != nil {
 		c.Close()
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// frames reads messages up to ReadyForQuery.
-func frames(c net.Conn, each func(pgwire.Frame)) error {
+// readReply hands each message up to ReadyForQuery to each.
+func readReply(c net.Conn, each func(pgwire.Frame)) error {
 	head := make([]byte, 5)
 	for {
 		if _, err := io.ReadFull(c, head); err != nil {
@@ -94,7 +96,7 @@
 	}
 }
 
-// Ready tells whether the router takes commands.
+// Ready reports whether the router accepts commands.
 func (s *Session) Ready() bool {
 	if s.conn == nil && s.dial() != nil {
 		return false
@@ -103,7 +105,7 @@
 	ready := false
 	_, err := s.conn.Write(pgwire.AppendQuery(nil, ""))
 	if err == nil {
-		err = frames(s.conn, func(f pgwire.Frame) { ready = ready || f.Type == 'I' })
+		err = readReply(s.conn, func(f pgwire.Frame) { ready = ready || f.Type == 'I' })
 	}
 	if err != nil {
 		s.Close()
@@ -111,53 +113,53 @@
 	return err == nil && ready
 }
 
-// Write writes the session's next number into a group.
+// Write writes the session's next number to a shard, as a command of a class.
 func (s *Session) Write(class string, group int) (Answer, error) {
-	s.next++
-	s.maybe = s.next
-	a, err := s.ask(class, group, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%d') RETURNING data", s.key, s.next))
-	if err == nil && a.Code == "" {
-		if a.Value != strconv.Itoa(s.next) {
-			s.Broken = append(s.Broken, fmt.Sprintf("session %s wrote %d and was answered %q", s.key, s.next, a.Value))
+	s.lastSent++
+	s.lastPossible = s.lastSent
+	a, err := s.execute(class, group, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%d') RETURNING data", s.key, s.lastSent))
+	if err == nil && a.ErrorCode == "" {
+		if a.Value != strconv.Itoa(s.lastSent) {
+			s.Violations = append(s.Violations, fmt.Sprintf("session %s wrote %d and was answered %q", s.key, s.lastSent, a.Value))
 		}
-		s.written = s.next
+		s.lastAnswered = s.lastSent
 	}
 	return a, err
 }
 
-// Read reads the session's row; where own is set it must see the session's last write.
+// Read reads the session's row from a shard; where own is set, it must see the session's last write.
 func (s *Session) Read(class string, group int, own bool) (Answer, error) {
-	a, err := s.ask(class, group, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", s.key))
-	if err != nil || a.Code != "" {
+	a, err := s.execute(class, group, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", s.key))
+	if err != nil || a.ErrorCode != "" {
 		return a, err
 	}
 	n := 0
 	if a.Value != "none" {
 		if n, err = strconv.Atoi(a.Value); err != nil {
-			s.Broken = append(s.Broken, fmt.Sprintf("session %s read %q", s.key, a.Value))
+			s.Violations = append(s.Violations, fmt.Sprintf("session %s read %q", s.key, a.Value))
 			return a, nil
 		}
 	}
-	if own && n < s.written || n > s.maybe {
-		s.Broken = append(s.Broken, fmt.Sprintf("session %s read %d after it had written %d to %d", s.key, n, s.written, s.maybe))
+	if own && n < s.lastAnswered || n > s.lastPossible {
+		s.Violations = append(s.Violations, fmt.Sprintf("session %s read %d after it had written %d to %d", s.key, n, s.lastAnswered, s.lastPossible))
 	}
 	return a, nil
 }
 
-// ask sends a command and takes its one answer.
-func (s *Session) ask(class string, group int, text string) (a Answer, err error) {
+// execute sends a command and reads its one answer.
+func (s *Session) execute(class string, group int, text string) (a Answer, err error) {
 	if s.conn == nil {
 		if err = s.dial(); err != nil {
 			return a, err
 		}
 	}
 	began := time.Now()
-	id := fmt.Sprintf("%s-%d-%d", s.key, s.next, began.UnixNano())
-	s.conn.SetDeadline(began.Add(s.timeout + margin))
+	id := fmt.Sprintf("%s-%d-%d", s.key, s.lastSent, began.UnixNano())
+	s.conn.SetDeadline(began.Add(s.timeout + lateTolerance))
 	query := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d */ %s", id, class, s.timeout.Milliseconds(), group, text)
 	rows := 0
 	if _, err = s.conn.Write(pgwire.AppendQuery(nil, query)); err == nil {
-		err = frames(s.conn, func(f pgwire.Frame) {
+		err = readReply(s.conn, func(f pgwire.Frame) {
 			switch f.Type {
 			case 'D':
 				rows++
@@ -166,7 +168,7 @@
 				}
 			case 'E':
 				rows++
-				a.Code = code(f.Body)
+				a.ErrorCode = errorCode(f.Body)
 			}
 		})
 	}
@@ -174,9 +176,9 @@
 	var late net.Error
 	switch {
 	case errors.As(err, &late) && late.Timeout():
-		s.Broken = append(s.Broken, fmt.Sprintf("session %s: no answer to %s", s.key, id))
+		s.Violations = append(s.Violations, fmt.Sprintf("session %s: no answer to %s", s.key, id))
 	case err == nil && rows != 1:
-		s.Broken = append(s.Broken, fmt.Sprintf("session %s: %d answers to %s", s.key, rows, id))
+		s.Violations = append(s.Violations, fmt.Sprintf("session %s: %d answers to %s", s.key, rows, id))
 	}
 	if err != nil {
 		s.Close()
@@ -184,7 +186,8 @@
 	return a, err
 }
 
-func code(body []byte) string {
+// errorCode returns the SQLSTATE of an ErrorResponse, "" where it has none.
+func errorCode(body []byte) string {
 	for len(body) > 1 {
 		end := 1
 		for end < len(body) && body[end] != 0 {
--- a/internal/testcluster/discovery/discovery.go
+++ b/internal/testcluster/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery is a stand-in for discovery: the list of nodes over HTTP, whole or as a watch that carries each
-// change, late or not at all where a test says so.
+// Package discovery simulates the service discovery: the endpoint list over HTTP, complete or as a watch that sends each
+// change. A test can make it fall silent.
 package discovery
 
 import (
@@ -11,81 +11,81 @@
 	"time"
 )
 
-// Entry is one node of the list.
+// Entry is one node of the endpoint list, in the form of the wire.
 type Entry struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"` // active, leaving or left
-	Role    string  `json:"role,omitempty"`
-	Weight  float64 `json:"weight"`
-	Since   float64 `json:"since_ms"`
+	Name            string  `json:"name"`
+	Address         string  `json:"address"`
+	Zone            string  `json:"zone"`
+	NodeType        string  `json:"type"`
+	Shard           int     `json:"group"`
+	Status          string  `json:"status"` // active, leaving or left
+	Role            string  `json:"role,omitempty"`
+	Weight          float64 `json:"weight"`
+	StartedAtMillis float64 `json:"since_ms"`
 }
 
-// Server is a running discovery.
+// Server is a running service discovery.
 type Server struct {
-	mu      sync.Mutex
-	index   int64
-	entries map[string]Entry
-	changed map[string]int64 // version of each entry's last change
-	order   []string
-	silent  bool
-	news    chan struct{} // closed at each change
-	http    *http.Server
-	address string
+	mu        sync.Mutex
+	version   int64
+	entries   map[string]Entry
+	changedIn map[string]int64 // version of each entry's last change
+	order     []string
+	silent    bool
+	updated   chan struct{} // closed at each change
+	http      *http.Server
+	address   string
 }
 
-// Start starts one on a free port of loopback.
+// Start starts a server on a free port of loopback.
 func Start() (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{entries: map[string]Entry{}, changed: map[string]int64{}, news: make(chan struct{}),
+	s := &Server{entries: map[string]Entry{}, changedIn: map[string]int64{}, updated: make(chan struct{}),
 		address: ln.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", s.targets)
+	mux.HandleFunc("GET /api/targets", s.serveTargets)
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go s.http.Serve(ln)
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which it listens.
 func (s *Server) Address() string { return s.address }
 
-// Close ends it.
+// Close stops the server and its watches.
 func (s *Server) Close() { s.http.Close() }
 
-// Set tells of a node, anew or changed.
-func (s *Server) Set(all ...Entry) {
+// Update adds nodes to the list or changes them, as one new version.
+func (s *Server) Update(all ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.index++
+	s.version++
 	for _, e := range all {
 		if _, known := s.entries[e.Name]; !known {
 			s.order = append(s.order, e.Name)
 		}
-		s.entries[e.Name], s.changed[e.Name] = e, s.index
+		s.entries[e.Name], s.changedIn[e.Name] = e, s.version
 	}
-	s.tell()
+	s.notify()
 }
 
-// Silent keeps it from telling anything, or lets it go on.
-func (s *Server) Silent(on bool) {
+// SetSilent keeps open watches without any message, or lets them continue.
+func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = on
-	s.tell()
+	s.notify()
 }
 
-func (s *Server) tell() {
-	close(s.news)
-	s.news = make(chan struct{})
+func (s *Server) notify() {
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-// Entry is a node as it stands.
+// Entry returns the present entry of a node.
 func (s *Server) Entry(name string) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,31 +98,31 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// since is what changed after a version; the whole list for one that was never told.
-func (s *Server) since(version int64, all bool) (l list, news chan struct{}, silent bool) {
+// changesSince returns what has changed after a version; the complete list where all is set or the version is unknown.
+func (s *Server) changesSince(version int64, all bool) (l list, news chan struct{}, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	whole := all || version > s.index
-	l = list{Index: s.index, Snapshot: whole, Endpoints: []Entry{}}
+	whole := all || version > s.version
+	l = list{Index: s.version, Snapshot: whole, Endpoints: []Entry{}}
 	for _, name := range s.order {
-		if e := s.entries[name]; (whole && e.Status != "left") || !whole && s.changed[name] > version {
+		if e := s.entries[name]; (whole && e.Status != "left") || !whole && s.changedIn[name] > version {
 			l.Endpoints = append(l.Endpoints, e)
 		}
 	}
-	return l, s.news, s.silent
+	return l, s.updated, s.silent
 }
 
-func (s *Server) targets(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveTargets(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	follow := r.URL.Query().Get("follow") == "1"
 	if !follow {
-		l, _, _ := s.since(0, true)
+		l, _, _ := s.changesSince(0, true)
 		json.NewEncoder(w).Encode(l)
 		return
 	}
 	all, out := err != nil, json.NewEncoder(w)
 	for first := true; ; first = false {
-		l, news, silent := s.since(version, all)
+		l, news, silent := s.changesSince(version, all)
 		if !silent && (first || len(l.Endpoints) > 0) {
 			if out.Encode(l) != nil {
 				return
--- a/internal/testcluster/process/rig.go
+++ b/internal/testcluster/process/rig.go
@@ -23,7 +23,7 @@
 
 // Rig is router processes in front of one site.
 type Rig struct {
-	Site    *cluster.Site
+	Site    *cluster.Cluster
 	Relays  *faultnet.Relays
 	Folder  string
 	Log     io.Writer
@@ -53,9 +53,9 @@
 
 // New starts a site's routers, one on each machine, all members of one fleet by relays. child begins the arguments with
 // which this program is a router, as Child reads them.
-func New(seed uint64, s *cluster.Site, machines []Machine, log, writes io.Writer, child ...string) (r *Rig, err error) {
+func New(seed uint64, s *cluster.Cluster, machines []Machine, log, writes io.Writer, child ...string) (r *Rig, err error) {
 	r = &Rig{Site: s, Folder: s.Folder, Log: log, Writes: writes, extra: map[string]func([]string) error{}, killed: make([]bool, len(machines))}
-	at, err := cluster.Free()
+	at, err := cluster.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 			r.Relays.Own(i), r.Relays.Out(i), strings.Join(join, " "), key))
 		own, _, _ := net.SplitHostPort(r.Relays.Own(i))
 		args := append(append([]string{}, child...), "--clock", m.Skew.String(), "--own", own)
-		router, err := s.Prepare(Name(i), len(machines), r.fleets[i]+m.File, log, append(args, m.Args...)...)
+		router, err := s.PrepareRouter(Name(i), len(machines), r.fleets[i]+m.File, log, append(args, m.Args...)...)
 		if err != nil {
 			return r, errors.Join(err, r.Close())
 		}
@@ -103,7 +103,9 @@
 func (r *Rig) Socket(i int) string { return filepath.Join(r.Folder, Name(i)+".sock") }
 
 // File replaces a process's operator's file beside the fleet's part; SIGHUP or its next start reads it.
-func (r *Rig) File(i int, text string) error { return r.routers[i].File(r.fleets[i] + text) }
+func (r *Rig) File(i int, text string) error {
+	return r.routers[i].WriteOperatorFile(r.fleets[i] + text)
+}
 
 // Router is a process.
 func (r *Rig) Router(i int) *cluster.Router { return r.routers[i] }
--- a/internal/testcluster/proof/duties.go
+++ b/internal/testcluster/proof/duties.go
@@ -104,7 +104,7 @@
 // crew is three routers in front of one site.
 type crew struct {
 	p       Duties
-	s       *cluster.Site
+	s       *cluster.Cluster
 	routers []*cluster.Router
 	began   int64
 	marks   []mark
@@ -119,9 +119,9 @@
 }
 
 func (c *crew) mark(what string, hurt bool) {
-	c.marks = append(c.marks, mark{c.s.Cluster.Now(), what, hurt})
+	c.marks = append(c.marks, mark{c.s.Database.Now(), what, hurt})
 	if c.shared {
-		fmt.Fprintf(c.p.Writes, "%6.1f s  %s\n", float64(c.s.Cluster.Now()-c.began)/1e6, what)
+		fmt.Fprintf(c.p.Writes, "%6.1f s  %s\n", float64(c.s.Database.Now()-c.began)/1e6, what)
 	}
 }
 
@@ -143,10 +143,10 @@
 		time.Sleep(long)
 	}
 	rest(4*time.Second, 3*time.Second)
-	c.began = s.Cluster.Now()
+	c.began = s.Database.Now()
 	c.mark(map[bool]string{true: "three routers share", false: "three routers share nothing"}[shared], false)
 	rest(10*time.Second, 6*time.Second)
-	calm := s.Cluster.Now()
+	calm := s.Database.Now()
 	if shared {
 		order := []int{int(p.Seed % 3), int((p.Seed + 1) % 3), int((p.Seed + 2) % 3)}
 		victim := c.routers[order[0]]
@@ -167,10 +167,10 @@
 			rest(10*time.Second, 0)
 		}
 		c.mark("the third is cut off from the others", true)
-		c.routers[order[2]].Say("cut")
+		c.routers[order[2]].SendLine("cut")
 		rest(10*time.Second, 4*time.Second)
 		c.mark("the cut is mended", false)
-		c.routers[order[2]].Say("heal")
+		c.routers[order[2]].SendLine("heal")
 		rest(15*time.Second, 8*time.Second)
 		c.mark("the end", false)
 	}
@@ -181,7 +181,7 @@
 	key := base64.StdEncoding.EncodeToString([]byte("a key for the proof, of 32 bytes"))
 	var places []string
 	for range 3 {
-		at, err := cluster.Free()
+		at, err := cluster.FreeAddress()
 		if err != nil {
 			return err
 		}
@@ -195,7 +195,7 @@
 		file := fmt.Sprintf("(fleet (cluster %q) (listen %q) (join %q) (keys %q))\n(duties (instances 3) (probe (every %dms)))\n",
 			cluster, at, strings.Join(places, `" "`), key, c.p.Every.Milliseconds())
 		file = strings.ReplaceAll(file, `\"`, `"`)
-		r, err := c.s.Router(fmt.Sprint("r", i), 3, file, c.p.Log, "child")
+		r, err := c.s.StartRouter(fmt.Sprint("r", i), 3, file, c.p.Log, "child")
 		if err != nil {
 			return err
 		}
@@ -206,11 +206,11 @@
 
 // measure goes by what the boxes saw.
 func (c *crew) measure(calm int64) (res result) {
-	end := c.s.Cluster.Now()
+	end := c.s.Database.Now()
 	count, early := 0, 0
-	for _, n := range c.s.Cluster.Nodes() {
+	for _, n := range c.s.Database.Nodes() {
 		last := c.began
-		probes := append(n.Probes(), end)
+		probes := append(n.ProbeTimes(), end)
 		for i, at := range probes {
 			if at < c.began {
 				continue
@@ -246,7 +246,7 @@
 
 // takeovers are the times from a harm to a box's next probe, for a box that missed its rhythm by it.
 func (c *crew) takeovers(n *database.Node) (taken []time.Duration) {
-	probes := n.Probes()
+	probes := n.ProbeTimes()
 	for _, m := range c.marks {
 		if !m.hurt {
 			continue
--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -123,7 +123,7 @@
 // tribunal is a run under way.
 type tribunal struct {
 	p     Leases
-	s     *cluster.Site
+	s     *cluster.Cluster
 	r     *process.Rig
 	res   *resource.Server
 	rng   *rand.Rand
--- a/internal/testcluster/proof/releases.go
+++ b/internal/testcluster/proof/releases.go
@@ -47,7 +47,7 @@
 // rollingOut is a run under way.
 type rollingOut struct {
 	p     Releases
-	s     *cluster.Site
+	s     *cluster.Cluster
 	r     *process.Rig
 	over  chan struct{}
 	done  sync.WaitGroup
@@ -171,7 +171,7 @@
 			return
 		case <-time.After(lookGap):
 		}
-		if code, ended := c.r.Router(i).Ended(); ended && code == 0 && c.r.Up(i) {
+		if code, ended := c.r.Router(i).ExitCode(); ended && code == 0 && c.r.Up(i) {
 			c.out(i, true)
 			time.Sleep(200 * time.Millisecond)
 			select {
@@ -214,10 +214,10 @@
 // session is a client that writes and reads, and moves to another router when its own goes away.
 func (c *rollingOut) session(i, k int) {
 	at := i
-	s := c.r.Router(at).Session(fmt.Sprintf("%d-%d", i, k))
+	s := c.r.Router(at).NewSession(fmt.Sprintf("%d-%d", i, k))
 	defer func() {
 		c.mu.Lock()
-		c.bad = append(c.bad, s.Broken...)
+		c.bad = append(c.bad, s.Violations...)
 		c.mu.Unlock()
 		s.Close()
 	}()
@@ -231,18 +231,18 @@
 		var a client.Answer
 		var err error
 		if n%4 == 0 {
-			a, err = s.Write(cluster.Write, group)
+			a, err = s.Write(cluster.ClassWrite, group)
 		} else {
-			a, err = s.Read(cluster.ReadAny, group, false)
+			a, err = s.Read(cluster.ClassReadAny, group, false)
 		}
 		switch {
 		case err != nil: // its connection ended, or none came up
 			c.cut.Add(1)
 			at = (at + 1) % c.p.Routers
-			s.Move(c.r.Router(at).Address)
-		case a.Code == "":
+			s.SwitchRouter(c.r.Router(at).Address)
+		case a.ErrorCode == "":
 			c.answered.Add(1)
-		case a.Code == "53300" || a.Code == "57P03":
+		case a.ErrorCode == "53300" || a.ErrorCode == "57P03":
 			c.refused.Add(1)
 		default:
 			c.failed.Add(1)
@@ -267,14 +267,14 @@
 		}
 		for _, name := range c.drains() {
 			n := c.s.Node(name)
-			if n == nil || !n.Primary() {
+			if n == nil || !n.IsPrimary() {
 				continue
 			}
-			for _, o := range c.s.Cluster.Nodes() {
-				if o.Group == n.Group && o != n && !slices.Contains(c.drains(), o.Name) {
+			for _, o := range c.s.Database.Nodes() {
+				if o.Shard == n.Shard && o != n && !slices.Contains(c.drains(), o.Name) {
 					o.Promote()
-					c.s.List(n, "active")
-					c.s.List(o, "active")
+					c.s.Announce(n, "active")
+					c.s.Announce(o, "active")
 					break
 				}
 			}
@@ -320,7 +320,7 @@
 				}
 			}
 			for name := range away {
-				n := c.s.Node(name).Queries()
+				n := c.s.Node(name).QueryCount()
 				if was, known := seen[name]; known && n > was {
 					c.broken("%d commands came to %s, which counts as out of use", n-was, name)
 				}
@@ -441,7 +441,7 @@
 	if c.most > mostOut {
 		wrong = append(wrong, fmt.Errorf("%d routers were out at once, limit %d", c.most, mostOut))
 	}
-	c.bad = append(c.bad, c.s.Cluster.Broken()...)
+	c.bad = append(c.bad, c.s.Database.Violations()...)
 	for _, one := range c.bad[:min(len(c.bad), 5)] {
 		wrong = append(wrong, errors.New(one))
 	}
