--- a/internal/testcluster/client/client.go
+++ b/internal/testcluster/client/client.go
@@ -27,7 +27,7 @@
 	address, key string
 	timeout      time.Duration
 	conn         net.Conn
-	lastSent int
+	lastSent     int
 	lastAnswered int // number of the last write that was answered
 	lastPossible int // of the last that was sent and may have run
 	Violations   []string
