--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -36,9 +36,9 @@
 }
 
 // say says a word to whoever leads.
-func (f *wordFlags) say(out io.Writer, w rollout.Word) error {
+func (f *wordFlags) say(out io.Writer, w rollout.Command) error {
 	w.Token = f.Token
-	text, err := rolloutservice.WordText(w)
+	text, err := rolloutservice.EncodeCommand(w)
 	if err != nil {
 		return err
 	}
@@ -73,18 +73,18 @@
 	switch {
 	case s.Leads:
 		fmt.Fprintf(out, "%s leads under term %d\n", s.Router, s.Term)
-	case s.Doubt != "":
-		fmt.Fprintf(out, "%s holds the lease and does not lead: %s\n", s.Router, s.Doubt)
+	case s.NotLeadingReason != "":
+		fmt.Fprintf(out, "%s holds the lease and does not lead: %s\n", s.Router, s.NotLeadingReason)
 	default:
-		fmt.Fprintf(out, "%s does not lead; it last heard of %s\n", s.Router, s.Chief)
+		fmt.Fprintf(out, "%s does not lead; it last heard of %s\n", s.Router, s.Leader)
 	}
-	if len(s.Drains) > 0 {
-		fmt.Fprintln(out, "drained:", strings.Join(s.Drains, " "))
+	if len(s.DrainedNodes) > 0 {
+		fmt.Fprintln(out, "drained:", strings.Join(s.DrainedNodes, " "))
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PLAN\tKIND\tSTATE\tWAVE\tDONE\tHOLDING SLOTS\tWHY")
 	for _, p := range s.Plans {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d of %d\t%s\t%s\n", p.ID, p.Kind, p.State, p.Wave, p.Phases[rollout.Done.String()], p.Units, strings.Join(p.Holding, ", "), p.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d of %d\t%s\t%s\n", p.ID, p.Kind, p.State, p.Wave, p.Phases[rollout.PhaseDone.String()], p.Units, strings.Join(p.Holding, ", "), p.Reason)
 	}
 	return w.Flush()
 }
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	waves, most := rollout.Waves(p, len(p.Units))
+	waves, most := rollout.PreviewWaves(p, len(p.Units))
 	for i, units := range waves {
 		fmt.Fprintf(out, "wave %d: %s\n", i+1, strings.Join(units, " "))
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.say(out, rollout.Word{Verb: rollout.Start, Plan: p}); err != nil || !l.Wait {
+	if err := l.say(out, rollout.Command{Type: rollout.CommandStart, Plan: p}); err != nil || !l.Wait {
 		return err
 	}
 	for last := ""; ; time.Sleep(time.Second) {
@@ -129,15 +129,15 @@
 			if one.ID != p.ID {
 				continue
 			}
-			if line := fmt.Sprintf("%s, wave %d, %d of %d done, slots: %s (%s)", one.State, one.Wave, one.Phases[rollout.Done.String()], one.Units,
-				strings.Join(one.Holding, ", "), one.Why); line != last {
+			if line := fmt.Sprintf("%s, wave %d, %d of %d done, slots: %s (%s)", one.State, one.Wave, one.Phases[rollout.PhaseDone.String()], one.Units,
+				strings.Join(one.Holding, ", "), one.Reason); line != last {
 				fmt.Fprintln(out, line)
 				last = line
 			}
-			if one.State == rollout.Finished.String() {
+			if one.State == rollout.StateFinished.String() {
 				return nil
 			}
-			if one.Over() {
+			if one.Settled() {
 				return supervisor.ExitCode(exitHalted)
 			}
 		}
@@ -152,19 +152,19 @@
 type fleetHaltLine struct{ planArg }
 
 func (l *fleetHaltLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Word{Verb: rollout.Halt, ID: l.ID})
+	return l.say(out, rollout.Command{Type: rollout.CommandHalt, PlanID: l.ID})
 }
 
 type fleetResumeLine struct{ planArg }
 
 func (l *fleetResumeLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Word{Verb: rollout.Resume, ID: l.ID})
+	return l.say(out, rollout.Command{Type: rollout.CommandResume, PlanID: l.ID})
 }
 
 type fleetBackLine struct{ planArg }
 
 func (l *fleetBackLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Word{Verb: rollout.Back, ID: l.ID})
+	return l.say(out, rollout.Command{Type: rollout.CommandRollBack, PlanID: l.ID})
 }
 
 type fleetDrainLine struct {
@@ -174,8 +174,8 @@
 
 func (l *fleetDrainLine) Run(out io.Writer) error {
 	for _, name := range l.Nodes {
-		p := rollout.Plan{ID: "drain-" + name, Kind: rollout.Nodes, Units: []string{name}, Patience: 24 * 3600 * 1_000_000}
-		if err := l.say(out, rollout.Word{Verb: rollout.Start, Plan: p}); err != nil {
+		p := rollout.Plan{ID: "drain-" + name, Kind: rollout.KindNodes, Units: []string{name}, ProgressTimeout: 24 * 3600 * 1_000_000}
+		if err := l.say(out, rollout.Command{Type: rollout.CommandStart, Plan: p}); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
@@ -193,7 +193,7 @@
 	if id == "" {
 		id = "drain-" + l.Node
 	}
-	return l.say(out, rollout.Word{Verb: rollout.Return, ID: id, Unit: l.Node})
+	return l.say(out, rollout.Command{Type: rollout.CommandReturn, PlanID: id, Unit: l.Node})
 }
 
 type fleetForgetLine struct {
@@ -203,11 +203,11 @@
 }
 
 func (l *fleetForgetLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Word{Verb: rollout.Forget, ID: l.ID, Unit: l.Unit})
+	return l.say(out, rollout.Command{Type: rollout.CommandForget, PlanID: l.ID, Unit: l.Unit})
 }
 
 type fleetBeginLine struct{ wordFlags }
 
 func (l *fleetBeginLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Word{Verb: rollout.Begin})
+	return l.say(out, rollout.Command{Type: rollout.CommandBegin})
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -8,107 +8,107 @@
 )
 
 // Served is what a router counts of its commands since its process started; figures only grow.
-type Served struct {
+type CommandCounts struct {
 	Commands, Failed, Late, Throttled uint64
 }
 
-func (s Served) less(o Served) Served {
-	return Served{s.Commands - o.Commands, s.Failed - o.Failed, s.Late - o.Late, s.Throttled - o.Throttled}
+func (s CommandCounts) minus(o CommandCounts) CommandCounts {
+	return CommandCounts{s.Commands - o.Commands, s.Failed - o.Failed, s.Late - o.Late, s.Throttled - o.Throttled}
 }
 
-func (s Served) add(o Served) Served {
-	return Served{s.Commands + o.Commands, s.Failed + o.Failed, s.Late + o.Late, s.Throttled + o.Throttled}
+func (s CommandCounts) plus(o CommandCounts) CommandCounts {
+	return CommandCounts{s.Commands + o.Commands, s.Failed + o.Failed, s.Late + o.Late, s.Throttled + o.Throttled}
 }
 
 // grew tells whether one count follows another of the same process.
-func (s Served) grew(o Served) bool {
+func (s CommandCounts) continues(o CommandCounts) bool {
 	return s.Commands >= o.Commands && s.Failed >= o.Failed && s.Late >= o.Late && s.Throttled >= o.Throttled
 }
 
 const (
-	enough    = 1_200 // commands of touched routers on which a wave is judged: 2% of them are twenty-four
-	leastBad  = 5     // bad ends of touched routers below which nothing is concluded
-	leastMore = 0.008 // by how much their share must lie above that of the others: half of the 2% that must be found
-	doubtful  = 2.0   // deviations from which a wave is watched for longer before the next one begins
-	sigmas    = 5.0   // and by how many deviations: it is looked at each second, for hours
-	leastRate = 5e-4  // share of bad ends that counts as usual where none was seen
-	crashes   = 2     // processes of touched routers that ended by themselves, at the least
-	crashOdds = 1e-3  // chance under which so many of all crashes fall on touched routers by themselves
-	tailShare = 0.9   // quantile of the untouched ones' start times and memory
-	startMore = 3.0   // times it that a touched one's may be
-	startRoom = 2e6   // us beside
-	heapMore  = 1.5
-	heapRoom  = 16 << 20 // bytes
+	minCommands         = 1_200 // commands of touched routers on which a wave is judged: 2% of them are twenty-four
+	minBadCommands      = 5     // bad ends of touched routers below which nothing is concluded
+	minShareDifference  = 0.008 // by how much their share must lie above that of the others: half of the 2% that must be found
+	suspectDeviations   = 2.0   // deviations from which a wave is watched for longer before the next one begins
+	haltDeviations      = 5.0   // and by how many deviations: it is looked at each second, for hours
+	minUsualShare       = 5e-4  // share of bad ends that counts as usual where none was seen
+	minCrashes          = 2     // processes of touched routers that ended by themselves, at the least
+	maxCrashProbability = 1e-3  // chance under which so many of all crashes fall on touched routers by themselves
+	upperQuantile       = 0.9   // quantile of the untouched ones' start times and memory
+	startupTimeFactor   = 3.0   // times it that a touched one's may be
+	startupTimeMargin   = 2e6   // us beside
+	memoryFactor        = 1.5
+	memoryMargin        = 16 << 20 // bytes
 )
 
 // side is one side of a comparison: what routers did since it began, by router.
-type side struct {
-	by      map[string]Served
-	crashed int
-	span    int64 // us that its routers were seen, in all
-	starts  map[string]int64
-	heaps   map[string]int64
+type cohort struct {
+	counts        map[string]CommandCounts
+	crashes       int
+	observedTime  int64 // us that its routers were seen, in all
+	startupTimes  map[string]int64
+	residentBytes map[string]int64
 }
 
-func newSide() side {
-	return side{by: map[string]Served{}, starts: map[string]int64{}, heaps: map[string]int64{}}
+func newCohort() cohort {
+	return cohort{counts: map[string]CommandCounts{}, startupTimes: map[string]int64{}, residentBytes: map[string]int64{}}
 }
 
 // judge compares routers that a plan has touched with those it has not, over the same time.
-type judge struct {
-	touched, others side
+type canaryAnalysis struct {
+	touched, untouched cohort
 }
 
-func newJudge() *judge { return &judge{newSide(), newSide()} }
+func newCanaryAnalysis() *canaryAnalysis { return &canaryAnalysis{newCohort(), newCohort()} }
 
 // total sums a side up.
-func (s *side) total() (t Served) {
-	for _, one := range s.by {
-		t = t.add(one)
+func (s *cohort) total() (t CommandCounts) {
+	for _, one := range s.counts {
+		t = t.plus(one)
 	}
 	return t
 }
 
 // verdict says why the plan must halt, "" for no reason; doubt tells that a reason may be near.
-func (j *judge) verdict() (doubt bool, why string) {
-	a, b := j.touched.total(), j.others.total()
+func (j *canaryAnalysis) evaluate() (doubt bool, why string) {
+	a, b := j.touched.total(), j.untouched.total()
 	for _, m := range []struct {
 		name string
-		of   func(Served) uint64
+		of   func(CommandCounts) uint64
 	}{
-		{"failed", func(s Served) uint64 { return s.Failed }},
-		{"late", func(s Served) uint64 { return s.Late }},
-		{"throttled", func(s Served) uint64 { return s.Throttled }},
+		{"failed", func(s CommandCounts) uint64 { return s.Failed }},
+		{"late", func(s CommandCounts) uint64 { return s.Late }},
+		{"throttled", func(s CommandCounts) uint64 { return s.Throttled }},
 	} {
-		if b.Commands == 0 || a.Commands == 0 || m.of(a) < leastBad {
+		if b.Commands == 0 || a.Commands == 0 || m.of(a) < minBadCommands {
 			continue
 		}
 		mine, usual := float64(m.of(a))/float64(a.Commands), float64(m.of(b))/float64(b.Commands)
 		both := float64(m.of(a)+m.of(b)) / float64(a.Commands+b.Commands) // what all have, if the plan makes no difference
-		both = min(max(both, leastRate), 1-leastRate)
-		sd := math.Sqrt(j.others.spread(m.of, min(max(usual, leastRate), 1-leastRate)) * both * (1 - both) * (1/float64(a.Commands) + 1/float64(b.Commands)))
-		doubt = doubt || mine-usual > leastMore/2 && mine-usual > doubtful*sd
-		if mine-usual > leastMore && mine-usual > sigmas*sd {
+		both = min(max(both, minUsualShare), 1-minUsualShare)
+		sd := math.Sqrt(j.untouched.overdispersion(m.of, min(max(usual, minUsualShare), 1-minUsualShare)) * both * (1 - both) * (1/float64(a.Commands) + 1/float64(b.Commands)))
+		doubt = doubt || mine-usual > minShareDifference/2 && mine-usual > suspectDeviations*sd
+		if mine-usual > minShareDifference && mine-usual > haltDeviations*sd {
 			return false, fmt.Sprintf("%.1f%% of %d commands %s at routers that it touched, %.1f%% of %d at the others in the same time",
 				100*mine, a.Commands, m.name, 100*usual, b.Commands)
 		}
 	}
-	share := float64(j.touched.span) / float64(max(j.touched.span+j.others.span, 1))
-	if n, all := j.touched.crashed, j.touched.crashed+j.others.crashed; n >= crashes && tail(all, n, share) < crashOdds {
+	share := float64(j.touched.observedTime) / float64(max(j.touched.observedTime+j.untouched.observedTime, 1))
+	if n, all := j.touched.crashes, j.touched.crashes+j.untouched.crashes; n >= minCrashes && binomialTail(all, n, share) < maxCrashProbability {
 		return false, fmt.Sprintf("%d of %d processes that ended by themselves were of routers that it touched, which make %.0f%% of the time",
 			n, all, 100*share)
 	}
-	if mine, usual := middle(j.touched.starts), quantile(j.others.starts, tailShare); usual > 0 && float64(mine) > startMore*float64(usual)+startRoom {
+	if mine, usual := median(j.touched.startupTimes), quantile(j.untouched.startupTimes, upperQuantile); usual > 0 && float64(mine) > startupTimeFactor*float64(usual)+startupTimeMargin {
 		return false, fmt.Sprintf("routers that it touched take %.1f s to start, the others took up to %.1f s", float64(mine)/1e6, float64(usual)/1e6)
 	}
-	if mine, usual := middle(j.touched.heaps), quantile(j.others.heaps, tailShare); usual > 0 && float64(mine) > heapMore*float64(usual)+heapRoom {
+	if mine, usual := median(j.touched.residentBytes), quantile(j.untouched.residentBytes, upperQuantile); usual > 0 && float64(mine) > memoryFactor*float64(usual)+memoryMargin {
 		return false, fmt.Sprintf("routers that it touched take %d MB, the others up to %d MB", mine>>20, usual>>20)
 	}
 	return doubt, ""
 }
 
 // tail is the chance of at least so many hits in n tries of chance p each.
-func tail(n, least int, p float64) (sum float64) {
+func binomialTail(n, least int, p float64) (sum float64) {
 	one := math.Pow(1-p, float64(n)) // of no hit
 	for k := 0; k <= n; k++ {
 		if k >= least {
@@ -125,9 +125,9 @@
 
 // spread is by how much routers differ more than chance lets them: their groups, zones and callers are not alike. It is
 // Pearson's statistic a degree of freedom, and one at the least.
-func (s *side) spread(of func(Served) uint64, base float64) float64 {
+func (s *cohort) overdispersion(of func(CommandCounts) uint64, base float64) float64 {
 	sum, n := 0.0, 0
-	for _, one := range s.by {
+	for _, one := range s.counts {
 		if one.Commands == 0 {
 			continue
 		}
@@ -142,9 +142,9 @@
 }
 
 // enough tells whether touched routers have answered enough to be judged on.
-func (j *judge) enough() bool { return j.touched.total().Commands >= enough }
+func (j *canaryAnalysis) hasEnoughCommands() bool { return j.touched.total().Commands >= minCommands }
 
-func middle(all map[string]int64) int64 { return quantile(all, 0.5) }
+func median(all map[string]int64) int64 { return quantile(all, 0.5) }
 
 func quantile(all map[string]int64, q float64) int64 {
 	if len(all) == 0 {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -18,13 +18,13 @@
 
 // The kinds of plans.
 const (
-	Restart Kind = iota + 1 // each router leaves in order and is started again by its supervisor
-	Version                 // each router takes to another version of its file, by a restart
-	Nodes                   // each node is drained, kept out for a while, and returned
+	KindRestart Kind = iota + 1 // each router leaves in order and is started again by its supervisor
+	KindVersion                 // each router takes to another version of its file, by a restart
+	KindNodes                   // each node is drained, kept out for a while, and returned
 )
 
 // Known tells whether there is such a kind.
-func (k Kind) Known() bool { return k >= Restart && k <= Nodes }
+func (k Kind) Valid() bool { return k >= KindRestart && k <= KindNodes }
 
 var kindNames = [...]string{"", "restart", "version", "nodes"}
 
@@ -33,56 +33,56 @@
 
 // Budget is how much may be out at once, planned or not.
 type Budget struct {
-	Most     int     // in all; 0 for no bound beside the share
-	Share    float64 // of all units of that sort in sight
-	Zone     int     // in one zone; 0 for no bound
-	Group    int     // nodes of one group; 0 for one
-	Replicas int     // of a group that stay in, proven near the log's end
-	Work     float64 // of a group's usual work that may be without its nodes, 0 for no bound
+	MaxUnavailable int     // in all; 0 for no bound beside the share
+	MaxShare       float64 // of all units of that sort in sight
+	MaxPerZone     int     // in one zone; 0 for no bound
+	MaxPerGroup    int     // nodes of one group; 0 for one
+	MinReplicas    int     // of a group that stay in, proven near the log's end
+	MaxGroupWork   float64 // of a group's usual work that may be without its nodes, 0 for no bound
 }
 
 // Plan is what an operator asks for.
 type Plan struct {
-	ID       string
-	Kind     Kind
-	Units    []string // in the order in which they go
-	Want     uint64   // Version: the version that they take to
-	Was      uint64   // Version: the last good one, to which they go back
-	Waves    []int    // units in each of the first waves; all that are left make the last one
-	Watch    int64    // us to watch a wave when all of it is back
-	Rest     int64    // us for which a drained node stays out
-	Patience int64    // us without progress after which the plan halts and says why
-	Stay     bool     // it does not go back by itself when it halts by evidence
-	Budget   Budget
+	ID              string
+	Kind            Kind
+	Units           []string // in the order in which they go
+	TargetVersion   uint64   // Version: the version that they take to
+	PreviousVersion uint64   // Version: the last good one, to which they go back
+	WaveSizes       []int    // units in each of the first waves; all that are left make the last one
+	WatchTime       int64    // us to watch a wave when all of it is back
+	DrainTime       int64    // us for which a drained node stays out
+	ProgressTimeout int64    // us without progress after which the plan halts and says why
+	NoRollback      bool     // it does not go back by itself when it halts by evidence
+	Budget          Budget
 }
 
 // The bounds of a plan, and what stands for what it does not say.
 const (
-	MostUnits  = 4_000 // of one plan
-	MostPlans  = 8     // under way, and as many finished ones kept
-	MostID     = 128   // bytes of a plan's or a unit's name
-	usualWatch = 30_000_000
-	usualWait  = 120_000_000
-	usualShare = 0.1
+	MaxUnits               = 4_000 // of one plan
+	MaxPlans               = 8     // under way, and as many finished ones kept
+	MaxNameLength          = 128   // bytes of a plan's or a unit's name
+	defaultWatchTime       = 30_000_000
+	defaultProgressTimeout = 120_000_000
+	defaultMaxShare        = 0.1
 )
 
 // Fill sets what the plan leaves open; two canaries, for one alone may be unlike the others, a twentieth, a quarter, the
 // rest.
-func (p *Plan) Fill() {
-	if p.Waves == nil {
-		p.Waves = []int{min(2, max(1, len(p.Units)/10)), max(1, len(p.Units)/20), max(1, len(p.Units)/4)}
+func (p *Plan) SetDefaults() {
+	if p.WaveSizes == nil {
+		p.WaveSizes = []int{min(2, max(1, len(p.Units)/10)), max(1, len(p.Units)/20), max(1, len(p.Units)/4)}
 	}
-	if p.Watch == 0 {
-		p.Watch = usualWatch
+	if p.WatchTime == 0 {
+		p.WatchTime = defaultWatchTime
 	}
-	if p.Patience == 0 {
-		p.Patience = usualWait
+	if p.ProgressTimeout == 0 {
+		p.ProgressTimeout = defaultProgressTimeout
 	}
-	if p.Budget.Share == 0 {
-		p.Budget.Share = usualShare
+	if p.Budget.MaxShare == 0 {
+		p.Budget.MaxShare = defaultMaxShare
 	}
-	if p.Budget.Group == 0 {
-		p.Budget.Group = 1
+	if p.Budget.MaxPerGroup == 0 {
+		p.Budget.MaxPerGroup = 1
 	}
 }
 
@@ -90,7 +90,7 @@
 func (p *Plan) Wrong() string {
 	distinct := map[string]bool{}
 	for _, u := range p.Units {
-		if u == "" || len(u) > MostID {
+		if u == "" || len(u) > MaxNameLength {
 			return fmt.Sprintf("a unit's name of %d bytes", len(u))
 		}
 		if distinct[u] {
@@ -99,54 +99,54 @@
 		distinct[u] = true
 	}
 	switch {
-	case p.ID == "" || len(p.ID) > MostID:
+	case p.ID == "" || len(p.ID) > MaxNameLength:
 		return "no name, or too long a one"
-	case !p.Kind.Known():
+	case !p.Kind.Valid():
 		return "an unknown kind"
-	case len(p.Units) == 0 || len(p.Units) > MostUnits:
-		return fmt.Sprintf("%d units, want 1 to %d", len(p.Units), MostUnits)
-	case p.Kind == Version && (p.Want == 0 || p.Want == p.Was):
+	case len(p.Units) == 0 || len(p.Units) > MaxUnits:
+		return fmt.Sprintf("%d units, want 1 to %d", len(p.Units), MaxUnits)
+	case p.Kind == KindVersion && (p.TargetVersion == 0 || p.TargetVersion == p.PreviousVersion):
 		return "no other version to take to"
-	case p.Budget.Most < 0 || p.Budget.Share < 0 || p.Budget.Share > 1 || p.Budget.Zone < 0 || p.Budget.Group < 0 || p.Budget.Work < 0:
+	case p.Budget.MaxUnavailable < 0 || p.Budget.MaxShare < 0 || p.Budget.MaxShare > 1 || p.Budget.MaxPerZone < 0 || p.Budget.MaxPerGroup < 0 || p.Budget.MaxGroupWork < 0:
 		return "a budget out of bounds"
-	case p.Watch < 0 || p.Rest < 0 || p.Patience < 0 || slices.ContainsFunc(p.Waves, func(n int) bool { return n < 1 }):
+	case p.WatchTime < 0 || p.DrainTime < 0 || p.ProgressTimeout < 0 || slices.ContainsFunc(p.WaveSizes, func(n int) bool { return n < 1 }):
 		return "a wave of none, or a time below zero"
 	}
 	return ""
 }
 
 // wave is which wave a unit goes in, by its place.
-func (p *Plan) wave(place int) int {
-	for w, n := range p.Waves {
+func (p *Plan) waveOf(place int) int {
+	for w, n := range p.WaveSizes {
 		if place < n {
 			return w
 		}
 		place -= n
 	}
-	return len(p.Waves)
+	return len(p.WaveSizes)
 }
 
 // Slot is the right to be out, given under a term of the leader's lease; a later one is greater.
 type Slot struct {
-	Term uint64
-	N    uint64
+	Term   uint64
+	Number uint64
 }
 
 // Less orders slots.
-func (s Slot) Less(o Slot) bool { return s.Term < o.Term || s.Term == o.Term && s.N < o.N }
+func (s Slot) Less(o Slot) bool { return s.Term < o.Term || s.Term == o.Term && s.Number < o.Number }
 
 // Phase is how far a unit has come.
 type Phase uint8
 
 // The phases. A unit from Going to Returning, and one that is Stuck, holds a slot.
 const (
-	Waits     Phase = iota // not touched
-	Going                  // it has a slot; it may be out from now on
-	Away                   // it is out
-	Returning              // it is to come back, and has to prove its health
-	Done                   // it is back and proven
-	Stuck                  // it could not go back; an operator has to look at it
-	Forgotten              // an operator took it out of the plan
+	PhaseWaiting     Phase = iota // not touched
+	PhaseLeaving                  // it has a slot; it may be out from now on
+	PhaseUnavailable              // it is out
+	PhaseReturning                // it is to come back, and has to prove its health
+	PhaseDone                     // it is back and proven
+	PhaseStuck                    // it could not go back; an operator has to look at it
+	PhaseForgotten                // an operator took it out of the plan
 )
 
 var phaseNames = [...]string{"waits", "going", "away", "returning", "done", "stuck", "forgotten"}
@@ -155,18 +155,18 @@
 func (p Phase) String() string { return phaseNames[p] }
 
 // Holds tells whether a unit in this phase holds a slot.
-func (p Phase) Holds() bool { return p >= Going && p <= Returning || p == Stuck }
+func (p Phase) HoldsSlot() bool { return p >= PhaseLeaving && p <= PhaseReturning || p == PhaseStuck }
 
 // State is how a plan stands.
 type State uint8
 
 // The states of a plan.
 const (
-	Running  State = iota + 1
-	Halted         // nobody new goes out; who is out may come back
-	Backing        // touched units go back, newest first
-	Finished       // all are done
-	Backed         // all touched units are back
+	StateRunning     State = iota + 1
+	StateHalted            // nobody new goes out; who is out may come back
+	StateRollingBack       // touched units go back, newest first
+	StateFinished          // all are done
+	StateRolledBack        // all touched units are back
 )
 
 var stateNames = [...]string{"", "running", "halted", "going back", "finished", "back"}
@@ -175,37 +175,37 @@
 func (s State) String() string { return stateNames[s] }
 
 // Over tells whether nothing more will happen by itself or by a word.
-func (s State) Over() bool { return s == Finished || s == Backed }
+func (s State) Ended() bool { return s == StateFinished || s == StateRolledBack }
 
 // Unit is how one of a plan's units stands.
 type Unit struct {
-	Phase Phase
-	Slot  Slot
-	Born  uint64 // the process that was told to go
-	Back  bool   // it goes back, or has gone back
-	Tries int    // times that it went out on the way it is on
+	Phase       Phase
+	Slot        Slot
+	Incarnation uint64 // the process that was told to go
+	RollingBack bool   // it goes back, or has gone back
+	Attempts    int    // times that it went out on the way it is on
 }
 
 // Progress is a plan and how it stands. Units are in the plan's order.
 type Progress struct {
-	Plan  Plan
-	State State
-	Why   string // of the state
-	Wave  int
-	Units []Unit
+	Plan   Plan
+	State  State
+	Reason string // of the state
+	Wave   int
+	Units  []Unit
 }
 
 // Record is all that a leader knows and the next one has to: it is written whole.
 type Record struct {
-	Term    uint64   // of the leader that wrote it
-	Seq     uint64   // grows with each write under a term
-	Slots   uint64   // given so far
-	Members []string // routers that were there and are not forgotten, by name: a later leader misses them too
-	Plans   []*Progress
-	Tokens  []string // operators' words that were taken, the newest last
+	Term         uint64   // of the leader that wrote it
+	Seq          uint64   // grows with each write under a term
+	SlotsGranted uint64   // given so far
+	Members      []string // routers that were there and are not forgotten, by name: a later leader misses them too
+	Plans        []*Progress
+	Tokens       []string // operators' words that were taken, the newest last
 }
 
-const mostTokens = 64 // words of operators that are known again
+const maxTokens = 64 // words of operators that are known again
 
 // Clone copies a record; plans themselves are never changed and are shared.
 func (r *Record) Clone() *Record {
@@ -221,52 +221,52 @@
 }
 
 // newer tells whether a write comes after another.
-func newer(term, seq, otherTerm, otherSeq uint64) bool {
+func isNewer(term, seq, otherTerm, otherSeq uint64) bool {
 	return term > otherTerm || term == otherTerm && seq > otherSeq
 }
 
 // Ledger is a voter's part: it keeps the newest record, and serves no leader of an earlier term than it has heard of.
-type Ledger struct {
-	born     uint64 // its process
-	blank    bool   // it has kept nothing since it started, and may have forgotten
-	promised uint64
-	record   *Record
+type Voter struct {
+	incarnation      uint64 // its process
+	mayHaveForgotten bool   // it has kept nothing since it started, and may have forgotten
+	promisedTerm     uint64
+	record           *Record
 }
 
 // NewLedger makes a voter's part; born is its process's number, kept what a lasting place holds, nil for none.
-func NewLedger(born uint64, kept *Record) *Ledger {
-	l := &Ledger{born: born, blank: kept == nil, record: kept}
+func NewVoter(born uint64, kept *Record) *Voter {
+	l := &Voter{incarnation: born, mayHaveForgotten: kept == nil, record: kept}
 	if kept != nil {
-		l.promised = kept.Term
+		l.promisedTerm = kept.Term
 	}
 	return l
 }
 
 // Kept is a voter's answer to a leader that begins.
-type Kept struct {
-	Record *Record // nil for nothing
-	Born   uint64
-	Blank  bool // it may have forgotten what it had kept
+type VoterState struct {
+	Record           *Record // nil for nothing
+	Incarnation      uint64
+	MayHaveForgotten bool // it may have forgotten what it had kept
 }
 
 // Read answers a leader that begins: from now on no earlier one can write here.
-func (l *Ledger) Read(term uint64) (k Kept, ok bool) {
-	if term < l.promised {
-		return Kept{}, false
+func (l *Voter) Read(term uint64) (k VoterState, ok bool) {
+	if term < l.promisedTerm {
+		return VoterState{}, false
 	}
-	l.promised = term
-	return Kept{l.record, l.born, l.blank}, true
+	l.promisedTerm = term
+	return VoterState{l.record, l.incarnation, l.mayHaveForgotten}, true
 }
 
 // Write keeps a record, unless a later leader has begun or a newer record is kept. It must have been sent to this very
 // process: one that started anew has forgotten its promise, and a former leader's late write must not pass for news.
-func (l *Ledger) Write(r *Record, born uint64) (ok bool) {
-	if born != l.born || r.Term < l.promised || l.record != nil && newer(l.record.Term, l.record.Seq, r.Term, r.Seq) {
+func (l *Voter) Write(r *Record, born uint64) (ok bool) {
+	if born != l.incarnation || r.Term < l.promisedTerm || l.record != nil && isNewer(l.record.Term, l.record.Seq, r.Term, r.Seq) {
 		return false
 	}
-	l.promised, l.record, l.blank = r.Term, r, false
+	l.promisedTerm, l.record, l.mayHaveForgotten = r.Term, r, false
 	return true
 }
 
 // Record is what is kept, nil for nothing; blank tells that it may have forgotten.
-func (l *Ledger) Record() (r *Record, blank bool) { return l.record, l.blank }
+func (l *Voter) Record() (r *Record, blank bool) { return l.record, l.mayHaveForgotten }
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -16,8 +16,8 @@
 
 // TestLedger keeps the newest record, and nothing of a former leader or for a former process.
 func TestLedger(t *testing.T) {
-	l := NewLedger(7, nil)
-	if k, ok := l.Read(5); !ok || !k.Blank || k.Born != 7 || k.Record != nil {
+	l := NewVoter(7, nil)
+	if k, ok := l.Read(5); !ok || !k.MayHaveForgotten || k.Incarnation != 7 || k.Record != nil {
 		t.Fatal(k, ok)
 	}
 	for _, c := range []struct {
@@ -39,7 +39,7 @@
 	if k, ok := l.Read(5); ok {
 		t.Error("it answers a former leader", k)
 	}
-	if k, ok := NewLedger(8, &Record{Term: 6}).Read(7); !ok || k.Blank {
+	if k, ok := NewVoter(8, &Record{Term: 6}).Read(7); !ok || k.MayHaveForgotten {
 		t.Error("what was kept counts as forgotten")
 	}
 }
@@ -48,7 +48,7 @@
 // taken below a promise.
 func TestLedgerAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, promised, top := NewLedger(1, nil), uint64(0), [2]uint64{}
+		l, promised, top := NewVoter(1, nil), uint64(0), [2]uint64{}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			term, seq := rapid.Uint64Range(1, 6).Draw(t, "term"), rapid.Uint64Range(1, 4).Draw(t, "seq")
 			if rapid.Bool().Draw(t, "read") {
@@ -78,8 +78,8 @@
 func TestMemberHeedsItsOwn(t *testing.T) {
 	m := NewMember(3)
 	acts := func(s Statement) (all []Act) {
-		m.Hear(0, &s)
-		for _, o := range m.Take() {
+		m.HandleStatement(0, &s)
+		for _, o := range m.TakeActions() {
 			all = append(all, o.Act)
 		}
 		return all
@@ -88,11 +88,11 @@
 		s    Statement
 		want []Act
 	}{
-		{Statement{Term: 2, Seq: 1, Drains: []string{"s"}}, []Act{Drain}},
-		{Statement{Term: 1, Seq: 9}, nil},                              // a former leader, late
-		{Statement{Term: 2, Seq: 2, Do: Leave, Born: 2}, []Act{Drain}}, // for its former process; nothing is drained any more
-		{Statement{Term: 2, Seq: 3, Do: Leave, Born: 3}, []Act{Go}},
-		{Statement{Term: 2, Seq: 4, Do: Leave, Born: 3}, nil},
+		{Statement{Term: 2, Seq: 1, DrainedNodes: []string{"s"}}, []Act{Drain}},
+		{Statement{Term: 1, Seq: 9}, nil},                                                         // a former leader, late
+		{Statement{Term: 2, Seq: 2, Instruction: InstructionLeave, Incarnation: 2}, []Act{Drain}}, // for its former process; nothing is drained any more
+		{Statement{Term: 2, Seq: 3, Instruction: InstructionLeave, Incarnation: 3}, []Act{Go}},
+		{Statement{Term: 2, Seq: 4, Instruction: InstructionLeave, Incarnation: 3}, nil},
 	} {
 		if got := acts(c.s); !slices.Equal(got, c.want) {
 			t.Errorf("%d: %v, want %v", i, got, c.want)
@@ -101,21 +101,21 @@
 }
 
 // lead makes a leader with one voter, itself, that has begun, with members and nodes in sight.
-func lead(t *testing.T, members int, boxes ...Box) (l *Leader, now int64, beat func(int64, ...Report)) {
+func lead(t *testing.T, members int, boxes ...NodeState) (l *Leader, now int64, beat func(int64, ...Report)) {
 	t.Helper()
 	l = NewLeader("r0", []string{"r0"})
-	ledger := NewLedger(1, &Record{})
+	ledger := NewVoter(1, &Record{})
 	carry := func() {
 		for again := true; again; {
 			again = false
-			for _, o := range l.Take() {
+			for _, o := range l.TakeActions() {
 				switch o.Act {
 				case Ask:
 					k, ok := ledger.Read(o.Term)
-					l.HearRead(now, "r0", o.Term, k, ok)
+					l.HandleReadAnswer(now, "r0", o.Term, k, ok)
 					again = true
 				case Write:
-					l.HearWrite(now, "r0", o.Record.Term, o.Record.Seq, ledger.Write(o.Record, o.Born))
+					l.HandleWriteAnswer(now, "r0", o.Record.Term, o.Record.Seq, ledger.Write(o.Record, o.Born))
 					again = true
 				}
 			}
@@ -124,24 +124,24 @@
 	beat = func(d int64, reports ...Report) {
 		now += d
 		for i := range members {
-			l.HearReport(now, &Report{Member: fmt.Sprint("r", i), Zone: "z", Born: 1, Ready: true, Served: Served{Commands: uint64(now / 1000)}})
+			l.HandleReport(now, &Report{Member: fmt.Sprint("r", i), Zone: "z", Incarnation: 1, Ready: true, Counts: CommandCounts{Commands: uint64(now / 1000)}})
 		}
 		for i := range reports {
-			l.HearReport(now, &reports[i])
+			l.HandleReport(now, &reports[i])
 		}
 		l.Tick(now)
 		carry()
 	}
 	for _, b := range boxes {
-		l.SetBox(b)
+		l.SetNode(b)
 	}
-	l.Lead(now, 1)
+	l.BecomeLeader(now, 1)
 	carry()
 	for range 7 {
 		beat(1_000_000)
 	}
-	if term, _ := l.Leads(); term != 1 {
-		t.Fatal("it does not lead: ", l.Doubt())
+	if term, _ := l.Leading(); term != 1 {
+		t.Fatal("it does not lead: ", l.NotLeadingReason())
 	}
 	return l, now, beat
 }
@@ -165,12 +165,12 @@
 		"one must stay":     {true, 1, "gww"},  // of two, one leads and one stays
 		"two must stay":     {true, 2, "www"},
 	} {
-		l, now, beat := lead(t, 3, Box{Name: "a", Group: 1, Primary: true, Up: true, Near: true}, Box{Name: "b", Group: 1, Up: true, Near: c.near}, Box{Name: "c", Group: 1, Up: true, Near: c.near})
-		l.HearWord(now, &Word{Verb: Start, Token: "1", Plan: Plan{ID: "p", Kind: Nodes, Units: []string{"a", "b", "c"}, Waves: []int{3}, Budget: Budget{Share: 1, Replicas: c.least}}})
+		l, now, beat := lead(t, 3, NodeState{Name: "a", Group: 1, Primary: true, Up: true, NearLogEnd: true}, NodeState{Name: "b", Group: 1, Up: true, NearLogEnd: c.near}, NodeState{Name: "c", Group: 1, Up: true, NearLogEnd: c.near})
+		l.HandleCommand(now, &Command{Type: CommandStart, Token: "1", Plan: Plan{ID: "p", Kind: KindNodes, Units: []string{"a", "b", "c"}, WaveSizes: []int{3}, Budget: Budget{MaxShare: 1, MinReplicas: c.least}}})
 		for range 3 {
 			beat(1_000_000)
 		}
-		if _, r := l.Leads(); phases(r.Plans[0]) != c.want {
+		if _, r := l.Leading(); phases(r.Plans[0]) != c.want {
 			t.Errorf("%s: %s, want %s", name, phases(r.Plans[0]), c.want)
 		}
 	}
@@ -179,26 +179,26 @@
 // TestUnplannedLossEatsBudget has one of ten out already: nobody goes out under a budget of one.
 func TestUnplannedLossEatsBudget(t *testing.T) {
 	l, now, beat := lead(t, 10)
-	l.Up("r10") // known, and never heard of
-	l.HearWord(now, &Word{Verb: Start, Token: "1", Plan: Plan{ID: "p", Kind: Restart, Units: []string{"r3", "r4"}, Waves: []int{2}, Patience: 5_000_000, Budget: Budget{Most: 1, Share: 1}}})
+	l.MemberUp("r10") // known, and never heard of
+	l.HandleCommand(now, &Command{Type: CommandStart, Token: "1", Plan: Plan{ID: "p", Kind: KindRestart, Units: []string{"r3", "r4"}, WaveSizes: []int{2}, ProgressTimeout: 5_000_000, Budget: Budget{MaxUnavailable: 1, MaxShare: 1}}})
 	for range 3 {
 		beat(1_000_000)
 	}
-	if _, r := l.Leads(); phases(r.Plans[0]) != "ww" {
+	if _, r := l.Leading(); phases(r.Plans[0]) != "ww" {
 		t.Fatal(phases(r.Plans[0]))
 	}
 	for range 4 {
 		beat(1_000_000)
 	}
-	_, r := l.Leads()
-	if p := r.Plans[0]; p.State != Halted || !strings.Contains(p.Why, "1 of 11 are out") {
-		t.Errorf("%v: %s", p.State, p.Why)
+	_, r := l.Leading()
+	if p := r.Plans[0]; p.State != StateHalted || !strings.Contains(p.Reason, "1 of 11 are out") {
+		t.Errorf("%v: %s", p.State, p.Reason)
 	}
-	l.HearWord(now, &Word{Verb: Forget, Token: "2", Unit: "r10"})
-	l.HearWord(now, &Word{Verb: Resume, Token: "3", ID: "p"})
+	l.HandleCommand(now, &Command{Type: CommandForget, Token: "2", Unit: "r10"})
+	l.HandleCommand(now, &Command{Type: CommandResume, Token: "3", PlanID: "p"})
 	beat(1_000_000)
 	beat(1_000_000)
-	if _, r := l.Leads(); phases(r.Plans[0]) != "gw" {
+	if _, r := l.Leading(); phases(r.Plans[0]) != "gw" {
 		t.Errorf("%s behind an operator's word", phases(r.Plans[0]))
 	}
 }
@@ -206,24 +206,24 @@
 // TestWordsOnce gives a word twice, and two words of which one must lose.
 func TestWordsOnce(t *testing.T) {
 	l, now, beat := lead(t, 5)
-	say := func(w Word) string {
-		l.HearWord(now, &w)
-		for _, o := range l.Take() {
+	say := func(w Command) string {
+		l.HandleCommand(now, &w)
+		for _, o := range l.TakeActions() {
 			if o.Act == Reply {
 				return o.Why
 			}
 			if o.Act == Write {
-				l.HearWrite(now, "r0", o.Record.Term, o.Record.Seq, true)
+				l.HandleWriteAnswer(now, "r0", o.Record.Term, o.Record.Seq, true)
 			}
 		}
-		for _, o := range l.Take() {
+		for _, o := range l.TakeActions() {
 			if o.Act == Reply {
 				return o.Why
 			}
 		}
 		return "no reply"
 	}
-	start := Word{Verb: Start, Token: "a", Plan: Plan{ID: "p", Kind: Restart, Units: []string{"r1"}}}
+	start := Command{Type: CommandStart, Token: "a", Plan: Plan{ID: "p", Kind: KindRestart, Units: []string{"r1"}}}
 	if why := say(start); why != "" {
 		t.Fatal(why)
 	}
@@ -235,23 +235,23 @@
 	if why := say(start); !strings.Contains(why, "r1 belongs to plan p") {
 		t.Error("another plan of the same unit:", why)
 	}
-	if why := say(Word{Verb: Halt, Token: "c", ID: "p"}); why != "" {
+	if why := say(Command{Type: CommandHalt, Token: "c", PlanID: "p"}); why != "" {
 		t.Error(why)
 	}
 	for range 2 { // given again before a majority keeps it, a word has no reply yet
-		l.HearWord(now, &Word{Verb: Resume, Token: "e", ID: "p"})
+		l.HandleCommand(now, &Command{Type: CommandResume, Token: "e", PlanID: "p"})
 	}
-	for _, o := range l.Take() {
+	for _, o := range l.TakeActions() {
 		if o.Act == Reply {
 			t.Errorf("replied to %s before it was kept", o.Token)
 		}
 	}
 	beat(1_000_000)
 	beat(1_000_000)
-	if why := say(Word{Verb: Halt, Token: "f", ID: "p"}); why != "" {
+	if why := say(Command{Type: CommandHalt, Token: "f", PlanID: "p"}); why != "" {
 		t.Error(why)
 	}
-	if why := say(Word{Verb: Halt, Token: "d", ID: "p"}); !strings.Contains(why, "is halted") {
+	if why := say(Command{Type: CommandHalt, Token: "d", PlanID: "p"}); !strings.Contains(why, "is halted") {
 		t.Error("the second of two operators:", why)
 	}
 }
@@ -259,47 +259,47 @@
 // TestJudge halts by evidence and not by noise.
 func TestJudge(t *testing.T) {
 	for name, c := range map[string]struct {
-		touched, others Served
+		touched, others CommandCounts
 		want            string
 	}{
-		"2% more":            {Served{1500, 36, 0, 0}, Served{30_000, 90, 0, 0}, "failed"},
-		"as all":             {Served{1500, 5, 0, 0}, Served{30_000, 90, 0, 0}, ""},
-		"few failures":       {Served{100, 4, 0, 0}, Served{30_000, 90, 0, 0}, ""},
-		"few others":         {Served{9000, 90, 0, 0}, Served{140, 0, 0, 0}, ""},
-		"late":               {Served{1500, 0, 150, 0}, Served{30_000, 0, 900, 0}, "late"},
-		"throttled":          {Served{1500, 0, 0, 200}, Served{30_000, 0, 0, 1500}, "throttled"},
-		"a bad day for all":  {Served{1500, 300, 0, 0}, Served{30_000, 6000, 0, 0}, ""},
-		"nobody to compare":  {Served{1500, 300, 0, 0}, Served{}, ""},
-		"better than others": {Served{1500, 0, 0, 0}, Served{30_000, 900, 0, 0}, ""},
+		"2% more":            {CommandCounts{1500, 36, 0, 0}, CommandCounts{30_000, 90, 0, 0}, "failed"},
+		"as all":             {CommandCounts{1500, 5, 0, 0}, CommandCounts{30_000, 90, 0, 0}, ""},
+		"few failures":       {CommandCounts{100, 4, 0, 0}, CommandCounts{30_000, 90, 0, 0}, ""},
+		"few others":         {CommandCounts{9000, 90, 0, 0}, CommandCounts{140, 0, 0, 0}, ""},
+		"late":               {CommandCounts{1500, 0, 150, 0}, CommandCounts{30_000, 0, 900, 0}, "late"},
+		"throttled":          {CommandCounts{1500, 0, 0, 200}, CommandCounts{30_000, 0, 0, 1500}, "throttled"},
+		"a bad day for all":  {CommandCounts{1500, 300, 0, 0}, CommandCounts{30_000, 6000, 0, 0}, ""},
+		"nobody to compare":  {CommandCounts{1500, 300, 0, 0}, CommandCounts{}, ""},
+		"better than others": {CommandCounts{1500, 0, 0, 0}, CommandCounts{30_000, 900, 0, 0}, ""},
 	} {
-		j := newJudge()
-		j.touched.by["a"] = c.touched
+		j := newCanaryAnalysis()
+		j.touched.counts["a"] = c.touched
 		for i := range 10 {
-			j.others.by[fmt.Sprint(i)] = Served{c.others.Commands / 10, c.others.Failed / 10, c.others.Late / 10, c.others.Throttled / 10}
+			j.untouched.counts[fmt.Sprint(i)] = CommandCounts{c.others.Commands / 10, c.others.Failed / 10, c.others.Late / 10, c.others.Throttled / 10}
 		}
-		_, why := j.verdict()
+		_, why := j.evaluate()
 		if (why == "") != (c.want == "") || !strings.Contains(why, c.want) {
 			t.Errorf("%s: %q, want %q", name, why, c.want)
 		}
 	}
-	j := newJudge()
-	j.touched.crashed, j.touched.span, j.others.span = 3, 60_000_000, 600_000_000
-	if _, why := j.verdict(); !strings.Contains(why, "ended by themselves") {
+	j := newCanaryAnalysis()
+	j.touched.crashes, j.touched.observedTime, j.untouched.observedTime = 3, 60_000_000, 600_000_000
+	if _, why := j.evaluate(); !strings.Contains(why, "ended by themselves") {
 		t.Errorf("three crashes: %q", why)
 	}
-	j = newJudge()
-	j.touched.crashed, j.touched.span, j.others.span = 2, 600_000_000, 120_000_000
-	if _, why := j.verdict(); why != "" {
+	j = newCanaryAnalysis()
+	j.touched.crashes, j.touched.observedTime, j.untouched.observedTime = 2, 600_000_000, 120_000_000
+	if _, why := j.evaluate(); why != "" {
 		t.Errorf("two crashes when nearly all are touched: %q", why)
 	}
-	j = newJudge()
-	j.touched.starts["a"], j.others.starts["b"] = 30_000_000, 1_000_000
-	if _, why := j.verdict(); !strings.Contains(why, "to start") {
+	j = newCanaryAnalysis()
+	j.touched.startupTimes["a"], j.untouched.startupTimes["b"] = 30_000_000, 1_000_000
+	if _, why := j.evaluate(); !strings.Contains(why, "to start") {
 		t.Errorf("a slow start: %q", why)
 	}
-	j = newJudge()
-	j.touched.heaps["a"], j.others.heaps["b"] = 200<<20, 40<<20
-	if _, why := j.verdict(); !strings.Contains(why, "MB") {
+	j = newCanaryAnalysis()
+	j.touched.residentBytes["a"], j.untouched.residentBytes["b"] = 200<<20, 40<<20
+	if _, why := j.evaluate(); !strings.Contains(why, "MB") {
 		t.Errorf("memory: %q", why)
 	}
 }
--- a/internal/rolloutservice/codec.go
+++ b/internal/rolloutservice/codec.go
@@ -52,7 +52,7 @@
 }
 
 var (
-	decoding = codec.Strict(10, 2*rollout.MostUnits, 64)
+	decoding = codec.Strict(10, 2*rollout.MaxUnits, 64)
 
 	// ErrFormatVersion is a message of a form that this version of the program does not know.
 	ErrFormatVersion = errors.New("unknown version")
@@ -172,11 +172,11 @@
 func (m readRequest) wire() wireMessage { return wireMessage{Kind: kindReadRequest, Term: m.term} }
 
 func (m readAnswer) wire() wireMessage {
-	return wireMessage{Kind: kindReadAnswer, Term: m.term, OK: m.accepted, Kept: newWireKept(m.kept)}
+	return wireMessage{Kind: kindReadAnswer, Term: m.term, OK: m.accepted, Kept: newWireKept(m.state)}
 }
 
 func (m writeRequest) wire() wireMessage {
-	return wireMessage{Kind: kindWriteRequest, Born: m.born, Record: newWireRecord(m.record)}
+	return wireMessage{Kind: kindWriteRequest, Born: m.incarnation, Record: newWireRecord(m.record)}
 }
 
 func (m writeAnswer) wire() wireMessage {
@@ -186,7 +186,7 @@
 func (drainQuery) wire() wireMessage { return wireMessage{Kind: kindDrainQuery} }
 
 func (m commandMessage) wire() wireMessage {
-	return wireMessage{Kind: kindCommand, Word: newWireCommand(m.word)}
+	return wireMessage{Kind: kindCommand, Word: newWireCommand(m.command)}
 }
 
 func (m commandReply) wire() wireMessage {
@@ -194,13 +194,13 @@
 }
 
 // encodeCommand is an operator's command as the admin socket takes it: JSON with the names of wireCommand.
-func encodeCommand(c *rollout.Word) (string, error) {
+func encodeCommand(c *rollout.Command) (string, error) {
 	text, err := json.Marshal(newWireCommand(c))
 	return string(text), err
 }
 
 // decodeCommand reads what encodeCommand wrote.
-func decodeCommand(text string) (*rollout.Word, error) {
+func decodeCommand(text string) (*rollout.Command, error) {
 	var w wireCommand
 	if err := json.Unmarshal([]byte(text), &w); err != nil {
 		return nil, err
--- a/internal/rolloutservice/codec_test.go
+++ b/internal/rolloutservice/codec_test.go
@@ -23,15 +23,15 @@
 // command may come from either. The files in testdata were written by the version before this package had types of its
 // own for messages; they must not change.
 
-var goldenPlan = rollout.Plan{ID: "p-1", Kind: rollout.Version, Units: []string{"r1", "r0", "r2"}, Want: 7, Was: 6, Waves: []int{1, 2}, Watch: 30_000_000,
-	Rest: 4_000_000, Patience: 120_000_000, Stay: true, Budget: rollout.Budget{Most: 2, Share: 0.25, Zone: 1, Group: 3, Replicas: 4, Work: 0.5}}
+var goldenPlan = rollout.Plan{ID: "p-1", Kind: rollout.KindVersion, Units: []string{"r1", "r0", "r2"}, TargetVersion: 7, PreviousVersion: 6, WaveSizes: []int{1, 2}, WatchTime: 30_000_000,
+	DrainTime: 4_000_000, ProgressTimeout: 120_000_000, NoRollback: true, Budget: rollout.Budget{MaxUnavailable: 2, MaxShare: 0.25, MaxPerZone: 1, MaxPerGroup: 3, MinReplicas: 4, MaxGroupWork: 0.5}}
 
-var goldenRecord = &rollout.Record{Term: 9, Seq: 300, Slots: 17, Members: []string{"r0", "r1", "r2"}, Tokens: []string{"a", "b"}, Plans: []*rollout.Progress{
-	{Plan: goldenPlan, State: rollout.Backing, Why: "an operator's word", Wave: 1, Units: []rollout.Unit{
-		{Phase: rollout.Stuck, Slot: rollout.Slot{Term: 8, N: 16}, Born: 1_700_000_000_000_001, Back: true, Tries: 2},
-		{Phase: rollout.Done, Slot: rollout.Slot{Term: 9, N: 17}, Born: 5, Tries: 1},
+var goldenRecord = &rollout.Record{Term: 9, Seq: 300, SlotsGranted: 17, Members: []string{"r0", "r1", "r2"}, Tokens: []string{"a", "b"}, Plans: []*rollout.Progress{
+	{Plan: goldenPlan, State: rollout.StateRollingBack, Reason: "an operator's word", Wave: 1, Units: []rollout.Unit{
+		{Phase: rollout.PhaseStuck, Slot: rollout.Slot{Term: 8, Number: 16}, Incarnation: 1_700_000_000_000_001, RollingBack: true, Attempts: 2},
+		{Phase: rollout.PhaseDone, Slot: rollout.Slot{Term: 9, Number: 17}, Incarnation: 5, Attempts: 1},
 		{}}},
-	{Plan: rollout.Plan{ID: "p-2", Kind: rollout.Nodes, Units: []string{"s-0a"}}, State: rollout.Running, Units: []rollout.Unit{{Phase: rollout.Away}}},
+	{Plan: rollout.Plan{ID: "p-2", Kind: rollout.KindNodes, Units: []string{"s-0a"}}, State: rollout.StateRunning, Units: []rollout.Unit{{Phase: rollout.PhaseUnavailable}}},
 }}
 
 // goldenMessages are the messages whose bytes testdata/messages.golden holds, by name and in its order.
@@ -39,33 +39,33 @@
 	name    string
 	message message
 }{
-	{"report", reportMessage{&rollout.Report{Member: "r1", Zone: "a", Born: 1_700_000_000_000_002, Version: 7, Ready: true, Leaving: true, Term: 9, Seq: 300,
-		Served: rollout.Served{Commands: 1000, Failed: 3, Late: 2, Throttled: 1}, StartedIn: 250_000, Heap: 20 << 20,
-		Open: []rollout.Open{{Node: "s-0a", Commands: 2}, {Node: "s-1b", Answered: 70_000}}, Blank: true}}},
+	{"report", reportMessage{&rollout.Report{Member: "r1", Zone: "a", Incarnation: 1_700_000_000_000_002, Version: 7, Ready: true, Leaving: true, Term: 9, Seq: 300,
+		Counts: rollout.CommandCounts{Commands: 1000, Failed: 3, Late: 2, Throttled: 1}, StartupTime: 250_000, ResidentBytes: 20 << 20,
+		Nodes: []rollout.NodeUse{{Node: "s-0a", OpenCommands: 2}, {Node: "s-1b", Answers: 70_000}}, MayHaveForgotten: true}}},
 	{"report of a new member", reportMessage{&rollout.Report{Member: "r1"}}},
 	{"report request", reportRequest{}},
-	{"statement", statementMessage{&rollout.Statement{Term: 9, Seq: 301, Do: rollout.Leave, Slot: rollout.Slot{Term: 9, N: 18}, Born: 1_700_000_000_000_002,
-		Want: 7, Drains: []string{"s-0a", "s-1b"}}, false}},
+	{"statement", statementMessage{&rollout.Statement{Term: 9, Seq: 301, Instruction: rollout.InstructionLeave, Slot: rollout.Slot{Term: 9, Number: 18}, Incarnation: 1_700_000_000_000_002,
+		TargetVersion: 7, DrainedNodes: []string{"s-0a", "s-1b"}}, false}},
 	{"statement without drains", statementMessage{&rollout.Statement{Term: 9, Seq: 301}, false}},
-	{"statement with empty drains", statementMessage{&rollout.Statement{Term: 9, Seq: 301, Drains: []string{}}, false}},
-	{"statement of a voter", statementMessage{rollout.Drained(goldenRecord), true}},
+	{"statement with empty drains", statementMessage{&rollout.Statement{Term: 9, Seq: 301, DrainedNodes: []string{}}, false}},
+	{"statement of a voter", statementMessage{rollout.DrainStatement(goldenRecord), true}},
 	{"voter read", readRequest{9}},
-	{"voter read answer", readAnswer{9, true, rollout.Kept{Record: goldenRecord, Born: 4, Blank: false}}},
-	{"voter read answer of a new process", readAnswer{9, true, rollout.Kept{Born: 1_700_000_000_000_003, Blank: true}}},
-	{"voter read refused", readAnswer{9, false, rollout.Kept{}}},
+	{"voter read answer", readAnswer{9, true, rollout.VoterState{Record: goldenRecord, Incarnation: 4, MayHaveForgotten: false}}},
+	{"voter read answer of a new process", readAnswer{9, true, rollout.VoterState{Incarnation: 1_700_000_000_000_003, MayHaveForgotten: true}}},
+	{"voter read refused", readAnswer{9, false, rollout.VoterState{}}},
 	{"voter write", writeRequest{1_700_000_000_000_003, goldenRecord}},
 	{"voter write of an empty record", writeRequest{1, &rollout.Record{}}},
 	{"voter write with empty lists", writeRequest{1, &rollout.Record{Term: 1, Members: []string{}, Tokens: []string{}, Plans: []*rollout.Progress{}}}},
 	{"voter write answer", writeAnswer{9, 300, true}},
 	{"voter write refused", writeAnswer{9, 300, false}},
 	{"drain query", drainQuery{}},
-	{"command start", commandMessage{&rollout.Word{Verb: rollout.Start, Token: "t1", Plan: goldenPlan}}},
-	{"command halt", commandMessage{&rollout.Word{Verb: rollout.Halt, Token: "t2", ID: "p-1"}}},
-	{"command resume", commandMessage{&rollout.Word{Verb: rollout.Resume, Token: "t3", ID: "p-1"}}},
-	{"command back", commandMessage{&rollout.Word{Verb: rollout.Back, Token: "t4", ID: "p-1"}}},
-	{"command forget", commandMessage{&rollout.Word{Verb: rollout.Forget, Token: "t5", ID: "p-1", Unit: "r1"}}},
-	{"command return", commandMessage{&rollout.Word{Verb: rollout.Return, Token: "t6", ID: "p-2", Unit: "s-0a"}}},
-	{"command begin", commandMessage{&rollout.Word{Verb: rollout.Begin, Token: "t7"}}},
+	{"command start", commandMessage{&rollout.Command{Type: rollout.CommandStart, Token: "t1", Plan: goldenPlan}}},
+	{"command halt", commandMessage{&rollout.Command{Type: rollout.CommandHalt, Token: "t2", PlanID: "p-1"}}},
+	{"command resume", commandMessage{&rollout.Command{Type: rollout.CommandResume, Token: "t3", PlanID: "p-1"}}},
+	{"command back", commandMessage{&rollout.Command{Type: rollout.CommandRollBack, Token: "t4", PlanID: "p-1"}}},
+	{"command forget", commandMessage{&rollout.Command{Type: rollout.CommandForget, Token: "t5", PlanID: "p-1", Unit: "r1"}}},
+	{"command return", commandMessage{&rollout.Command{Type: rollout.CommandReturn, Token: "t6", PlanID: "p-2", Unit: "s-0a"}}},
+	{"command begin", commandMessage{&rollout.Command{Type: rollout.CommandBegin, Token: "t7"}}},
 	{"reply accepted", commandReply{"t1", true, ""}},
 	{"reply refused", commandReply{"t1", false, "no plan \"p-9\""}},
 }
@@ -181,18 +181,18 @@
 		if !isCommand {
 			continue
 		}
-		text, err := WordText(*command.word)
+		text, err := EncodeCommand(*command.command)
 		if err != nil {
 			t.Fatal(err)
 		}
 		check(golden.name, text)
 		decoded, err := decodeCommand(text)
-		if err != nil || !reflect.DeepEqual(decoded, command.word) {
-			t.Errorf("%s decoded to %+v (%v), want %+v", golden.name, decoded, err, command.word)
+		if err != nil || !reflect.DeepEqual(decoded, command.command) {
+			t.Errorf("%s decoded to %+v (%v), want %+v", golden.name, decoded, err, command.command)
 		}
 	}
-	filled := Status{Router: "r0", Leads: true, Chief: "r0", Doubt: "it writes to voters", Term: 9}
-	filled.fill(goldenRecord)
+	filled := Status{Router: "r0", Leads: true, Leader: "r0", NotLeadingReason: "it writes to voters", Term: 9}
+	filled.addRecord(goldenRecord)
 	for name, status := range map[string]Status{"status": filled, "status of nothing": {Router: "r1"}} {
 		text, err := json.Marshal(status)
 		if err != nil {
--- a/internal/rolloutservice/messages.go
+++ b/internal/rolloutservice/messages.go
@@ -30,13 +30,13 @@
 type readAnswer struct {
 	term     uint64
 	accepted bool // false where the voter has heard of a later term
-	kept     rollout.Kept
+	state    rollout.VoterState
 }
 
 // writeRequest is the leader's to one process of a voter: keep this record.
 type writeRequest struct {
-	born   uint64
-	record *rollout.Record
+	incarnation uint64
+	record      *rollout.Record
 }
 
 // writeAnswer is a voter's to the writeRequest of a record with this term and sequence number.
@@ -51,7 +51,7 @@
 
 // commandMessage carries an operator's command to the leader.
 type commandMessage struct {
-	word *rollout.Word
+	command *rollout.Command
 }
 
 // commandReply answers the operator's command with this token.
--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -25,46 +25,46 @@
 
 const (
 	// Lease is what the leader of all plans holds.
-	Lease = "releases"
-
-	inboxMost  = 4096
-	tickEvery  = 250 * time.Millisecond
-	reportGap  = int64(1_000_000)   // us between reports
-	standGap   = 5 * time.Second    // between looks whether this instance is one to ask for the lease
-	standMost  = 3                  // instances that ask
-	mostLength = int64(10_000_000)  // us of the lease, where longer ones are allowed
-	usedFor    = int64(120_000_000) // us for which a node that is back is reported on
-	wordWait   = 15 * time.Second   // for a word to be kept by a majority
-	askGap     = time.Second        // between tries of one
-	mostAskers = 256                // words whose replies are under way
-	notLeading = "that router does not lead any more"
+	LeaseName = "releases"
+
+	inboxSize            = 4096
+	tickInterval         = 250 * time.Millisecond
+	reportInterval       = int64(1_000_000)   // us between reports
+	campaignInterval     = 5 * time.Second    // between looks whether this instance is one to ask for the lease
+	maxCandidates        = 3                  // instances that ask
+	maxLeaseLength       = int64(10_000_000)  // us of the lease, where longer ones are allowed
+	returnedReportTime   = int64(120_000_000) // us for which a node that is back is reported on
+	commandTimeout       = 15 * time.Second   // for a word to be kept by a majority
+	commandRetryInterval = time.Second        // between tries of one
+	maxCommandSenders    = 256                // words whose replies are under way
+	notLeading           = "that router does not lead any more"
 )
 
 var (
-	leads    = metrics.New("times that this router led releases")
-	slots    = metrics.New("times that this router went out by a plan")
-	drained  = metrics.New("changes of drained nodes")
-	unread   = metrics.New("release messages unread")
-	dropped  = metrics.New("release messages dropped, too many")
-	unsent   = metrics.New("release messages unsent")
-	fenced   = metrics.New("release messages kept back, lease not held")
-	obeyed   = metrics.New("operators' words on plans taken")
-	rejected = metrics.New("operators' words on plans refused")
+	timesLeading     = metrics.New("times that this router led releases")
+	timesLeft        = metrics.New("times that this router went out by a plan")
+	drainChanges     = metrics.New("changes of drained nodes")
+	messagesUnread   = metrics.New("release messages unread")
+	messagesDropped  = metrics.New("release messages dropped, too many")
+	messagesUnsent   = metrics.New("release messages unsent")
+	messagesFenced   = metrics.New("release messages kept back, lease not held")
+	commandsAccepted = metrics.New("operators' words on plans taken")
+	commandsRejected = metrics.New("operators' words on plans refused")
 )
 
 // Place is what the operator's file says of releases.
-type Place struct {
-	Given   bool
-	Zone    string
-	Version uint64
-	Next    string // file for the version that the supervisor is to start next
+type Settings struct {
+	Given           bool
+	Zone            string
+	Version         uint64
+	NextVersionFile string // file for the version that the supervisor is to start next
 }
 
 // Read takes it from the operator's file.
-func Read(p *sexp.Part) Place {
-	at := Place{Given: p.Present(), Zone: p.Text("zone", ""), Version: uint64(p.Integer("version", 1, 1, 1<<40)), Next: p.Text("next", "")}
-	if at.Next != "" && !filepath.IsAbs(at.Next) {
-		p.AddFault("next", fmt.Sprintf("%q", at.Next), `a path such as "/var/lib/cairntiller/next"`)
+func ReadSettings(p *sexp.Part) Settings {
+	at := Settings{Given: p.Present(), Zone: p.Text("zone", ""), Version: uint64(p.Integer("version", 1, 1, 1<<40)), NextVersionFile: p.Text("next", "")}
+	if at.NextVersionFile != "" && !filepath.IsAbs(at.NextVersionFile) {
+		p.AddFault("next", fmt.Sprintf("%q", at.NextVersionFile), `a path such as "/var/lib/cairntiller/next"`)
 	}
 	return at
 }
@@ -72,105 +72,105 @@
 // Router is what the carrying needs of the router beside it; its calls may come from any goroutine and never block.
 type Router interface {
 	// Figures tells what it has served, whether it takes commands, and how long it took to be ready, in us.
-	Figures() (s rollout.Served, ready bool, startedIn int64)
+	Counts() (s rollout.CommandCounts, ready bool, startedIn int64)
 	// Drain lets nothing new go to these nodes.
 	Drain(nodes []string)
 	// Look asks for the nodes that it knows, with what it has open at them; the answer comes on any goroutine.
-	Look(func([]Node))
+	QueryNodes(func([]Node))
 	// Leave lets it leave in order, as on a stop.
 	Leave()
 }
 
 // Node is a node as this router knows it.
 type Node struct {
-	rollout.Box
-	Open     int    // dispatches that are out
-	Answered uint64 // since the router started
+	rollout.NodeState
+	OpenCommands int    // dispatches that are out
+	Answers      uint64 // since the router started
 }
 
 // Releasing is one instance's part.
-type Releasing struct {
-	self    string
-	at      Place
-	router  Router
-	clock   func() int64
-	send    func(to string, kind uint8, body []byte) error
-	members func() []string
-	leases  *leaseservice.Service
-	voters  []string
-	length  int64
-
-	inbox chan func(now int64)
-	over  chan struct{}
-	done  sync.WaitGroup
+type Service struct {
+	self        string
+	settings    Settings
+	router      Router
+	clock       func() int64
+	send        func(to string, kind uint8, body []byte) error
+	members     func() []string
+	leases      *leaseservice.Service
+	voters      []string
+	leaseLength int64
+
+	inbox      chan func(now int64)
+	stopped    chan struct{}
+	goroutines sync.WaitGroup
 
 	// its goroutine's
-	leader   *rollout.Leader
-	member   *rollout.Member
-	ledger   *rollout.Ledger
-	born     uint64
-	tenure   *leaseservice.Guard
-	term     uint64
-	chief    string
-	reportAt int64
-	lookAt   int64
-	drains   []string
-	returned map[string]mark
-	nodes    map[string]Node
-	leaving  bool
-	known    map[string]bool
-	askers   map[string]string      // who said a word, by its token
-	replies  map[string]chan string // who waits here for the reply to one
+	leader         *rollout.Leader
+	member         *rollout.Member
+	voter          *rollout.Voter
+	incarnation    uint64
+	tenure         *leaseservice.Guard
+	term           uint64
+	knownLeader    string
+	nextReportAt   int64
+	nextQueryAt    int64
+	drained        []string
+	returned       map[string]returnedNode
+	nodes          map[string]Node
+	leaving        bool
+	knownMembers   map[string]bool
+	commandSenders map[string]string      // who said a word, by its token
+	waiting        map[string]chan string // who waits here for the reply to one
 }
 
 // mark is a node that is back: since when, and what had been answered by it until then.
-type mark struct {
+type returnedNode struct {
 	at       int64
 	answered uint64
 }
 
 // New makes an instance's part.
-func New(self string, at Place, voters []string, longest int64, router Router, clock func() int64, leases *leaseservice.Service, members func() []string,
-	send func(to string, kind uint8, body []byte) error) *Releasing {
+func New(self string, at Settings, voters []string, longest int64, router Router, clock func() int64, leases *leaseservice.Service, members func() []string,
+	send func(to string, kind uint8, body []byte) error) *Service {
 	born := uint64(time.Now().UnixMicro())
-	r := &Releasing{self: self, at: at, router: router, clock: clock, send: send, members: members, leases: leases, voters: voters, length: min(longest, mostLength),
-		inbox: make(chan func(int64), inboxMost), over: make(chan struct{}), leader: rollout.NewLeader(self, voters), member: rollout.NewMember(born), born: born,
-		returned: map[string]mark{}, nodes: map[string]Node{}, known: map[string]bool{}, askers: map[string]string{}, replies: map[string]chan string{}}
+	r := &Service{self: self, settings: at, router: router, clock: clock, send: send, members: members, leases: leases, voters: voters, leaseLength: min(longest, maxLeaseLength),
+		inbox: make(chan func(int64), inboxSize), stopped: make(chan struct{}), leader: rollout.NewLeader(self, voters), member: rollout.NewMember(born), incarnation: born,
+		returned: map[string]returnedNode{}, nodes: map[string]Node{}, knownMembers: map[string]bool{}, commandSenders: map[string]string{}, waiting: map[string]chan string{}}
 	if slices.Contains(voters, self) {
-		r.ledger = rollout.NewLedger(born, nil)
+		r.voter = rollout.NewVoter(born, nil)
 	}
 	return r
 }
 
 // Start begins to report, to vote, and to stand for the lead.
-func (r *Releasing) Start() {
-	r.done.Go(r.run)
-	r.done.Go(r.stand)
+func (r *Service) Start() {
+	r.goroutines.Go(r.run)
+	r.goroutines.Go(r.campaign)
 }
 
 // Stop ends this instance's part and gives the lead up, so that another one need not wait until it runs out.
-func (r *Releasing) Stop() {
-	close(r.over)
-	r.done.Wait()
+func (r *Service) Stop() {
+	close(r.stopped)
+	r.goroutines.Wait()
 }
 
 // post hands an event to the goroutine; it never blocks.
-func (r *Releasing) post(do func(now int64)) {
+func (r *Service) post(do func(now int64)) {
 	select {
 	case r.inbox <- do:
 	default:
-		dropped.Add()
+		messagesDropped.Add()
 	}
 }
 
 // stand asks for the lease as one of a few.
-func (r *Releasing) stand() {
+func (r *Service) campaign() {
 	var t *leaseservice.Guard
 	for {
-		stands := lease.Eligible(r.self, r.members(), Lease, standMost)
+		stands := lease.Eligible(r.self, r.members(), LeaseName, maxCandidates)
 		if stands && t == nil {
 			var err error
-			if t, err = r.leases.RequestLease(lease.Request{Lease: Lease, Length: r.length}, r.changed); err != nil {
+			if t, err = r.leases.RequestLease(lease.Request{Lease: LeaseName, Length: r.leaseLength}, r.leaseChanged); err != nil {
 				slog.Error("does not stand for the lead of releases", "err", err)
 			} else {
 				r.post(func(int64) { r.tenure = t })
@@ -182,54 +182,54 @@
 			}
 		}
 		select {
-		case <-r.over:
+		case <-r.stopped:
 			if t != nil {
 				t.Withdraw()
 			}
 			return
-		case <-time.After(standGap):
+		case <-time.After(campaignInterval):
 		}
 	}
 }
 
 // changed takes what became of the lease; it is called on the leases' goroutine.
-func (r *Releasing) changed(e leaseservice.Event) {
+func (r *Service) leaseChanged(e leaseservice.Event) {
 	r.post(func(now int64) {
 		switch {
 		case e.Change == leaseservice.Acquired:
-			leads.Add()
+			timesLeading.Add()
 			r.term = e.Term
-			r.leader.Lead(now, e.Term)
+			r.leader.BecomeLeader(now, e.Term)
 		case e.Change == leaseservice.Extended && e.Term != r.term && r.term > 0:
 			r.term = e.Term
-			r.leader.Carried(now, e.Term)
+			r.leader.ExtendTerm(now, e.Term)
 		case e.Change == leaseservice.Lost:
-			r.lose()
+			r.stepDown()
 		case e.Change == leaseservice.YieldRequested:
-			r.yield(e.Next)
+			r.handOver(e.Next)
 		}
 	})
 }
 
-func (r *Releasing) lose() {
+func (r *Service) stepDown() {
 	r.term = 0
-	r.leader.Lost()
+	r.leader.StepDown()
 }
 
 // yield gives the lead up; what was said under it is over, for a record is written whole or not at all.
-func (r *Releasing) yield(next string) {
+func (r *Service) handOver(next string) {
 	if t := r.tenure; t != nil && r.term > 0 {
-		r.lose()
+		r.stepDown()
 		go t.Release(next)
 	}
 }
 
-func (r *Releasing) run() {
-	beat := time.NewTicker(tickEvery)
+func (r *Service) run() {
+	beat := time.NewTicker(tickInterval)
 	defer beat.Stop()
 	for {
 		select {
-		case <-r.over:
+		case <-r.stopped:
 			return
 		case do := <-r.inbox:
 			do(r.clock())
@@ -239,41 +239,41 @@
 		for n := 0; n < 256 && len(r.inbox) > 0; n++ {
 			(<-r.inbox)(r.clock())
 		}
-		r.carry()
+		r.carryOut()
 	}
 }
 
 // tick looks at the fleet and the router, and lets all parts look at what is due.
-func (r *Releasing) tick(now int64) {
+func (r *Service) tick(now int64) {
 	r.member.Tick(now)
-	if now >= r.lookAt {
-		r.lookAt = now + reportGap/2
-		r.router.Look(func(all []Node) { r.post(func(now int64) { r.looked(all) }) })
+	if now >= r.nextQueryAt {
+		r.nextQueryAt = now + reportInterval/2
+		r.router.QueryNodes(func(all []Node) { r.post(func(now int64) { r.nodesQueried(all) }) })
 	}
 	if r.term > 0 {
 		there := map[string]bool{r.self: true}
-		r.leader.Up(r.self)
+		r.leader.MemberUp(r.self)
 		for _, name := range r.members() {
 			there[name] = true
-			r.leader.Up(name)
+			r.leader.MemberUp(name)
 		}
-		for name := range r.known {
+		for name := range r.knownMembers {
 			if !there[name] {
-				r.leader.Gone(name)
+				r.leader.MemberGone(name)
 			}
 		}
-		r.known = there
+		r.knownMembers = there
 		for _, n := range r.nodes {
-			r.leader.SetBox(n.Box)
+			r.leader.SetNode(n.NodeState)
 		}
 		r.leader.Tick(now)
 	}
-	if now >= r.reportAt && r.chief != "" {
+	if now >= r.nextReportAt && r.knownLeader != "" {
 		r.report(now)
 	}
 }
 
-func (r *Releasing) looked(all []Node) {
+func (r *Service) nodesQueried(all []Node) {
 	clear(r.nodes)
 	for _, n := range all {
 		r.nodes[n.Name] = n
@@ -281,26 +281,26 @@
 }
 
 // report tells whoever leads how this router does.
-func (r *Releasing) report(now int64) {
-	r.reportAt = now + reportGap
-	served, ready, startedIn := r.router.Figures()
-	said, _ := r.member.Heard()
-	p := &rollout.Report{Member: r.self, Zone: r.at.Zone, Born: r.born, Version: r.at.Version, Ready: ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
-		Served: served, StartedIn: startedIn, Heap: resident()}
-	if r.ledger != nil {
-		_, p.Blank = r.ledger.Record()
+func (r *Service) report(now int64) {
+	r.nextReportAt = now + reportInterval
+	served, ready, startedIn := r.router.Counts()
+	said, _ := r.member.Statement()
+	p := &rollout.Report{Member: r.self, Zone: r.settings.Zone, Incarnation: r.incarnation, Version: r.settings.Version, Ready: ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
+		Counts: served, StartupTime: startedIn, ResidentBytes: resident()}
+	if r.voter != nil {
+		_, p.MayHaveForgotten = r.voter.Record()
 	}
-	for _, name := range r.drains {
-		p.Open = append(p.Open, rollout.Open{Node: name, Commands: r.nodes[name].Open})
+	for _, name := range r.drained {
+		p.Nodes = append(p.Nodes, rollout.NodeUse{Node: name, OpenCommands: r.nodes[name].OpenCommands})
 	}
 	for name, m := range r.returned {
-		if now-m.at > usedFor {
+		if now-m.at > returnedReportTime {
 			delete(r.returned, name)
 			continue
 		}
-		p.Open = append(p.Open, rollout.Open{Node: name, Answered: r.nodes[name].Answered - min(m.answered, r.nodes[name].Answered)})
+		p.Nodes = append(p.Nodes, rollout.NodeUse{Node: name, Answers: r.nodes[name].Answers - min(m.answered, r.nodes[name].Answers)})
 	}
-	r.say(r.chief, reportMessage{p})
+	r.sendMessage(r.knownLeader, reportMessage{p})
 }
 
 // resident is what the process takes, in bytes; 0 where the system does not tell.
@@ -315,194 +315,194 @@
 }
 
 // say sends a message, to itself without the network.
-func (r *Releasing) say(to string, m message) {
+func (r *Service) sendMessage(to string, m message) {
 	if to == r.self {
-		r.post(func(now int64) { r.take(now, to, m) })
+		r.post(func(now int64) { r.handle(now, to, m) })
 		return
 	}
 	if err := r.send(to, membership.KindRelease, encode(m)); err != nil {
-		unsent.Add()
+		messagesUnsent.Add()
 		slog.Debug("a release message was not sent", "to", to, "err", err)
 	}
 }
 
 // Hear takes a member's message; it never blocks.
-func (r *Releasing) Hear(from string, body []byte) {
+func (r *Service) Receive(from string, body []byte) {
 	m, err := decode(body)
 	if err != nil {
-		unread.Add()
+		messagesUnread.Add()
 		slog.Debug("a release message can't be read", "from", from, "err", err)
 		return
 	}
-	r.post(func(now int64) { r.take(now, from, m) })
+	r.post(func(now int64) { r.handle(now, from, m) })
 }
 
 // take hands a message to the part that it is for.
-func (r *Releasing) take(now int64, from string, m message) {
+func (r *Service) handle(now int64, from string, m message) {
 	switch m := m.(type) {
 	case reportMessage:
 		if r.term > 0 && m.report.Member == from {
-			r.leader.HearReport(now, m.report)
+			r.leader.HandleReport(now, m.report)
 		}
 	case reportRequest:
-		r.chief, r.reportAt = from, 0
+		r.knownLeader, r.nextReportAt = from, 0
 	case statementMessage:
-		r.chief = from
+		r.knownLeader = from
 		if m.fromVoter {
-			r.chief = ""
+			r.knownLeader = ""
 		}
-		r.member.Hear(now, m.statement)
+		r.member.HandleStatement(now, m.statement)
 	case readRequest:
-		if r.ledger != nil {
-			k, ok := r.ledger.Read(m.term)
-			r.say(from, readAnswer{m.term, ok, k})
+		if r.voter != nil {
+			k, ok := r.voter.Read(m.term)
+			r.sendMessage(from, readAnswer{m.term, ok, k})
 		}
 	case readAnswer:
 		if r.term > 0 {
-			r.leader.HearRead(now, from, m.term, m.kept, m.accepted)
+			r.leader.HandleReadAnswer(now, from, m.term, m.state, m.accepted)
 		}
 	case writeRequest:
-		if r.ledger != nil {
-			ok := r.ledger.Write(m.record, m.born)
-			r.say(from, writeAnswer{m.record.Term, m.record.Seq, ok})
+		if r.voter != nil {
+			ok := r.voter.Write(m.record, m.incarnation)
+			r.sendMessage(from, writeAnswer{m.record.Term, m.record.Seq, ok})
 		}
 	case writeAnswer:
 		if r.term > 0 {
-			r.leader.HearWrite(now, from, m.term, m.seq, m.accepted)
+			r.leader.HandleWriteAnswer(now, from, m.term, m.seq, m.accepted)
 		}
 	case drainQuery:
-		if r.ledger != nil {
-			if rec, _ := r.ledger.Record(); rec != nil {
-				r.say(from, statementMessage{rollout.Drained(rec), true})
+		if r.voter != nil {
+			if rec, _ := r.voter.Record(); rec != nil {
+				r.sendMessage(from, statementMessage{rollout.DrainStatement(rec), true})
 			}
 		}
 	case commandMessage:
 		if r.term > 0 {
-			if len(r.askers) >= mostAskers {
-				clear(r.askers) // they say their words again
+			if len(r.commandSenders) >= maxCommandSenders {
+				clear(r.commandSenders) // they say their words again
 			}
-			r.askers[m.word.Token] = from
-			r.leader.HearWord(now, m.word)
+			r.commandSenders[m.command.Token] = from
+			r.leader.HandleCommand(now, m.command)
 		} else {
-			r.say(from, commandReply{m.word.Token, false, notLeading})
+			r.sendMessage(from, commandReply{m.command.Token, false, notLeading})
 		}
 	case commandReply:
-		r.replied(m.token, m.accepted, m.reason)
+		r.handleReply(m.token, m.accepted, m.reason)
 	}
 }
 
 // carry does what the parts ask for.
-func (r *Releasing) carry() {
-	for _, o := range r.member.Take() {
-		r.do(o)
+func (r *Service) carryOut() {
+	for _, o := range r.member.TakeActions() {
+		r.carryOutOne(o)
 	}
-	for _, o := range r.leader.Take() {
-		r.do(o)
+	for _, o := range r.leader.TakeActions() {
+		r.carryOutOne(o)
 	}
 }
 
 // holds tells whether the lease is held right now: nothing is said under it later.
-func (r *Releasing) holds() bool {
+func (r *Service) holdsLease() bool {
 	if r.tenure == nil {
 		return false
 	}
 	term, _ := r.tenure.Held()
 	if term == 0 || term != r.term {
-		fenced.Add()
+		messagesFenced.Add()
 		return false
 	}
 	return true
 }
 
-func (r *Releasing) do(o rollout.Out) {
+func (r *Service) carryOutOne(o rollout.Out) {
 	switch o.Act {
 	case rollout.Ask:
-		r.say(o.To, readRequest{o.Term})
+		r.sendMessage(o.To, readRequest{o.Term})
 	case rollout.Call:
-		if r.holds() {
-			r.say(o.To, reportRequest{})
+		if r.holdsLease() {
+			r.sendMessage(o.To, reportRequest{})
 		}
 	case rollout.Write:
-		if r.holds() {
-			r.say(o.To, writeRequest{o.Born, o.Record})
+		if r.holdsLease() {
+			r.sendMessage(o.To, writeRequest{o.Born, o.Record})
 		}
 	case rollout.Say:
-		if r.holds() {
-			r.say(o.To, statementMessage{o.Statement, false})
+		if r.holdsLease() {
+			r.sendMessage(o.To, statementMessage{o.Statement, false})
 		}
 	case rollout.Reply:
-		to := r.askers[o.Token]
+		to := r.commandSenders[o.Token]
 		if o.Why == "" {
-			obeyed.Add()
+			commandsAccepted.Add()
 		} else {
-			rejected.Add()
+			commandsRejected.Add()
 		}
 		if to != "" {
-			r.say(to, commandReply{o.Token, o.Why == "", o.Why})
+			r.sendMessage(to, commandReply{o.Token, o.Why == "", o.Why})
 		}
 	case rollout.Yield:
 		slog.Info("lets another router lead, for it is to go out itself", "plan", o.Plan)
-		r.yield("")
+		r.handOver("")
 	case rollout.Seek:
 		for _, v := range r.voters {
-			r.say(v, drainQuery{})
+			r.sendMessage(v, drainQuery{})
 		}
 	case rollout.Drain:
 		r.drain(o.Nodes)
 	case rollout.Go:
-		r.goes(o)
+		r.leave(o)
 	case rollout.Note:
 		slog.Info("release", "plan", o.Plan, "note", o.Why)
 	}
 }
 
 // drain tells the router which nodes get nothing new, and notes those that are back.
-func (r *Releasing) drain(names []string) {
-	drained.Add()
+func (r *Service) drain(names []string) {
+	drainChanges.Add()
 	now := r.clock()
-	for _, name := range r.drains {
+	for _, name := range r.drained {
 		if !slices.Contains(names, name) {
-			r.returned[name] = mark{now, r.nodes[name].Answered}
+			r.returned[name] = returnedNode{now, r.nodes[name].Answers}
 		}
 	}
 	for _, name := range names {
 		delete(r.returned, name)
 	}
-	r.drains = names
+	r.drained = names
 	r.router.Drain(names)
-	r.lookAt = 0
+	r.nextQueryAt = 0
 	slog.Info("drained by plans", "nodes", names)
 }
 
 // goes lets the router leave in order; its supervisor starts the version that is named.
-func (r *Releasing) goes(o rollout.Out) {
-	if o.Want > 0 && r.at.Next != "" {
-		part := r.at.Next + ".part"
+func (r *Service) leave(o rollout.Out) {
+	if o.Want > 0 && r.settings.NextVersionFile != "" {
+		part := r.settings.NextVersionFile + ".part"
 		err := os.WriteFile(part, []byte(strconv.FormatUint(o.Want, 10)+"\n"), 0o644)
-		if err = errors.Join(err, os.Rename(part, r.at.Next)); err != nil {
+		if err = errors.Join(err, os.Rename(part, r.settings.NextVersionFile)); err != nil {
 			slog.Error("stays: the next version can't be written", "err", err)
 			return
 		}
 	}
-	slots.Add()
+	timesLeft.Add()
 	r.leaving = true
-	slog.Info("goes out by a plan", "term", o.Slot.Term, "slot", o.Slot.N, "version", o.Want)
+	slog.Info("goes out by a plan", "term", o.Slot.Term, "slot", o.Slot.Number, "version", o.Want)
 	r.report(r.clock())
 	r.router.Leave()
 }
 
 // Status is how releases stand as this router knows it: what it leads by, else what its voter keeps.
-func (r *Releasing) Status(ctx context.Context) (s Status, err error) {
+func (r *Service) Status(ctx context.Context) (s Status, err error) {
 	done := make(chan struct{})
 	r.post(func(now int64) {
 		defer close(done)
-		term, rec := r.leader.Leads()
-		s = Status{Router: r.self, Leads: term > 0, Chief: r.chief, Doubt: r.leader.Doubt(), Term: term}
-		if rec == nil && r.ledger != nil {
-			rec, _ = r.ledger.Record()
+		term, rec := r.leader.Leading()
+		s = Status{Router: r.self, Leads: term > 0, Leader: r.knownLeader, NotLeadingReason: r.leader.NotLeadingReason(), Term: term}
+		if rec == nil && r.voter != nil {
+			rec, _ = r.voter.Record()
 		}
 		if rec != nil {
-			s.fill(rec)
+			s.addRecord(rec)
 		}
 	})
 	select {
--- a/internal/rolloutservice/service_test.go
+++ b/internal/rolloutservice/service_test.go
@@ -10,12 +10,14 @@
 )
 
 // still is a router that serves and does nothing else.
-type still struct{}
+type idleRouter struct{}
 
-func (still) Figures() (rollout.Served, bool, int64) { return rollout.Served{}, true, 1 }
-func (still) Drain([]string)                         {}
-func (still) Look(take func([]Node))                 { take(nil) }
-func (still) Leave()                                 {}
+func (idleRouter) Counts() (rollout.CommandCounts, bool, int64) {
+	return rollout.CommandCounts{}, true, 1
+}
+func (idleRouter) Drain([]string)               {}
+func (idleRouter) QueryNodes(take func([]Node)) { take(nil) }
+func (idleRouter) Leave()                       {}
 
 // TestStopGivesTheLeadUp sees the lease of a leader that stops free at once, not only when it has run out.
 func TestStopGivesTheLeadUp(t *testing.T) {
@@ -23,7 +25,7 @@
 	l := leaseservice.New("a", "test", leaseservice.Settings{Given: true, LongestLease: 4_000_000, MaxDrift: 10_000, MaxLeases: 10, Voters: lease.VoterSet{Number: 1, Names: []string{"a"}}}, leaseservice.Clock, send)
 	l.Start()
 	defer l.Stop()
-	r := New("a", Place{}, []string{"a"}, 4_000_000, still{}, leaseservice.Clock, l, func() []string { return nil }, send)
+	r := New("a", Settings{}, []string{"a"}, 4_000_000, idleRouter{}, leaseservice.Clock, l, func() []string { return nil }, send)
 	r.Start()
 	for end := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if s, err := r.Status(t.Context()); err == nil && s.Leads {
@@ -37,7 +39,7 @@
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) { // half of the lease's length
 		held := false
 		for _, line := range leaseservice.MergeReports(l.QueryVoters(t.Context())) {
-			held = held || line.Lease == Lease && line.Holder != ""
+			held = held || line.Lease == LeaseName && line.Holder != ""
 		}
 		if !held {
 			return
--- a/internal/rolloutservice/wire_form.go
+++ b/internal/rolloutservice/wire_form.go
@@ -123,80 +123,80 @@
 	return &wireReport{
 		Member:    r.Member,
 		Zone:      r.Zone,
-		Born:      r.Born,
+		Born:      r.Incarnation,
 		Version:   r.Version,
 		Ready:     r.Ready,
 		Leaving:   r.Leaving,
 		Term:      r.Term,
 		Seq:       r.Seq,
-		Served:    wireServed{Commands: r.Served.Commands, Failed: r.Served.Failed, Late: r.Served.Late, Throttled: r.Served.Throttled},
-		StartedIn: r.StartedIn,
-		Heap:      r.Heap,
-		Open:      mapAll(r.Open, newWireOpen),
-		Blank:     r.Blank,
+		Served:    wireServed{Commands: r.Counts.Commands, Failed: r.Counts.Failed, Late: r.Counts.Late, Throttled: r.Counts.Throttled},
+		StartedIn: r.StartupTime,
+		Heap:      r.ResidentBytes,
+		Open:      mapAll(r.Nodes, newWireOpen),
+		Blank:     r.MayHaveForgotten,
 	}
 }
 
 func (w *wireReport) report() *rollout.Report {
 	return &rollout.Report{
-		Member:    w.Member,
-		Zone:      w.Zone,
-		Born:      w.Born,
-		Version:   w.Version,
-		Ready:     w.Ready,
-		Leaving:   w.Leaving,
-		Term:      w.Term,
-		Seq:       w.Seq,
-		Served:    rollout.Served{Commands: w.Served.Commands, Failed: w.Served.Failed, Late: w.Served.Late, Throttled: w.Served.Throttled},
-		StartedIn: w.StartedIn,
-		Heap:      w.Heap,
-		Open:      mapAll(w.Open, wireOpen.open),
-		Blank:     w.Blank,
+		Member:           w.Member,
+		Zone:             w.Zone,
+		Incarnation:      w.Born,
+		Version:          w.Version,
+		Ready:            w.Ready,
+		Leaving:          w.Leaving,
+		Term:             w.Term,
+		Seq:              w.Seq,
+		Counts:           rollout.CommandCounts{Commands: w.Served.Commands, Failed: w.Served.Failed, Late: w.Served.Late, Throttled: w.Served.Throttled},
+		StartupTime:      w.StartedIn,
+		ResidentBytes:    w.Heap,
+		Nodes:            mapAll(w.Open, wireOpen.open),
+		MayHaveForgotten: w.Blank,
 	}
 }
 
-func newWireOpen(o rollout.Open) wireOpen {
-	return wireOpen{Node: o.Node, Commands: o.Commands, Answered: o.Answered}
+func newWireOpen(o rollout.NodeUse) wireOpen {
+	return wireOpen{Node: o.Node, Commands: o.OpenCommands, Answered: o.Answers}
 }
 
-func (w wireOpen) open() rollout.Open {
-	return rollout.Open{Node: w.Node, Commands: w.Commands, Answered: w.Answered}
+func (w wireOpen) open() rollout.NodeUse {
+	return rollout.NodeUse{Node: w.Node, OpenCommands: w.Commands, Answers: w.Answered}
 }
 
 func newWireStatement(s *rollout.Statement) *wireStatement {
 	return &wireStatement{
 		Term:   s.Term,
 		Seq:    s.Seq,
-		Do:     uint8(s.Do),
+		Do:     uint8(s.Instruction),
 		Slot:   newWireSlot(s.Slot),
-		Born:   s.Born,
-		Want:   s.Want,
-		Drains: s.Drains,
+		Born:   s.Incarnation,
+		Want:   s.TargetVersion,
+		Drains: s.DrainedNodes,
 	}
 }
 
 func (w *wireStatement) statement() *rollout.Statement {
 	return &rollout.Statement{
-		Term:   w.Term,
-		Seq:    w.Seq,
-		Do:     rollout.Do(w.Do),
-		Slot:   w.Slot.slot(),
-		Born:   w.Born,
-		Want:   w.Want,
-		Drains: w.Drains,
+		Term:          w.Term,
+		Seq:           w.Seq,
+		Instruction:   rollout.Instruction(w.Do),
+		Slot:          w.Slot.slot(),
+		Incarnation:   w.Born,
+		TargetVersion: w.Want,
+		DrainedNodes:  w.Drains,
 	}
 }
 
-func newWireSlot(s rollout.Slot) wireSlot { return wireSlot{Term: s.Term, N: s.N} }
+func newWireSlot(s rollout.Slot) wireSlot { return wireSlot{Term: s.Term, N: s.Number} }
 
-func (w wireSlot) slot() rollout.Slot { return rollout.Slot{Term: w.Term, N: w.N} }
+func (w wireSlot) slot() rollout.Slot { return rollout.Slot{Term: w.Term, Number: w.N} }
 
-func newWireKept(k rollout.Kept) *wireKept {
-	return &wireKept{Record: newWireRecord(k.Record), Born: k.Born, Blank: k.Blank}
+func newWireKept(k rollout.VoterState) *wireKept {
+	return &wireKept{Record: newWireRecord(k.Record), Born: k.Incarnation, Blank: k.MayHaveForgotten}
 }
 
-func (w *wireKept) kept() rollout.Kept {
-	return rollout.Kept{Record: w.Record.record(), Born: w.Born, Blank: w.Blank}
+func (w *wireKept) kept() rollout.VoterState {
+	return rollout.VoterState{Record: w.Record.record(), Incarnation: w.Born, MayHaveForgotten: w.Blank}
 }
 
 func newWireRecord(r *rollout.Record) *wireRecord {
@@ -206,7 +206,7 @@
 	return &wireRecord{
 		Term:    r.Term,
 		Seq:     r.Seq,
-		Slots:   r.Slots,
+		Slots:   r.SlotsGranted,
 		Members: r.Members,
 		Plans:   mapAll(r.Plans, newWireProgress),
 		Tokens:  r.Tokens,
@@ -218,12 +218,12 @@
 		return nil
 	}
 	return &rollout.Record{
-		Term:    w.Term,
-		Seq:     w.Seq,
-		Slots:   w.Slots,
-		Members: w.Members,
-		Plans:   mapAll(w.Plans, (*wireProgress).progress),
-		Tokens:  w.Tokens,
+		Term:         w.Term,
+		Seq:          w.Seq,
+		SlotsGranted: w.Slots,
+		Members:      w.Members,
+		Plans:        mapAll(w.Plans, (*wireProgress).progress),
+		Tokens:       w.Tokens,
 	}
 }
 
@@ -231,7 +231,7 @@
 	return &wireProgress{
 		Plan:  newWirePlan(p.Plan),
 		State: uint8(p.State),
-		Why:   p.Why,
+		Why:   p.Reason,
 		Wave:  p.Wave,
 		Units: mapAll(p.Units, newWireUnit),
 	}
@@ -239,20 +239,20 @@
 
 func (w *wireProgress) progress() *rollout.Progress {
 	return &rollout.Progress{
-		Plan:  w.Plan.plan(),
-		State: rollout.State(w.State),
-		Why:   w.Why,
-		Wave:  w.Wave,
-		Units: mapAll(w.Units, wireUnit.unit),
+		Plan:   w.Plan.plan(),
+		State:  rollout.State(w.State),
+		Reason: w.Why,
+		Wave:   w.Wave,
+		Units:  mapAll(w.Units, wireUnit.unit),
 	}
 }
 
 func newWireUnit(u rollout.Unit) wireUnit {
-	return wireUnit{Phase: uint8(u.Phase), Slot: newWireSlot(u.Slot), Born: u.Born, Back: u.Back, Tries: u.Tries}
+	return wireUnit{Phase: uint8(u.Phase), Slot: newWireSlot(u.Slot), Born: u.Incarnation, Back: u.RollingBack, Tries: u.Attempts}
 }
 
 func (w wireUnit) unit() rollout.Unit {
-	return rollout.Unit{Phase: rollout.Phase(w.Phase), Slot: w.Slot.slot(), Born: w.Born, Back: w.Back, Tries: w.Tries}
+	return rollout.Unit{Phase: rollout.Phase(w.Phase), Slot: w.Slot.slot(), Incarnation: w.Born, RollingBack: w.Back, Attempts: w.Tries}
 }
 
 func newWirePlan(p rollout.Plan) wirePlan {
@@ -260,45 +260,45 @@
 		ID:       p.ID,
 		Kind:     uint8(p.Kind),
 		Units:    p.Units,
-		Want:     p.Want,
-		Was:      p.Was,
-		Waves:    p.Waves,
-		Watch:    p.Watch,
-		Rest:     p.Rest,
-		Patience: p.Patience,
-		Stay:     p.Stay,
+		Want:     p.TargetVersion,
+		Was:      p.PreviousVersion,
+		Waves:    p.WaveSizes,
+		Watch:    p.WatchTime,
+		Rest:     p.DrainTime,
+		Patience: p.ProgressTimeout,
+		Stay:     p.NoRollback,
 		Budget:   newWireBudget(p.Budget),
 	}
 }
 
 func (w *wirePlan) plan() rollout.Plan {
 	return rollout.Plan{
-		ID:       w.ID,
-		Kind:     rollout.Kind(w.Kind),
-		Units:    w.Units,
-		Want:     w.Want,
-		Was:      w.Was,
-		Waves:    w.Waves,
-		Watch:    w.Watch,
-		Rest:     w.Rest,
-		Patience: w.Patience,
-		Stay:     w.Stay,
-		Budget:   w.Budget.budget(),
+		ID:              w.ID,
+		Kind:            rollout.Kind(w.Kind),
+		Units:           w.Units,
+		TargetVersion:   w.Want,
+		PreviousVersion: w.Was,
+		WaveSizes:       w.Waves,
+		WatchTime:       w.Watch,
+		DrainTime:       w.Rest,
+		ProgressTimeout: w.Patience,
+		NoRollback:      w.Stay,
+		Budget:          w.Budget.budget(),
 	}
 }
 
 func newWireBudget(b rollout.Budget) wireBudget {
-	return wireBudget{Most: b.Most, Share: b.Share, Zone: b.Zone, Group: b.Group, Replicas: b.Replicas, Work: b.Work}
+	return wireBudget{Most: b.MaxUnavailable, Share: b.MaxShare, Zone: b.MaxPerZone, Group: b.MaxPerGroup, Replicas: b.MinReplicas, Work: b.MaxGroupWork}
 }
 
 func (w wireBudget) budget() rollout.Budget {
-	return rollout.Budget{Most: w.Most, Share: w.Share, Zone: w.Zone, Group: w.Group, Replicas: w.Replicas, Work: w.Work}
+	return rollout.Budget{MaxUnavailable: w.Most, MaxShare: w.Share, MaxPerZone: w.Zone, MaxPerGroup: w.Group, MinReplicas: w.Replicas, MaxGroupWork: w.Work}
 }
 
-func newWireCommand(c *rollout.Word) *wireCommand {
-	return &wireCommand{Verb: uint8(c.Verb), Token: c.Token, Plan: newWirePlan(c.Plan), ID: c.ID, Unit: c.Unit}
+func newWireCommand(c *rollout.Command) *wireCommand {
+	return &wireCommand{Verb: uint8(c.Type), Token: c.Token, Plan: newWirePlan(c.Plan), ID: c.PlanID, Unit: c.Unit}
 }
 
-func (w *wireCommand) command() *rollout.Word {
-	return &rollout.Word{Verb: rollout.Verb(w.Verb), Token: w.Token, Plan: w.Plan.plan(), ID: w.ID, Unit: w.Unit}
+func (w *wireCommand) command() *rollout.Command {
+	return &rollout.Command{Type: rollout.CommandType(w.Verb), Token: w.Token, Plan: w.Plan.plan(), PlanID: w.ID, Unit: w.Unit}
 }
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -38,7 +38,7 @@
 	leases  leaseservice.Settings
 	rolls   versionaudit.Pace
 	control adminsocket.Place
-	release rolloutservice.Place
+	release rolloutservice.Settings
 }
 
 // readParts reads the operator's file, "" for none.
@@ -52,7 +52,7 @@
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
 	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.ReadSettings(leases), versionaudit.Read(leases.Part("roll-call")),
-		adminsocket.Read(file.Part("control")), rolloutservice.Read(releases)}
+		adminsocket.Read(file.Part("control")), rolloutservice.ReadSettings(releases)}
 	if w.duties.Given && !own.Present() {
 		duties.AddFault("", "duties without a fleet", "a part fleet, which says who shares them")
 	}
@@ -74,7 +74,7 @@
 	leases    *leaseservice.Service
 	rolls     *versionaudit.Roll
 	control   *adminsocket.Server
-	releasing atomic.Pointer[rolloutservice.Releasing] // messages may come before it has begun
+	releasing atomic.Pointer[rolloutservice.Service] // messages may come before it has begun
 }
 
 // join starts what the operator's file asks for. It is called before the engine runs.
@@ -160,7 +160,7 @@
 	case c.leases == nil:
 	case kind == membership.KindRelease:
 		if r := c.releasing.Load(); r != nil {
-			r.Hear(from, body)
+			r.Receive(from, body)
 		}
 	case kind == membership.KindRoll:
 		c.rolls.Hear(from, body)
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -21,10 +21,10 @@
 }
 
 // Figures implements rolloutservice.Router.
-func (s *self) Figures() (f rollout.Served, ready bool, startedIn int64) {
+func (s *self) Counts() (f rollout.CommandCounts, ready bool, startedIn int64) {
 	totals := inflight.ReadTotals()
 	startedIn = s.ready.Load()
-	return rollout.Served{Commands: totals.Answered + totals.Failed + totals.Rejected, Failed: totals.Failed, Late: engine.LateAnswers(), Throttled: totals.Rejected}, startedIn > 0 && !s.leaving.Load(), startedIn
+	return rollout.CommandCounts{Commands: totals.Answered + totals.Failed + totals.Rejected, Failed: totals.Failed, Late: engine.LateAnswers(), Throttled: totals.Rejected}, startedIn > 0 && !s.leaving.Load(), startedIn
 }
 
 // Drain implements rolloutservice.Router.
@@ -33,12 +33,12 @@
 }
 
 // Look implements rolloutservice.Router.
-func (s *self) Look(take func([]rolloutservice.Node)) {
+func (s *self) QueryNodes(take func([]rolloutservice.Node)) {
 	s.e.Post(s.now(), func(now int64) {
 		var all []rolloutservice.Node
 		for _, k := range s.e.NodeStatuses() {
-			all = append(all, rolloutservice.Node{Box: rollout.Box{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Available,
-				Near: rollout.Near(now - k.Position)}, Open: k.OpenAttempts, Answered: k.Answered})
+			all = append(all, rolloutservice.Node{NodeState: rollout.NodeState{Name: k.Name, Zone: k.Zone, Group: k.Shard, Primary: k.Primary, Up: k.Available,
+				NearLogEnd: rollout.IsNearLogEnd(now - k.Position)}, OpenCommands: k.OpenAttempts, Answers: k.Answered})
 		}
 		take(all)
 	})
--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -15,15 +15,15 @@
 
 // writeRecord writes all of a record in a form that depends on no name in the code.
 func writeRecord(out io.Writer, r *rollout.Record) {
-	fmt.Fprintf(out, "record %d %d %d %q %q\n", r.Term, r.Seq, r.Slots, r.Members, r.Tokens)
+	fmt.Fprintf(out, "record %d %d %d %q %q\n", r.Term, r.Seq, r.SlotsGranted, r.Members, r.Tokens)
 	for _, p := range r.Plans {
 		a := p.Plan
-		fmt.Fprintf(out, "plan %q %d %q %d %d %d %d %d %d %v\n", a.ID, uint8(a.Kind), a.Units, a.Want, a.Was, a.Waves, a.Watch, a.Rest, a.Patience, a.Stay)
+		fmt.Fprintf(out, "plan %q %d %q %d %d %d %d %d %d %v\n", a.ID, uint8(a.Kind), a.Units, a.TargetVersion, a.PreviousVersion, a.WaveSizes, a.WatchTime, a.DrainTime, a.ProgressTimeout, a.NoRollback)
 		b := a.Budget
-		fmt.Fprintf(out, "budget %d %g %d %d %d %g\n", b.Most, b.Share, b.Zone, b.Group, b.Replicas, b.Work)
-		fmt.Fprintf(out, "progress %d %q %d\n", uint8(p.State), p.Why, p.Wave)
+		fmt.Fprintf(out, "budget %d %g %d %d %d %g\n", b.MaxUnavailable, b.MaxShare, b.MaxPerZone, b.MaxPerGroup, b.MinReplicas, b.MaxGroupWork)
+		fmt.Fprintf(out, "progress %d %q %d\n", uint8(p.State), p.Reason, p.Wave)
 		for _, u := range p.Units {
-			fmt.Fprintf(out, "unit %d %d %d %d %v %d\n", uint8(u.Phase), u.Slot.Term, u.Slot.N, u.Born, u.Back, u.Tries)
+			fmt.Fprintf(out, "unit %d %d %d %d %v %d\n", uint8(u.Phase), u.Slot.Term, u.Slot.Number, u.Incarnation, u.RollingBack, u.Attempts)
 		}
 	}
 }
@@ -41,13 +41,13 @@
 		writeRecord(out, o.Record)
 	case rollout.Say:
 		s := o.Statement
-		fmt.Fprintf(out, "statement %s %d %d %d %d %d %d %d %q\n", o.To, s.Term, s.Seq, uint8(s.Do), s.Slot.Term, s.Slot.N, s.Born, s.Want, s.Drains)
+		fmt.Fprintf(out, "statement %s %d %d %d %d %d %d %d %q\n", o.To, s.Term, s.Seq, uint8(s.Instruction), s.Slot.Term, s.Slot.Number, s.Incarnation, s.TargetVersion, s.DrainedNodes)
 	case rollout.Reply:
 		fmt.Fprintf(out, "reply %q %q\n", o.Token, o.Why)
 	case rollout.Yield:
 		fmt.Fprintf(out, "hand-over %q\n", o.Plan)
 	case rollout.Go:
-		fmt.Fprintf(out, "leave %d %d %d\n", o.Slot.Term, o.Slot.N, o.Want)
+		fmt.Fprintf(out, "leave %d %d %d\n", o.Slot.Term, o.Slot.Number, o.Want)
 	case rollout.Drain:
 		fmt.Fprintf(out, "drain %q\n", o.Nodes)
 	case rollout.Seek:
@@ -64,32 +64,32 @@
 	rng := rand.New(rand.NewPCG(seed, 77))
 	first := w.Plans[0]
 	for range 14 {
-		var c rollout.Word
+		var c rollout.Command
 		unit := first.Units[rng.IntN(len(first.Units))]
 		switch rng.IntN(12) {
 		case 0:
-			c = rollout.Word{Verb: rollout.Halt, ID: first.ID}
+			c = rollout.Command{Type: rollout.CommandHalt, PlanID: first.ID}
 		case 1, 2:
-			c = rollout.Word{Verb: rollout.Resume, ID: first.ID}
+			c = rollout.Command{Type: rollout.CommandResume, PlanID: first.ID}
 		case 3:
-			c = rollout.Word{Verb: rollout.Back, ID: first.ID}
+			c = rollout.Command{Type: rollout.CommandRollBack, PlanID: first.ID}
 		case 4:
-			c = rollout.Word{Verb: rollout.Forget, ID: first.ID, Unit: unit}
+			c = rollout.Command{Type: rollout.CommandForget, PlanID: first.ID, Unit: unit}
 		case 5:
-			c = rollout.Word{Verb: rollout.Forget, Unit: unit}
+			c = rollout.Command{Type: rollout.CommandForget, Unit: unit}
 		case 6, 7:
-			c = rollout.Word{Verb: rollout.Return, ID: "boxes", Unit: fmt.Sprintf("s-%d%c", rng.IntN(w.Groups), 'a'+rng.IntN(3))}
+			c = rollout.Command{Type: rollout.CommandReturn, PlanID: "boxes", Unit: fmt.Sprintf("s-%d%c", rng.IntN(w.Groups), 'a'+rng.IntN(3))}
 		case 8:
-			c = rollout.Word{Verb: 99, ID: first.ID}
+			c = rollout.Command{Type: 99, PlanID: first.ID}
 		case 9:
-			c = rollout.Word{Verb: rollout.Halt, ID: "unknown"}
+			c = rollout.Command{Type: rollout.CommandHalt, PlanID: "unknown"}
 		case 10:
 			second := first
 			second.ID = fmt.Sprint("again-", rng.IntN(3))
 			second.Units = second.Units[:1+rng.IntN(len(second.Units))]
-			c = rollout.Word{Verb: rollout.Start, Plan: second}
+			c = rollout.Command{Type: rollout.CommandStart, Plan: second}
 		case 11:
-			c = rollout.Word{Verb: rollout.Start, Plan: rollout.Plan{ID: "wrong", Kind: rollout.Kind(rng.IntN(5)), Units: [][]string{nil, {""}, {unit, unit}, {"nobody"}}[rng.IntN(4)]}}
+			c = rollout.Command{Type: rollout.CommandStart, Plan: rollout.Plan{ID: "wrong", Kind: rollout.Kind(rng.IntN(5)), Units: [][]string{nil, {""}, {unit, unit}, {"nobody"}}[rng.IntN(4)]}}
 		}
 		w.after(12_000_000+rng.Int64N(150_000_000), func() { w.word(c, 50) })
 	}
--- a/internal/simulation/rolloutsim/faults.go
+++ b/internal/simulation/rolloutsim/faults.go
@@ -11,7 +11,7 @@
 )
 
 // word says something to whoever leads, again and again until it is taken or refused.
-func (w *World) word(one rollout.Word, tries int) {
+func (w *World) word(one rollout.Command, tries int) {
 	if one.Token == "" {
 		w.words++
 		one.Token = fmt.Sprint("word-", w.words)
@@ -21,13 +21,13 @@
 	}
 	if w.holder >= 0 && w.leading(w.routers[w.holder]) {
 		r := w.routers[w.holder]
-		if _, rec := r.leader.Leads(); rec != nil {
-			if one.Verb == rollout.Start {
+		if _, rec := r.leader.Leading(); rec != nil {
+			if one.Type == rollout.CommandStart {
 				if _, begun := w.started[one.Plan.ID]; !begun {
 					w.started[one.Plan.ID] = w.Now
 				}
 			}
-			r.leader.HearWord(w.Now, &one)
+			r.leader.HandleCommand(w.Now, &one)
 			w.carry(r)
 		}
 	}
@@ -41,14 +41,14 @@
 // answer lets an operator look after a fleet whose voters have forgotten.
 func (w *World) answer() {
 	w.after(5_000_000, w.answer)
-	if w.holder < 0 || !w.leading(w.routers[w.holder]) || w.routers[w.holder].leader.Doubt() == "" {
+	if w.holder < 0 || !w.leading(w.routers[w.holder]) || w.routers[w.holder].leader.NotLeadingReason() == "" {
 		return
 	}
 	r := w.routers[w.holder]
 	w.words++
-	w.trace("%s is in doubt: %s", r.name, r.leader.Doubt())
+	w.trace("%s is in doubt: %s", r.name, r.leader.NotLeadingReason())
 	w.pardon = true // the word says so
-	r.leader.HearWord(w.Now, &rollout.Word{Verb: rollout.Begin, Token: fmt.Sprint("word-", w.words)})
+	r.leader.HandleCommand(w.Now, &rollout.Command{Type: rollout.CommandBegin, Token: fmt.Sprint("word-", w.words)})
 	w.carry(r)
 }
 
@@ -135,9 +135,9 @@
 			return
 		}
 		id := w.Plans[w.rng.IntN(len(w.Plans))].ID
-		verbs := []rollout.Verb{rollout.Halt, rollout.Resume, rollout.Halt, rollout.Resume, rollout.Back}
-		w.word(rollout.Word{Verb: verbs[w.rng.IntN(len(verbs))], ID: id}, 50)
-		w.word(rollout.Word{Verb: verbs[w.rng.IntN(len(verbs))], ID: id}, 50)
+		verbs := []rollout.CommandType{rollout.CommandHalt, rollout.CommandResume, rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack}
+		w.word(rollout.Command{Type: verbs[w.rng.IntN(len(verbs))], PlanID: id}, 50)
+		w.word(rollout.Command{Type: verbs[w.rng.IntN(len(verbs))], PlanID: id}, 50)
 	}
 }
 
@@ -153,7 +153,7 @@
 	w.told = rec
 	if was != nil && !w.pardon {
 		for _, p := range was.Plans {
-			if now := planOf(rec, p.Plan.ID); now == nil && !p.State.Over() {
+			if now := planOf(rec, p.Plan.ID); now == nil && !p.State.Ended() {
 				w.broken("plan %s is forgotten", p.Plan.ID)
 			} else if now != nil {
 				for i, u := range p.Units {
@@ -169,11 +169,11 @@
 	for _, p := range rec.Plans {
 		for i, u := range p.Units {
 			name := p.Plan.Units[i]
-			if !u.Phase.Holds() {
+			if !u.Phase.HoldsSlot() {
 				continue
 			}
 			holds[p.Plan.Kind.String()+name] = true
-			if p.Plan.Kind != rollout.Nodes {
+			if p.Plan.Kind != rollout.KindNodes {
 				if g, had := w.given[name]; had && u.Slot.Less(g) {
 					w.broken("slot %v of %s is kept behind %v", u.Slot, name, g)
 				}
@@ -183,14 +183,14 @@
 	}
 	for _, p := range rec.Plans {
 		if old := planOf(was, p.Plan.ID); old != nil && old.State != p.State {
-			w.trace("plan %s is %s: %s", p.Plan.ID, p.State, p.Why)
+			w.trace("plan %s is %s: %s", p.Plan.ID, p.State, p.Reason)
 			w.note(4, int(p.State), 0)
 		}
-		if p.State.Over() && w.started[p.Plan.ID] > 0 {
+		if p.State.Ended() && w.started[p.Plan.ID] > 0 {
 			w.fig.Done = append(w.fig.Done, w.Now-w.started[p.Plan.ID])
 			w.started[p.Plan.ID] = 0
 		}
-		if (p.State == rollout.Backing || p.State == rollout.Halted) && !w.halts[p.Plan.ID] && strings.HasSuffix(p.Why, "same time") {
+		if (p.State == rollout.StateRollingBack || p.State == rollout.StateHalted) && !w.halts[p.Plan.ID] && strings.HasSuffix(p.Reason, "same time") {
 			w.halts[p.Plan.ID] = true
 			w.fig.Halts++
 		}
@@ -203,7 +203,7 @@
 			continue
 		}
 		for i, u := range p.Units {
-			if name := p.Plan.Units[i]; old.Units[i].Phase.Holds() && u.Phase == rollout.Done && p.Plan.Kind != rollout.Nodes {
+			if name := p.Plan.Units[i]; old.Units[i].Phase.HoldsSlot() && u.Phase == rollout.PhaseDone && p.Plan.Kind != rollout.KindNodes {
 				if r := w.routers[w.byName[name]]; !r.ready && w.Now-r.downAt > 6_000_000 && r.downAt > r.upAt {
 					w.broken("the slot of %s is free, and it has been down for %d us", name, w.Now-r.downAt)
 				}
@@ -228,10 +228,10 @@
 func (w *World) slots(p, was *rollout.Progress, holds map[string]bool) {
 	fresh := ""
 	for i, u := range p.Units {
-		if u.Phase.Holds() && (was == nil || !was.Units[i].Phase.Holds()) && u.Slot.Term == w.told.Term { // a former leader's is older than what is missed now
+		if u.Phase.HoldsSlot() && (was == nil || !was.Units[i].Phase.HoldsSlot()) && u.Slot.Term == w.told.Term { // a former leader's is older than what is missed now
 			fresh = p.Plan.Units[i]
 		}
-		if p.Plan.Kind == rollout.Nodes && u.Phase == rollout.Away && (was == nil || was.Units[i].Phase != rollout.Away) {
+		if p.Plan.Kind == rollout.KindNodes && u.Phase == rollout.PhaseUnavailable && (was == nil || was.Units[i].Phase != rollout.PhaseUnavailable) {
 			w.unused(p.Plan.Units[i])
 		}
 	}
@@ -239,7 +239,7 @@
 		return
 	}
 	out := 0
-	if p.Plan.Kind == rollout.Nodes {
+	if p.Plan.Kind == rollout.KindNodes {
 		group := map[int]int{}
 		for _, n := range w.nodes {
 			if holds[p.Plan.Kind.String()+n.name] || !n.up && w.Now-n.downAt > known {
@@ -250,21 +250,21 @@
 			}
 		}
 		for g, n := range group {
-			if n > max(1, p.Plan.Budget.Group) {
+			if n > max(1, p.Plan.Budget.MaxPerGroup) {
 				w.broken("%d nodes of group %d are drained", n, g)
 			}
 		}
-		if most := p.Plan.Budget.Bound(len(w.nodes)); out > most && w.loss == 0 {
+		if most := p.Plan.Budget.Limit(len(w.nodes)); out > most && w.loss == 0 {
 			w.broken("%s goes out, the %d. node of %d that may be", fresh, out, most)
 		}
 		return
 	}
 	for _, r := range w.routers {
-		if holds[rollout.Restart.String()+r.name] || holds[rollout.Version.String()+r.name] || !r.up && w.Now-r.downAt > known {
+		if holds[rollout.KindRestart.String()+r.name] || holds[rollout.KindVersion.String()+r.name] || !r.up && w.Now-r.downAt > known {
 			out++
 		}
 	}
-	if most := p.Plan.Budget.Bound(len(w.routers)); out > most {
+	if most := p.Plan.Budget.Limit(len(w.routers)); out > most {
 		w.broken("%s goes out, the %d. router of %d that may be", fresh, out, most)
 	}
 }
@@ -292,22 +292,22 @@
 		return
 	}
 	for _, p := range w.told.Plans {
-		if p.State == rollout.Running || p.State == rollout.Backing {
+		if p.State == rollout.StateRunning || p.State == rollout.StateRollingBack {
 			stuck := 0
 			for _, u := range p.Units {
-				if u.Phase == rollout.Stuck {
+				if u.Phase == rollout.PhaseStuck {
 					stuck++
 				}
 			}
 			if stuck == 0 {
-				w.broken("plan %s is %s at the end (%s), with no reason", p.Plan.ID, p.State, p.Why)
+				w.broken("plan %s is %s at the end (%s), with no reason", p.Plan.ID, p.State, p.Reason)
 			}
 		}
-		if p.Plan.Kind == rollout.Nodes || p.State == rollout.Halted && p.Plan.Kind == rollout.Version {
+		if p.Plan.Kind == rollout.KindNodes || p.State == rollout.StateHalted && p.Plan.Kind == rollout.KindVersion {
 			continue
 		}
 		for i, u := range p.Units {
-			if r := w.routers[w.byName[p.Plan.Units[i]]]; u.Phase.Holds() && u.Phase != rollout.Stuck && r.ready && r.born != u.Born && w.Now-r.upAt > 60_000_000 {
+			if r := w.routers[w.byName[p.Plan.Units[i]]]; u.Phase.HoldsSlot() && u.Phase != rollout.PhaseStuck && r.ready && r.born != u.Incarnation && w.Now-r.upAt > 60_000_000 {
 				w.broken("the slot of %s is forgotten: it is %v", r.name, u.Phase)
 			}
 		}
@@ -333,18 +333,18 @@
 	}
 	rng.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
 	rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	budget := rollout.Budget{Share: 0.1 + 0.2*rng.Float64(), Zone: rng.IntN(4), Replicas: rng.IntN(2)}
-	first := rollout.Plan{ID: "first", Kind: rollout.Restart, Units: routers, Watch: 5_000_000, Patience: 30_000_000, Budget: budget}
+	budget := rollout.Budget{MaxShare: 0.1 + 0.2*rng.Float64(), MaxPerZone: rng.IntN(4), MinReplicas: rng.IntN(2)}
+	first := rollout.Plan{ID: "first", Kind: rollout.KindRestart, Units: routers, WatchTime: 5_000_000, ProgressTimeout: 30_000_000, Budget: budget}
 	if rng.IntN(2) == 0 {
-		first.Kind, first.Want, first.Was = rollout.Version, 2, 1
+		first.Kind, first.TargetVersion, first.PreviousVersion = rollout.KindVersion, 2, 1
 		if rng.IntN(3) == 0 {
 			s.Bad = 0.02 + 0.1*rng.Float64()
 		}
 	}
 	s.Plans = append(s.Plans, first)
 	if rng.IntN(2) == 0 {
-		s.Plans = append(s.Plans, rollout.Plan{ID: "boxes", Kind: rollout.Nodes, Units: nodes[:1+rng.IntN(len(nodes))], Watch: 3_000_000, Rest: 4_000_000,
-			Patience: 30_000_000, Budget: rollout.Budget{Share: 0.34, Replicas: rng.IntN(2)}})
+		s.Plans = append(s.Plans, rollout.Plan{ID: "boxes", Kind: rollout.KindNodes, Units: nodes[:1+rng.IntN(len(nodes))], WatchTime: 3_000_000, DrainTime: 4_000_000,
+			ProgressTimeout: 30_000_000, Budget: rollout.Budget{MaxShare: 0.34, MinReplicas: rng.IntN(2)}})
 	}
 	return s
 }
@@ -355,39 +355,39 @@
 	case NoUnplanned: // whoever is missed is said to be there
 		for _, o := range w.routers {
 			if !o.up && !o.planned {
-				r.leader.HearReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Born: o.born, Version: o.version, Ready: true, Served: o.served})
+				r.leader.HandleReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.born, Version: o.version, Ready: true, Counts: o.served})
 			}
 		}
 		for _, n := range w.nodes {
-			r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: true, Near: true, Work: 1.0 / 3})
+			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: true, NearLogEnd: true, WorkShare: 1.0 / 3})
 		}
 	case FreesByTime: // whoever has been away for a while is said to be back
 		for _, o := range w.routers {
 			if !o.up && o.planned && w.Now-o.downAt > 2_000_000 {
-				r.leader.HearReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Born: o.born + 1, Version: o.next, Ready: true, Served: rollout.Served{Commands: 1000}})
+				r.leader.HandleReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.born + 1, Version: o.next, Ready: true, Counts: rollout.CommandCounts{Commands: 1000}})
 			}
 		}
 	case LeavesOpen: // nobody is said to have anything open
-		if _, rec := r.leader.Leads(); rec != nil {
+		if _, rec := r.leader.Leading(); rec != nil {
 			for _, o := range w.routers {
-				p := &rollout.Report{Member: o.name, Zone: o.zone, Born: o.born, Version: o.version, Ready: o.ready, Served: o.served}
-				for _, name := range rollout.Drained(rec).Drains {
-					p.Open = append(p.Open, rollout.Open{Node: name})
+				p := &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.born, Version: o.version, Ready: o.ready, Counts: o.served}
+				for _, name := range rollout.DrainStatement(rec).DrainedNodes {
+					p.Nodes = append(p.Nodes, rollout.NodeUse{Node: name})
 				}
 				if o.up {
-					r.leader.HearReport(w.Now, p)
+					r.leader.HandleReport(w.Now, p)
 				}
 			}
 		}
 	case NoHandOver: // no node is said to lead once it is drained
 		for _, n := range w.nodes {
-			r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary && !w.drainedNow(n.name), Up: n.up, Near: n.near, Work: 1.0 / 3})
+			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary && !w.drainedNow(n.name), Up: n.up, NearLogEnd: n.near, WorkShare: 1.0 / 3})
 		}
 	case NoGroups: // each node is said to be a group of its own, with others that are well
 		for i, n := range w.nodes {
-			r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: 1000 + i, Primary: false, Up: n.up, Near: n.near})
-			r.leader.SetBox(rollout.Box{Name: n.name + "+", Group: 1000 + i, Primary: true, Up: true, Near: true})
-			r.leader.SetBox(rollout.Box{Name: n.name + "-", Group: 1000 + i, Up: true, Near: true})
+			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: 1000 + i, Primary: false, Up: n.up, NearLogEnd: n.near})
+			r.leader.SetNode(rollout.NodeState{Name: n.name + "+", Group: 1000 + i, Primary: true, Up: true, NearLogEnd: true})
+			r.leader.SetNode(rollout.NodeState{Name: n.name + "-", Group: 1000 + i, Up: true, NearLogEnd: true})
 		}
 	}
 }
@@ -401,7 +401,7 @@
 	s := Mixed(seed)
 	s.Faults, s.Bad, s.Plans, s.Span, s.After = false, bad, s.Plans[:1], 300_000_000, 900_000_000
 	p := &s.Plans[0]
-	p.Kind, p.Want, p.Was, p.Watch, p.Patience = rollout.Version, 2, 1, 30_000_000, 120_000_000
+	p.Kind, p.TargetVersion, p.PreviousVersion, p.WatchTime, p.ProgressTimeout = rollout.KindVersion, 2, 1, 30_000_000, 120_000_000
 	return s
 }
 
@@ -411,7 +411,7 @@
 		return 0
 	}
 	for _, u := range w.told.Plans[0].Units {
-		if u.Tries > 0 {
+		if u.Attempts > 0 {
 			n++
 		}
 	}
--- a/internal/simulation/rolloutsim/rollout.go
+++ b/internal/simulation/rolloutsim/rollout.go
@@ -132,10 +132,10 @@
 	chief      int // the leader that it last heard of, -1 for none
 	rate       float64
 	bad        float64
-	served     rollout.Served
+	served     rollout.CommandCounts
 	member     *rollout.Member
 	leader     *rollout.Leader
-	ledger     *rollout.Ledger
+	ledger     *rollout.Voter
 	kept       *rollout.Record
 	drains     map[string]int64  // since when
 	open       map[string]int64  // until when it has something open at a drained node
@@ -172,7 +172,7 @@
 	}
 	w.after(0, w.leads)
 	for i, p := range s.Plans {
-		w.after(8_000_000+int64(i)*s.Span/4, func() { w.word(rollout.Word{Verb: rollout.Start, Plan: p}, 0) })
+		w.after(8_000_000+int64(i)*s.Span/4, func() { w.word(rollout.Command{Type: rollout.CommandStart, Plan: p}, 0) })
 	}
 	if s.Faults {
 		w.loss, w.twice = w.rng.Float64()*0.15, w.rng.Float64()*0.2
@@ -250,7 +250,7 @@
 	} else {
 		r.version = r.next
 	}
-	r.upAt, r.startedIn, r.served, r.chief = w.Now, 200_000+w.rng.Int64N(400_000), rollout.Served{}, -1
+	r.upAt, r.startedIn, r.served, r.chief = w.Now, 200_000+w.rng.Int64N(400_000), rollout.CommandCounts{}, -1
 	r.member = rollout.NewMember(r.born)
 	r.leader = rollout.NewLeader(r.name, w.voters())
 	r.drains, r.open, r.returned = map[string]int64{}, map[string]int64{}, map[string]uint64{}
@@ -259,7 +259,7 @@
 		if !w.Lasting {
 			kept = nil
 		}
-		r.ledger = rollout.NewLedger(r.born, kept)
+		r.ledger = rollout.NewVoter(r.born, kept)
 	}
 	born := r.born
 	w.after(r.startedIn, func() { w.opens(r, born) })
@@ -271,7 +271,7 @@
 	if !r.up || r.born != born || r.ready {
 		return
 	}
-	if _, heard := r.member.Heard(); !heard && w.Now-r.upAt < 4_000_000 {
+	if _, heard := r.member.Statement(); !heard && w.Now-r.upAt < 4_000_000 {
 		w.after(100_000, func() { w.opens(r, born) })
 		return
 	}
@@ -343,7 +343,7 @@
 			return
 		}
 		if h.born == w.holds {
-			h.leader.Lost()
+			h.leader.StepDown()
 		}
 		w.holder = -1
 	}
@@ -376,7 +376,7 @@
 	w.holder, w.holds, w.until = i, r.born, w.Now+lease
 	w.trace("%s leads under term %d", r.name, w.term)
 	w.note(2, i, w.term)
-	r.leader.Lead(w.Now, w.term)
+	r.leader.BecomeLeader(w.Now, w.term)
 	w.look(r)
 	w.carry(r)
 	w.ticks(r, r.born, w.term)
@@ -390,13 +390,13 @@
 	for _, o := range w.routers {
 		switch {
 		case o == r || w.reach(r, o) && w.reach(o, r):
-			r.leader.Up(o.name)
+			r.leader.MemberUp(o.name)
 		case !o.up && w.Now-o.downAt > detect:
-			r.leader.Gone(o.name)
+			r.leader.MemberGone(o.name)
 		}
 	}
 	for _, n := range w.nodes {
-		r.leader.SetBox(rollout.Box{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: n.up || w.Now-n.downAt < detect, Near: n.near, Work: 1.0 / 3})
+		r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: n.up || w.Now-n.downAt < detect, NearLogEnd: n.near, WorkShare: 1.0 / 3})
 	}
 }
 
@@ -443,26 +443,26 @@
 }
 
 func (w *World) report(r *router) {
-	said, _ := r.member.Heard()
-	p := &rollout.Report{Member: r.name, Zone: r.zone, Born: r.born, Version: r.version, Ready: r.ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
-		Served: r.served, StartedIn: r.startedIn, Heap: 20 << 20}
+	said, _ := r.member.Statement()
+	p := &rollout.Report{Member: r.name, Zone: r.zone, Incarnation: r.born, Version: r.version, Ready: r.ready, Leaving: r.leaving, Term: said.Term, Seq: said.Seq,
+		Counts: r.served, StartupTime: r.startedIn, ResidentBytes: 20 << 20}
 	if r.vote {
-		_, p.Blank = r.ledger.Record()
+		_, p.MayHaveForgotten = r.ledger.Record()
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.drains)) {
-		o := rollout.Open{Node: name}
+		o := rollout.NodeUse{Node: name}
 		if w.Now < r.open[name] {
-			o.Commands = 1
+			o.OpenCommands = 1
 		}
-		p.Open = append(p.Open, o)
+		p.Nodes = append(p.Nodes, o)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.returned)) {
-		p.Open = append(p.Open, rollout.Open{Node: name, Answered: r.returned[name]})
+		p.Nodes = append(p.Nodes, rollout.NodeUse{Node: name, Answers: r.returned[name]})
 	}
 	to := w.routers[r.chief]
 	w.send(r, to, func() {
 		if w.leading(to) {
-			to.leader.HearReport(w.Now, p)
+			to.leader.HandleReport(w.Now, p)
 			w.carry(to)
 		}
 	})
@@ -470,14 +470,14 @@
 
 // carry does what a router's parts ask for.
 func (w *World) carry(r *router) {
-	for _, o := range r.member.Take() {
+	for _, o := range r.member.TakeActions() {
 		w.do(r, o)
 	}
-	for _, o := range r.leader.Take() {
+	for _, o := range r.leader.TakeActions() {
 		w.do(r, o)
 	}
 	if w.leading(r) {
-		if _, rec := r.leader.Leads(); rec != nil && rec != w.told {
+		if _, rec := r.leader.Leading(); rec != nil && rec != w.told {
 			w.kept(rec)
 		}
 	}
@@ -496,11 +496,11 @@
 		w.send(r, to, func() {
 			k, ok := to.ledger.Read(o.Term)
 			if w.Planted == ForgetsBlank {
-				k.Blank = false
+				k.MayHaveForgotten = false
 			}
 			w.send(to, r, func() {
 				if w.leading(r) {
-					r.leader.HearRead(w.Now, o.To, o.Term, k, ok)
+					r.leader.HandleReadAnswer(w.Now, o.To, o.Term, k, ok)
 					w.carry(r)
 				}
 			})
@@ -514,7 +514,7 @@
 	case rollout.Write:
 		to := w.routers[w.byName[o.To]]
 		if w.Planted == TellsFirst {
-			r.leader.HearWrite(w.Now, o.To, o.Record.Term, o.Record.Seq, true)
+			r.leader.HandleWriteAnswer(w.Now, o.To, o.Record.Term, o.Record.Seq, true)
 		}
 		w.send(r, to, func() {
 			ok := to.ledger.Write(o.Record, o.Born)
@@ -523,7 +523,7 @@
 			}
 			w.send(to, r, func() {
 				if w.leading(r) {
-					r.leader.HearWrite(w.Now, o.To, o.Record.Term, o.Record.Seq, ok)
+					r.leader.HandleWriteAnswer(w.Now, o.To, o.Record.Term, o.Record.Seq, ok)
 					w.carry(r)
 				}
 			})
@@ -536,7 +536,7 @@
 		for _, v := range w.routers[:w.Voters] {
 			w.send(r, v, func() {
 				if rec, _ := v.ledger.Record(); rec != nil {
-					s := rollout.Drained(rec)
+					s := rollout.DrainStatement(rec)
 					w.send(v, r, func() { w.hear(r, s, -1) })
 				}
 			})
@@ -548,7 +548,7 @@
 	case rollout.Yield:
 		if w.leading(r) {
 			w.trace("%s yields", r.name)
-			r.leader.Lost()
+			r.leader.StepDown()
 			w.holder = -1
 			w.after(50_000, func() {
 				if w.holder < 0 {
@@ -565,25 +565,25 @@
 
 // hear hands a statement to a member.
 func (w *World) hear(r *router, s *rollout.Statement, from int) {
-	if w.Planted == AnyProcess && s.Do == rollout.Leave {
-		s.Born = r.born
+	if w.Planted == AnyProcess && s.Instruction == rollout.InstructionLeave {
+		s.Incarnation = r.born
 	}
 	if w.Planted == OldStatements {
-		if said, heard := r.member.Heard(); heard && (s.Term < said.Term || s.Term == said.Term && s.Seq < said.Seq) {
+		if said, heard := r.member.Statement(); heard && (s.Term < said.Term || s.Term == said.Term && s.Seq < said.Seq) {
 			s.Term, s.Seq = said.Term, said.Seq+1
 		}
 	}
 	if from >= 0 {
 		r.chief = from
 	}
-	r.member.Hear(w.Now, s)
+	r.member.HandleStatement(w.Now, s)
 	w.carry(r)
 }
 
 // goes lets a router leave in order, and checks that it may.
 func (w *World) goes(r *router, o rollout.Out) {
-	w.trace("%s goes out by slot %d/%d for version %d", r.name, o.Slot.Term, o.Slot.N, o.Want)
-	w.note(3, r.index, o.Slot.N)
+	w.trace("%s goes out by slot %d/%d for version %d", r.name, o.Slot.Term, o.Slot.Number, o.Want)
+	w.note(3, r.index, o.Slot.Number)
 	if w.given[r.name] != o.Slot {
 		w.broken("%s goes out by slot %v, and a majority keeps %v", r.name, o.Slot, w.given[r.name])
 	}
@@ -616,7 +616,7 @@
 func (w *World) meant(name string) uint64 {
 	for _, p := range w.told.Plans {
 		if i := slices.Index(p.Plan.Units, name); i >= 0 && p.Units[i].Slot == w.given[name] {
-			return p.Units[i].Born
+			return p.Units[i].Incarnation
 		}
 	}
 	return 0
@@ -626,9 +626,9 @@
 func (w *World) most() int {
 	most := 0
 	for _, p := range w.Plans {
-		p.Fill()
-		if p.Kind != rollout.Nodes {
-			most = max(most, p.Budget.Bound(w.Routers))
+		p.SetDefaults()
+		if p.Kind != rollout.KindNodes {
+			most = max(most, p.Budget.Limit(w.Routers))
 		}
 	}
 	return most
--- a/internal/simulation/rolloutsim/rollout_test.go
+++ b/internal/simulation/rolloutsim/rollout_test.go
@@ -63,7 +63,7 @@
 			f := w.Run()
 			p := w.told.Plans[0]
 			if w.Broken != "" || (f.Halts > 0) != (bad > 0) {
-				t.Errorf("seed %d, %.0f%% bad: %d halts, plan %s: %s %s", seed, 100*bad, f.Halts, p.State, p.Why, w.Broken)
+				t.Errorf("seed %d, %.0f%% bad: %d halts, plan %s: %s %s", seed, 100*bad, f.Halts, p.State, p.Reason, w.Broken)
 			}
 			for i := range p.Units {
 				if r := w.routers[w.byName[p.Plan.Units[i]]]; bad > 0 && r.version != 1 {
--- a/internal/testcluster/proof/releases.go
+++ b/internal/testcluster/proof/releases.go
@@ -87,14 +87,14 @@
 		nodes = append(nodes, fmt.Sprintf("s-%d%c", g%p.Groups, 'a'+(g/p.Groups+g)%3))
 	}
 	plans := []rollout.Plan{
-		{ID: "all", Kind: rollout.Restart, Units: routers, Waves: []int{1, 3}, Watch: 1_000_000, Patience: 60_000_000, Budget: rollout.Budget{Most: mostOut, Share: 1}},
-		{ID: "boxes", Kind: rollout.Nodes, Units: nodes, Waves: []int{1, 3}, Watch: 500_000, Rest: 1_000_000, Patience: 60_000_000, Budget: rollout.Budget{Share: 0.2, Replicas: 1}},
+		{ID: "all", Kind: rollout.KindRestart, Units: routers, WaveSizes: []int{1, 3}, WatchTime: 1_000_000, ProgressTimeout: 60_000_000, Budget: rollout.Budget{MaxUnavailable: mostOut, MaxShare: 1}},
+		{ID: "boxes", Kind: rollout.KindNodes, Units: nodes, WaveSizes: []int{1, 3}, WatchTime: 500_000, DrainTime: 1_000_000, ProgressTimeout: 60_000_000, Budget: rollout.Budget{MaxShare: 0.2, MinReplicas: 1}},
 	}
 	if c.p.Alone {
 		return c.alone(calm)
 	}
 	for _, plan := range plans {
-		if err := c.word(rollout.Word{Verb: rollout.Start, Token: plan.ID, Plan: plan}); err != nil {
+		if err := c.word(rollout.Command{Type: rollout.CommandStart, Token: plan.ID, Plan: plan}); err != nil {
 			return "", fmt.Errorf("plan %s: %w", plan.ID, err)
 		}
 	}
@@ -286,7 +286,7 @@
 func (c *rollingOut) drains() []string {
 	for i := range c.p.Routers {
 		if s, err := c.status(i); err == nil && s.Leads {
-			return s.Drains
+			return s.DrainedNodes
 		}
 	}
 	return nil
@@ -314,7 +314,7 @@
 			away := map[string]bool{}
 			for _, p := range s.Plans {
 				for _, one := range p.Holding {
-					if name, is := strings.CutSuffix(one, " away"); is && p.Kind == rollout.Nodes.String() {
+					if name, is := strings.CutSuffix(one, " away"); is && p.Kind == rollout.KindNodes.String() {
 						away[name] = true
 					}
 				}
@@ -336,7 +336,7 @@
 }
 
 // word says a word through any router that answers, until it is taken.
-func (c *rollingOut) word(w rollout.Word) (err error) {
+func (c *rollingOut) word(w rollout.Command) (err error) {
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range c.p.Routers {
 			if err = sayWord(c.r.Socket(i), w); err == nil {
@@ -361,11 +361,11 @@
 		finished := 0
 		text := ""
 		for _, p := range s.Plans {
-			text += fmt.Sprintf("  %s: %s, %d of %d done, %s", p.ID, p.State, p.Phases[rollout.Done.String()], p.Units, strings.Join(p.Holding, ", "))
-			if p.State == rollout.Finished.String() {
+			text += fmt.Sprintf("  %s: %s, %d of %d done, %s", p.ID, p.State, p.Phases[rollout.PhaseDone.String()], p.Units, strings.Join(p.Holding, ", "))
+			if p.State == rollout.StateFinished.String() {
 				finished++
-			} else if p.Over() {
-				return s, fmt.Errorf("plan %s %s: %s", p.ID, p.State, p.Why)
+			} else if p.Settled() {
+				return s, fmt.Errorf("plan %s %s: %s", p.ID, p.State, p.Reason)
 			}
 		}
 		if text != last {
@@ -455,8 +455,8 @@
 }
 
 // sayWord says a word through one router.
-func sayWord(socket string, w rollout.Word) error {
-	text, err := rolloutservice.WordText(w)
+func sayWord(socket string, w rollout.Command) error {
+	text, err := rolloutservice.EncodeCommand(w)
 	if err != nil {
 		return err
 	}
--- a/internal/testcluster/proof/rollout.go
+++ b/internal/testcluster/proof/rollout.go
@@ -111,7 +111,7 @@
 	out := tabwriter.NewWriter(p.Writes, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "routers\tmay be out\tmost out\ttook s\tleast s\tratio\t")
 	for _, n := range p.Sizes {
-		plan := rollout.Plan{ID: "all", Kind: rollout.Restart, Watch: 30_000_000, Patience: 120_000_000, Budget: rollout.Budget{Share: 0.1}}
+		plan := rollout.Plan{ID: "all", Kind: rollout.KindRestart, WatchTime: 30_000_000, ProgressTimeout: 120_000_000, Budget: rollout.Budget{MaxShare: 0.1}}
 		for i := range n {
 			plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
 		}
@@ -122,13 +122,13 @@
 			worst = 99
 			continue
 		}
-		plan.Fill()
-		most := plan.Budget.Bound(n)
+		plan.SetDefaults()
+		most := plan.Budget.Limit(n)
 		least := 0.0
-		sizes := append(slices.Clone(plan.Waves), n)
+		sizes := append(slices.Clone(plan.WaveSizes), n)
 		for left, k := n, 0; left > 0; k++ {
 			size := min(sizes[min(k, len(sizes)-1)], left)
-			least += float64((size+most-1)/most)*rolloutsim.Way.Seconds() + float64(plan.Watch)/1e6
+			least += float64((size+most-1)/most)*rolloutsim.Way.Seconds() + float64(plan.WatchTime)/1e6
 			left -= size
 		}
 		took := float64(f.Done[0]) / 1e6
