--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -91,7 +91,7 @@
 		case 11:
 			c = rollout.Command{Type: rollout.CommandStart, Plan: rollout.Plan{ID: "wrong", Kind: rollout.Kind(rng.IntN(5)), Units: [][]string{nil, {""}, {unit, unit}, {"nobody"}}[rng.IntN(4)]}}
 		}
-		w.after(12_000_000+rng.Int64N(150_000_000), func() { w.word(c, 50) })
+		w.after(12_000_000+rng.Int64N(150_000_000), func() { w.sendCommand(c, 50) })
 	}
 }
 
@@ -119,26 +119,26 @@
 				actions++
 			}
 			figures := w.Run()
-			got := fmt.Sprintf("%#016x\t%#016x\t%d\t%s", digest.Sum64(), figures.Hash, actions, w.Broken)
+			got := fmt.Sprintf("%#016x\t%#016x\t%d\t%s", digest.Sum64(), figures.Hash, actions, w.Violation)
 			if got != recorded[name] {
 				t.Errorf("hash of actions, hash of events, actions, rule broken: %s, want %s", got, recorded[name])
 			}
 		})
 	}
 	for seed := range uint64(24) {
-		play(fmt.Sprintf("mixed %d", seed), New(Mixed(seed)))
+		play(fmt.Sprintf("mixed %d", seed), New(MixedFaults(seed)))
 	}
 	for seed := uint64(100); seed < 124; seed++ {
-		w := New(Mixed(seed))
+		w := New(MixedFaults(seed))
 		giveCommands(w, seed)
 		play(fmt.Sprintf("commands %d", seed), w)
 	}
 	for seed := range uint64(3) {
-		play(fmt.Sprintf("good version %d", seed), New(Versions(seed, 0)))
-		play(fmt.Sprintf("bad version %d", seed), New(Versions(seed, 0.02)))
+		play(fmt.Sprintf("good version %d", seed), New(VersionRollout(seed, 0)))
+		play(fmt.Sprintf("bad version %d", seed), New(VersionRollout(seed, 0.02)))
 	}
-	for m := FreesByTime; m < Mistakes; m++ {
-		s := Mixed(3)
+	for m := FreesSlotByTime; m < Mistakes; m++ {
+		s := MixedFaults(3)
 		s.Planted = m
 		play(fmt.Sprintf("planted %v", m), New(s))
 	}
--- a/internal/simulation/rolloutsim/faults.go
+++ b/internal/simulation/rolloutsim/faults.go
@@ -11,53 +11,53 @@
 )
 
 // word says something to whoever leads, again and again until it is taken or refused.
-func (w *World) word(one rollout.Command, tries int) {
+func (w *World) sendCommand(one rollout.Command, tries int) {
 	if one.Token == "" {
-		w.words++
-		one.Token = fmt.Sprint("word-", w.words)
+		w.commandsSent++
+		one.Token = fmt.Sprint("word-", w.commandsSent)
 	}
 	if tries > 60 {
 		return
 	}
-	if w.holder >= 0 && w.leading(w.routers[w.holder]) {
+	if w.holder >= 0 && w.holdsLease(w.routers[w.holder]) {
 		r := w.routers[w.holder]
 		if _, rec := r.leader.Leading(); rec != nil {
 			if one.Type == rollout.CommandStart {
-				if _, begun := w.started[one.Plan.ID]; !begun {
-					w.started[one.Plan.ID] = w.Now
+				if _, begun := w.planStartedAt[one.Plan.ID]; !begun {
+					w.planStartedAt[one.Plan.ID] = w.Now
 				}
 			}
 			r.leader.HandleCommand(w.Now, &one)
-			w.carry(r)
+			w.carryOut(r)
 		}
 	}
 	w.after(1_000_000, func() { // a word may be given twice: its token tells
-		if w.told == nil || !slices.Contains(w.told.Tokens, one.Token) {
-			w.word(one, tries+1)
+		if w.committed == nil || !slices.Contains(w.committed.Tokens, one.Token) {
+			w.sendCommand(one, tries+1)
 		}
 	})
 }
 
 // answer lets an operator look after a fleet whose voters have forgotten.
-func (w *World) answer() {
-	w.after(5_000_000, w.answer)
-	if w.holder < 0 || !w.leading(w.routers[w.holder]) || w.routers[w.holder].leader.NotLeadingReason() == "" {
+func (w *World) recoverRecord() {
+	w.after(5_000_000, w.recoverRecord)
+	if w.holder < 0 || !w.holdsLease(w.routers[w.holder]) || w.routers[w.holder].leader.NotLeadingReason() == "" {
 		return
 	}
 	r := w.routers[w.holder]
-	w.words++
+	w.commandsSent++
 	w.trace("%s is in doubt: %s", r.name, r.leader.NotLeadingReason())
-	w.pardon = true // the word says so
-	r.leader.HandleCommand(w.Now, &rollout.Command{Type: rollout.CommandBegin, Token: fmt.Sprint("word-", w.words)})
-	w.carry(r)
+	w.recoveredByCommand = true // the word says so
+	r.leader.HandleCommand(w.Now, &rollout.Command{Type: rollout.CommandBegin, Token: fmt.Sprint("word-", w.commandsSent)})
+	w.carryOut(r)
 }
 
 // fault draws the next thing that goes wrong.
-func (w *World) fault() {
-	if w.quiet {
+func (w *World) injectFault() {
+	if w.faultsOver {
 		return
 	}
-	w.after(w.rng.Int64N(8_000_000), w.fault)
+	w.after(w.rng.Int64N(8_000_000), w.injectFault)
 	r := w.routers[w.rng.IntN(len(w.routers))]
 	span := 1 + w.rng.Int64N(10_000_000)
 	switch w.rng.IntN(14) {
@@ -76,7 +76,7 @@
 			if o.planned && o.leaving {
 				w.kill(o, span)
 				if w.rng.IntN(2) == 0 {
-					o.wrong = 1 + w.rng.IntN(3)
+					o.wrongVersionStarts = 1 + w.rng.IntN(3)
 				}
 				break
 			}
@@ -85,17 +85,17 @@
 		half := len(w.routers) / 2
 		for i, o := range w.routers {
 			if i < half {
-				o.side = 1
+				o.partition = 1
 			}
 		}
-		w.after(span, w.mend)
+		w.after(span, w.healPartitions)
 	case 6: // a zone cut off
 		for _, o := range w.routers {
 			if o.zone == r.zone {
-				o.side = 2
+				o.partition = 2
 			}
 		}
-		w.after(span, w.mend)
+		w.after(span, w.healPartitions)
 	case 7: // one way
 		if w.rng.IntN(2) == 0 {
 			r.mute = true
@@ -108,26 +108,26 @@
 			w.kill(w.routers[w.rng.IntN(w.Voters)], w.rng.Int64N(3_000_000))
 		}
 	case 9:
-		w.loss, w.twice = w.rng.Float64()*0.3, w.rng.Float64()*0.4
+		w.loss, w.duplication = w.rng.Float64()*0.3, w.rng.Float64()*0.4
 	case 10:
-		w.loss, w.twice = 0, 0
+		w.loss, w.duplication = 0, 0
 	case 11, 12: // a node
 		if len(w.nodes) > 0 {
 			n := w.nodes[w.rng.IntN(len(w.nodes))]
 			switch w.rng.IntN(3) {
 			case 0:
-				n.up, n.near, n.downAt = false, false, w.Now
+				n.up, n.nearLogEnd, n.downAt = false, false, w.Now
 				if n.primary {
 					w.after(2_000_000, func() { w.handOver(n) })
 				}
 				w.after(span, func() { n.up = true })
-				w.after(span+5_000_000, func() { n.near = n.up })
+				w.after(span+5_000_000, func() { n.nearLogEnd = n.up })
 			case 1:
-				n.near = false
-				w.after(span, func() { n.near = n.up })
+				n.nearLogEnd = false
+				w.after(span, func() { n.nearLogEnd = n.up })
 			default:
-				n.stays = true
-				w.after(3*span, func() { n.stays = false; w.handOver(n) })
+				n.keepsPrimary = true
+				w.after(3*span, func() { n.keepsPrimary = false; w.handOver(n) })
 			}
 		}
 	case 13: // an operator, or two of them
@@ -136,35 +136,35 @@
 		}
 		id := w.Plans[w.rng.IntN(len(w.Plans))].ID
 		verbs := []rollout.CommandType{rollout.CommandHalt, rollout.CommandResume, rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack}
-		w.word(rollout.Command{Type: verbs[w.rng.IntN(len(verbs))], PlanID: id}, 50)
-		w.word(rollout.Command{Type: verbs[w.rng.IntN(len(verbs))], PlanID: id}, 50)
+		w.sendCommand(rollout.Command{Type: verbs[w.rng.IntN(len(verbs))], PlanID: id}, 50)
+		w.sendCommand(rollout.Command{Type: verbs[w.rng.IntN(len(verbs))], PlanID: id}, 50)
 	}
 }
 
-func (w *World) mend() {
+func (w *World) healPartitions() {
 	for _, o := range w.routers {
-		o.side = 0
+		o.partition = 0
 	}
 }
 
 // kept checks what a leader knows to be kept by a majority: new slots are within the budget, by the truth.
-func (w *World) kept(rec *rollout.Record) {
-	was := w.told
-	w.told = rec
-	if was != nil && !w.pardon {
+func (w *World) checkCommitted(rec *rollout.Record) {
+	was := w.committed
+	w.committed = rec
+	if was != nil && !w.recoveredByCommand {
 		for _, p := range was.Plans {
-			if now := planOf(rec, p.Plan.ID); now == nil && !p.State.Ended() {
-				w.broken("plan %s is forgotten", p.Plan.ID)
+			if now := progressOf(rec, p.Plan.ID); now == nil && !p.State.Ended() {
+				w.violated("plan %s is forgotten", p.Plan.ID)
 			} else if now != nil {
 				for i, u := range p.Units {
 					if now.Units[i].Slot.Less(u.Slot) {
-						w.broken("slot %v of %s is forgotten", u.Slot, p.Plan.Units[i])
+						w.violated("slot %v of %s is forgotten", u.Slot, p.Plan.Units[i])
 					}
 				}
 			}
 		}
 	}
-	w.pardon = false
+	w.recoveredByCommand = false
 	holds := map[string]bool{}
 	for _, p := range rec.Plans {
 		for i, u := range p.Units {
@@ -174,45 +174,45 @@
 			}
 			holds[p.Plan.Kind.String()+name] = true
 			if p.Plan.Kind != rollout.KindNodes {
-				if g, had := w.given[name]; had && u.Slot.Less(g) {
-					w.broken("slot %v of %s is kept behind %v", u.Slot, name, g)
+				if g, had := w.grantedSlots[name]; had && u.Slot.Less(g) {
+					w.violated("slot %v of %s is kept behind %v", u.Slot, name, g)
 				}
-				w.given[name] = u.Slot
+				w.grantedSlots[name] = u.Slot
 			}
 		}
 	}
 	for _, p := range rec.Plans {
-		if old := planOf(was, p.Plan.ID); old != nil && old.State != p.State {
+		if old := progressOf(was, p.Plan.ID); old != nil && old.State != p.State {
 			w.trace("plan %s is %s: %s", p.Plan.ID, p.State, p.Reason)
-			w.note(4, int(p.State), 0)
+			w.addToHash(4, int(p.State), 0)
 		}
-		if p.State.Ended() && w.started[p.Plan.ID] > 0 {
-			w.fig.Done = append(w.fig.Done, w.Now-w.started[p.Plan.ID])
-			w.started[p.Plan.ID] = 0
+		if p.State.Ended() && w.planStartedAt[p.Plan.ID] > 0 {
+			w.result.PlanDurations = append(w.result.PlanDurations, w.Now-w.planStartedAt[p.Plan.ID])
+			w.planStartedAt[p.Plan.ID] = 0
 		}
-		if (p.State == rollout.StateRollingBack || p.State == rollout.StateHalted) && !w.halts[p.Plan.ID] && strings.HasSuffix(p.Reason, "same time") {
-			w.halts[p.Plan.ID] = true
-			w.fig.Halts++
+		if (p.State == rollout.StateRollingBack || p.State == rollout.StateHalted) && !w.haltsCounted[p.Plan.ID] && strings.HasSuffix(p.Reason, "same time") {
+			w.haltsCounted[p.Plan.ID] = true
+			w.result.HaltsByEvidence++
 		}
-		w.slots(p, planOf(was, p.Plan.ID), holds)
+		w.checkNewSlots(p, progressOf(was, p.Plan.ID), holds)
 	}
 	// a slot may be freed only by what its unit has proven, or by a word
 	for _, p := range rec.Plans {
-		old := planOf(was, p.Plan.ID)
+		old := progressOf(was, p.Plan.ID)
 		if old == nil {
 			continue
 		}
 		for i, u := range p.Units {
 			if name := p.Plan.Units[i]; old.Units[i].Phase.HoldsSlot() && u.Phase == rollout.PhaseDone && p.Plan.Kind != rollout.KindNodes {
-				if r := w.routers[w.byName[name]]; !r.ready && w.Now-r.downAt > 6_000_000 && r.downAt > r.upAt {
-					w.broken("the slot of %s is free, and it has been down for %d us", name, w.Now-r.downAt)
+				if r := w.routers[w.routerIndex[name]]; !r.ready && w.Now-r.downAt > 6_000_000 && r.downAt > r.upAt {
+					w.violated("the slot of %s is free, and it has been down for %d us", name, w.Now-r.downAt)
 				}
 			}
 		}
 	}
 }
 
-func planOf(r *rollout.Record, id string) *rollout.Progress {
+func progressOf(r *rollout.Record, id string) *rollout.Progress {
 	if r == nil {
 		return nil
 	}
@@ -225,14 +225,14 @@
 }
 
 // slots checks the slots that are new in a record.
-func (w *World) slots(p, was *rollout.Progress, holds map[string]bool) {
+func (w *World) checkNewSlots(p, was *rollout.Progress, holds map[string]bool) {
 	fresh := ""
 	for i, u := range p.Units {
-		if u.Phase.HoldsSlot() && (was == nil || !was.Units[i].Phase.HoldsSlot()) && u.Slot.Term == w.told.Term { // a former leader's is older than what is missed now
+		if u.Phase.HoldsSlot() && (was == nil || !was.Units[i].Phase.HoldsSlot()) && u.Slot.Term == w.committed.Term { // a former leader's is older than what is missed now
 			fresh = p.Plan.Units[i]
 		}
 		if p.Plan.Kind == rollout.KindNodes && u.Phase == rollout.PhaseUnavailable && (was == nil || was.Units[i].Phase != rollout.PhaseUnavailable) {
-			w.unused(p.Plan.Units[i])
+			w.checkUnused(p.Plan.Units[i])
 		}
 	}
 	if fresh == "" {
@@ -242,7 +242,7 @@
 	if p.Plan.Kind == rollout.KindNodes {
 		group := map[int]int{}
 		for _, n := range w.nodes {
-			if holds[p.Plan.Kind.String()+n.name] || !n.up && w.Now-n.downAt > known {
+			if holds[p.Plan.Kind.String()+n.name] || !n.up && w.Now-n.downAt > lossKnownAfter {
 				out++
 			}
 			if holds[p.Plan.Kind.String()+n.name] {
@@ -251,47 +251,47 @@
 		}
 		for g, n := range group {
 			if n > max(1, p.Plan.Budget.MaxPerGroup) {
-				w.broken("%d nodes of group %d are drained", n, g)
+				w.violated("%d nodes of group %d are drained", n, g)
 			}
 		}
 		if most := p.Plan.Budget.Limit(len(w.nodes)); out > most && w.loss == 0 {
-			w.broken("%s goes out, the %d. node of %d that may be", fresh, out, most)
+			w.violated("%s goes out, the %d. node of %d that may be", fresh, out, most)
 		}
 		return
 	}
 	for _, r := range w.routers {
-		if holds[rollout.KindRestart.String()+r.name] || holds[rollout.KindVersion.String()+r.name] || !r.up && w.Now-r.downAt > known {
+		if holds[rollout.KindRestart.String()+r.name] || holds[rollout.KindVersion.String()+r.name] || !r.up && w.Now-r.downAt > lossKnownAfter {
 			out++
 		}
 	}
 	if most := p.Plan.Budget.Limit(len(w.routers)); out > most {
-		w.broken("%s goes out, the %d. router of %d that may be", fresh, out, most)
+		w.violated("%s goes out, the %d. router of %d that may be", fresh, out, most)
 	}
 }
 
 // unused checks that no router that is up uses a node that counts as out of use; one that has only just started has its
 // first seconds to hear of it.
-func (w *World) unused(name string) {
+func (w *World) checkUnused(name string) {
 	for _, r := range w.routers {
 		if !r.up || w.Now-r.upAt < 5_000_000 {
 			continue
 		}
-		if _, drained := r.drains[name]; !drained || w.Now < r.open[name] {
-			w.broken("%s counts as out of use, and %s uses it", name, r.name)
+		if _, drained := r.drainedSince[name]; !drained || w.Now < r.openUntil[name] {
+			w.violated("%s counts as out of use, and %s uses it", name, r.name)
 		}
 	}
-	if w.node[name].primary {
-		w.broken("%s counts as out of use, and leads its group", name)
+	if w.nodeByName[name].primary {
+		w.violated("%s counts as out of use, and leads its group", name)
 	}
 }
 
 // ends checks that every plan has ended or says why it stands, and that no slot is forgotten.
-func (w *World) ends() {
-	if w.told == nil {
-		w.broken("nobody leads at the end")
+func (w *World) checkEnd() {
+	if w.committed == nil {
+		w.violated("nobody leads at the end")
 		return
 	}
-	for _, p := range w.told.Plans {
+	for _, p := range w.committed.Plans {
 		if p.State == rollout.StateRunning || p.State == rollout.StateRollingBack {
 			stuck := 0
 			for _, u := range p.Units {
@@ -300,25 +300,25 @@
 				}
 			}
 			if stuck == 0 {
-				w.broken("plan %s is %s at the end (%s), with no reason", p.Plan.ID, p.State, p.Reason)
+				w.violated("plan %s is %s at the end (%s), with no reason", p.Plan.ID, p.State, p.Reason)
 			}
 		}
 		if p.Plan.Kind == rollout.KindNodes || p.State == rollout.StateHalted && p.Plan.Kind == rollout.KindVersion {
 			continue
 		}
 		for i, u := range p.Units {
-			if r := w.routers[w.byName[p.Plan.Units[i]]]; u.Phase.HoldsSlot() && u.Phase != rollout.PhaseStuck && r.ready && r.born != u.Incarnation && w.Now-r.upAt > 60_000_000 {
-				w.broken("the slot of %s is forgotten: it is %v", r.name, u.Phase)
+			if r := w.routers[w.routerIndex[p.Plan.Units[i]]]; u.Phase.HoldsSlot() && u.Phase != rollout.PhaseStuck && r.ready && r.incarnation != u.Incarnation && w.Now-r.upAt > 60_000_000 {
+				w.violated("the slot of %s is forgotten: it is %v", r.name, u.Phase)
 			}
 		}
 	}
 }
 
 // Mixed draws a setup of mixed faults from a seed.
-func Mixed(seed uint64) Setup {
+func MixedFaults(seed uint64) Setup {
 	rng := rand.New(rand.NewPCG(seed, 10))
-	s := Setup{Seed: seed, Routers: 10 + rng.IntN(15), Voters: []int{3, 3, 5}[rng.IntN(3)], Groups: 3 + rng.IntN(4), Lasting: rng.IntN(2) == 0, Faults: true,
-		Span: 90_000_000, After: 420_000_000}
+	s := Setup{Seed: seed, Routers: 10 + rng.IntN(15), Voters: []int{3, 3, 5}[rng.IntN(3)], Groups: 3 + rng.IntN(4), DurableVoters: rng.IntN(2) == 0, Faults: true,
+		FaultTime: 90_000_000, QuietTime: 420_000_000}
 	if rng.IntN(8) == 0 {
 		s.Routers = 40 + rng.IntN(40)
 	}
@@ -338,7 +338,7 @@
 	if rng.IntN(2) == 0 {
 		first.Kind, first.TargetVersion, first.PreviousVersion = rollout.KindVersion, 2, 1
 		if rng.IntN(3) == 0 {
-			s.Bad = 0.02 + 0.1*rng.Float64()
+			s.ExtraFailureShare = 0.02 + 0.1*rng.Float64()
 		}
 	}
 	s.Plans = append(s.Plans, first)
@@ -350,27 +350,27 @@
 }
 
 // plant plants the mistakes that lie in what a leader is told.
-func (w *World) plant(r *router) {
+func (w *World) plantMistake(r *router) {
 	switch w.Planted {
-	case NoUnplanned: // whoever is missed is said to be there
+	case IgnoresUnplannedLosses: // whoever is missed is said to be there
 		for _, o := range w.routers {
 			if !o.up && !o.planned {
-				r.leader.HandleReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.born, Version: o.version, Ready: true, Counts: o.served})
+				r.leader.HandleReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.incarnation, Version: o.version, Ready: true, Counts: o.counts})
 			}
 		}
 		for _, n := range w.nodes {
 			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: true, NearLogEnd: true, WorkShare: 1.0 / 3})
 		}
-	case FreesByTime: // whoever has been away for a while is said to be back
+	case FreesSlotByTime: // whoever has been away for a while is said to be back
 		for _, o := range w.routers {
 			if !o.up && o.planned && w.Now-o.downAt > 2_000_000 {
-				r.leader.HandleReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.born + 1, Version: o.next, Ready: true, Counts: rollout.CommandCounts{Commands: 1000}})
+				r.leader.HandleReport(w.Now, &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.incarnation + 1, Version: o.nextVersion, Ready: true, Counts: rollout.CommandCounts{Commands: 1000}})
 			}
 		}
-	case LeavesOpen: // nobody is said to have anything open
+	case IgnoresOpenCommands: // nobody is said to have anything open
 		if _, rec := r.leader.Leading(); rec != nil {
 			for _, o := range w.routers {
-				p := &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.born, Version: o.version, Ready: o.ready, Counts: o.served}
+				p := &rollout.Report{Member: o.name, Zone: o.zone, Incarnation: o.incarnation, Version: o.version, Ready: o.ready, Counts: o.counts}
 				for _, name := range rollout.DrainStatement(rec).DrainedNodes {
 					p.Nodes = append(p.Nodes, rollout.NodeUse{Node: name})
 				}
@@ -379,13 +379,13 @@
 				}
 			}
 		}
-	case NoHandOver: // no node is said to lead once it is drained
+	case IgnoresPrimary: // no node is said to lead once it is drained
 		for _, n := range w.nodes {
-			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary && !w.drainedNow(n.name), Up: n.up, NearLogEnd: n.near, WorkShare: 1.0 / 3})
+			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary && !w.isDrained(n.name), Up: n.up, NearLogEnd: n.nearLogEnd, WorkShare: 1.0 / 3})
 		}
-	case NoGroups: // each node is said to be a group of its own, with others that are well
+	case IgnoresGroups: // each node is said to be a group of its own, with others that are well
 		for i, n := range w.nodes {
-			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: 1000 + i, Primary: false, Up: n.up, NearLogEnd: n.near})
+			r.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: 1000 + i, Primary: false, Up: n.up, NearLogEnd: n.nearLogEnd})
 			r.leader.SetNode(rollout.NodeState{Name: n.name + "+", Group: 1000 + i, Primary: true, Up: true, NearLogEnd: true})
 			r.leader.SetNode(rollout.NodeState{Name: n.name + "-", Group: 1000 + i, Up: true, NearLogEnd: true})
 		}
@@ -394,23 +394,23 @@
 
 // Way is how long a router is out at the mean, from its slot to its proof: what it still serves, its stop, its supervisor's
 // pause, its start, a second's report, and twenty commands.
-const Way = 7 * time.Second
+const MeanTimeOut = 7 * time.Second
 
 // Versions draws a run without faults in which a new version fails so much more.
-func Versions(seed uint64, bad float64) Setup {
-	s := Mixed(seed)
-	s.Faults, s.Bad, s.Plans, s.Span, s.After = false, bad, s.Plans[:1], 300_000_000, 900_000_000
+func VersionRollout(seed uint64, bad float64) Setup {
+	s := MixedFaults(seed)
+	s.Faults, s.ExtraFailureShare, s.Plans, s.FaultTime, s.QuietTime = false, bad, s.Plans[:1], 300_000_000, 900_000_000
 	p := &s.Plans[0]
 	p.Kind, p.TargetVersion, p.PreviousVersion, p.WatchTime, p.ProgressTimeout = rollout.KindVersion, 2, 1, 30_000_000, 120_000_000
 	return s
 }
 
 // Touched counts the routers that a plan's version reached.
-func (w *World) Touched() (n int) {
-	if w.told == nil {
+func (w *World) TouchedRouters() (n int) {
+	if w.committed == nil {
 		return 0
 	}
-	for _, u := range w.told.Plans[0].Units {
+	for _, u := range w.committed.Plans[0].Units {
 		if u.Attempts > 0 {
 			n++
 		}
--- a/internal/simulation/rolloutsim/rollout_test.go
+++ b/internal/simulation/rolloutsim/rollout_test.go
@@ -12,10 +12,10 @@
 // TestMixedFaults plays plans under mixed faults.
 func TestMixedFaults(t *testing.T) {
 	for seed := range uint64(*seeds) {
-		w := New(Mixed(seed))
+		w := New(MixedFaults(seed))
 		w.Run()
-		if w.Broken != "" {
-			t.Errorf("seed %d: %s", seed, w.Broken)
+		if w.Violation != "" {
+			t.Errorf("seed %d: %s", seed, w.Violation)
 		}
 	}
 }
@@ -23,7 +23,7 @@
 // TestSameSeedSameRun compares the hash over all events of two runs of each seed.
 func TestSameSeedSameRun(t *testing.T) {
 	for seed := range uint64(5) {
-		a, b := New(Mixed(seed)).Run(), New(Mixed(seed)).Run()
+		a, b := New(MixedFaults(seed)).Run(), New(MixedFaults(seed)).Run()
 		if a.Hash != b.Hash {
 			t.Errorf("seed %d: %x and %x", seed, a.Hash, b.Hash)
 		}
@@ -32,20 +32,20 @@
 
 // TestPlanted plants each mistake and sees it found; the one that takes many seeds begins near one that shows it.
 func TestPlanted(t *testing.T) {
-	for m := FreesByTime; m < Mistakes; m++ {
+	for m := FreesSlotByTime; m < Mistakes; m++ {
 		t.Run(fmt.Sprint(m), func(t *testing.T) {
 			t.Parallel()
 			from := uint64(0)
-			if m == NoHandOver {
+			if m == IgnoresPrimary {
 				from = 420
 			}
 			for seed := from; seed < from+20; seed++ {
-				s := Mixed(seed)
+				s := MixedFaults(seed)
 				s.Planted = m
 				w := New(s)
 				w.Run()
-				if w.Broken != "" {
-					t.Logf("found with seed %d: %s", seed, w.Broken)
+				if w.Violation != "" {
+					t.Logf("found with seed %d: %s", seed, w.Violation)
 					return
 				}
 			}
@@ -59,18 +59,18 @@
 func TestHalts(t *testing.T) {
 	for seed := range uint64(*halts) {
 		for _, bad := range []float64{0, 0.02} {
-			w := New(Versions(seed, bad))
+			w := New(VersionRollout(seed, bad))
 			f := w.Run()
-			p := w.told.Plans[0]
-			if w.Broken != "" || (f.Halts > 0) != (bad > 0) {
-				t.Errorf("seed %d, %.0f%% bad: %d halts, plan %s: %s %s", seed, 100*bad, f.Halts, p.State, p.Reason, w.Broken)
+			p := w.committed.Plans[0]
+			if w.Violation != "" || (f.HaltsByEvidence > 0) != (bad > 0) {
+				t.Errorf("seed %d, %.0f%% bad: %d halts, plan %s: %s %s", seed, 100*bad, f.HaltsByEvidence, p.State, p.Reason, w.Violation)
 			}
 			for i := range p.Units {
-				if r := w.routers[w.byName[p.Plan.Units[i]]]; bad > 0 && r.version != 1 {
+				if r := w.routers[w.routerIndex[p.Plan.Units[i]]]; bad > 0 && r.version != 1 {
 					t.Errorf("seed %d: %s has the bad version", seed, r.name)
 				}
 			}
-			if touched := w.Touched(); bad > 0 && touched > 2 {
+			if touched := w.TouchedRouters(); bad > 0 && touched > 2 {
 				t.Errorf("seed %d: %d routers were touched before it halted", seed, touched)
 			}
 		}
--- a/internal/testcluster/proof/rollout.go
+++ b/internal/testcluster/proof/rollout.go
@@ -61,11 +61,11 @@
 }
 
 func (p Rollout) mixed() (events int64, leaders, hashes int, broken string) {
-	hashes, broken = search(p.From, p.Seeds, p.Twice, func(seed uint64) (f rolloutsim.Figures, hash uint64, broken string) {
-		w := rolloutsim.New(rolloutsim.Mixed(seed))
+	hashes, broken = search(p.From, p.Seeds, p.Twice, func(seed uint64) (f rolloutsim.Result, hash uint64, broken string) {
+		w := rolloutsim.New(rolloutsim.MixedFaults(seed))
 		f = w.Run()
-		return f, f.Hash, w.Broken
-	}, func(f rolloutsim.Figures) {
+		return f, f.Hash, w.Violation
+	}, func(f rolloutsim.Result) {
 		events, leaders = events+f.Events, leaders+f.Leaders
 	})
 	return events, leaders, hashes, broken
@@ -74,11 +74,11 @@
 // find is the first seed that shows a planted mistake, -1 for none.
 func (p Rollout) find(m rolloutsim.Mistake) int {
 	return first(p.Plant, func(seed uint64) bool {
-		s := rolloutsim.Mixed(seed)
+		s := rolloutsim.MixedFaults(seed)
 		s.Planted = m
 		w := rolloutsim.New(s)
 		w.Run()
-		return w.Broken != ""
+		return w.Violation != ""
 	})
 }
 
@@ -87,15 +87,15 @@
 	var mu sync.Mutex
 	each(p.Halts, func(i int) bool {
 		for _, bad := range []float64{0, 0.02} {
-			w := rolloutsim.New(rolloutsim.Versions(uint64(i), bad))
+			w := rolloutsim.New(rolloutsim.VersionRollout(uint64(i), bad))
 			f := w.Run()
 			mu.Lock()
 			switch {
-			case bad == 0 && f.Halts > 0:
+			case bad == 0 && f.HaltsByEvidence > 0:
 				noise++
-			case bad > 0 && f.Halts == 0:
+			case bad > 0 && f.HaltsByEvidence == 0:
 				missed++
-			case bad > 0 && w.Touched() > 2:
+			case bad > 0 && w.TouchedRouters() > 2:
 				more++
 			}
 			mu.Unlock()
@@ -115,9 +115,9 @@
 		for i := range n {
 			plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
 		}
-		w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: n, Voters: 3, Plans: []rollout.Plan{plan}, Span: 1_800_000_000, After: 1_000_000})
+		w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: n, Voters: 3, Plans: []rollout.Plan{plan}, FaultTime: 1_800_000_000, QuietTime: 1_000_000})
 		f := w.Run()
-		if len(f.Done) == 0 {
+		if len(f.PlanDurations) == 0 {
 			fmt.Fprintf(out, "%d\t-\t-\t-\t-\t-\t\n", n)
 			worst = 99
 			continue
@@ -128,12 +128,12 @@
 		sizes := append(slices.Clone(plan.WaveSizes), n)
 		for left, k := n, 0; left > 0; k++ {
 			size := min(sizes[min(k, len(sizes)-1)], left)
-			least += float64((size+most-1)/most)*rolloutsim.Way.Seconds() + float64(plan.WatchTime)/1e6
+			least += float64((size+most-1)/most)*rolloutsim.MeanTimeOut.Seconds() + float64(plan.WatchTime)/1e6
 			left -= size
 		}
-		took := float64(f.Done[0]) / 1e6
+		took := float64(f.PlanDurations[0]) / 1e6
 		worst = max(worst, took/least)
-		fmt.Fprintf(out, "%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t\n", n, most, f.Most, took, least, took/least)
+		fmt.Fprintf(out, "%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t\n", n, most, f.MaxUnavailable, took, least, took/least)
 	}
 	out.Flush()
 	return worst
@@ -141,11 +141,11 @@
 
 // TraceRollout plays one seed and prints what happens.
 func TraceRollout(seed uint64, out io.Writer) error {
-	w := rolloutsim.New(rolloutsim.Mixed(seed))
+	w := rolloutsim.New(rolloutsim.MixedFaults(seed))
 	w.Trace = func(at int64, what string) { fmt.Fprintf(out, "%10.3f %s\n", float64(at)/1e6, what) }
 	w.Run()
-	if w.Broken != "" {
-		return errors.New(w.Broken)
+	if w.Violation != "" {
+		return errors.New(w.Violation)
 	}
 	return nil
 }
