--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -242,7 +242,7 @@
 	if r != nil && (r.Complete() || r.Code != "") {
 		p.end(now, j, outcome(r), r)
 	} else {
-		p.end(now, j, routing.Broken, nil)
+		p.end(now, j, routing.ConnectionLost, nil)
 	}
 }
 
@@ -255,9 +255,9 @@
 	case "":
 		return routing.Answered
 	case pgwire.CodeRejected:
-		return routing.Full
+		return routing.Rejected
 	case pgwire.CodeNoPrimary, pgwire.CodeTooOld:
-		return routing.Missed
+		return routing.NotPrimary
 	}
 	return routing.Errored
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -122,7 +122,7 @@
 	if n := p.nodes[name]; n != nil {
 		for _, j := range n.waiting {
 			if j.d != nil {
-				p.later(j, routing.Unsent)
+				p.later(j, routing.NotSent)
 			}
 		}
 		n.waiting = slices.DeleteFunc(n.waiting, func(j *job) bool { return j.d != nil })
@@ -148,7 +148,7 @@
 	}
 	if n == nil { // listed without a usable address
 		j.node = &node{name: name}
-		p.later(j, routing.Unconnected)
+		p.later(j, routing.ConnectFailed)
 		return
 	}
 	j.node = n
@@ -167,7 +167,7 @@
 		if j.link == nil && !j.over {
 			n := j.node
 			n.unwait(j)
-			p.end(now, j, routing.Unconnected, nil)
+			p.end(now, j, routing.ConnectFailed, nil)
 		}
 	})
 }
@@ -184,7 +184,7 @@
 		}
 		crowded.Add()
 		last := len(n.waiting) - 1
-		p.later(n.waiting[last], routing.Unconnected)
+		p.later(n.waiting[last], routing.ConnectFailed)
 		n.waiting = n.waiting[:last]
 	}
 }
@@ -233,9 +233,9 @@
 			if n.short() {
 				j := n.waiting[0]
 				n.waiting = n.waiting[1:]
-				o := routing.Unconnected
+				o := routing.ConnectFailed
 				if code == pgwire.CodeRejected {
-					o = routing.Full
+					o = routing.Rejected
 				}
 				p.end(now, j, o, nil)
 			}
@@ -310,7 +310,7 @@
 		now := p.now()
 		if !j.d.MayStart(now) {
 			late.Add()
-			p.later(j, routing.Unsent)
+			p.later(j, routing.NotSent)
 			p.free(now, l)
 			return
 		}
@@ -330,10 +330,10 @@
 	switch {
 	case errors.Is(err, stream.ErrUnwritten):
 		p.drop(l)
-		p.end(now, j, routing.Unconnected, nil)
+		p.end(now, j, routing.ConnectFailed, nil)
 	case err != nil:
 		p.drop(l)
-		p.end(now, j, routing.Broken, nil)
+		p.end(now, j, routing.ConnectionLost, nil)
 	case l.lost && l.job == j:
 		p.lost(now, l, l.last)
 	}
--- a/internal/discovery/nodelist.go
+++ b/internal/discovery/nodelist.go
@@ -13,7 +13,7 @@
 type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Shard                     int
-	State                     routing.State
+	State                     routing.EndpointState
 	Primary                   bool
 	StartedAt                 int64 // us in Unix time, 0 for long ago
 }
--- a/internal/engine/cluster_services.go
+++ b/internal/engine/cluster_services.go
@@ -48,7 +48,7 @@
 
 // noteEndpoint notes an endpoint of a list, and returns the state in which the routing module hears of it: what a
 // rollout drains is draining though the list calls it up.
-func (s *clusterServices) noteEndpoint(endpoint discovery.Endpoint) routing.State {
+func (s *clusterServices) noteEndpoint(endpoint discovery.Endpoint) routing.EndpointState {
 	if s == nil {
 		return endpoint.State
 	}
@@ -118,7 +118,7 @@
 func (e *Engine) NodeStatuses() (statuses []NodeStatus) {
 	s := e.services
 	for name, endpoint := range s.endpoints {
-		role, suspected, position := e.router.Standing(name)
+		role, suspected, position := e.router.NodeStatus(name)
 		statuses = append(statuses, NodeStatus{
 			Name:         name,
 			Zone:         endpoint.Zone,
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -96,7 +96,7 @@
 			e.mu.Unlock()
 			h.up(conn)
 			got := <-e.results
-			if c.want == "unsent" && got.o != routing.Unsent || c.want == "written" && got.o != routing.Answered {
+			if c.want == "unsent" && got.o != routing.NotSent || c.want == "written" && got.o != routing.Answered {
 				t.Errorf("%d, want it %s", got.o, c.want)
 			}
 			e.send(p, "n0", 0) // the connection is as good as before; nothing else was ever written on it
--- a/internal/engine/endpoint_list.go
+++ b/internal/engine/endpoint_list.go
@@ -17,7 +17,7 @@
 // distribute hands a list to the connections, the routing module and the shared health checks, with the endpoints that
 // rollouts drain as draining.
 func (e *Engine) distribute(now int64, list *discovery.EndpointList) {
-	e.router.ListBegins(now, list.Complete)
+	e.router.BeginEndpointList(now, list.Complete)
 	for _, n := range list.Endpoints {
 		if n.State == routing.Removed {
 			e.connections.CloseIdle(n.Name)
@@ -25,12 +25,12 @@
 			e.connections.SetAddress(n.Name, n.Address)
 		}
 		state := e.services.noteEndpoint(n)
-		e.router.ListNode(now, n.Name, n.Zone, n.Kind, n.Shard, state, n.Primary, n.StartedAt)
+		e.router.UpdateEndpoint(now, n.Name, n.Zone, n.Kind, n.Shard, state, n.Primary, n.StartedAt)
 		if e.sharedProbes != nil {
 			e.sharedProbes.EndpointListed(now, n.Name, state, n.StartedAt)
 		}
 	}
-	e.router.ListEnds(now)
+	e.router.EndEndpointList(now)
 	if e.sharedProbes != nil {
 		e.sharedProbes.ListApplied(now, list.Complete)
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -31,7 +31,7 @@
 type SharedProbes interface {
 	// EndpointListed tells one endpoint of a list that the router applies, and ListApplied the list's end; a complete
 	// list names all endpoints that there are.
-	EndpointListed(now int64, name string, state routing.State, started int64)
+	EndpointListed(now int64, name string, state routing.EndpointState, started int64)
 	ListApplied(now int64, complete bool)
 	// HealthCheckEnded tells the outcome of a health check, whoever asked for it, with the replicated position (us in
 	// Unix time, 0 where not told) and the role that the node reported: 1 for primary, -1 for replica, 0 where not told.
@@ -131,7 +131,7 @@
 
 // GiveUpAll ends every request that has no answer yet: rejected where it never ran, failed else.
 func (e *Engine) GiveUpAll() {
-	e.Post(e.now(), func(int64) { e.router.Leave() })
+	e.Post(e.now(), func(int64) { e.router.Shutdown() })
 }
 
 // Stop ends Run; what is posted from then on is not handled.
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -24,7 +24,7 @@
 // HealthCheckEnded implements inflight.ResultHandler.
 func (e *Engine) HealthCheckEnded(now int64, node string, elapsed int64, outcome routing.Outcome, load string) {
 	position, role := e.applyLoadReport(now, node, load)
-	e.router.Probed(now, node, elapsed, outcome)
+	e.router.HealthChecked(now, node, elapsed, outcome)
 	if e.sharedProbes != nil {
 		e.sharedProbes.HealthCheckEnded(now, node, outcome, position, role, load)
 	}
@@ -39,11 +39,13 @@
 	if !plausiblePosition(now, position) {
 		position = 0
 	}
-	e.router.Heard(now, node, at, position, role, silent, alive)
+	e.router.GossipReceived(now, node, at, position, role, silent, alive)
 }
 
 // DelegateHealthChecks tells the routing module whether another router checks a node's health.
-func (e *Engine) DelegateHealthChecks(node string, delegated bool) { e.router.Left(node, delegated) }
+func (e *Engine) DelegateHealthChecks(node string, delegated bool) {
+	e.router.SetCheckedByPeer(node, delegated)
+}
 
 // applyReplyStatus passes on what a node told of itself beside an answer.
 func (e *Engine) applyReplyStatus(now int64, node string, reply *pgwire.Reply) {
@@ -56,7 +58,7 @@
 	if !plausiblePosition(now, reply.Position) {
 		reply.Position = 0
 	}
-	e.router.Seen(now, node, role, reply.Position)
+	e.router.ObserveReply(now, node, role, reply.Position)
 	e.applyLoadReport(now, node, reply.Load)
 }
 
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -13,15 +13,15 @@
 	commandsAccepted = metrics.New("commands taken")
 	duplicateIDs     = metrics.New("commands with an id in hand")
 	attemptOutcomes  = [...]*metrics.Counter{
-		routing.Errored:     metrics.New("dispatches errored"),
-		routing.Answered:    metrics.New("dispatches answered"),
-		routing.Full:        metrics.New("dispatches turned away"),
-		routing.TimedOut:    metrics.New("dispatches timed out"),
-		routing.Unconnected: metrics.New("dispatches unconnected"),
-		routing.Broken:      metrics.New("dispatches broken"),
-		routing.Withdrawn:   metrics.New("dispatches withdrawn"),
-		routing.Unsent:      metrics.New("dispatches unsent"),
-		routing.Missed:      metrics.New("dispatches missed"),
+		routing.Errored:        metrics.New("dispatches errored"),
+		routing.Answered:       metrics.New("dispatches answered"),
+		routing.Rejected:       metrics.New("dispatches turned away"),
+		routing.TimedOut:       metrics.New("dispatches timed out"),
+		routing.ConnectFailed:  metrics.New("dispatches unconnected"),
+		routing.ConnectionLost: metrics.New("dispatches broken"),
+		routing.Canceled:       metrics.New("dispatches withdrawn"),
+		routing.NotSent:        metrics.New("dispatches unsent"),
+		routing.NotPrimary:     metrics.New("dispatches missed"),
 	}
 )
 
@@ -47,14 +47,14 @@
 	if command.LastCommit > 0 {
 		sinceCommit = max(1, now-command.LastCommit)
 	}
-	e.router.Arrive(now, command.ID, request.Group, request.Tenant, command.Session, request.Deadline-now, command.Shard, sinceCommit)
+	e.router.RequestArrived(now, command.ID, request.Group, request.Tenant, command.Session, request.Deadline-now, command.Shard, sinceCommit)
 }
 
 // ClientGone implements inflight.Intake.
 func (e *Engine) ClientGone(at int64, request *inflight.Request) {
 	e.Post(at, func(now int64) {
 		if request.ClientGone() {
-			e.router.Gone(now, request.Command.ID)
+			e.router.ClientGone(now, request.Command.ID)
 			e.concluded(request)
 		}
 	})
@@ -76,7 +76,7 @@
 	if reply != nil {
 		e.applyReplyStatus(now, attempt.Node, reply)
 	}
-	e.router.Result(now, request.Command.ID, attempt.Node, attempt.Number, outcome, elapsed, request.Concluded())
+	e.router.AttemptEnded(now, request.Command.ID, attempt.Node, attempt.Number, outcome, elapsed, request.Concluded())
 	e.removeIfDone(request)
 }
 
@@ -88,7 +88,7 @@
 	}
 	attempt.Abandoned = true
 	if mayHaveRun := e.connections.Cancel(attempt); !mayHaveRun {
-		outcome = routing.Unsent
+		outcome = routing.NotSent
 	}
 	e.Post(e.now(), func(now int64) { e.AttemptEnded(now, attempt, outcome, nil) })
 }
--- a/internal/engine/router_actions.go
+++ b/internal/engine/router_actions.go
@@ -13,8 +13,8 @@
 // Actions returns what the routing module is made with.
 func (e *Engine) Actions() routing.Actions { return routerActions{e} }
 
-// Dispatch implements routing.Actions.
-func (a routerActions) Dispatch(cmd, node string, timeout, within int64) {
+// StartAttempt implements routing.Actions.
+func (a routerActions) StartAttempt(cmd, node string, timeout, within int64) {
 	e := a.engine
 	request := e.requests[cmd]
 	if !invariant.That(request != nil && !request.Concluded(), "a command is dispatched before its final answer") {
@@ -26,8 +26,8 @@
 	e.After(attempt.Deadline-e.eventTime, func(int64) { e.abandonAttempt(attempt, routing.TimedOut) })
 }
 
-// Throttle implements routing.Actions.
-func (a routerActions) Throttle(cmd string, retryIn int64) {
+// RejectWithRetry implements routing.Actions.
+func (a routerActions) RejectWithRetry(cmd string, retryIn int64) {
 	request := a.engine.requests[cmd]
 	if invariant.That(request != nil, "a throttled command is in hand") {
 		request.Reject(retryIn)
@@ -44,33 +44,33 @@
 	}
 }
 
-// Withdraw implements routing.Actions.
-func (a routerActions) Withdraw(cmd string, dispatch int) {
+// CancelAttempt implements routing.Actions.
+func (a routerActions) CancelAttempt(cmd string, dispatch int) {
 	request := a.engine.requests[cmd]
 	if invariant.That(request != nil && dispatch < len(request.Attempts), "a withdrawn dispatch was made") {
-		a.engine.abandonAttempt(request.Attempts[dispatch], routing.Withdrawn)
+		a.engine.abandonAttempt(request.Attempts[dispatch], routing.Canceled)
 	}
 }
 
-// Timer implements routing.Actions.
-func (a routerActions) Timer(in int64, cookie uint64) {
-	a.engine.After(in, func(now int64) { a.engine.router.Timer(now, cookie) })
+// SetTimer implements routing.Actions.
+func (a routerActions) SetTimer(in int64, cookie uint64) {
+	a.engine.After(in, func(now int64) { a.engine.router.TimerFired(now, cookie) })
 }
 
-// Probe implements routing.Actions.
-func (a routerActions) Probe(node string) { a.engine.connections.HealthCheck(node) }
+// CheckHealth implements routing.Actions.
+func (a routerActions) CheckHealth(node string) { a.engine.connections.HealthCheck(node) }
 
-// Release implements routing.Actions.
-func (a routerActions) Release(node string) { a.engine.connections.CloseIdle(node) }
+// CloseIdleConnections implements routing.Actions.
+func (a routerActions) CloseIdleConnections(node string) { a.engine.connections.CloseIdle(node) }
 
-// Bar implements routing.Actions.
-func (a routerActions) Bar(node string) { a.engine.connections.FailWaiting(node) }
+// StopNewAttempts implements routing.Actions.
+func (a routerActions) StopNewAttempts(node string) { a.engine.connections.FailWaiting(node) }
 
-// Forget implements routing.Actions.
-func (a routerActions) Forget(node string) { a.engine.connections.Remove(node) }
+// ForgetNode implements routing.Actions.
+func (a routerActions) ForgetNode(node string) { a.engine.connections.Remove(node) }
 
-// Follow implements routing.Actions; a router on sockets always follows the endpoint list.
-func (routerActions) Follow() {}
+// WatchEndpoints implements routing.Actions; a router on sockets always follows the endpoint list.
+func (routerActions) WatchEndpoints() {}
 
 // Tell implements routing.Actions; routers on sockets pass no notes of the routing module's.
 func (routerActions) Tell(int, []byte) {}
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -103,27 +103,27 @@
 	}{
 		"row":                          {scriptedserver.Welcome, scriptedserver.Status("role", "primary") + scriptedserver.Row + scriptedserver.Ready, routing.Answered},
 		"row, closed before ready":     {scriptedserver.Welcome, scriptedserver.Row + "!", routing.Answered},
-		"no primary":                   {scriptedserver.Welcome, scriptedserver.Failure("25006"), routing.Missed},
-		"too far behind":               {scriptedserver.Welcome, scriptedserver.Failure("72000"), routing.Missed},
+		"no primary":                   {scriptedserver.Welcome, scriptedserver.Failure("25006"), routing.NotPrimary},
+		"too far behind":               {scriptedserver.Welcome, scriptedserver.Failure("72000"), routing.NotPrimary},
 		"error":                        {scriptedserver.Welcome, scriptedserver.Failure("XX000"), routing.Errored},
 		"fatal error":                  {scriptedserver.Welcome, string(pgwire.AppendError(nil, true, "XX000", "no", 0)) + "!", routing.Errored},
-		"turned away":                  {scriptedserver.Welcome, scriptedserver.Failure("53300"), routing.Full},
-		"turned away while signing on": {string(pgwire.AppendError(nil, true, "53300", "no", 0)), "", routing.Full},
-		"not let in":                   {string(pgwire.AppendError(nil, true, "28000", "no", 0)), "", routing.Unconnected},
-		"password wanted":              {"R\x00\x00\x00\x08\x00\x00\x00\x03", "", routing.Unconnected},
-		"never comes up":               {"", "", routing.Unconnected},
-		"closed after the query":       {scriptedserver.Welcome, "!", routing.Broken},
-		"closed within the row":        {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + "!", routing.Broken},
-		"garbage":                      {scriptedserver.Welcome, "what is this", routing.Broken},
+		"turned away":                  {scriptedserver.Welcome, scriptedserver.Failure("53300"), routing.Rejected},
+		"turned away while signing on": {string(pgwire.AppendError(nil, true, "53300", "no", 0)), "", routing.Rejected},
+		"not let in":                   {string(pgwire.AppendError(nil, true, "28000", "no", 0)), "", routing.ConnectFailed},
+		"password wanted":              {"R\x00\x00\x00\x08\x00\x00\x00\x03", "", routing.ConnectFailed},
+		"never comes up":               {"", "", routing.ConnectFailed},
+		"closed after the query":       {scriptedserver.Welcome, "!", routing.ConnectionLost},
+		"closed within the row":        {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + "!", routing.ConnectionLost},
+		"garbage":                      {scriptedserver.Welcome, "what is this", routing.ConnectionLost},
 		"an error within the row":      {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + scriptedserver.Failure("53300"), routing.Errored},
 		"a miss within the row":        {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.Failure("25006"), routing.Errored},
-		"an error cut short":           {scriptedserver.Welcome, scriptedserver.Failure("53300")[:9] + "!", routing.Broken},
-		"the tag's last byte missing":  {scriptedserver.Welcome, scriptedserver.Row[:len(scriptedserver.Row)-1] + "!", routing.Broken},
-		"two rows":                     {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + scriptedserver.RowValue + scriptedserver.RowEnd + scriptedserver.Ready, routing.Broken},
-		"a value too long":             {scriptedserver.Welcome, scriptedserver.RowStart + "D\x00\x03\x00\x00", routing.Broken},
-		"ready out of turn":            {scriptedserver.Welcome, scriptedserver.Ready, routing.Broken},
-		"a description cut short":      {scriptedserver.Welcome, "T\x00\x00\x00\x0a\x00\x01ab\x00\x00" + scriptedserver.RowValue + scriptedserver.RowEnd + scriptedserver.Ready, routing.Broken},
-		"a tag that does not end":      {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + "C\x00\x00\x00\x05x" + scriptedserver.Ready, routing.Broken},
+		"an error cut short":           {scriptedserver.Welcome, scriptedserver.Failure("53300")[:9] + "!", routing.ConnectionLost},
+		"the tag's last byte missing":  {scriptedserver.Welcome, scriptedserver.Row[:len(scriptedserver.Row)-1] + "!", routing.ConnectionLost},
+		"two rows":                     {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + scriptedserver.RowValue + scriptedserver.RowEnd + scriptedserver.Ready, routing.ConnectionLost},
+		"a value too long":             {scriptedserver.Welcome, scriptedserver.RowStart + "D\x00\x03\x00\x00", routing.ConnectionLost},
+		"ready out of turn":            {scriptedserver.Welcome, scriptedserver.Ready, routing.ConnectionLost},
+		"a description cut short":      {scriptedserver.Welcome, "T\x00\x00\x00\x0a\x00\x01ab\x00\x00" + scriptedserver.RowValue + scriptedserver.RowEnd + scriptedserver.Ready, routing.ConnectionLost},
+		"a tag that does not end":      {scriptedserver.Welcome, scriptedserver.RowStart + scriptedserver.RowValue + "C\x00\x00\x00\x05x" + scriptedserver.Ready, routing.ConnectionLost},
 		"reports that can't be read": {scriptedserver.Welcome, scriptedserver.Status("load", "x0=\xff,x1") + scriptedserver.Status("applied_ms", "soon") +
 			"S\x00\x00\x00\x06no" + scriptedserver.Row + scriptedserver.Ready, routing.Answered},
 	} {
@@ -142,7 +142,7 @@
 	e.send(p, "n0", 0)
 	e.send(p, "nowhere", 0)
 	for range 2 {
-		if got := <-e.results; got.o != routing.Unconnected {
+		if got := <-e.results; got.o != routing.ConnectFailed {
 			t.Errorf("nobody listens there: %d", got.o)
 		}
 	}
@@ -198,7 +198,7 @@
 		p, e := pool(t, 9, scriptedserver.Start(t, scriptedserver.Welcome, part))
 		began := time.Now()
 		e.send(p, "n0", 0)
-		if got := <-e.results; got.o != routing.Broken || time.Since(began) > 5*time.Second {
+		if got := <-e.results; got.o != routing.ConnectionLost || time.Since(began) > 5*time.Second {
 			t.Errorf("%q: %d after %v", part, got.o, time.Since(began))
 		}
 	}
@@ -226,7 +226,7 @@
 		<-s.Queries
 	}
 	e.send(p, "n0", 0)
-	if got := <-e.results; got.o != routing.Unconnected {
+	if got := <-e.results; got.o != routing.ConnectFailed {
 		t.Fatalf("beyond the limit: %d", got.o)
 	}
 	e.mu.Lock()
@@ -247,7 +247,7 @@
 	p.Remove("n1")
 	e.mu.Unlock()
 	e.send(p, "n1", 0)
-	if got := <-e.results; got.o != routing.Unconnected || len(b.Opened()) != 1 {
+	if got := <-e.results; got.o != routing.ConnectFailed || len(b.Opened()) != 1 {
 		t.Errorf("a node that was forgotten: %d, %d connections", got.o, len(b.Opened()))
 	}
 }
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -29,8 +29,8 @@
 }
 
 type taken struct {
-	effect          Effect
-	level           Read
+	effect          Idempotency
+	level           Consistency
 	shard           int
 	arrived         int64
 	deadline        int64
@@ -92,11 +92,11 @@
 	r := New(seed, w)
 	r.Place("here", 1, 5_000)
 	for _, g := range []struct {
-		e Effect
-		l Read
+		e Idempotency
+		l Consistency
 		t int64
-	}{{Replayable, Any, 1e6}, {Replayable, Bounded, 1e6}, {Replayable, Session, 1e6}, {Replayable, Fresh, 1e6},
-		{Keyed, Write, 4e6}, {Mutating, Write, 4e6}, {Replayable, Any, 6e6}} {
+	}{{Idempotent, Eventual, 1e6}, {Idempotent, BoundedStaleness, 1e6}, {Idempotent, ReadYourWrites, 1e6}, {Idempotent, Latest, 1e6},
+		{IdempotentWithKey, Write, 4e6}, {NotIdempotent, Write, 4e6}, {Idempotent, Eventual, 6e6}} {
 		r.Group(g.e, false, g.l, modelBound, modelWindow, g.t/4, g.t, 1, 0.5)
 	}
 	r.Dispatches(6, true, seed%2 == 0)
@@ -117,7 +117,7 @@
 
 // list tells the whole list: nodes n0, n1, ... of each group, the first marked as its primary.
 func (w *world) list(groups, members int) {
-	w.r.ListBegins(w.now, true)
+	w.r.BeginEndpointList(w.now, true)
 	for g := range groups {
 		for m := range members {
 			id := fmt.Sprintf("g%dn%d", g, m)
@@ -125,7 +125,7 @@
 			w.node(id, m == 0)
 		}
 	}
-	w.r.ListEnds(w.now)
+	w.r.EndEndpointList(w.now)
 }
 
 func (w *world) node(id string, lead bool) {
@@ -133,26 +133,26 @@
 	if w.drained[id] {
 		state = Draining
 	}
-	w.r.ListNode(w.now, id, "here", "kind", w.shard[id], state, lead, w.started[id])
+	w.r.UpdateEndpoint(w.now, id, "here", "kind", w.shard[id], state, lead, w.started[id])
 }
 
 // change tells one changed entry.
 func (w *world) change(id string) {
-	w.r.ListBegins(w.now, false)
+	w.r.BeginEndpointList(w.now, false)
 	w.node(id, false)
-	w.r.ListEnds(w.now)
+	w.r.EndEndpointList(w.now)
 }
 
 func (w *world) arrive(id string, group, shard int, left, since int64) *taken {
-	effects := []Effect{Replayable, Replayable, Replayable, Replayable, Keyed, Mutating, Replayable}
-	levels := []Read{Any, Bounded, Session, Fresh, Write, Write, Any}
+	effects := []Idempotency{Idempotent, Idempotent, Idempotent, Idempotent, IdempotentWithKey, NotIdempotent, Idempotent}
+	levels := []Consistency{Eventual, BoundedStaleness, ReadYourWrites, Latest, Write, Write, Eventual}
 	c := &taken{effect: effects[group], level: levels[group], shard: shard, arrived: w.now,
 		deadline: w.now + left}
-	if c.level == Session && since > 0 && !w.remembered {
+	if c.level == ReadYourWrites && since > 0 && !w.remembered {
 		c.need = w.now - since
 	}
 	w.cmds[id] = c
-	w.r.Arrive(w.now, id, group, -1, "s", left, shard, since)
+	w.r.RequestArrived(w.now, id, group, -1, "s", left, shard, since)
 	return c
 }
 
@@ -162,8 +162,8 @@
 	w.open = append(w.open[:i:i], w.open[i+1:]...)
 	c := w.cmds[f.cmd]
 	c.open--
-	c.ran = c.ran || !o.NeverRan()
-	if c.level == Write && !o.NeverRan() {
+	c.ran = c.ran || !o.NotExecuted()
+	if c.level == Write && !o.NotExecuted() {
 		at := w.now
 		if o == Answered && pos > 0 && role != RoleUnknown {
 			at = pos
@@ -174,16 +174,16 @@
 	if o == Answered && !final {
 		c.answered, final = true, true
 	}
-	if o != TimedOut && o != Unconnected && o != Broken && o != Withdrawn && o != Unsent {
+	if o != TimedOut && o != ConnectFailed && o != ConnectionLost && o != Canceled && o != NotSent {
 		w.seen(f.node, role, pos)
 	}
-	w.r.Result(w.now, f.cmd, f.node, f.n, o, w.now-f.sent, final)
+	w.r.AttemptEnded(w.now, f.cmd, f.node, f.n, o, w.now-f.sent, final)
 }
 
 // seen tells the model and the module what a node said of itself in an answer.
 func (w *world) seen(node string, role Role, pos int64) {
 	w.tell(node, role, pos)
-	w.r.Seen(w.now, node, role, pos)
+	w.r.ObserveReply(w.now, node, role, pos)
 }
 
 func (w *world) tell(node string, role Role, pos int64) {
@@ -204,7 +204,7 @@
 	}
 	w.timers = w.timers[fired:]
 	for range fired {
-		w.r.Timer(w.now, 0)
+		w.r.TimerFired(w.now, 0)
 	}
 	for i := len(w.open) - 1; i >= 0; i-- {
 		if i < len(w.open) && w.now >= w.cmds[w.open[i].cmd].deadline {
@@ -230,14 +230,14 @@
 	if c == nil || c.given || c.answered {
 		w.t.Fatalf("lost: second final answer for %s", id)
 	}
-	if throttled && c.effect != Replayable && (c.ran || c.open > 0) {
+	if throttled && c.effect != Idempotent && (c.ran || c.open > 0) {
 		w.t.Fatalf("effect: %s throttled though it may have run", id)
 	}
 	c.given = true
 }
 
-// Dispatch implements Actions.
-func (w *world) Dispatch(id, node string, _, within int64) {
+// StartAttempt implements Actions.
+func (w *world) StartAttempt(id, node string, _, within int64) {
 	c := w.cmds[id]
 	w.within = within
 	switch {
@@ -249,18 +249,18 @@
 		w.t.Fatalf("drain: %s sent to %s", id, node)
 	case c.open > 0 && !w.r.copies:
 		w.t.Fatalf("effect: second copy of %s", id)
-	case c.effect == Mutating && (c.ran || c.open > 0):
+	case c.effect == NotIdempotent && (c.ran || c.open > 0):
 		w.t.Fatalf("effect: mutating %s sent twice", id)
-	case c.effect == Keyed && (c.ran || c.open > 0) && w.now > c.firstRun+modelWindow:
+	case c.effect == IdempotentWithKey && (c.ran || c.open > 0) && w.now > c.firstRun+modelWindow:
 		w.t.Fatalf("effect: keyed %s sent after its window", id)
-	case c.effect == Keyed && (c.ran || c.open > 0) && (within <= 0 || w.now+within > c.firstRun+modelWindow):
+	case c.effect == IdempotentWithKey && (c.ran || c.open > 0) && (within <= 0 || w.now+within > c.firstRun+modelWindow):
 		w.t.Fatalf("effect: keyed %s may begin within %d us, after its window", id, within)
 	}
 	fresh := w.leads[node]
 	switch c.level {
-	case Any, Write:
+	case Eventual, Write:
 		fresh = true
-	case Session:
+	case ReadYourWrites:
 		if w.remembered { // each write that is out may have been answered, but for the last moment
 			c.need = w.token
 			for _, f := range w.open {
@@ -270,7 +270,7 @@
 			}
 		}
 		fresh = fresh || c.need == 0 || w.pos[node] >= c.need
-	case Bounded:
+	case BoundedStaleness:
 		fresh = fresh || w.pos[node] >= w.now-modelBound
 	}
 	if !fresh {
@@ -296,14 +296,14 @@
 	c.open++
 }
 
-// Throttle implements Actions.
-func (w *world) Throttle(id string, _ int64) { w.final(id, true) }
+// RejectWithRetry implements Actions.
+func (w *world) RejectWithRetry(id string, _ int64) { w.final(id, true) }
 
 // Fail implements Actions.
 func (w *world) Fail(id string) { w.final(id, false) }
 
-// Withdraw implements Actions.
-func (w *world) Withdraw(id string, n int) {
+// CancelAttempt implements Actions.
+func (w *world) CancelAttempt(id string, n int) {
 	for i := range w.open {
 		if w.open[i].cmd == id && w.open[i].n == n {
 			w.open[i].withdrawn = true
@@ -311,20 +311,20 @@
 	}
 }
 
-// Timer implements Actions.
-func (w *world) Timer(in int64, _ uint64) { w.timers = append(w.timers, w.now+in) }
+// SetTimer implements Actions.
+func (w *world) SetTimer(in int64, _ uint64) { w.timers = append(w.timers, w.now+in) }
 
-// Probe implements Actions.
-func (w *world) Probe(node string) { w.probes = append(w.probes, node) }
+// CheckHealth implements Actions.
+func (w *world) CheckHealth(node string) { w.probes = append(w.probes, node) }
 
-// Release implements Actions.
-func (w *world) Release(node string) { w.dropped = append(w.dropped, node) }
+// CloseIdleConnections implements Actions.
+func (w *world) CloseIdleConnections(node string) { w.dropped = append(w.dropped, node) }
 
-// Bar implements Actions.
-func (w *world) Bar(node string) { w.barred = append(w.barred, node) }
+// StopNewAttempts implements Actions.
+func (w *world) StopNewAttempts(node string) { w.barred = append(w.barred, node) }
 
-// Forget implements Actions.
-func (w *world) Forget(node string) {
+// ForgetNode implements Actions.
+func (w *world) ForgetNode(node string) {
 	for _, f := range w.open {
 		if f.node == node {
 			w.t.Fatalf("%s forgotten with %s out", node, f.cmd)
@@ -335,5 +335,5 @@
 // Tell implements Actions.
 func (w *world) Tell(int, []byte) {}
 
-// Follow implements Actions.
-func (w *world) Follow() {}
+// WatchEndpoints implements Actions.
+func (w *world) WatchEndpoints() {}
--- a/internal/routing/iface.go
+++ b/internal/routing/iface.go
@@ -3,27 +3,27 @@
 // Actions is how the module acts. Every call takes effect at the time of the event being handled.
 // A protocol puts its own implementation behind it; the module knows no other way out.
 type Actions interface {
-	// Dispatch starts the next dispatch of a command; timeout 0 means until the client gives up. It must not begin
-	// later than within, 0 for no such bound; one that does not begin ends as Unsent.
-	Dispatch(cmd, node string, timeout, within int64)
-	// Throttle answers finally that the command had no effect and may be tried again after retryIn.
-	Throttle(cmd string, retryIn int64)
+	// StartAttempt starts the next dispatch of a command; timeout 0 means until the client gives up. It must not begin
+	// later than within, 0 for no such bound; one that does not begin ends as NotSent.
+	StartAttempt(cmd, node string, timeout, within int64)
+	// RejectWithRetry answers finally that the command had no effect and may be tried again after retryIn.
+	RejectWithRetry(cmd string, retryIn int64)
 	// Fail answers finally and promises nothing.
 	Fail(cmd string)
-	// Withdraw stops waiting for one dispatch, by its number within the command.
-	Withdraw(cmd string, dispatch int)
-	// Timer asks for a Timer event after a delay.
-	Timer(in int64, cookie uint64)
-	// Probe asks a node for its report.
-	Probe(node string)
-	// Release closes the idle connections to a node.
-	Release(node string)
-	// Bar tells that nothing more may begin at a node; what has not begun there ends as Unsent.
-	Bar(node string)
-	// Forget tells that a node is gone and will not be named again, unless the list names it anew.
-	Forget(node string)
-	// Follow asks for the node list and its changes from now on.
-	Follow()
+	// CancelAttempt stops waiting for one dispatch, by its number within the command.
+	CancelAttempt(cmd string, dispatch int)
+	// SetTimer asks for a TimerFired event after a delay.
+	SetTimer(in int64, cookie uint64)
+	// CheckHealth asks a node for its report.
+	CheckHealth(node string)
+	// CloseIdleConnections closes the idle connections to a node.
+	CloseIdleConnections(node string)
+	// StopNewAttempts tells that nothing more may begin at a node; what has not begun there ends as NotSent.
+	StopNewAttempts(node string)
+	// ForgetNode tells that a node is gone and will not be named again, unless the list names it anew.
+	ForgetNode(node string)
+	// WatchEndpoints asks for the node list and its changes from now on.
+	WatchEndpoints()
 	// Tell sends a short note to one peer, or to all where peer is negative.
 	Tell(peer int, note []byte)
 }
@@ -31,43 +31,43 @@
 // Outcome is how a dispatch or a probe ended.
 type Outcome uint8
 
-// The outcomes; Full, Unconnected, Unsent and Missed prove that the command never ran.
+// The outcomes; Rejected, ConnectFailed, NotSent and NotPrimary prove that the command never ran.
 const (
 	Errored Outcome = iota
 	Answered
-	Full
+	Rejected
 	TimedOut
-	Unconnected
-	Broken
-	Withdrawn
-	Unsent
-	Missed
+	ConnectFailed
+	ConnectionLost
+	Canceled
+	NotSent
+	NotPrimary
 )
 
-// NeverRan tells whether the outcome proves that nothing was executed.
-func (o Outcome) NeverRan() bool {
-	return o == Full || o == Unconnected || o == Unsent || o == Missed
+// NotExecuted tells whether the outcome proves that nothing was executed.
+func (o Outcome) NotExecuted() bool {
+	return o == Rejected || o == ConnectFailed || o == NotSent || o == NotPrimary
 }
 
-// Effect tells how far a command may be repeated.
-type Effect uint8
+// Idempotency tells how far a command may be repeated.
+type Idempotency uint8
 
-// The effects; a Keyed command carries a mark by which its node group knows a repeat.
+// The effects; an IdempotentWithKey command carries a mark by which its node group knows a repeat.
 const (
-	Replayable Effect = iota
-	Keyed
-	Mutating
+	Idempotent Idempotency = iota
+	IdempotentWithKey
+	NotIdempotent
 )
 
-// Read is how new the data answering a command must be.
-type Read uint8
+// Consistency is how new the data answering a command must be.
+type Consistency uint8
 
 // The read levels; Write commands run on the primary alone.
 const (
-	Any Read = iota
-	Bounded
-	Session
-	Fresh
+	Eventual Consistency = iota
+	BoundedStaleness
+	ReadYourWrites
+	Latest
 	Write
 )
 
@@ -81,12 +81,12 @@
 	Replica
 )
 
-// State is what the node list says of a node.
-type State uint8
+// EndpointState is what the node list says of a node.
+type EndpointState uint8
 
 // The list states.
 const (
-	Up State = iota
+	Up EndpointState = iota
 	Draining
 	Removed
 )
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -1,7 +1,7 @@
 // Package routing decides what becomes of every command.
 // A protocol makes an instance with New, hands each part its values (state.go), calls Start, and
-// then calls one method here for each thing that happens: ListBegins/ListNode/ListEnds, Arrive,
-// Seen, Reported..., Result, Probed, Gone, Timer. It acts through Actions (iface.go) alone. A command passes
+// then calls one method here for each thing that happens: BeginEndpointList/UpdateEndpoint/EndEndpointList,
+// RequestArrived, ObserveReply, Reported..., AttemptEnded, HealthChecked, ClientGone, TimerFired. It acts through Actions (iface.go) alone. A command passes
 // Router.chain downwards, what comes back upwards. DESIGN rules; each exception states its condition.
 package routing
 
@@ -85,16 +85,16 @@
 		r.group.usual[g] = usualPart * float64(r.group.targets[g])
 	}
 	r.probesLeft = extraStore
-	r.act.Timer(1+int64(r.chance(sweepEvery)), 0) // routers that start at once do not beat at once
+	r.act.SetTimer(1+int64(r.chance(sweepEvery)), 0) // routers that start at once do not beat at once
 }
 
-// ListBegins starts a list; a full one drops the nodes that it does not name.
-func (r *Router) ListBegins(_ int64, full bool) {
+// BeginEndpointList starts a list; a full one drops the nodes that it does not name.
+func (r *Router) BeginEndpointList(_ int64, full bool) {
 	r.full = full
 	r.listNo++
 }
 
-func (r *Router) ListNode(now int64, id, zone, kind string, wire int, state State, lead bool, started int64) {
+func (r *Router) UpdateEndpoint(now int64, id, zone, kind string, wire int, state EndpointState, lead bool, started int64) {
 	s := &r.node
 	n, known := s.index[id]
 	if !known {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (r *Router) ListEnds(now int64) {
+func (r *Router) EndEndpointList(now int64) {
 	for n := range r.node.id {
 		if r.full && r.node.listed[n] != r.listNo {
 			was := r.listed(n)
@@ -145,16 +145,16 @@
 // dispatch that waits for its connection while its node starts to drain.
 func (r *Router) bar(n int, was bool) {
 	if was && !r.listed(n) {
-		r.act.Bar(r.node.id[n])
+		r.act.StopNewAttempts(r.node.id[n])
 	}
 }
 
-// ListFailed tells that the list is no longer followed; the old one holds, and is asked for again soon.
-func (r *Router) ListFailed(now int64) { r.followAt = now + followGap }
+// EndpointListFailed tells that the list is no longer followed; the old one holds, and is asked for again soon.
+func (r *Router) EndpointListFailed(now int64) { r.followAt = now + followGap }
 
-// Seen is a node's role and position in an answer; 0 for a position that it does not tell. A primary's role
+// ObserveReply takes a node's role and position in an answer; 0 for a position that it does not tell. A primary's role
 // proves none: one that hung may answer as a primary when it goes on, from data that stood still meanwhile.
-func (r *Router) Seen(now int64, id string, role Role, pos int64) {
+func (r *Router) ObserveReply(now int64, id string, role Role, pos int64) {
 	n, known := r.node.index[id]
 	if !known || role == RoleUnknown {
 		return
@@ -170,11 +170,11 @@
 	}
 }
 
-// Heard is what a peer learnt of a node at a time: a position, whether it leads (1, -1, 0 for not known), and
+// GossipReceived takes what a peer learnt of a node at a time: a position, whether it leads (1, -1, 0 for not known), and
 // whether it was silent or alive. A position stays true of the process that told it; the caller passes on no
 // other's. A role is a hint, and none where an answer spoke of it since. Silence only puts the node behind
 // others; what makes this router hold it silent, or trust it again, is what it sees itself.
-func (r *Router) Heard(now int64, id string, at, pos int64, lead int8, silent, alive bool) {
+func (r *Router) GossipReceived(now int64, id string, at, pos int64, lead int8, silent, alive bool) {
 	s := &r.node
 	n, known := s.index[id]
 	if !known {
@@ -202,8 +202,8 @@
 	r.pump(s.shard[n], now)
 }
 
-// Left tells whether a peer looks after a node that is silent or lags, so that this router need not.
-func (r *Router) Left(id string, to bool) {
+// SetCheckedByPeer tells whether a peer looks after a node that is silent or lags, so that this router need not.
+func (r *Router) SetCheckedByPeer(id string, to bool) {
 	if n, known := r.node.index[id]; known {
 		r.node.left[n] = to
 	}
@@ -267,13 +267,13 @@
 	s.lag[n] = max(0, head-s.pos[n])
 }
 
-// Arrive takes a command; the router owes it one final answer from here on.
-func (r *Router) Arrive(now int64, id string, group, tenant int, session string, left int64, wire int,
+// RequestArrived takes a command; the router owes it one final answer from here on.
+func (r *Router) RequestArrived(now int64, id string, group, tenant int, session string, left int64, wire int,
 	sinceWrite int64) {
 	g := &r.group
 	c := &cmd{id: id, group: group, tenant: tenant, shard: r.shard.of(wire, r.chance), session: session,
 		arrived: now, deadline: now + left}
-	if g.level[group] == Session && r.carried && sinceWrite > 0 {
+	if g.level[group] == ReadYourWrites && r.carried && sinceWrite > 0 {
 		c.need = now - sinceWrite
 	}
 	target := now + g.targets[group]
@@ -354,7 +354,7 @@
 func (r *Router) callOff(c *cmd, n int) {
 	if t := &c.tries[n]; r.withdraws && !t.ended && !t.withdrawn {
 		t.withdrawn = true
-		r.act.Withdraw(c.id, n)
+		r.act.CancelAttempt(c.id, n)
 	}
 }
 
@@ -364,8 +364,8 @@
 		r.tenant.left[c.tenant]++ // it took nothing; the client's next try may have it
 	}
 	effect, ran := r.group.effect[c.group], c.mayHaveRun || c.open > 0
-	if !ran || effect == Replayable || effect == Keyed && r.group.everywhere[c.group] {
-		r.act.Throttle(c.id, 0)
+	if !ran || effect == Idempotent || effect == IdempotentWithKey && r.group.everywhere[c.group] {
+		r.act.RejectWithRetry(c.id, 0)
 	} else {
 		r.act.Fail(c.id)
 	}
@@ -382,7 +382,7 @@
 		return end
 	}
 	if now >= c.holdUntil && !c.mayHaveRun && c.open == 0 || now >= c.deadline-deadlineGuard ||
-		len(c.tries) >= r.maxDispatches || r.group.effect[c.group] == Keyed && c.mayHaveRun &&
+		len(c.tries) >= r.maxDispatches || r.group.effect[c.group] == IdempotentWithKey && c.mayHaveRun &&
 		now-c.firstRun >= r.group.window[c.group]-r.tick {
 		r.giveUp(c)
 		return end
@@ -395,13 +395,13 @@
 	if c.done { // Result finishes it
 		return
 	}
-	if !o.NeverRan() {
+	if !o.NotExecuted() {
 		c.firstRun = min(c.tries[n].sent, cmp.Or(c.firstRun, c.tries[n].sent))
 		c.mayHaveRun = true
 	}
 	switch {
 	case c.open > 0 || c.held:
-	case c.mayHaveRun && r.group.effect[c.group] == Mutating, now >= c.deadline-deadlineGuard:
+	case c.mayHaveRun && r.group.effect[c.group] == NotIdempotent, now >= c.deadline-deadlineGuard:
 		r.giveUp(c)
 	default:
 		r.down(c, now)
@@ -429,7 +429,7 @@
 			c.share = true
 		}
 	}
-	if lv, sh := r.group.level[c.group], &r.shard; lv != Write && lv != Fresh {
+	if lv, sh := r.group.level[c.group], &r.shard; lv != Write && lv != Latest {
 		if sh.credit[c.shard] += sh.gate[c.shard]; sh.credit[c.shard] < 1 {
 			r.giveUp(c)
 			return end
@@ -451,7 +451,7 @@
 		return
 	}
 	r.token.ended(c.session)
-	if at, pos := c.tries[n].node, now; !o.NeverRan() {
+	if at, pos := c.tries[n].node, now; !o.NotExecuted() {
 		if o == Answered && r.node.posAt[at] == now {
 			pos = r.node.pos[at]
 		}
@@ -528,7 +528,7 @@
 // only rests is known all the same: to ask for it again would cost probes and bring nothing.
 func (r *Router) lead(c *cmd, now int64) verdict {
 	lv, p := r.group.level[c.group], r.shard.primary[c.shard]
-	if lv != Write && lv != Fresh {
+	if lv != Write && lv != Latest {
 		return pass
 	}
 	c.to = p
@@ -539,7 +539,7 @@
 			return keep
 		}
 	}
-	if lv == Fresh && r.node.role[c.to] != Primary || !r.serves(c.to, now) || !r.roomy(c.to, 1, c.group, now) {
+	if lv == Latest && r.node.role[c.to] != Primary || !r.serves(c.to, now) || !r.roomy(c.to, 1, c.group, now) {
 		return keep
 	}
 	return pass
@@ -568,7 +568,7 @@
 	if s := &r.node; r.probes && !s.probing[n] && r.listed(n) && r.probesLeft >= left {
 		r.probesLeft--
 		s.probing[n], s.probedAt[n] = true, now
-		r.act.Probe(s.id[n])
+		r.act.CheckHealth(s.id[n])
 	}
 }
 
@@ -578,13 +578,13 @@
 	if s.role[n] == Primary && r.shard.primary[c.shard] == n {
 		return true
 	}
-	return r.group.level[c.group] != Fresh && s.pos[n] >= r.needs(c, now)
+	return r.group.level[c.group] != Latest && s.pos[n] >= r.needs(c, now)
 }
 
 // needs is the position that a read sent at a time must find; 0 where any will do.
 func (r *Router) needs(c *cmd, at int64) int64 {
 	switch {
-	case r.group.level[c.group] == Bounded:
+	case r.group.level[c.group] == BoundedStaleness:
 		return at - r.group.bound[c.group]
 	case c.doubt:
 		return max(c.need, at-answerLag)
@@ -596,7 +596,7 @@
 // the fleet, and one group shows itself too seldom. Only where nodes are seldom used; else limits do it.
 func (r *Router) weigh(c *cmd, n int, o Outcome, took, now int64) {
 	_, seldom := r.used(c.tries[n].node, c.group, now)
-	late := o == Withdrawn && c.left || (o == Answered || o == TimedOut) && took > r.group.targets[c.group]
+	late := o == Canceled && c.left || (o == Answered || o == TimedOut) && took > r.group.targets[c.group]
 	if r.group.level[c.group] == Write || !late && o != Answered || !seldom {
 		return
 	}
@@ -615,10 +615,10 @@
 // pick chooses a read's member: a proven replica in rotation, own zone first, rotating among equals. Else,
 // where none has room or can be proven in its time, the primary takes it, with room for one write left.
 func (r *Router) pick(c *cmd, now int64) verdict {
-	if lv := r.group.level[c.group]; lv == Write || lv == Fresh {
+	if lv := r.group.level[c.group]; lv == Write || lv == Latest {
 		return pass
 	}
-	if r.group.level[c.group] == Session && !r.carried {
+	if r.group.level[c.group] == ReadYourWrites && !r.carried {
 		r.recollect(c, now)
 	}
 	s, m, p, share := &r.node, r.shard.members[c.shard], r.shard.primary[c.shard], 1.0
@@ -626,7 +626,7 @@
 	if c.value < r.group.benefit[c.group] {
 		share = spareShare // worth little: it must not fill the room that others will want
 	}
-	best, cost, proven, long := -1, 0.0, false, r.group.level[c.group] == Any && r.long(c.group)
+	best, cost, proven, long := -1, 0.0, false, r.group.level[c.group] == Eventual && r.long(c.group)
 	for i := range m {
 		n := m[(r.shard.turn[c.shard]+i)%len(m)]
 		if n == p || !r.serves(n, now) || !r.fresh(n, c, now) || c.at(n) {
@@ -716,14 +716,14 @@
 	if r.warmth(n, now) < 1 {
 		s.credit[n] -= r.group.usual[c.group]
 	}
-	r.act.Dispatch(c.id, s.id[n], 0, within)
+	r.act.StartAttempt(c.id, s.id[n], 0, within)
 	return pass
 }
 
 // within is how soon a repeat must begin, for its node group forgets; 0 for no bound. Guards against one that
 // was decided inside its window and waits for a connection until that has passed.
 func (r *Router) within(c *cmd, now int64) int64 {
-	if r.group.effect[c.group] != Keyed || !c.mayHaveRun && c.open == 0 {
+	if r.group.effect[c.group] != IdempotentWithKey || !c.mayHaveRun && c.open == 0 {
 		return 0
 	}
 	first := cmp.Or(c.firstRun, now)
@@ -740,7 +740,7 @@
 func (r *Router) land(c *cmd, n int, _ Outcome, _, now int64) {
 	r.node.close(c, n)
 	if now < r.scarceTill {
-		r.act.Release(r.node.id[c.tries[n].node])
+		r.act.CloseIdleConnections(r.node.id[c.tries[n].node])
 	}
 }
 
@@ -753,7 +753,7 @@
 	}
 	used, _ := r.used(at, c.group, now)
 	late := float64(took) > lateAt*float64(target) // a client that left sooner says nothing of the node
-	if o == Answered || o == Errored || o == Missed || o == Full {
+	if o == Answered || o == Errored || o == NotPrimary || o == Rejected {
 		s.answered[at], s.refused[at], s.suspect[at] = now, 0, false
 	}
 	switch o {
@@ -769,18 +769,18 @@
 		} else if !late && max(float64(s.out[at]+1), fill) > min(limitUsed*s.limit[at], max(1, s.limit[at]-1)) {
 			s.limit[at] += limitGrow
 		}
-	case Missed: // untouched: a node that leads misses nothing
+	case NotPrimary: // untouched: a node that leads misses nothing
 		r.told(at, Replica, now)
-	case Errored, Broken:
+	case Errored, ConnectionLost:
 		s.errs[at] += errGain * (1 - s.errs[at])
-	case Full: // a full line or a drain not yet listed: asking again at once only costs
+	case Rejected: // a full line or a drain not yet listed: asking again at once only costs
 		s.limit[at], s.restTill[at] = used*fullCut, now+fullRest
-	case Unconnected: // dead, cut off, or out of places: a probe tells which
+	case ConnectFailed: // dead, cut off, or out of places: a probe tells which
 		s.again[at], s.refused[at] = s.refused[at] > 0, cmp.Or(s.refused[at], now)
 		s.restTill[at] = now + fullRest/2 + int64(r.chance(fullRest)) + (now-s.refused[at])/2
 		r.probe(at, now, 1)
 	}
-	if o == Withdrawn && c.left || late && !c.tries[n].lost && (o == Answered || o == TimedOut) {
+	if o == Canceled && c.left || late && !c.tries[n].lost && (o == Answered || o == TimedOut) {
 		if used < 1 {
 			s.limit[at] = used * lateAt * float64(target) / float64(max(took, target))
 		} else {
@@ -805,8 +805,8 @@
 	return r.node.limit[n], false
 }
 
-// Result is how a dispatch ended; it runs through the chain upwards.
-func (r *Router) Result(now int64, id, _ string, n int, o Outcome, took int64, final bool) {
+// AttemptEnded tells how a dispatch ended; it runs through the chain upwards.
+func (r *Router) AttemptEnded(now int64, id, _ string, n int, o Outcome, took int64, final bool) {
 	c := r.cmds[id]
 	if c == nil || n < 0 || n >= len(c.tries) || c.tries[n].ended {
 		return
@@ -824,16 +824,16 @@
 	r.pump(c.shard, now)
 }
 
-// Gone ends a command whose client left.
-func (r *Router) Gone(_ int64, id string) {
+// ClientGone ends a command whose client left.
+func (r *Router) ClientGone(_ int64, id string) {
 	if c := r.cmds[id]; c != nil && !c.done {
 		c.left = true // what it waited for was too late for it, whatever the target says
 		r.finish(c)
 	}
 }
 
-// Leave ends what is still owed, for the process will be killed before it could be answered; by id.
-func (r *Router) Leave() {
+// Shutdown ends what is still owed, for the process will be killed before it could be answered; by id.
+func (r *Router) Shutdown() {
 	for _, id := range slices.Sorted(maps.Keys(r.cmds)) {
 		if c := r.cmds[id]; !c.done {
 			r.giveUp(c)
@@ -841,7 +841,7 @@
 	}
 }
 
-func (r *Router) Probed(now int64, id string, _ int64, o Outcome) {
+func (r *Router) HealthChecked(now int64, id string, _ int64, o Outcome) {
 	n, known := r.node.index[id]
 	if !known {
 		return
@@ -853,7 +853,7 @@
 		s.suspect[n], s.refused[n] = s.suspect[n] || refused, 0
 	case refused && s.again[n]: // it lives and yet took no connection; one alone may be reset by chance
 		for m := 0; now >= r.scarceTill && m < len(s.id); m++ {
-			r.act.Release(s.id[m])
+			r.act.CloseIdleConnections(s.id[m])
 		}
 		s.refused[n], r.scarceTill = 0, now+scarceFor
 	case s.suspect[n]: // it may have lost one answer, or be crowded: it gets as long again, and less
@@ -865,8 +865,8 @@
 	r.pump(r.node.shard[n], now)
 }
 
-// Timer is the module's beat: silence, waiting commands, probes.
-func (r *Router) Timer(now int64, _ uint64) {
+// TimerFired is the module's beat: silence, waiting commands, probes.
+func (r *Router) TimerFired(now int64, _ uint64) {
 	if now-r.beatAt > standstill { // the router stood still itself: no node was silent for that
 		r.stalled = now
 	}
@@ -889,9 +889,9 @@
 	}
 	if r.followAt > 0 && now >= r.followAt {
 		r.followAt = 0
-		r.act.Follow()
+		r.act.WatchEndpoints()
 	}
-	r.act.Timer(sweepEvery, 0)
+	r.act.SetTimer(sweepEvery, 0)
 }
 
 // listen watches one node. Silence: nothing back for several usual responses. Guards against hangs, deaths,
@@ -915,7 +915,7 @@
 			t.lost = true
 			s.out[n]--
 			s.errs[n] += errGain * (1 - s.errs[n])
-			if r.group.effect[o.c.group] != Mutating {
+			if r.group.effect[o.c.group] != NotIdempotent {
 				r.callOff(o.c, o.n)
 			}
 		}
@@ -929,7 +929,7 @@
 // nodes; it would crowd a crowded group, so only while nothing waits there, and for a part of all commands.
 func (r *Router) copy(c *cmd, now int64) {
 	if r.copies && r.copiesLeft >= 1 && c.open == 1 && !c.held && !c.done && now < c.prime &&
-		r.group.effect[c.group] != Mutating && r.shard.gate[c.shard] == 1 &&
+		r.group.effect[c.group] != NotIdempotent && r.shard.gate[c.shard] == 1 &&
 		len(r.shard.waiting[c.shard]) == 0 {
 		r.copiesLeft--
 		r.down(c, now)
@@ -939,8 +939,8 @@
 // recall calls off what may be repeated from a node that is silent or leads no longer.
 func (r *Router) recall(n int) {
 	for _, o := range r.node.open[n] {
-		if r.group.effect[o.c.group] == Replayable && r.node.suspect[n] ||
-			r.group.effect[o.c.group] == Keyed && r.shard.primary[o.c.shard] != n {
+		if r.group.effect[o.c.group] == Idempotent && r.node.suspect[n] ||
+			r.group.effect[o.c.group] == IdempotentWithKey && r.shard.primary[o.c.shard] != n {
 			r.callOff(o.c, o.n)
 		}
 	}
--- a/internal/routing/route_test.go
+++ b/internal/routing/route_test.go
@@ -49,12 +49,12 @@
 				w.restart(rnd.Uint64())
 				w.list(shards, members)
 			case 6: // a list that is empty, or shrinks and names a ghost, then the true one again
-				w.r.ListBegins(w.now, true)
+				w.r.BeginEndpointList(w.now, true)
 				if rnd.Intn(2) == 0 {
 					w.node(any, false)
-					w.r.ListNode(w.now, "ghost", "here", "kind", 9, Up, true, 0)
+					w.r.UpdateEndpoint(w.now, "ghost", "here", "kind", 9, Up, true, 0)
 				}
-				w.r.ListEnds(w.now)
+				w.r.EndEndpointList(w.now)
 				w.list(shards, members)
 			case 7: // the router stands still
 				w.now += 700_000
@@ -66,9 +66,9 @@
 				}
 				silent := rnd.Intn(3) == 0
 				w.tell(any, RoleUnknown, pos)
-				w.r.Heard(w.now, any, at, pos, int8(rnd.Intn(3)-1), silent, !silent)
+				w.r.GossipReceived(w.now, any, at, pos, int8(rnd.Intn(3)-1), silent, !silent)
 			case 9:
-				w.r.Left(any, rnd.Intn(2) == 0)
+				w.r.SetCheckedByPeer(any, rnd.Intn(2) == 0)
 			}
 		}
 		for range rnd.Intn(3) {
@@ -93,31 +93,31 @@
 			o := Answered
 			switch c := w.cmds[fl.cmd]; {
 			case fl.withdrawn && rnd.Intn(3) > 0:
-				o = Withdrawn
+				o = Canceled
 			case hung[fl.node] && w.drained[fl.node]:
-				o = Broken
+				o = ConnectionLost
 			case hung[fl.node] || w.now < fl.due || w.now < served[fl.node]+1e6/int64(modelRate):
 				continue
 			case c.level == Write && role != Primary:
-				o = Missed
+				o = NotPrimary
 			case rnd.Intn(512) < int(mood):
-				o = []Outcome{Errored, Full, TimedOut, Unconnected, Broken, Unsent}[rnd.Intn(6)]
+				o = []Outcome{Errored, Rejected, TimedOut, ConnectFailed, ConnectionLost, NotSent}[rnd.Intn(6)]
 			}
 			if o == Answered {
 				served[fl.node] = w.now
 			}
 			w.answer(i, o, role, pos)
 			if rnd.Intn(64) == 0 { // the same result once more, and the client leaves
-				w.r.Result(w.now, fl.cmd, fl.node, fl.n, o, 1, true)
+				w.r.AttemptEnded(w.now, fl.cmd, fl.node, fl.n, o, 1, true)
 				w.cmds[fl.cmd].given = true
-				w.r.Gone(w.now, fl.cmd)
+				w.r.ClientGone(w.now, fl.cmd)
 			}
 		}
 		probed := w.probes
 		w.probes = nil
 		for _, n := range probed {
 			if hung[n] {
-				w.r.Probed(w.now, n, 250_000, TimedOut)
+				w.r.HealthChecked(w.now, n, 250_000, TimedOut)
 				continue
 			}
 			role, pos := at(n)
@@ -127,7 +127,7 @@
 			if _, told := w.leads[n]; role == Primary && !told {
 				w.leads[n] = true
 			}
-			w.r.Probed(w.now, n, 1_000, Answered)
+			w.r.HealthChecked(w.now, n, 1_000, Answered)
 		}
 	}
 	for range 700 {
@@ -164,11 +164,11 @@
 	w.seen("g0n0", Primary, 0)
 	w.arrive("c", gSession, 0, 1e6, 250_000)
 	w.tell("g0n1", Replica, w.cmds["c"].need)
-	w.r.Heard(w.now, "g0n1", w.now-40_000, w.cmds["c"].need, -1, false, true)
+	w.r.GossipReceived(w.now, "g0n1", w.now-40_000, w.cmds["c"].need, -1, false, true)
 	if sentTo(w) != "g0n1" {
 		t.Fatal("not sent to the proven replica but", sentTo(w))
 	}
-	w.r.Heard(w.now, "nobody", w.now, 7, 1, false, true)
+	w.r.GossipReceived(w.now, "nobody", w.now, 7, 1, false, true)
 }
 
 // A peer's word on a role moves no belief that an answer made within the last seconds or since the word, and it
@@ -176,18 +176,18 @@
 func TestPeersRoleIsAHint(t *testing.T) {
 	w := group(t, 1, 3)
 	w.seen("g0n0", Primary, 0)
-	w.r.Heard(w.now, "g0n1", w.now, 0, 1, false, true)
-	w.r.Heard(w.now, "g0n0", w.now+1, 0, -1, false, true)
+	w.r.GossipReceived(w.now, "g0n1", w.now, 0, 1, false, true)
+	w.r.GossipReceived(w.now, "g0n0", w.now+1, 0, -1, false, true)
 	if p := w.r.shard.primary[0]; p != 0 {
 		t.Fatal("a peer's word stood over an answer:", p)
 	}
 	w.step(listDoubt + 1)
 	w.seen("g0n2", Replica, w.now)
-	w.r.Heard(w.now, "g0n2", w.now-1_000_000, 0, 1, false, true)
+	w.r.GossipReceived(w.now, "g0n2", w.now-1_000_000, 0, 1, false, true)
 	if p := w.r.shard.primary[0]; p != 0 {
 		t.Fatal("a word from before an answer counted:", p)
 	}
-	w.r.Heard(w.now, "g0n1", w.now-1_000_000, 0, 1, false, true)
+	w.r.GossipReceived(w.now, "g0n1", w.now-1_000_000, 0, 1, false, true)
 	if p := w.r.shard.primary[0]; p != 1 {
 		t.Fatal("nothing was heard for long, and the hint was passed over:", p)
 	}
@@ -195,7 +195,7 @@
 	if len(w.open) != 0 {
 		t.Fatal("fresh data was taken from a node that only a peer calls the primary")
 	}
-	w.r.Heard(w.now, "g0n1", w.now, 0, -1, false, true)
+	w.r.GossipReceived(w.now, "g0n1", w.now, 0, -1, false, true)
 	if p := w.r.shard.primary[0]; p != -1 {
 		t.Fatal("a later word did not take the hint back:", p)
 	}
@@ -205,7 +205,7 @@
 func TestPeersSilenceOnlyComesLast(t *testing.T) {
 	w := group(t, 1, 3)
 	w.seen("g0n0", Primary, 0)
-	w.r.Heard(w.now, "g0n1", w.now-100_000, 0, 0, true, false)
+	w.r.GossipReceived(w.now, "g0n1", w.now-100_000, 0, 0, true, false)
 	for i := range 4 {
 		w.arrive(fmt.Sprint("c", i), gAny, 0, 1e6, 0)
 	}
@@ -227,8 +227,8 @@
 // What a peer looks after is not probed by this router too, until the peer reaches it: then this one looks for itself.
 func TestPeersLookAfterTheSilent(t *testing.T) {
 	w := group(t, 1, 3)
-	w.r.Left("g0n0", true)
-	w.r.Left("nobody", true)
+	w.r.SetCheckedByPeer("g0n0", true)
+	w.r.SetCheckedByPeer("nobody", true)
 	for j := range 2 {
 		w.arrive(fmt.Sprint("c", j), gKeyed, 0, 4e6, 0)
 	}
@@ -239,11 +239,11 @@
 	if !w.r.node.suspect[0] || len(w.probes) != 0 {
 		t.Fatal("silent:", w.r.node.suspect[0], "probes:", w.probes)
 	}
-	w.r.Heard(w.now, "g0n0", w.now-100_000, 0, 0, false, true)
+	w.r.GossipReceived(w.now, "g0n0", w.now-100_000, 0, 0, false, true)
 	if len(w.probes) != 1 || !w.r.node.suspect[0] {
 		t.Fatal("a peer's word alone ended the silence, or was not looked into:", w.probes)
 	}
-	w.r.Probed(w.now, "g0n0", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
 	if w.r.node.suspect[0] {
 		t.Fatal("still silent after its own probe")
 	}
@@ -299,7 +299,7 @@
 	w.step(1_000)
 	w.tell("g0n1", Replica, need)
 	w.r.ReportedPosition(w.now, "g0n1", need)
-	w.r.Probed(w.now, "g0n1", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n1", 1_000, Answered)
 	if sentTo(w) != "g0n1" {
 		t.Fatal("not sent to the proven replica but", sentTo(w))
 	}
@@ -312,7 +312,7 @@
 	w.arrive("c", gMutating, 0, 2e6, 0)
 	w.step(1_950_000)
 	w.seen("g0n1", Primary, 0)
-	w.r.Probed(w.now, "g0n1", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n1", 1_000, Answered)
 	if c := w.cmds["c"]; c.sent != 0 || !c.given {
 		t.Fatal("sent with 50 ms left")
 	}
@@ -322,9 +322,9 @@
 // TestUnsentWriteLeavesTimeForAnotherTry: held nearly to its end for a primary, it would come too late for one.
 func TestUnsentWriteLeavesTimeForAnotherTry(t *testing.T) {
 	w := newWorld(t, 1)
-	w.r.ListBegins(w.now, true)
+	w.r.BeginEndpointList(w.now, true)
 	w.node("g0n1", false) // nobody leads
-	w.r.ListEnds(w.now)
+	w.r.EndEndpointList(w.now)
 	c := w.arrive("w", gMutating, 0, 4_000_000, 0)
 	for w.step(10_000); !c.given; w.step(10_000) {
 	}
@@ -343,7 +343,7 @@
 		t.Fatal("sent to a silent primary, or no one asked for the next")
 	}
 	w.seen("g0n2", Primary, 0)
-	w.r.Probed(w.now, "g0n2", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n2", 1_000, Answered)
 	if c := w.cmds["held"]; c.sent != 1 || w.open[len(w.open)-1].node != "g0n2" {
 		t.Fatal("not sent to the successor")
 	}
@@ -415,7 +415,7 @@
 		for j := len(w.open) - 1; j >= 0; j-- {
 			switch f := w.open[j]; {
 			case f.withdrawn:
-				w.answer(j, Withdrawn, RoleUnknown, 0)
+				w.answer(j, Canceled, RoleUnknown, 0)
 			case f.n > 0 || f.cmd != "keyed" && f.cmd != "mutating":
 				w.answer(j, Answered, Primary, 0)
 			}
@@ -453,14 +453,14 @@
 	w := newWorld(t, 1)
 	w.r.Drains(true)
 	w.list(1, 3)
-	for _, state := range []State{Draining, Removed} {
-		w.r.ListBegins(w.now, false)
-		w.r.ListNode(w.now, "g0n1", "here", "kind", 0, state, false, 0)
-		w.r.ListEnds(w.now)
+	for _, state := range []EndpointState{Draining, Removed} {
+		w.r.BeginEndpointList(w.now, false)
+		w.r.UpdateEndpoint(w.now, "g0n1", "here", "kind", 0, state, false, 0)
+		w.r.EndEndpointList(w.now)
 	}
 	w.drained["g0n1"] = true
-	w.r.ListBegins(w.now, true)
-	w.r.ListEnds(w.now)
+	w.r.BeginEndpointList(w.now, true)
+	w.r.EndEndpointList(w.now)
 	for i := range 12 {
 		w.arrive(fmt.Sprint("c", i), gAny, 0, 1e6, 0)
 	}
@@ -481,7 +481,7 @@
 			t.Fatal("silent with", len(w.r.node.open[0]), "out:", w.r.node.suspect[0])
 		}
 	}
-	w.r.Probed(w.now, "g0n0", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
 	if w.beats(1); w.r.node.suspect[0] {
 		t.Fatal("still silent after a probe")
 	}
@@ -490,7 +490,7 @@
 // A node that refuses is left alone for a moment; if it refuses again and yet answers a probe, no idle
 // connections are kept. One that was reset by chance must not cost a handshake a command for seconds.
 func TestRefusingNodeRests(t *testing.T) {
-	for _, outcomes := range [][]Outcome{{Full, Full}, {Unconnected}, {Unconnected, Unconnected}} {
+	for _, outcomes := range [][]Outcome{{Rejected, Rejected}, {ConnectFailed}, {ConnectFailed, ConnectFailed}} {
 		w := group(t, 1, 2)
 		w.arrive("a", gMutating, 0, 4e6, 0)
 		for _, o := range outcomes {
@@ -498,12 +498,12 @@
 			if len(w.open) > 0 {
 				t.Fatal("asked again at once")
 			}
-			w.r.Probed(w.now, "g0n0", 1_000, Answered)
+			w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
 			w.dropped = nil
 			w.step(200_000)
 		}
 		serve(w, nil)
-		scarce := len(outcomes) == 2 && outcomes[1] == Unconnected
+		scarce := len(outcomes) == 2 && outcomes[1] == ConnectFailed
 		if w.r.node.suspect[0] || !w.cmds["a"].answered || len(w.dropped) == 1 != scarce {
 			t.Fatal(outcomes, "silent:", w.r.node.suspect[0], "released:", w.dropped)
 		}
@@ -514,10 +514,10 @@
 func TestReturnIsNoScarcity(t *testing.T) {
 	w := group(t, 1, 2)
 	w.arrive("a", gMutating, 0, 4e6, 0)
-	w.answer(0, Unconnected, RoleUnknown, 0)
-	w.r.Probed(w.now, "g0n0", 250_000, Unconnected)
+	w.answer(0, ConnectFailed, RoleUnknown, 0)
+	w.r.HealthChecked(w.now, "g0n0", 250_000, ConnectFailed)
 	w.step(300_000)
-	w.r.Probed(w.now, "g0n0", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
 	if w.r.node.suspect[0] || len(w.dropped) > 0 || len(w.open) != 1 {
 		t.Fatal("silent:", w.r.node.suspect[0], "released:", w.dropped, "out:", len(w.open))
 	}
@@ -527,7 +527,7 @@
 func TestGates(t *testing.T) {
 	for name, move := range map[string]func(w *world){
 		"closed": func(w *world) { w.beats(20); serve(w, nil) },
-		"left":   func(w *world) { w.r.Gone(w.now, "c"); w.answer(0, Withdrawn, RoleUnknown, 0) },
+		"left":   func(w *world) { w.r.ClientGone(w.now, "c"); w.answer(0, Canceled, RoleUnknown, 0) },
 		"early":  func(w *world) { w.answer(0, TimedOut, RoleUnknown, 0) },
 		"open":   func(w *world) { serve(w, nil) },
 		"still":  func(w *world) { w.step(600_000); serve(w, nil) },
@@ -620,7 +620,7 @@
 func TestNewNamesAllDay(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 300 {
-		w.r.ListBegins(w.now, i%2 == 0)
+		w.r.BeginEndpointList(w.now, i%2 == 0)
 		for j := max(0, i-3); j <= i; j++ {
 			state := Up
 			if j == i-2 {
@@ -629,10 +629,10 @@
 				state = Removed
 			}
 			if i%2 > 0 || state != Removed {
-				w.r.ListNode(w.now, fmt.Sprint("n", j), "here", "kind", 0, state, false, 0)
+				w.r.UpdateEndpoint(w.now, fmt.Sprint("n", j), "here", "kind", 0, state, false, 0)
 			}
 		}
-		w.r.ListEnds(w.now)
+		w.r.EndEndpointList(w.now)
 		for range 100 {
 			w.step(20_000)
 		}
@@ -648,7 +648,7 @@
 		for _, n := range w.probes {
 			w.tell(n, RoleUnknown, 0)
 			w.r.ReportedRole(w.now, n, n == "n299")
-			w.r.Probed(w.now, n, 1_000, Answered)
+			w.r.HealthChecked(w.now, n, 1_000, Answered)
 		}
 		w.probes = nil
 	}
@@ -807,9 +807,9 @@
 	for name, tell := range map[string]func(w *world){
 		"it drains": func(w *world) { w.drained["g0n1"] = true; w.change("g0n1"); w.change("g0n1") },
 		"it is gone": func(w *world) {
-			w.r.ListBegins(w.now, false)
-			w.r.ListNode(w.now, "g0n1", "here", "kind", 0, Removed, false, 0)
-			w.r.ListEnds(w.now)
+			w.r.BeginEndpointList(w.now, false)
+			w.r.UpdateEndpoint(w.now, "g0n1", "here", "kind", 0, Removed, false, 0)
+			w.r.EndEndpointList(w.now)
 		},
 		"it is not named": func(w *world) { w.list(1, 1); w.list(1, 1) },
 	} {
@@ -833,7 +833,7 @@
 		t.Errorf("a first dispatch must begin within %d us", w.within)
 	}
 	w.step(100_000)
-	w.answer(0, Broken, RoleUnknown, 0)
+	w.answer(0, ConnectionLost, RoleUnknown, 0)
 	w.beats(5)
 	if len(w.open) != 1 || w.within <= 0 || w.within > modelWindow-100_000 {
 		t.Errorf("%d out, the repeat must begin within %d us", len(w.open), w.within)
@@ -869,7 +869,7 @@
 		w.arrive(fmt.Sprint("c", i), []int{gAny, gMutating, gKeyed, gSession}[i%4], 0, 4e6, 1e6)
 	}
 	out := len(w.open)
-	w.r.Leave()
+	w.r.Shutdown()
 	for id, c := range w.cmds {
 		if !c.given {
 			t.Errorf("%s is still owed its answer", id)
@@ -941,7 +941,7 @@
 		t.Fatalf("on a proof as new as any answer: %+v", w.open)
 	}
 	w.open[0].withdrawn = true
-	w.answer(0, Broken, RoleUnknown, 0)
+	w.answer(0, ConnectionLost, RoleUnknown, 0)
 	if w.token != w.now || w.r.token.get("s") != w.now {
 		t.Errorf("behind a write that may have run: token %d us ago", w.now-w.r.token.get("s"))
 	}
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -77,7 +77,7 @@
 	zone     []string
 	kind     []string
 	shard    []int
-	state    []State
+	state    []EndpointState
 	listed   []int   // number of the last list that named it
 	lead     []bool  // marked primary by the list
 	started  []int64 // last start, 0 for long ago
@@ -162,7 +162,7 @@
 	s.goneAt[n], s.state[n], s.suspect[n], s.lag[n] = -1, Removed, false, 0
 	delete(s.index, s.id[n])
 	s.free = append(s.free, n)
-	r.act.Forget(s.id[n])
+	r.act.ForgetNode(s.id[n])
 }
 
 // move takes a node that the list puts into another node group there: what it proved and led was of the other.
@@ -176,9 +176,9 @@
 	s.shard[n], s.role[n], s.roleAt[n], s.lead[n], s.pos[n], s.posAt[n], s.lag[n] = sh, RoleUnknown, 0, false, 0, 0, 0
 }
 
-// Standing tells what is known of a node: its role, whether it is suspected, and its highest proven position, us in Unix
+// NodeStatus tells what is known of a node: its role, whether it is suspected, and its highest proven position, us in Unix
 // time.
-func (r *Router) Standing(id string) (role Role, suspect bool, pos int64) {
+func (r *Router) NodeStatus(id string) (role Role, suspect bool, pos int64) {
 	n, known := r.node.index[id]
 	if !known {
 		return RoleUnknown, false, 0
@@ -219,9 +219,9 @@
 
 // groups holds what is known of each command group.
 type groups struct {
-	effect     []Effect
+	effect     []Idempotency
 	everywhere []bool // any node drops repeats, not only those of the same node group
-	level      []Read
+	level      []Consistency
 	bound      []int64
 	window     []int64
 	targets    []int64
@@ -385,7 +385,7 @@
 }
 
 // Group adds a command group; groups are numbered in this order.
-func (r *Router) Group(effect Effect, everywhere bool, level Read, bound, window, target, timeout int64,
+func (r *Router) Group(effect Idempotency, everywhere bool, level Consistency, bound, window, target, timeout int64,
 	benefit, lateWorth float64) {
 	g := &r.group
 	g.effect = append(g.effect, effect)
--- a/internal/settings/opening.go
+++ b/internal/settings/opening.go
@@ -161,12 +161,12 @@
 	levels, bounds := v.List("domain.readLevel"), v.List("domain.oldestData")
 	for i := range n.Int("classes.count") {
 		at := "classes." + strconv.Itoa(i) + "."
-		effect := routing.Mutating
+		effect := routing.NotIdempotent
 		switch v[at+"effect"] {
 		case "safe":
-			effect = routing.Replayable
+			effect = routing.Idempotent
 		case "keyed":
-			effect = routing.Keyed
+			effect = routing.IdempotentWithKey
 		}
 		names.GroupNumbers[v[at+"name"]] = i
 		names.LatencyObjectives = append(names.LatencyObjectives, n.Time(at+"aim"))
@@ -193,16 +193,16 @@
 	return names, n.Err
 }
 
-func level(word string) routing.Read {
+func level(word string) routing.Consistency {
 	switch word {
 	case "any":
-		return routing.Any
+		return routing.Eventual
 	case "bounded":
-		return routing.Bounded
+		return routing.BoundedStaleness
 	case "session":
-		return routing.Session
+		return routing.ReadYourWrites
 	case "fresh":
-		return routing.Fresh
+		return routing.Latest
 	}
 	return routing.Write
 }
--- a/internal/sharedprobes/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -100,7 +100,7 @@
 }
 
 // EndpointListed implements engine.SharedProbes: a node that left the list, or drained and is gone, is nobody's duty.
-func (p *Patrol) EndpointListed(now int64, name string, state routing.State, started int64) {
+func (p *Patrol) EndpointListed(now int64, name string, state routing.EndpointState, started int64) {
 	if state != routing.Up { // what drains is left alone
 		p.drop(name)
 		return
--- a/internal/sharedprobes/patrol_test.go
+++ b/internal/sharedprobes/patrol_test.go
@@ -81,7 +81,7 @@
 	return l
 }
 
-func (l *loop) list(whole bool, state routing.State, names ...string) {
+func (l *loop) list(whole bool, state routing.EndpointState, names ...string) {
 	l.do(func(now int64) {
 		for _, one := range names {
 			l.p.EndpointListed(now, one, state, 7)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -199,7 +199,7 @@
 		}
 		left, shard, since := n.time(f[6], "timeLeft"), n.num(f[8], "clusterNo"), n.time(f[9], "sinceWriteMs")
 		if n.num(f[10], "marks"); n.err == nil {
-			r.Arrive(now, string(f[2]), group, team, text(f[5]), left, int(shard), since)
+			r.RequestArrived(now, string(f[2]), group, team, text(f[5]), left, int(shard), since)
 		}
 	case "result":
 		what := outcome(n.num(f[5], "result"))
@@ -215,12 +215,12 @@
 		if stand>>2 > 0 {
 			pos = (stand>>2)*1000 + o.zero
 		}
-		r.Seen(now, string(f[3]), role, pos)
+		r.ObserveReply(now, string(f[3]), role, pos)
 		if len(f) > 9 {
 			o.report(now, string(f[3]), f[9], &n)
 		}
 		if n.err == nil {
-			r.Result(now, string(f[2]), string(f[3]), int(hop), what, took, final)
+			r.AttemptEnded(now, string(f[2]), string(f[3]), int(hop), what, took, final)
 		}
 	case "checked":
 		took, what := n.time(f[3], "delaySeen"), outcome(n.num(f[4], "result"))
@@ -228,16 +228,16 @@
 			o.report(now, string(f[2]), f[5], &n)
 		}
 		if n.err == nil {
-			r.Probed(now, string(f[2]), took, what)
+			r.HealthChecked(now, string(f[2]), took, what)
 		}
 	case "gone":
-		r.Gone(now, string(f[2]))
+		r.ClientGone(now, string(f[2]))
 	case "elapsed":
 		cookie, err := strconv.ParseUint(string(f[2]), 10, 64)
 		if err != nil {
 			return o.h.bad("cookie", "no number")
 		}
-		r.Timer(now, cookie)
+		r.TimerFired(now, cookie)
 	case "note_from": // none is sent yet
 		if _, err := hex.DecodeString(text(f[3])); err != nil {
 			return o.h.bad("bytes", "no hex digits")
@@ -273,7 +273,7 @@
 func (o *outlet) list(f [][]byte, n *reader) error {
 	kind := string(f[2])
 	if kind == "FAILED" {
-		o.router.ListFailed(o.h.clock)
+		o.router.EndpointListFailed(o.h.clock)
 		return nil
 	}
 	if kind != "FULL" && kind != "SAVED" && kind != "INCREMENTAL" {
@@ -287,7 +287,7 @@
 		return o.h.bad("sheet", "no list number")
 	}
 	now := o.h.clock
-	o.router.ListBegins(now, kind != "INCREMENTAL")
+	o.router.BeginEndpointList(now, kind != "INCREMENTAL")
 	for _, row := range o.h.sheets[sheet] {
 		o.h.split(row)
 		e := o.h.fields
@@ -309,9 +309,9 @@
 		if n.err != nil {
 			return n.err
 		}
-		o.router.ListNode(now, string(e[1]), text(e[2]), text(e[4]), int(shard), state, leads >= 0.5, started)
+		o.router.UpdateEndpoint(now, string(e[1]), text(e[2]), text(e[4]), int(shard), state, leads >= 0.5, started)
 	}
-	o.router.ListEnds(now)
+	o.router.EndEndpointList(now)
 	return nil
 }
 
@@ -374,8 +374,8 @@
 
 // outcome translates the wire's number; an unknown one may have run.
 func outcome(v int64) routing.Outcome {
-	names := [...]routing.Outcome{routing.Errored, routing.Answered, routing.Full, routing.TimedOut, routing.Unconnected,
-		routing.Broken, routing.Withdrawn, routing.Unsent, routing.Missed}
+	names := [...]routing.Outcome{routing.Errored, routing.Answered, routing.Rejected, routing.TimedOut, routing.ConnectFailed,
+		routing.ConnectionLost, routing.Canceled, routing.NotSent, routing.NotPrimary}
 	if v < 0 || int(v) >= len(names) {
 		return routing.Errored
 	}
@@ -398,8 +398,8 @@
 
 func (o *outlet) end() { o.h.reply = append(o.h.reply, '\n') }
 
-// Dispatch implements routing.Actions.
-func (o *outlet) Dispatch(cmd, node string, timeout, _ int64) { // what is sent here begins at once
+// StartAttempt implements routing.Actions.
+func (o *outlet) StartAttempt(cmd, node string, timeout, _ int64) { // what is sent here begins at once
 	o.action("transmit")
 	o.word(cmd)
 	o.word(node)
@@ -407,8 +407,8 @@
 	o.end()
 }
 
-// Throttle implements routing.Actions.
-func (o *outlet) Throttle(cmd string, retryIn int64) {
+// RejectWithRetry implements routing.Actions.
+func (o *outlet) RejectWithRetry(cmd string, retryIn int64) {
 	o.action("not_now")
 	o.word(cmd)
 	o.millis(retryIn)
@@ -422,37 +422,37 @@
 	o.end()
 }
 
-// Withdraw implements routing.Actions.
-func (o *outlet) Withdraw(cmd string, dispatch int) {
+// CancelAttempt implements routing.Actions.
+func (o *outlet) CancelAttempt(cmd string, dispatch int) {
 	o.action("withdraw")
 	o.word(cmd)
 	o.h.reply = strconv.AppendInt(append(o.h.reply, ' '), int64(dispatch), 10)
 	o.end()
 }
 
-// Timer implements routing.Actions.
-func (o *outlet) Timer(in int64, cookie uint64) {
+// SetTimer implements routing.Actions.
+func (o *outlet) SetTimer(in int64, cookie uint64) {
 	o.action("timer")
 	o.millis(in)
 	o.h.reply = strconv.AppendUint(append(o.h.reply, ' '), cookie, 10)
 	o.end()
 }
 
-// Probe implements routing.Actions.
-func (o *outlet) Probe(node string) {
+// CheckHealth implements routing.Actions.
+func (o *outlet) CheckHealth(node string) {
 	o.action("probe")
 	o.word(node)
 	o.end()
 }
 
-// Forget implements routing.Actions; the wire has no word for it.
-func (o *outlet) Forget(string) {}
+// ForgetNode implements routing.Actions; the wire has no word for it.
+func (o *outlet) ForgetNode(string) {}
 
-// Bar implements routing.Actions; nothing waits on this wire.
-func (o *outlet) Bar(string) {}
+// StopNewAttempts implements routing.Actions; nothing waits on this wire.
+func (o *outlet) StopNewAttempts(string) {}
 
-// Release implements routing.Actions.
-func (o *outlet) Release(node string) {
+// CloseIdleConnections implements routing.Actions.
+func (o *outlet) CloseIdleConnections(node string) {
 	o.action("drop_conns")
 	o.word(node)
 	o.end()
@@ -467,8 +467,8 @@
 	o.end()
 }
 
-// Follow implements routing.Actions.
-func (o *outlet) Follow() {
+// WatchEndpoints implements routing.Actions.
+func (o *outlet) WatchEndpoints() {
 	o.action("keep_informed")
 	o.word("1")
 	o.end()
