--- a/internal/simulation/assignmentsim/instances.go
+++ b/internal/simulation/assignmentsim/instances.go
@@ -314,6 +314,7 @@
 						in.turn(w, step)
 					} else if in.up { // its socket keeps what comes
 						for _, b := range in.inbox[step] {
+							b.words = append([]assignment.Word(nil), b.words...) // the other receivers have the same
 							for n := range b.words {
 								b.words[n].Age += w.Now - b.at
 							}
