--- /dev/null
+++ b/internal/adminsocket/golden_test.go
@@ -0,0 +1,23 @@
+package adminsocket
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// TestGoldenLines holds the lines on the socket to their form: an operator's command and the router that it speaks with
+// may be of two versions.
+func TestGoldenLines(t *testing.T) {
+	for _, c := range []struct {
+		value any
+		want  string
+	}{
+		{Request{Verb: "leases"}, `{"verb":"leases"}`},
+		{Request{Verb: "fleet", Name: "n", Args: map[string]string{"b": "2", "a": "1"}, Text: "(plan)"}, `{"verb":"fleet","name":"n","args":{"a":"1","b":"2"},"text":"(plan)"}`},
+		{Fault{"not today"}, `{"error":"not today"}`},
+	} {
+		if raw, err := json.Marshal(c.value); err != nil || string(raw) != c.want {
+			t.Errorf("%s, %v, want %s", raw, err, c.want)
+		}
+	}
+}
