--- a/internal/sharedprobes/golden_test.go
+++ b/internal/sharedprobes/golden_test.go
@@ -29,16 +29,16 @@
 	l := &loop{heard: map[string]int64{}, left: map[string]bool{}, dead: map[string]bool{}, hold: map[string]bool{}}
 	p := New(l)
 	p.table = assignment.New(0, "r1", 1, 5, 1_000_000, 1, 4, 50)
-	p.Node(0, "s-1", routing.Up, 77)
-	p.Node(0, "s-2", routing.Up, 78)
-	p.Listed(0, true)
+	p.EndpointListed(0, "s-1", routing.Up, 77)
+	p.EndpointListed(0, "s-2", routing.Up, 78)
+	p.ListApplied(0, true)
 	for now := int64(0); now < 3_000_000; now += 100_000 {
 		p.table.Tick(now, nil)
 	}
 	p.asked["s-1"], p.asked["s-2"] = false, false
-	p.Probed(3_000_000, "s-1", routing.Answered, 123_456_789, -1, "x0=1")
-	p.Probed(3_000_000, "s-2", routing.TimedOut, 0, 0, "")
-	p.Probed(3_000_000, "s-1", routing.Answered, 9, 1, "nobody asked")
+	p.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 123_456_789, -1, "x0=1")
+	p.HealthCheckEnded(3_000_000, "s-2", routing.TimedOut, 0, 0, "")
+	p.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 9, 1, "nobody asked")
 	want := []string{
 		"896970726f62652f732d316272310100184df41a075bcd15206478303d31",
 		"896970726f62652f732d326272310100184ef5000060",
