--- /dev/null
+++ b/internal/lease/candidate.go
@@ -0,0 +1,528 @@
+package lease
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"slices"
+)
+
+// Candidate is one process's part: it requests leases, and holds those that a majority of voters granted. This file is
+// the way to a lease; holder.go is what happens while it is held.
+type Candidate struct {
+	name        string
+	incarnation uint64
+	maxDrift    int64  // by how many parts of a million a clock's rate may be off
+	randomSeed  uint64 // of the jitter
+	randomDraws uint64 // so far
+
+	sets       []adoptedSet // known voter sets, at most two, the newest last
+	voters     []*votedBy   // every member that was in a known set, in the order in which they became known
+	voterIndex map[string]int
+
+	lastRequestID   uint64
+	requestSentAt   map[uint64]int64 // by request ID, of those whose answers still count
+	oldestRequestID uint64           // of those in requestSentAt
+	highestTerm     uint64           // told by any voter, or used
+	renewAt         int64            // of the next renewal requests
+
+	// generation is that of this process's grants: voters let run out what was not asked for in full under the present
+	// one. See newGeneration.
+	generation uint64
+
+	requests     []*request // nil in places whose request was withdrawn; a new one takes the place that was freed last
+	freePlaces   []int
+	requestIndex map[string]int
+	releases     []pendingRelease
+	actions      []Action
+}
+
+// Request is a lease that a process wants. Times are in microseconds.
+type Request struct {
+	Lease      string
+	Length     int64
+	YieldAfter int64 // time held after which it yields to others of its priority who wait, 0 for never
+	Priority   int8  // who waits with a higher one goes first, and takes the lease over
+}
+
+// phase is how far a request has come.
+type phase uint8
+
+const (
+	waiting phase = iota
+	requesting
+	holding
+)
+
+// request is one lease that this process wants or holds.
+type request struct {
+	Request
+	phase          phase
+	term           uint64
+	carryOverTerm  uint64 // later term to which the lease is being carried over while it is held, 0 for none
+	requestAt      int64  // waiting: when it is requested next
+	attemptEndsAt  int64  // requesting: when this attempt has failed
+	ticket         uint64 // place in line at the voters
+	failures       int    // attempts without a majority in a row
+	heldUntil      int64  // until when a majority's votes are good
+	heldSince      int64
+	yieldRequested bool
+	votes          []vote // by the index of the voter
+}
+
+// active tells whether votes for this request count: it is being requested or held.
+func (r *request) active() bool { return r.phase != waiting }
+
+// ownsTerm tells whether a term is the one of this attempt or tenure, or the one to which it is being carried over. What
+// a voter granted under either binds it to this process alone.
+func (r *request) ownsTerm(term uint64) bool {
+	return term > 0 && (term == r.term || term == r.carryOverTerm)
+}
+
+// trialLength is for how long votes are asked for at first, in us.
+func (r *request) trialLength() int64 {
+	return min(max(r.Length/renewalsPerLength, minTrial), maxTrial)
+}
+
+// vote is one voter's grant of one lease, and what else it answered. Times are on the candidate's clock.
+type vote struct {
+	term             uint64
+	setNumber        uint64
+	voterIncarnation uint64
+	validUntil       int64
+	length           int64
+	full             bool   // for the whole length under the present generation: a renewal request extends it
+	endedGrants      uint64 // the voter's count when it granted
+	generation       uint64 // under which it was asked for
+	receivedAt       int64
+	askAgainAt       int64
+	heldByOtherUntil int64 // until when the voter said at the most that another process has the lease, 0 for not
+}
+
+const (
+	// maxTrial is the longest trial grant, in us. It is how long a split vote, in which no candidate gets a majority,
+	// keeps a lease from everybody.
+	maxTrial = 400_000
+	// minTrial is the shortest trial grant, in us: a few round trips of a slow network, so that it can be won.
+	minTrial = 200_000
+	// maxConcurrentAttempts is how many leases are requested at a time. Answers to more of them come after their trials
+	// are over where voters have little processor time, and all attempts begin anew.
+	maxConcurrentAttempts = 128
+	// askAgainAfter is when a voter that has not answered is asked again, in us.
+	askAgainAfter = 60_000
+	// maxAskInterval is the longest time between requests of a candidate that waits, in us. It is under half of
+	// waiterLifetime, after which a voter takes it out of the line.
+	maxAskInterval = 5_000_000
+	// askTogetherEvery is the raster to which waiting candidates' requests are put off, in us, so that one message
+	// carries many. Nobody's turn is late for it: the voter gives notice of a turn.
+	askTogetherEvery = 200_000
+	// firstBackoff is the wait before another attempt after a split vote, in us, up to half more or less by chance.
+	firstBackoff = 100_000
+	// maxBackoffDoublings bounds the growth of that wait: 6.4 s at the most.
+	maxBackoffDoublings = 6
+	// maxMessagesPerTick is how many grant requests go to one voter in one tick: about 25 kB, which a socket's buffer
+	// takes. What is over goes with the next tick.
+	maxMessagesPerTick = 24
+	// termStep is how far above the highest known term a new one is.
+	termStep = 1
+)
+
+// NewCandidate makes a process's part. incarnation is a number that no other process of its name has; maxDrift is in
+// parts of a million; setNumber and setNames are the voter set that the operator's file names.
+func NewCandidate(name string, incarnation uint64, maxDrift int64, setNumber uint64, setNames []string) *Candidate {
+	c := &Candidate{
+		name:            name,
+		incarnation:     incarnation,
+		maxDrift:        maxDrift,
+		randomSeed:      incarnation,
+		voterIndex:      map[string]int{},
+		requestSentAt:   map[uint64]int64{},
+		oldestRequestID: 1,
+		requestIndex:    map[string]int{},
+	}
+	c.SetVoters(setNumber, setNames)
+	return c
+}
+
+// TakeActions returns what is to be done since the last call, in order.
+func (c *Candidate) TakeActions() []Action {
+	actions := c.actions
+	c.actions = nil
+	return actions
+}
+
+func (c *Candidate) act(a Action) { c.actions = append(c.actions, a) }
+
+// LastRequestID is the number of the newest request to a voter.
+func (c *Candidate) LastRequestID() uint64 { return c.lastRequestID }
+
+// jitter draws a number below limit. It is seeded by the incarnation, so that equal calls give equal actions.
+func (c *Candidate) jitter(limit int64) int64 {
+	var b [16]byte
+	binary.LittleEndian.PutUint64(b[:], c.randomSeed)
+	binary.LittleEndian.PutUint64(b[8:], c.randomDraws)
+	c.randomDraws++
+	return int64(crc32.ChecksumIEEE(b[:])) % max(limit, 1)
+}
+
+// find returns the request for a lease, nil where there is none.
+func (c *Candidate) find(lease string) *request {
+	place, known := c.requestIndex[lease]
+	if !known {
+		return nil
+	}
+	return c.requests[place]
+}
+
+// RequestLease begins to request a lease; for one that is requested already only priority and YieldAfter change.
+func (c *Candidate) RequestLease(now int64, wanted Request) {
+	if r := c.find(wanted.Lease); r != nil {
+		r.Priority = wanted.Priority
+		r.YieldAfter = wanted.YieldAfter
+		return
+	}
+	r := &request{
+		Request:   wanted,
+		requestAt: now,
+		ticket:    c.highestTerm,
+		votes:     make([]vote, len(c.voters)),
+	}
+	place := len(c.requests)
+	if last := len(c.freePlaces) - 1; last >= 0 {
+		place = c.freePlaces[last]
+		c.freePlaces = c.freePlaces[:last]
+		c.requests[place] = r
+	} else {
+		c.requests = append(c.requests, r)
+	}
+	c.requestIndex[wanted.Lease] = place
+}
+
+// Withdraw ends a request and gives up what is held. What ran under the lease must have ended.
+func (c *Candidate) Withdraw(now int64, lease string) {
+	place, known := c.requestIndex[lease]
+	if !known {
+		return
+	}
+	c.announceRelease(now, c.requests[place], "")
+	delete(c.requestIndex, lease)
+	c.requests[place] = nil
+	c.freePlaces = append(c.freePlaces, place)
+}
+
+// Abandon ends a request without telling the voters: what is held runs out there, because what ran under the lease may
+// not have ended.
+func (c *Candidate) Abandon(now int64, lease string) {
+	r := c.find(lease)
+	if r == nil {
+		return
+	}
+	if r.active() {
+		c.newGeneration(now)
+	}
+	r.phase = waiting // so that nothing is announced
+	c.Withdraw(now, lease)
+}
+
+// Tick requests, renews and gives up what is due. It is called several times a second, and after messages.
+func (c *Candidate) Tick(now int64) {
+	c.forgetOldRequests(now)
+	attempts := 0
+	for _, r := range c.requests {
+		if r != nil && r.phase == requesting {
+			attempts++
+		}
+	}
+	shortest := int64(0) // length of a held lease, 0 where none is held
+	for _, r := range c.requests {
+		if r == nil {
+			continue
+		}
+		switch r.phase {
+		case waiting:
+			if now >= r.requestAt && attempts < maxConcurrentAttempts {
+				c.beginAttempt(now, r)
+				attempts++
+			}
+		case requesting:
+			if now >= r.attemptEndsAt {
+				c.failAttempt(now, r)
+			}
+		case holding:
+			if now >= r.heldUntil {
+				c.lose(now, r)
+			} else if shortest == 0 || r.Length < shortest {
+				shortest = r.Length
+			}
+		}
+		if r.active() {
+			c.askMissingVotes(now, r)
+		}
+	}
+	c.renewIfDue(now, shortest)
+	c.sendQueued(now)
+	c.sendReleases(now)
+}
+
+// beginAttempt starts to ask all voters for trial grants under a new term.
+func (c *Candidate) beginAttempt(now int64, r *request) {
+	c.highestTerm += termStep
+	r.phase = requesting
+	r.term = c.highestTerm
+	r.carryOverTerm = 0
+	r.heldUntil = 0
+	r.yieldRequested = false
+	r.attemptEndsAt = now + r.trialLength()
+	for i := range r.votes {
+		r.votes[i] = vote{askAgainAt: now}
+	}
+}
+
+// askMissingVotes queues requests to the voters whose votes are missing, or can't be extended together with all others.
+func (c *Candidate) askMissingVotes(now int64, r *request) {
+	full := r.phase == holding || r.heldUntil > now
+	term := max(r.term, r.carryOverTerm)
+	for i := range r.votes {
+		v := &r.votes[i]
+		valid := v.term == term && v.validUntil > now && (v.full || !full)
+		if valid || now < v.askAgainAt || !c.inKnownSet(i) {
+			continue
+		}
+		v.askAgainAt = now + askAgainAfter
+		if r.phase == holding {
+			v.askAgainAt = now + r.Length/renewalsPerLength
+		}
+		length := r.Length
+		if !full {
+			length = r.trialLength()
+		}
+		c.voters[i].queue = append(c.voters[i].queue, Item{
+			Lease:     r.Lease,
+			Term:      term,
+			CarryOver: r.carryOverTerm > 0,
+			Length:    length,
+			Full:      full,
+			Priority:  r.Priority,
+			Ticket:    r.ticket,
+		})
+	}
+}
+
+// sendQueued sends the queued grant requests, as many messages as one tick may send; the others are asked for with the
+// next tick.
+func (c *Candidate) sendQueued(now int64) {
+	for i, voter := range c.voters {
+		if len(voter.queue) == 0 {
+			continue
+		}
+		parts := splitItems(voter.queue)
+		voter.queue = nil
+		sent := min(len(parts), maxMessagesPerTick)
+		for _, part := range parts[:sent] {
+			c.send(now, i, &Message{Kind: KindGrantRequest, Items: part})
+		}
+		for _, part := range parts[sent:] {
+			for _, item := range part {
+				if r := c.find(item.Lease); r != nil {
+					r.votes[i].askAgainAt = now
+				}
+			}
+		}
+	}
+}
+
+// send sends a voter a request under a new ID and under the number of the voter set that it goes by.
+func (c *Candidate) send(now int64, voter int, m *Message) {
+	c.lastRequestID++
+	c.requestSentAt[c.lastRequestID] = now
+	m.From = c.name
+	m.Incarnation = c.incarnation
+	m.SetNumber = c.voters[voter].setNumber
+	m.RequestID = c.lastRequestID
+	m.Generation = c.generation
+	c.act(Send{To: c.voters[voter].name, Message: m})
+}
+
+// failAttempt ends an attempt that brought no majority. The next one is when the present holder may have ended, where
+// voters told of one, or else after a growing wait with jitter, which parts candidates whose votes split.
+func (c *Candidate) failAttempt(now int64, r *request) {
+	c.announceRelease(now, r, "")
+	r.phase = waiting
+	r.failures++
+	backoff := int64(firstBackoff) << min(r.failures, maxBackoffDoublings)
+	r.requestAt = now + backoff/2 + c.jitter(backoff)
+	if free := c.mayBeFreeAt(r); free > now {
+		free = min(free, now+maxAskInterval)
+		r.requestAt = free - free%askTogetherEvery + askTogetherEvery + c.jitter(firstBackoff)/2
+		r.failures = 0
+	}
+}
+
+// mayBeFreeAt is when a majority of the newest set's voters may have the lease free, by what they answered; 0 where so
+// few told of another holder that the others are a majority.
+func (c *Candidate) mayBeFreeAt(r *request) int64 {
+	newest := c.sets[len(c.sets)-1]
+	var busyUntil []int64
+	for _, name := range newest.names {
+		if until := r.votes[c.voterIndex[name]].heldByOtherUntil; until > 0 {
+			busyUntil = append(busyUntil, until)
+		}
+	}
+	free := len(newest.names) - len(busyUntil)
+	if free >= newest.majority() {
+		return 0
+	}
+	slices.Sort(busyUntil)
+	return busyUntil[newest.majority()-free-1]
+}
+
+// Receive takes a voter's message.
+func (c *Candidate) Receive(now int64, m *Message) {
+	i, known := c.voterIndex[m.From]
+	if !known {
+		return
+	}
+	isResponse := m.Kind == KindGrantResponse || m.Kind == KindRenewResponse
+	if isResponse && m.Requester != c.incarnation {
+		return // an answer to a former process of this name
+	}
+	if len(m.SetNames) > 0 && m.Kind != KindVoterStatus {
+		c.SetVoters(m.SetNumber, m.SetNames)
+	}
+	c.voters[i].setNumber = m.SetNumber
+	if m.Kind == KindTurnNotice {
+		c.takeTurnNotice(now, i, m)
+	}
+	if !isResponse {
+		return
+	}
+	sentAt, open := c.requestSentAt[m.RequestID]
+	if !open {
+		return
+	}
+	c.compareClocks(c.voters[i], clockReading{requestSentAt: sentAt, receivedAt: now, voterClock: m.VoterClock})
+	if m.Kind == KindGrantResponse {
+		for _, item := range m.Items {
+			c.takeVerdict(now, i, sentAt, m, item)
+		}
+		return
+	}
+	c.checkRenewedCount(now, i, m)
+	c.takeRenewal(now, i, sentAt, m)
+}
+
+// takeTurnNotice requests leases of which a voter says that they are free for this process. One voter's notice is not
+// enough while others may still have the lease granted: one that has come back and knows of no holder calls in vain.
+func (c *Candidate) takeTurnNotice(now int64, voter int, m *Message) {
+	for _, item := range m.Items {
+		c.highestTerm = max(c.highestTerm, item.Term)
+		r := c.find(item.Lease)
+		if r == nil || r.phase != waiting {
+			continue
+		}
+		r.votes[voter].heldByOtherUntil = 0
+		if c.mayBeFreeAt(r) <= now {
+			r.requestAt = now
+		}
+	}
+}
+
+// takeVerdict takes a voter's verdict on one lease. sentAt is when the request went out.
+func (c *Candidate) takeVerdict(now int64, voter int, sentAt int64, m *Message, item Item) {
+	c.highestTerm = max(c.highestTerm, item.Term)
+	r := c.find(item.Lease)
+	if r == nil || !r.active() {
+		return
+	}
+	if r.ticket == 0 {
+		r.ticket = c.highestTerm
+	}
+	v := &r.votes[voter]
+	switch item.Verdict {
+	case Granted:
+		c.takeGrant(now, r, v, sentAt, m, item)
+	case TermTooLow:
+		if r.phase == requesting && item.Term >= r.term { // what was granted under the present term is of no use
+			c.announceRelease(now, r, "")
+			c.beginAttempt(now, r)
+		} else if r.phase == holding && item.Term >= max(r.term, r.carryOverTerm) && v.term != item.Term {
+			c.carryOver(now, r)
+		}
+	case HeldByOther, OtherGoesFirst:
+		v.heldByOtherUntil = now + item.Wait
+		v.askAgainAt = now + max(item.Wait, askAgainAfter)
+	case Abstaining, CoolingDown:
+		v.askAgainAt = now + max(item.Wait, askAgainAfter)
+	case OtherVoterSet:
+		v.askAgainAt = now + askAgainAfter
+		if !c.inSet(m.SetNumber, m.From) {
+			v.askAgainAt = now + maxAskInterval
+		}
+	}
+}
+
+// takeGrant counts a vote from when it was asked for, never from its answer: the voter may have granted it at once, and
+// the answer may have come late.
+func (c *Candidate) takeGrant(now int64, r *request, v *vote, sentAt int64, m *Message, item Item) {
+	if !r.ownsTerm(item.Term) {
+		return
+	}
+	validUntil := sentAt + UsableLength(item.Length, c.maxDrift)
+	if r.ownsTerm(v.term) {
+		validUntil = max(validUntil, v.validUntil)
+	}
+	*v = vote{
+		term:             item.Term,
+		setNumber:        m.SetNumber,
+		voterIncarnation: m.Incarnation,
+		validUntil:       validUntil,
+		length:           item.Length,
+		full:             item.Full && m.Generation == c.generation,
+		endedGrants:      m.EndedGrants,
+		generation:       m.Generation,
+		receivedAt:       now,
+	}
+	c.countVotes(now, r)
+}
+
+// countVotes finds until when a majority's votes are good, and acquires or extends the lease by it. Only votes under one
+// set's number from voters of it count together: majorities of one set, or of two sets in a row, have a voter in common,
+// which is bound to one process. What was earned once stays, because the voters keep to it.
+func (c *Candidate) countVotes(now int64, r *request) {
+	until := r.heldUntil
+	var validUntil [MaxVoters]int64
+	for _, set := range c.sets {
+		n := 0
+		for _, name := range set.names {
+			v := &r.votes[c.voterIndex[name]]
+			if r.ownsTerm(v.term) && v.setNumber == set.number {
+				validUntil[n] = v.validUntil
+				n++
+			}
+		}
+		if need := set.majority(); n >= need {
+			slices.Sort(validUntil[:n])
+			until = max(until, validUntil[n-need])
+		}
+	}
+	carriedOver := c.finishCarryOver(now, r)
+	if until <= r.heldUntil && !carriedOver {
+		return
+	}
+	r.heldUntil = until
+	switch {
+	case r.phase == holding:
+		c.act(Extended{Lease: r.Lease, Term: r.term, Until: until})
+	case until-now >= r.Length/2: // full votes, not trials
+		r.phase = holding
+		r.heldSince = now
+		r.failures = 0
+		c.act(Acquired{Lease: r.Lease, Term: r.term, Until: until})
+	case until > now: // the trial is won: all voters are asked for the whole length at once
+		r.attemptEndsAt = now + r.trialLength()
+		for i := range r.votes {
+			if v := &r.votes[i]; !v.full {
+				v.askAgainAt = min(v.askAgainAt, now)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/lease/eligibility.go
@@ -0,0 +1,26 @@
+package lease
+
+import "github.com/cespare/xxhash/v2"
+
+// Eligible tells whether a member should request a lease: it is one of the first n by rendezvous hashing of its name
+// with the lease's, among itself and others. Where any member would do, only a few then burden the voters, and all
+// members that see the same membership agree on who they are.
+func Eligible(self string, others []string, lease string, n int) bool {
+	own := rendezvousScore(self, lease)
+	before := 0
+	for _, other := range others {
+		score := rendezvousScore(other, lease)
+		if score > own || score == own && other < self {
+			before++
+		}
+	}
+	return before < n
+}
+
+func rendezvousScore(member, lease string) uint64 {
+	digest := xxhash.New()
+	digest.WriteString(member)
+	digest.Write([]byte{0})
+	digest.WriteString(lease)
+	return digest.Sum64()
+}
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -16,7 +16,7 @@
 
 // promise is what one process was told that it has.
 type promise struct {
-	by     claim
+	by     process
 	term   uint64
 	till   int64
 	length int64 // of the first full ask, 0 before
@@ -56,12 +56,13 @@
 // ask gives the voter a question and checks each word of its answer.
 func (m *model) ask(now int64, q *Message) (wrong string) {
 	m.v.Receive(now, q)
-	by := claim{q.From, q.Incarnation}
+	by := process{q.From, q.Incarnation}
 	for _, o := range m.v.TakeActions() {
-		if o.Act != Send || o.To != q.From || o.Message.Kind != KindGrantResponse && o.Message.Kind != KindRenewResponse {
+		sent, is := o.(Send)
+		if !is || sent.To != q.From || sent.Message.Kind != KindGrantResponse && sent.Message.Kind != KindRenewResponse {
 			continue
 		}
-		a := o.Message
+		a := sent.Message
 		if a.RequestID != q.RequestID || a.Requester != q.Incarnation || a.Generation != q.Generation {
 			return "the answer is to another question"
 		}
@@ -77,7 +78,7 @@
 	return ""
 }
 
-func (m *model) item(now int64, by claim, q *Message, want, got Item) string {
+func (m *model) item(now int64, by process, q *Message, want, got Item) string {
 	live := m.live(now, want.Lease)
 	if got.Verdict != Granted {
 		free := live == nil && now >= m.from && q.SetNumber == 1
@@ -122,7 +123,7 @@
 	return ""
 }
 
-func (m *model) renewed(now int64, by claim, q, a *Message) string {
+func (m *model) renewed(now int64, by process, q, a *Message) string {
 	n := 0
 	for _, all := range m.promises {
 		for _, p := range all {
@@ -144,7 +145,7 @@
 	m.v.TakeActions()
 	for _, it := range q.Items {
 		for _, p := range m.promises[it.Lease] {
-			if p.by == (claim{q.From, q.Incarnation}) && p.term == it.Term {
+			if p.by == (process{q.From, q.Incarnation}) && p.term == it.Term {
 				p.over = true
 			}
 		}
@@ -242,9 +243,9 @@
 		harm func(v *Voter)
 		all  []played
 	}{
-		"it does not abstain":  {func(v *Voter) { v.till = 0 }, []played{ask(0, 60, 10)}},
-		"it forgets a grant":   {func(v *Voter) { v.grant.live[0] = false }, []played{ask(0, 60, 3_000_000), ask(1, 61, 10)}},
-		"it forgets its terms": {func(v *Voter) { v.grant.term[0], v.grant.live[0], v.floor = 0, false, 0 }, []played{ask(0, 60, 3_000_000), ask(1, 55, 2_000_000)}},
+		"it does not abstain":  {func(v *Voter) { v.abstainUntil = 0 }, []played{ask(0, 60, 10)}},
+		"it forgets a grant":   {func(v *Voter) { v.leases[0].granted = false }, []played{ask(0, 60, 3_000_000), ask(1, 61, 10)}},
+		"it forgets its terms": {func(v *Voter) { v.leases[0].term, v.leases[0].granted, v.termFloor = 0, false, 0 }, []played{ask(0, 60, 3_000_000), ask(1, 55, 2_000_000)}},
 	} {
 		m, now := newModel(), int64(modelStart)
 		wrong := ""
@@ -272,20 +273,20 @@
 	say := func(kind MessageKind, who string, term, ticket uint64) (called string) {
 		v.Receive(now, &Message{Kind: kind, From: who, SetNumber: 1, Items: []Item{{Lease: "x", Term: term, Length: 1_000_000, Full: true, Ticket: ticket}}})
 		for _, o := range v.TakeActions() {
-			if o.Act == Send && o.Message.Kind == KindTurnNotice {
-				called = o.To
+			if sent, is := o.(Send); is && sent.Message.Kind == KindTurnNotice {
+				called = sent.To
 			}
 		}
 		return called
 	}
-	for term := range uint64(lapseFree + 2) { // a lets it run out, again and again, while b waits
+	for term := range uint64(freeLapses + 2) { // a lets it run out, again and again, while b waits
 		now += 4_000_000 * int64(term)
 		say(KindGrantRequest, "a", 100+term, 1)
 		say(KindGrantRequest, "b", 100, 2)
 		now += 1_000_000
 		v.Tick(now)
 		v.TakeActions()
-		now += 2 * turnSpan // b does not come
+		now += 2 * turnTime // b does not come
 		v.Tick(now)
 		v.TakeActions()
 	}
@@ -314,16 +315,17 @@
 		trials := map[string]map[string]bool{}
 		var answers []*Message
 		for _, o := range c.TakeActions() {
-			if o.Act != Send || o.Message.Kind != KindGrantRequest {
+			sent, is := o.(Send)
+			if !is || sent.Message.Kind != KindGrantRequest {
 				continue
 			}
-			a := &Message{Kind: KindGrantResponse, From: o.To, Incarnation: 2, Requester: 1, SetNumber: 1, RequestID: o.Message.RequestID, Generation: o.Message.Generation, VoterClock: now}
-			for _, it := range o.Message.Items {
+			a := &Message{Kind: KindGrantResponse, From: sent.To, Incarnation: 2, Requester: 1, SetNumber: 1, RequestID: sent.Message.RequestID, Generation: sent.Message.Generation, VoterClock: now}
+			for _, it := range sent.Message.Items {
 				if !it.Full {
-					if trials[o.To] == nil {
-						trials[o.To] = map[string]bool{}
+					if trials[sent.To] == nil {
+						trials[sent.To] = map[string]bool{}
 					}
-					trials[o.To][it.Lease] = true
+					trials[sent.To][it.Lease] = true
 				}
 				it.Verdict = Granted
 				a.Items = append(a.Items, it)
@@ -331,7 +333,7 @@
 			answers = append(answers, a)
 		}
 		for to, of := range trials {
-			if len(of) > triesMost {
+			if len(of) > maxConcurrentAttempts {
 				t.Fatalf("%d leases tried for at %s at once", len(of), to)
 			}
 		}
@@ -341,8 +343,8 @@
 			}
 		}
 		for _, o := range c.TakeActions() {
-			if o.Act == Hold {
-				held[o.Lease] = true
+			if acquired, is := o.(Acquired); is {
+				held[acquired.Lease] = true
 			}
 		}
 	}
--- a/internal/leaseservice/golden_test.go
+++ b/internal/leaseservice/golden_test.go
@@ -106,10 +106,10 @@
 }
 
 // goldenOuts are what the voter of the recorded file wanted kept, and its floor.
-func goldenOuts() (outs []lease.Out, floor uint64) {
-	return []lease.Out{{Act: lease.KeepSet, Term: 3}, {Act: lease.Keep, Lease: "nightly", Term: 7, Who: "b", Born: 11},
-		{Act: lease.Keep, Lease: "task", Term: 1 << 50, Who: "c", Born: 1<<63 - 1}, {Act: lease.Keep, Lease: "x", Term: 2, Who: "a", Born: 1},
-		{Act: lease.Unkeep, Lease: "x"}}, 1<<50 + 9
+func goldenOuts() (outs []lease.Action, floor uint64) {
+	return []lease.Action{lease.StoreVoterSet{Number: 3}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "nightly", Term: 7, Holder: "b", Incarnation: 11}},
+		lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "task", Term: 1 << 50, Holder: "c", Incarnation: 1<<63 - 1}}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "x", Term: 2, Holder: "a", Incarnation: 1}},
+		lease.DeleteGrant{Lease: "x"}}, 1<<50 + 9
 }
 
 // storedBytes are all keys and values of a voter's file, by bucket and key.
--- a/internal/leaseservice/leasing.go
+++ b/internal/leaseservice/leasing.go
@@ -243,7 +243,9 @@
 	l.call(func(now int64) { l.claimant.SetVoters(by.Number, by.Names) })
 	l.poll(func(now int64) {
 		if l.voter != nil {
-			refused = l.voter.SetVoters(now, by)
+			if err := l.voter.SetVoters(now, by); err != nil {
+				refused = err.Error()
+			}
 		}
 	})
 	return refused
@@ -356,9 +358,7 @@
 			l.voter.Tick(l.clock())
 		}
 		outs := l.voter.TakeActions()
-		if l.store != nil && slices.ContainsFunc(outs, func(o lease.Out) bool {
-			return o.Act == lease.Keep || o.Act == lease.KeepSet || o.Act == lease.Unkeep
-		}) {
+		if l.store != nil && slices.ContainsFunc(outs, mustBeStored) {
 			if err := l.store.keep(outs, l.voter.TermFloor()); err != nil {
 				unkept.Add()
 				l.fall(fmt.Errorf("this instance votes no more: %w", err))
@@ -379,40 +379,55 @@
 	}
 }
 
+// mustBeStored tells whether an action changes what a voter's file holds.
+func mustBeStored(action lease.Action) bool {
+	switch action.(type) {
+	case lease.StoreGrant, lease.DeleteGrant, lease.StoreVoterSet:
+		return true
+	}
+	return false
+}
+
 // do carries out one thing.
-func (l *Service) do(o lease.Out) {
-	switch o.Act {
+func (l *Service) do(action lease.Action) {
+	name := ""
+	switch a := action.(type) {
 	case lease.Send:
 		asked.Add()
-		if o.To == l.self {
-			m := *o.Message
+		if a.To == l.self {
+			m := *a.Message
 			m.Items = slices.Clone(m.Items)
 			l.put(&m)
-		} else if err := l.send(o.To, membership.KindLease, Encode(o.Message)); err != nil {
+		} else if err := l.send(a.To, membership.KindLease, Encode(a.Message)); err != nil {
 			unsent.Add()
-			slog.Debug("a lease message was not sent", "to", o.To, "err", err)
+			slog.Debug("a lease message was not sent", "to", a.To, "err", err)
 		}
 		return
-	case lease.Note:
-		slog.Warn("leases", "about", o.Who, "note", o.Why)
+	case lease.Warning:
+		slog.Warn("leases", "about", a.About, "note", a.Text)
 		return
-	case lease.Drifts:
+	case lease.ClockOutOfBound:
 		clocksOff.Add()
-		slog.Error("a clock is outside the bound that leases rest on", "voter", o.Who, "note", o.Why)
+		slog.Error("a clock is outside the bound that leases rest on", "voter", a.Voter, "note", a.Text)
 		return
-	case lease.Keep, lease.KeepSet, lease.Unkeep:
-		return // kept before, where there is a lasting place
-	case lease.Hold:
+	case lease.StoreGrant, lease.DeleteGrant, lease.StoreVoterSet:
+		return // stored before, where there is a file
+	case lease.Acquired:
 		begun.Add()
-		slog.Info("lease held", "lease", o.Lease, "term", o.Term, "left_us", o.Until-l.clock())
-	case lease.Lose:
+		slog.Info("lease held", "lease", a.Lease, "term", a.Term, "left_us", a.Until-l.clock())
+		name = a.Lease
+	case lease.Extended:
+		name = a.Lease
+	case lease.Lost:
 		lost.Add()
-		slog.Warn("lease lost", "lease", o.Lease, "term", o.Term, "why", o.Why)
-	case lease.Yield:
+		slog.Warn("lease lost", "lease", a.Lease, "term", a.Term, "why", a.Reason)
+		name = a.Lease
+	case lease.YieldRequested:
 		yielded.Add()
-		slog.Info("lease wanted", "lease", o.Lease, "term", o.Term, "by", o.Who, "why", o.Why)
+		slog.Info("lease wanted", "lease", a.Lease, "term", a.Term, "by", a.Next, "why", a.Reason)
+		name = a.Lease
 	}
-	if t := l.tenures[o.Lease]; t != nil { // only a claimant's goroutine gets here
-		t.heard(o)
+	if t := l.tenures[name]; t != nil { // only the candidate's goroutine gets here
+		t.heard(action)
 	}
 }
--- a/internal/leaseservice/leasing_test.go
+++ b/internal/leaseservice/leasing_test.go
@@ -227,8 +227,8 @@
 	if err != nil || len(kept) != 0 || floor != 0 || set != 0 {
 		t.Fatal(kept, floor, set, err)
 	}
-	outs := []lease.Out{{Act: lease.KeepSet, Term: 3}, {Act: lease.Keep, Lease: "x", Term: 7, Who: "b", Born: 11},
-		{Act: lease.Keep, Lease: "y", Term: 8, Who: "c", Born: 12}, {Act: lease.Unkeep, Lease: "x"}, {Act: lease.Send}}
+	outs := []lease.Action{lease.StoreVoterSet{Number: 3}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "x", Term: 7, Holder: "b", Incarnation: 11}},
+		lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "y", Term: 8, Holder: "c", Incarnation: 12}}, lease.DeleteGrant{Lease: "x"}, lease.Send{}}
 	if err := s.keep(outs, 9); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -164,7 +164,7 @@
 }
 
 // keep writes what a voter wants kept, all in one commit; when it returns it is on the disk.
-func (s *store) keep(outs []lease.Out, floor uint64) (err error) {
+func (s *store) keep(actions []lease.Action, floor uint64) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%s: %w: %v", s.path, ErrDamaged, r)
@@ -172,15 +172,15 @@
 	}()
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta, leases := tx.Bucket(inMeta), tx.Bucket(inLeases)
-		for _, o := range outs {
+		for _, o := range actions {
 			var err error
-			switch o.Act {
-			case lease.Keep:
-				err = put(leases, []byte(o.Lease), record{Term: o.Term, Holder: o.Who, Born: o.Born})
-			case lease.KeepSet:
-				err = put(meta, keySet, o.Term)
-			case lease.Unkeep:
-				err = leases.Delete([]byte(o.Lease))
+			switch a := o.(type) {
+			case lease.StoreGrant:
+				err = put(leases, []byte(a.Lease), record{Term: a.Term, Holder: a.Holder, Born: a.Incarnation})
+			case lease.StoreVoterSet:
+				err = put(meta, keySet, a.Number)
+			case lease.DeleteGrant:
+				err = leases.Delete([]byte(a.Lease))
 			}
 			if err != nil {
 				return err
--- a/internal/leaseservice/tenure.go
+++ b/internal/leaseservice/tenure.go
@@ -154,28 +154,28 @@
 	})
 }
 
-// heard takes what became of the lease, on the claimant's goroutine.
-func (t *Guard) heard(o lease.Out) {
-	e := Event{Term: o.Term, Until: o.Until, Next: o.Who, Reason: o.Why}
-	switch o.Act {
-	case lease.Hold:
-		e.Change = Acquired
-		t.held.Store(&grant{o.Term, o.Until})
+// heard takes what became of the lease, on the candidate's goroutine.
+func (t *Guard) heard(action lease.Action) {
+	var e Event
+	switch a := action.(type) {
+	case lease.Acquired:
+		e = Event{Change: Acquired, Term: a.Term, Until: a.Until}
+		t.held.Store(&grant{a.Term, a.Until})
 	case lease.Extended:
-		e.Change = Extended
-		t.held.Store(&grant{o.Term, o.Until})
-	case lease.Lose:
-		e.Change = Lost
+		e = Event{Change: Extended, Term: a.Term, Until: a.Until}
+		t.held.Store(&grant{a.Term, a.Until})
+	case lease.Lost:
+		e = Event{Change: Lost, Term: a.Term, Reason: a.Reason}
 		t.held.Store(nil)
 		t.mu.Lock()
 		for _, cancel := range t.stops {
 			cancel()
 		}
 		t.mu.Unlock()
-	case lease.Yield:
-		e.Change = YieldRequested
+	case lease.YieldRequested:
+		e = Event{Change: YieldRequested, Term: a.Term, Next: a.Next, Reason: a.Reason}
 		if t.on == nil {
-			go t.Release(o.Who)
+			go t.Release(a.Next)
 			return
 		}
 	}
--- a/internal/simulation/leasesim/council.go
+++ b/internal/simulation/leasesim/council.go
@@ -89,7 +89,7 @@
 	Violation   string // the first rule that was broken
 	MessageSize func(*lease.Message) int
 	Trace       func(at int64, what string)
-	Observe     func(at int64, process string, o lease.Out) // each action, before it is carried out
+	Observe     func(at int64, process string, action lease.Action) // each action, before it is carried out
 	rng         *rand.Rand
 	list        []*process
 	byName      map[string]int
@@ -425,34 +425,34 @@
 
 func (w *Simulation) lease(name string) int { return w.index[name] }
 
-func (w *Simulation) do(p *process, o lease.Out) {
+func (w *Simulation) do(p *process, action lease.Action) {
 	if w.Observe != nil {
-		w.Observe(w.Now, p.name, o)
+		w.Observe(w.Now, p.name, action)
 	}
-	switch o.Act {
+	switch a := action.(type) {
 	case lease.Send:
-		w.send(p, o.To, o.Message)
-	case lease.Keep:
+		w.send(p, a.To, a.Message)
+	case lease.StoreGrant:
 		if w.Lasting {
-			p.kept[o.Lease] = lease.GrantRecord{Lease: o.Lease, Holder: o.Who, Term: o.Term, Incarnation: o.Born}
+			p.kept[a.Lease] = a.GrantRecord
 			p.floor = max(p.floor, p.voter.TermFloor())
 		}
-	case lease.Unkeep:
-		delete(p.kept, o.Lease)
+	case lease.DeleteGrant:
+		delete(p.kept, a.Lease)
 		p.floor = max(p.floor, p.voter.TermFloor())
-	case lease.KeepSet:
+	case lease.StoreVoterSet:
 		if w.Lasting {
-			p.keptSet = o.Term
+			p.keptSet = a.Number
 		}
-	case lease.Hold:
-		w.hold(p, w.lease(o.Lease), o.Term, o.Until)
+	case lease.Acquired:
+		w.hold(p, w.lease(a.Lease), a.Term, a.Until)
 	case lease.Extended:
-		w.extended(p, w.lease(o.Lease), o.Term, o.Until)
-	case lease.Lose:
-		w.lost(p, w.lease(o.Lease), o.Why)
-	case lease.Yield:
-		w.trace("%s is to yield %s to %s: %s", p.name, o.Lease, o.Who, o.Why)
-		w.release(p, w.lease(o.Lease), o.Who)
+		w.extended(p, w.lease(a.Lease), a.Term, a.Until)
+	case lease.Lost:
+		w.lost(p, w.lease(a.Lease), a.Reason)
+	case lease.YieldRequested:
+		w.trace("%s is to yield %s to %s: %s", p.name, a.Lease, a.Next, a.Reason)
+		w.release(p, w.lease(a.Lease), a.Next)
 	}
 }
 
--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -15,19 +15,19 @@
 // recording is one run whose actions were recorded before the lease packages were rewritten for their readers.
 type recording struct {
 	name string
-	play func(observe func(at int64, process string, o lease.Out)) *Simulation
+	play func(observe func(at int64, process string, action lease.Action)) *Simulation
 }
 
 // recordings lists the runs: mixed faults, a planted fault each, and calm fleets whose leases are handed over, taken
 // from a killed holder and carried over while voters restart.
 func recordings() (all []recording) {
-	observed := func(p Scenario, observe func(at int64, process string, o lease.Out)) *Simulation {
+	observed := func(p Scenario, observe func(at int64, process string, action lease.Action)) *Simulation {
 		w := New(p)
 		w.Observe = observe
 		return w
 	}
 	for seed := range uint64(40) {
-		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Out)) *Simulation {
+		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
 			w := observed(MixedFaults(seed), observe)
 			w.Run(w.Span)
 			w.Settle()
@@ -36,14 +36,14 @@
 		}})
 	}
 	for f := None + 1; f < MistakeCount; f++ {
-		all = append(all, recording{"planted-" + f.String(), func(observe func(int64, string, lease.Out)) *Simulation {
+		all = append(all, recording{"planted-" + f.String(), func(observe func(int64, string, lease.Action)) *Simulation {
 			w := observed(MixedFaults(uint64(f)).WithMistake(f), observe)
 			w.Run(w.Span)
 			return w
 		}})
 	}
 	for seed, voters := range []int{3, 5, 3, 5} {
-		all = append(all, recording{fmt.Sprintf("handover-%d", seed), func(observe func(int64, string, lease.Out)) *Simulation {
+		all = append(all, recording{fmt.Sprintf("handover-%d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
 			w := observed(Scenario{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, Wanted: 4, Length: 2_000_000, Drift: 10_000, Lasting: seed >= 2, Calm: true}, observe)
 			w.Run(8_000_000)
 			for l := range 12 {
@@ -62,15 +62,53 @@
 	return all
 }
 
+// recordedForm is an action as it was recorded: a number for its kind, and one set of fields for all kinds.
+type recordedForm struct {
+	kind        int
+	to, lease   string
+	term        uint64
+	until       int64
+	incarnation uint64
+	who, why    string
+	message     *lease.Message
+}
+
+func formOf(action lease.Action) recordedForm {
+	switch a := action.(type) {
+	case lease.Send:
+		return recordedForm{kind: 1, to: a.To, message: a.Message}
+	case lease.StoreGrant:
+		return recordedForm{kind: 2, lease: a.Lease, term: a.Term, incarnation: a.Incarnation, who: a.Holder}
+	case lease.StoreVoterSet:
+		return recordedForm{kind: 3, term: a.Number}
+	case lease.DeleteGrant:
+		return recordedForm{kind: 4, lease: a.Lease}
+	case lease.Acquired:
+		return recordedForm{kind: 5, lease: a.Lease, term: a.Term, until: a.Until}
+	case lease.Extended:
+		return recordedForm{kind: 6, lease: a.Lease, term: a.Term, until: a.Until}
+	case lease.Lost:
+		return recordedForm{kind: 7, lease: a.Lease, term: a.Term, why: a.Reason}
+	case lease.YieldRequested:
+		return recordedForm{kind: 8, lease: a.Lease, term: a.Term, who: a.Next, why: a.Reason}
+	case lease.Warning:
+		return recordedForm{kind: 9, who: a.About, why: a.Text}
+	case lease.ClockOutOfBound:
+		return recordedForm{kind: 10, who: a.Voter, why: a.Text}
+	}
+	panic(fmt.Sprintf("an action of type %T has no recorded form", action))
+}
+
 // writeAction writes each field of an action, and of the message that it sends, in a form that no renaming changes.
-func writeAction(to io.Writer, at int64, process string, o lease.Out) {
-	fmt.Fprintf(to, "%d %s %d %q %q %d %d %d %q %q\n", at, process, o.Act, o.To, o.Lease, o.Term, o.Until, o.Born, o.Who, o.Why)
-	m := o.Message
+func writeAction(to io.Writer, at int64, process string, action lease.Action) {
+	o := formOf(action)
+	fmt.Fprintf(to, "%d %s %d %q %q %d %d %d %q %q\n", at, process, o.kind, o.to, o.lease, o.term, o.until, o.incarnation, o.who, o.why)
+	m := o.message
 	if m == nil {
 		return
 	}
-	fmt.Fprintf(to, " %d %q %d %d %d %q %d %d %d %d %d %d %d %d\n", m.Kind, m.From, m.Incarnation, m.Requester, m.SetNumber, m.SetNames, m.RequestID, m.EndedGrants, m.Generation,
-		m.RenewedCount, m.VoterClock, m.TermFloor, m.LongestLease, m.SetAge)
+	fmt.Fprintf(to, " %d %q %d %d %d %q %d %d %d %d %d %d %d %d\n", m.Kind, m.From, m.Incarnation, m.Requester, m.SetNumber, m.SetNames,
+		m.RequestID, m.EndedGrants, m.Generation, m.RenewedCount, m.VoterClock, m.TermFloor, m.LongestLease, m.SetAge)
 	for _, it := range m.Items {
 		fmt.Fprintf(to, "  %q %d %d %v %v %d %d %d %q %d\n", it.Lease, it.Term, it.Length, it.Full, it.CarryOver, it.Priority, it.Ticket, it.Verdict,
 			it.Holder, it.Wait)
@@ -100,8 +138,8 @@
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
 			hash, count := xxhash.New(), 0
-			w := r.play(func(at int64, process string, o lease.Out) {
-				writeAction(hash, at, process, o)
+			w := r.play(func(at int64, process string, action lease.Action) {
+				writeAction(hash, at, process, action)
 				count++
 			})
 			figures := w.Figures()
