--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -76,7 +76,7 @@
 	if reply != nil {
 		e.applyReplyStatus(now, attempt.Node, reply)
 	}
-	e.router.AttemptEnded(now, request.Command.ID, attempt.Node, attempt.Number, outcome, elapsed, request.Concluded())
+	e.router.AttemptEnded(now, request.Command.ID, attempt.Number, outcome, elapsed, request.Concluded())
 	e.removeIfDone(request)
 }
 
--- a/internal/engine/router_actions.go
+++ b/internal/engine/router_actions.go
@@ -53,8 +53,8 @@
 }
 
 // SetTimer implements routing.Actions.
-func (a routerActions) SetTimer(in int64, cookie uint64) {
-	a.engine.After(in, func(now int64) { a.engine.router.TimerFired(now, cookie) })
+func (a routerActions) SetTimer(in int64) {
+	a.engine.After(in, a.engine.router.TimerFired)
 }
 
 // CheckHealth implements routing.Actions.
@@ -72,8 +72,5 @@
 // WatchEndpoints implements routing.Actions; a router on sockets always follows the endpoint list.
 func (routerActions) WatchEndpoints() {}
 
-// Tell implements routing.Actions; routers on sockets pass no notes of the routing module's.
-func (routerActions) Tell(int, []byte) {}
-
 var _ inflight.Intake = (*Engine)(nil)
 var _ inflight.ResultHandler = (*Engine)(nil)
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -177,7 +177,7 @@
 	if o != TimedOut && o != ConnectFailed && o != ConnectionLost && o != Canceled && o != NotSent {
 		w.seen(f.node, role, pos)
 	}
-	w.r.AttemptEnded(w.now, f.cmd, f.node, f.n, o, w.now-f.sent, final)
+	w.r.AttemptEnded(w.now, f.cmd, f.n, o, w.now-f.sent, final)
 }
 
 // seen tells the model and the module what a node said of itself in an answer.
@@ -204,7 +204,7 @@
 	}
 	w.timers = w.timers[fired:]
 	for range fired {
-		w.r.TimerFired(w.now, 0)
+		w.r.TimerFired(w.now)
 	}
 	for i := len(w.open) - 1; i >= 0; i-- {
 		if i < len(w.open) && w.now >= w.cmds[w.open[i].cmd].deadline {
@@ -312,7 +312,7 @@
 }
 
 // SetTimer implements Actions.
-func (w *world) SetTimer(in int64, _ uint64) { w.timers = append(w.timers, w.now+in) }
+func (w *world) SetTimer(in int64) { w.timers = append(w.timers, w.now+in) }
 
 // CheckHealth implements Actions.
 func (w *world) CheckHealth(node string) { w.probes = append(w.probes, node) }
@@ -332,8 +332,5 @@
 	}
 }
 
-// Tell implements Actions.
-func (w *world) Tell(int, []byte) {}
-
 // WatchEndpoints implements Actions.
 func (w *world) WatchEndpoints() {}
--- a/internal/routing/iface.go
+++ b/internal/routing/iface.go
@@ -13,7 +13,7 @@
 	// CancelAttempt stops waiting for one dispatch, by its number within the command.
 	CancelAttempt(cmd string, dispatch int)
 	// SetTimer asks for a TimerFired event after a delay.
-	SetTimer(in int64, cookie uint64)
+	SetTimer(in int64)
 	// CheckHealth asks a node for its report.
 	CheckHealth(node string)
 	// CloseIdleConnections closes the idle connections to a node.
@@ -24,8 +24,6 @@
 	ForgetNode(node string)
 	// WatchEndpoints asks for the node list and its changes from now on.
 	WatchEndpoints()
-	// Tell sends a short note to one peer, or to all where peer is negative.
-	Tell(peer int, note []byte)
 }
 
 // Outcome is how a dispatch or a probe ended.
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -85,7 +85,7 @@
 		r.group.usual[g] = usualPart * float64(r.group.targets[g])
 	}
 	r.probesLeft = extraStore
-	r.act.SetTimer(1+int64(r.chance(sweepEvery)), 0) // routers that start at once do not beat at once
+	r.act.SetTimer(1 + int64(r.chance(sweepEvery))) // routers that start at once do not beat at once
 }
 
 // BeginEndpointList starts a list; a full one drops the nodes that it does not name.
@@ -806,7 +806,7 @@
 }
 
 // AttemptEnded tells how a dispatch ended; it runs through the chain upwards.
-func (r *Router) AttemptEnded(now int64, id, _ string, n int, o Outcome, took int64, final bool) {
+func (r *Router) AttemptEnded(now int64, id string, n int, o Outcome, took int64, final bool) {
 	c := r.cmds[id]
 	if c == nil || n < 0 || n >= len(c.tries) || c.tries[n].ended {
 		return
@@ -841,7 +841,7 @@
 	}
 }
 
-func (r *Router) HealthChecked(now int64, id string, _ int64, o Outcome) {
+func (r *Router) HealthChecked(now int64, id string, o Outcome) {
 	n, known := r.node.index[id]
 	if !known {
 		return
@@ -866,7 +866,7 @@
 }
 
 // TimerFired is the module's beat: silence, waiting commands, probes.
-func (r *Router) TimerFired(now int64, _ uint64) {
+func (r *Router) TimerFired(now int64) {
 	if now-r.beatAt > standstill { // the router stood still itself: no node was silent for that
 		r.stalled = now
 	}
@@ -891,7 +891,7 @@
 		r.followAt = 0
 		r.act.WatchEndpoints()
 	}
-	r.act.SetTimer(sweepEvery, 0)
+	r.act.SetTimer(sweepEvery)
 }
 
 // listen watches one node. Silence: nothing back for several usual responses. Guards against hangs, deaths,
--- a/internal/routing/route_test.go
+++ b/internal/routing/route_test.go
@@ -108,7 +108,7 @@
 			}
 			w.answer(i, o, role, pos)
 			if rnd.Intn(64) == 0 { // the same result once more, and the client leaves
-				w.r.AttemptEnded(w.now, fl.cmd, fl.node, fl.n, o, 1, true)
+				w.r.AttemptEnded(w.now, fl.cmd, fl.n, o, 1, true)
 				w.cmds[fl.cmd].given = true
 				w.r.ClientGone(w.now, fl.cmd)
 			}
@@ -117,7 +117,7 @@
 		w.probes = nil
 		for _, n := range probed {
 			if hung[n] {
-				w.r.HealthChecked(w.now, n, 250_000, TimedOut)
+				w.r.HealthChecked(w.now, n, TimedOut)
 				continue
 			}
 			role, pos := at(n)
@@ -127,7 +127,7 @@
 			if _, told := w.leads[n]; role == Primary && !told {
 				w.leads[n] = true
 			}
-			w.r.HealthChecked(w.now, n, 1_000, Answered)
+			w.r.HealthChecked(w.now, n, Answered)
 		}
 	}
 	for range 700 {
@@ -243,7 +243,7 @@
 	if len(w.probes) != 1 || !w.r.node.suspect[0] {
 		t.Fatal("a peer's word alone ended the silence, or was not looked into:", w.probes)
 	}
-	w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n0", Answered)
 	if w.r.node.suspect[0] {
 		t.Fatal("still silent after its own probe")
 	}
@@ -299,7 +299,7 @@
 	w.step(1_000)
 	w.tell("g0n1", Replica, need)
 	w.r.ReportedPosition(w.now, "g0n1", need)
-	w.r.HealthChecked(w.now, "g0n1", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n1", Answered)
 	if sentTo(w) != "g0n1" {
 		t.Fatal("not sent to the proven replica but", sentTo(w))
 	}
@@ -312,7 +312,7 @@
 	w.arrive("c", gMutating, 0, 2e6, 0)
 	w.step(1_950_000)
 	w.seen("g0n1", Primary, 0)
-	w.r.HealthChecked(w.now, "g0n1", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n1", Answered)
 	if c := w.cmds["c"]; c.sent != 0 || !c.given {
 		t.Fatal("sent with 50 ms left")
 	}
@@ -343,7 +343,7 @@
 		t.Fatal("sent to a silent primary, or no one asked for the next")
 	}
 	w.seen("g0n2", Primary, 0)
-	w.r.HealthChecked(w.now, "g0n2", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n2", Answered)
 	if c := w.cmds["held"]; c.sent != 1 || w.open[len(w.open)-1].node != "g0n2" {
 		t.Fatal("not sent to the successor")
 	}
@@ -481,7 +481,7 @@
 			t.Fatal("silent with", len(w.r.node.open[0]), "out:", w.r.node.suspect[0])
 		}
 	}
-	w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n0", Answered)
 	if w.beats(1); w.r.node.suspect[0] {
 		t.Fatal("still silent after a probe")
 	}
@@ -498,7 +498,7 @@
 			if len(w.open) > 0 {
 				t.Fatal("asked again at once")
 			}
-			w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
+			w.r.HealthChecked(w.now, "g0n0", Answered)
 			w.dropped = nil
 			w.step(200_000)
 		}
@@ -515,9 +515,9 @@
 	w := group(t, 1, 2)
 	w.arrive("a", gMutating, 0, 4e6, 0)
 	w.answer(0, ConnectFailed, RoleUnknown, 0)
-	w.r.HealthChecked(w.now, "g0n0", 250_000, ConnectFailed)
+	w.r.HealthChecked(w.now, "g0n0", ConnectFailed)
 	w.step(300_000)
-	w.r.HealthChecked(w.now, "g0n0", 1_000, Answered)
+	w.r.HealthChecked(w.now, "g0n0", Answered)
 	if w.r.node.suspect[0] || len(w.dropped) > 0 || len(w.open) != 1 {
 		t.Fatal("silent:", w.r.node.suspect[0], "released:", w.dropped, "out:", len(w.open))
 	}
@@ -648,7 +648,7 @@
 		for _, n := range w.probes {
 			w.tell(n, RoleUnknown, 0)
 			w.r.ReportedRole(w.now, n, n == "n299")
-			w.r.HealthChecked(w.now, n, 1_000, Answered)
+			w.r.HealthChecked(w.now, n, Answered)
 		}
 		w.probes = nil
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -220,24 +220,24 @@
 			o.report(now, string(f[3]), f[9], &n)
 		}
 		if n.err == nil {
-			r.AttemptEnded(now, string(f[2]), string(f[3]), int(hop), what, took, final)
+			r.AttemptEnded(now, string(f[2]), int(hop), what, took, final)
 		}
 	case "checked":
-		took, what := n.time(f[3], "delaySeen"), outcome(n.num(f[4], "result"))
+		n.time(f[3], "delaySeen")
+		what := outcome(n.num(f[4], "result"))
 		if len(f) > 5 && n.err == nil {
 			o.report(now, string(f[2]), f[5], &n)
 		}
 		if n.err == nil {
-			r.HealthChecked(now, string(f[2]), took, what)
+			r.HealthChecked(now, string(f[2]), what)
 		}
 	case "gone":
 		r.ClientGone(now, string(f[2]))
 	case "elapsed":
-		cookie, err := strconv.ParseUint(string(f[2]), 10, 64)
-		if err != nil {
+		if _, err := strconv.ParseUint(string(f[2]), 10, 64); err != nil {
 			return o.h.bad("cookie", "no number")
 		}
-		r.TimerFired(now, cookie)
+		r.TimerFired(now)
 	case "note_from": // none is sent yet
 		if _, err := hex.DecodeString(text(f[3])); err != nil {
 			return o.h.bad("bytes", "no hex digits")
@@ -430,11 +430,11 @@
 	o.end()
 }
 
-// SetTimer implements routing.Actions.
-func (o *outlet) SetTimer(in int64, cookie uint64) {
+// SetTimer implements routing.Actions; the module has one kind of timer, so the wire's cookie is always 0.
+func (o *outlet) SetTimer(in int64) {
 	o.action("timer")
 	o.millis(in)
-	o.h.reply = strconv.AppendUint(append(o.h.reply, ' '), cookie, 10)
+	o.word("0")
 	o.end()
 }
 
@@ -458,15 +458,6 @@
 	o.end()
 }
 
-// Tell implements routing.Actions.
-func (o *outlet) Tell(peer int, note []byte) {
-	o.action("write_peer")
-	o.h.reply = strconv.AppendInt(append(o.h.reply, ' '), int64(peer), 10)
-	o.h.reply = append(o.h.reply, ' ')
-	o.h.reply = hex.AppendEncode(o.h.reply, note)
-	o.end()
-}
-
 // WatchEndpoints implements routing.Actions.
 func (o *outlet) WatchEndpoints() {
 	o.action("keep_informed")
