--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	var token string
-	if err := adminsocket.Ask(f.Socket, adminsocket.Request{Verb: "fleet-word", Text: text}, &token); err != nil {
+	if err := adminsocket.Ask(f.Socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "taken")
@@ -56,7 +56,7 @@
 }
 
 func status(socket string) (s rolloutservice.Status, err error) {
-	err = adminsocket.Ask(socket, adminsocket.Request{Verb: "fleet-status"}, &s)
+	err = adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -46,7 +46,7 @@
 // leases prints what the voters know.
 func leases(out io.Writer, socket, name string, asJSON bool) error {
 	var o leaseservice.Overview
-	if err := adminsocket.Ask(socket, adminsocket.Request{Verb: "leases", Name: name}, &o); err != nil {
+	if err := adminsocket.Ask(socket, adminsocket.Request{Command: "leases", Name: name}, &o); err != nil {
 		return err
 	}
 	if asJSON {
@@ -77,7 +77,7 @@
 
 func (l *leaseFreeLine) Run(out io.Writer) error {
 	var n leaseservice.LeaseStatus
-	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Verb: "lease-free", Name: l.Name}, &n); err != nil {
+	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &n); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s, which holds it under term %d, was asked to give it up\n", n.Holder, n.Term)
--- a/internal/adminsocket/control.go
+++ b/internal/adminsocket/control.go
@@ -36,15 +36,15 @@
 )
 
 // Place is where the socket is.
-type Place struct {
-	Given  bool
-	Socket string
+type Settings struct {
+	Enabled bool
+	Socket  string
 }
 
 // Read takes it from the operator's file.
-func Read(p *sexp.Part) Place {
-	at := Place{p.Present(), p.Text("socket", "")}
-	if at.Given && !filepath.IsAbs(at.Socket) {
+func ReadSettings(p *sexp.Part) Settings {
+	at := Settings{p.Present(), p.Text("socket", "")}
+	if at.Enabled && !filepath.IsAbs(at.Socket) {
 		p.AddFault("socket", fmt.Sprintf("%q", at.Socket), `a path such as "/run/cairntiller/control.sock"`)
 	}
 	return at
@@ -52,21 +52,21 @@
 
 // Request is what an operator asks for.
 type Request struct {
-	Verb string            `json:"verb"`
-	Name string            `json:"name,omitempty"`
-	Args map[string]string `json:"args,omitempty"`
-	Text string            `json:"text,omitempty"` // a plan, for example
+	Command string            `json:"verb"`
+	Name    string            `json:"name,omitempty"`
+	Args    map[string]string `json:"args,omitempty"`
+	Text    string            `json:"text,omitempty"` // a plan, for example
 }
 
 // Exchange is a request under way at the router.
-type Exchange struct {
+type Session struct {
 	Request
 	conn net.Conn
 	in   *bufio.Scanner
 }
 
 // Say writes one line of the answer.
-func (x *Exchange) Say(v any) error { return writeLine(x.conn, v) }
+func (x *Session) Reply(v any) error { return writeLine(x.conn, v) }
 
 func writeLine(c net.Conn, v any) error {
 	raw, err := json.Marshal(v)
@@ -79,7 +79,7 @@
 }
 
 // Next waits for a further line; the error is io.EOF or why there is none.
-func (x *Exchange) Next(v any) error {
+func (x *Session) ReadLine(v any) error {
 	if !x.in.Scan() {
 		return errors.Join(x.in.Err(), net.ErrClosed)
 	}
@@ -87,16 +87,16 @@
 }
 
 // Handler answers a request; its error is told to the operator as the last line.
-type Handler func(ctx context.Context, x *Exchange) error
+type Handler func(ctx context.Context, x *Session) error
 
 // Fault is the last line of a request that was refused.
-type Fault struct {
+type Refusal struct {
 	Error string `json:"error"`
 }
 
 // Server takes operators' requests.
 type Server struct {
-	at   Place
+	at   Settings
 	ln   net.Listener
 	ctx  context.Context
 	stop context.CancelFunc
@@ -108,7 +108,7 @@
 }
 
 // Listen makes a server; a socket that a former router left is taken over, one where another answers is not.
-func Listen(at Place) (*Server, error) {
+func Listen(at Settings) (*Server, error) {
 	if c, err := net.DialTimeout("unix", at.Socket, staleWait); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("control: another router listens at %s", at.Socket)
@@ -170,28 +170,28 @@
 }
 
 func (s *Server) serve(c net.Conn) {
-	x := &Exchange{conn: c, in: bufio.NewScanner(c)}
+	x := &Session{conn: c, in: bufio.NewScanner(c)}
 	x.in.Buffer(nil, mostLine)
 	c.SetReadDeadline(time.Now().Add(firstWait))
-	if err := x.Next(&x.Request); err != nil {
+	if err := x.ReadLine(&x.Request); err != nil {
 		faulty.Add()
-		x.Say(Fault{"a request that can't be read"})
+		x.Reply(Refusal{"a request that can't be read"})
 		return
 	}
 	c.SetReadDeadline(time.Time{})
 	requests.Add()
 	s.mu.Lock()
-	h := s.verbs[x.Verb]
+	h := s.verbs[x.Command]
 	s.mu.Unlock()
 	if h == nil {
 		faulty.Add()
-		x.Say(Fault{fmt.Sprintf("this router does not know %q, or that part is off in its file", x.Verb)})
+		x.Reply(Refusal{fmt.Sprintf("this router does not know %q, or that part is off in its file", x.Command)})
 		return
 	}
 	if err := h(s.ctx, x); err != nil {
 		faulty.Add()
-		slog.Debug("an operator's request was refused", "verb", x.Verb, "name", x.Name, "err", err)
-		x.Say(Fault{err.Error()})
+		slog.Debug("an operator's request was refused", "verb", x.Command, "name", x.Name, "err", err)
+		x.Reply(Refusal{err.Error()})
 	}
 }
 
@@ -235,18 +235,18 @@
 		return err
 	}
 	defer c.Close()
-	if more, err := c.Next(answer); err != nil || !more {
+	if more, err := c.ReadLine(answer); err != nil || !more {
 		return errors.Join(err, errors.New("no answer"))
 	}
 	return nil
 }
 
 // Next reads a line of the answer; more is false behind the last one. A refusal comes as an error.
-func (c *Call) Next(v any) (more bool, err error) {
+func (c *Call) ReadLine(v any) (more bool, err error) {
 	if !c.in.Scan() {
 		return false, c.in.Err()
 	}
-	var f Fault
+	var f Refusal
 	if json.Unmarshal(c.in.Bytes(), &f) == nil && f.Error != "" {
 		return false, errors.New(f.Error)
 	}
--- a/internal/adminsocket/control_test.go
+++ b/internal/adminsocket/control_test.go
@@ -13,7 +13,7 @@
 func listen(t *testing.T) (*Server, string) {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(Place{Given: true, Socket: socket})
+	s, err := Listen(Settings{Enabled: true, Socket: socket})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,42 +24,42 @@
 // TestAsked plays requests: answered in lines, refused with a reason, followed by further lines.
 func TestAsked(t *testing.T) {
 	s, socket := listen(t)
-	s.Handle("count", func(_ context.Context, x *Exchange) error {
+	s.Handle("count", func(_ context.Context, x *Session) error {
 		for n := range 3 {
-			x.Say(n)
+			x.Reply(n)
 		}
 		var more string
-		if err := x.Next(&more); err != nil {
+		if err := x.ReadLine(&more); err != nil {
 			return err
 		}
-		return x.Say(more + x.Name + x.Args["a"])
+		return x.Reply(more + x.Name + x.Args["a"])
 	})
-	s.Handle("refuse", func(context.Context, *Exchange) error { return errors.New("not today") })
-	c, err := Dial(socket, Request{Verb: "count", Name: "n", Args: map[string]string{"a": "b"}})
+	s.Handle("refuse", func(context.Context, *Session) error { return errors.New("not today") })
+	c, err := Dial(socket, Request{Command: "count", Name: "n", Args: map[string]string{"a": "b"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	for want := range 3 {
 		var n int
-		if more, err := c.Next(&n); !more || err != nil || n != want {
+		if more, err := c.ReadLine(&n); !more || err != nil || n != want {
 			t.Fatal(n, more, err)
 		}
 	}
 	c.Send("more ")
 	var text string
-	if more, err := c.Next(&text); !more || err != nil || text != "more nb" {
+	if more, err := c.ReadLine(&text); !more || err != nil || text != "more nb" {
 		t.Error(text, more, err)
 	}
-	if more, err := c.Next(&text); more || err != nil {
+	if more, err := c.ReadLine(&text); more || err != nil {
 		t.Error("behind the end", more, err)
 	}
 	for verb, want := range map[string]string{"refuse": "not today", "unknown": "does not know"} {
-		c, err := Dial(socket, Request{Verb: verb})
+		c, err := Dial(socket, Request{Command: verb})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if more, err := c.Next(&text); more || err == nil || !strings.Contains(err.Error(), want) {
+		if more, err := c.ReadLine(&text); more || err == nil || !strings.Contains(err.Error(), want) {
 			t.Error(verb, more, err)
 		}
 		c.Close()
--- a/internal/adminsocket/golden_test.go
+++ b/internal/adminsocket/golden_test.go
@@ -12,9 +12,9 @@
 		value any
 		want  string
 	}{
-		{Request{Verb: "leases"}, `{"verb":"leases"}`},
-		{Request{Verb: "fleet", Name: "n", Args: map[string]string{"b": "2", "a": "1"}, Text: "(plan)"}, `{"verb":"fleet","name":"n","args":{"a":"1","b":"2"},"text":"(plan)"}`},
-		{Fault{"not today"}, `{"error":"not today"}`},
+		{Request{Command: "leases"}, `{"verb":"leases"}`},
+		{Request{Command: "fleet", Name: "n", Args: map[string]string{"b": "2", "a": "1"}, Text: "(plan)"}, `{"verb":"fleet","name":"n","args":{"a":"1","b":"2"},"text":"(plan)"}`},
+		{Refusal{"not today"}, `{"error":"not today"}`},
 	} {
 		if raw, err := json.Marshal(c.value); err != nil || string(raw) != c.want {
 			t.Errorf("%s, %v, want %s", raw, err, c.want)
--- a/internal/assignment/duty.go
+++ b/internal/assignment/duty.go
@@ -23,26 +23,26 @@
 )
 
 const (
-	overdueTimes = 1.75       // intervals without a word after which the first in rank steps in: one may be lost or late
-	overdueStep  = 0.4        // intervals more for each rank behind it: the first one's word comes in less
-	slowShare    = 0.5        // of what a member holds that is overdue when it counts as slow: its peers would do better
-	slowLeast    = 3          // duties that it must hold for that: a few say nothing
-	slowFor      = 15_000_000 // us in which a slow member is nobody's target: it must not come and go
-	yieldFor     = 20_000_000 // us after which a target takes back what another stepped in for
-	yieldMost    = 4          // doublings of it while that happens again
-	secondGap    = 5_000_000  // us between second opinions on one silent node: a fifth of a probe a second at most
-	settleFirst  = 3_000_000  // us of membership before a returned instance works: it must not flap
-	settleMost   = 4          // doublings of it for one that came back often
-	calmFor      = 300e6      // us without a return after which former ones are forgotten
-	joinWait     = 1_000_000  // us after its start in which an instance listens whether others are at work
-	lateUp       = 0.25       // of its excess that a word later than usual adds to the usual lateness
-	lateDown     = 0.01       // the same for one that is sooner: the upper end counts
-	standstill   = 1_000_000  // us without a tick: ten of them; this instance stood still itself
-	catchUp      = 500_000    // us after a standstill in which what is read may have lain as long as it took
-	sizeKept     = 600e6      // us for which the greatest number of instances seen is believed, and lost ones are known
-	roleFor      = 2_000_000  // us up to which a peer's word on a role is passed on: under the module's own 5 s of doubt
-	quietFor     = 2.5        // intervals up to which a peer's word on silence is
-	takeBurst    = 1.0        // seconds' worth of takeovers that may come at once
+	overdueIntervals = 1.75       // intervals without a word after which the first in rank steps in: one may be lost or late
+	overdueStep      = 0.4        // intervals more for each rank behind it: the first one's word comes in less
+	slowShare        = 0.5        // of what a member holds that is overdue when it counts as slow: its peers would do better
+	slowLeast        = 3          // duties that it must hold for that: a few say nothing
+	slowFor          = 15_000_000 // us in which a slow member is nobody's target: it must not come and go
+	yieldFor         = 20_000_000 // us after which a target takes back what another stepped in for
+	yieldMost        = 4          // doublings of it while that happens again
+	secondGap        = 5_000_000  // us between second opinions on one silent node: a fifth of a probe a second at most
+	settleFirst      = 3_000_000  // us of membership before a returned instance works: it must not flap
+	settleMost       = 4          // doublings of it for one that came back often
+	calmFor          = 300e6      // us without a return after which former ones are forgotten
+	startupListen    = 1_000_000  // us after its start in which an instance listens whether others are at work
+	lateUp           = 0.25       // of its excess that a word later than usual adds to the usual lateness
+	lateDown         = 0.01       // the same for one that is sooner: the upper end counts
+	pauseThreshold   = 1_000_000  // us without a tick: ten of them; this instance stood still itself
+	catchUp          = 500_000    // us after a standstill in which what is read may have lain as long as it took
+	memberMemory     = 600e6      // us for which the greatest number of instances seen is believed, and lost ones are known
+	roleFor          = 2_000_000  // us up to which a peer's word on a role is passed on: under the module's own 5 s of doubt
+	quietFor         = 2.5        // intervals up to which a peer's word on silence is
+	takeBurst        = 1.0        // seconds' worth of takeovers that may come at once
 )
 
 // State is what a member is to this instance.
@@ -56,56 +56,56 @@
 )
 
 // Word is what one instance learnt by running a duty.
-type Word struct {
-	Key     string
-	Holder  string // who ran it
-	Term    uint64 // its claim; 0 for a second opinion, which claims nothing
-	Age     int64  // us since it was learnt
-	Started int64  // which process of the node it is about, as the node list tells it
-	Silent  bool   // the node gave no answer
-	Pos     int64  // position that the node told, 0 for none
-	Lead    int8   // 1 where the node says that it leads, -1 where it says not, 0 for neither
-	Load    string // the node's own figures, as they came
+type Update struct {
+	Key          string
+	Owner        string // who ran it
+	Term         uint64 // its claim; 0 for a second opinion, which claims nothing
+	Age          int64  // us since it was learnt
+	NodeStarted  int64  // which process of the node it is about, as the node list tells it
+	Unresponsive bool   // the node gave no answer
+	Position     int64  // position that the node told, 0 for none
+	PrimaryHint  int8   // 1 where the node says that it leads, -1 where it says not, 0 for neither
+	LoadReport   string // the node's own figures, as they came
 }
 
 // Use is what a peer's word may be taken for.
-type Use struct {
-	Pos    int64 // a position that is proven, 0 for none
-	Lead   int8  // a hint at a role, never more
-	Silent bool  // nothing was heard there lately
-	Alive  bool  // it answered the peer lately
-	At     int64 // when the peer learnt it, on this instance's clock
+type Evidence struct {
+	Position     int64 // a position that is proven, 0 for none
+	PrimaryHint  int8  // a hint at a role, never more
+	Unresponsive bool  // nothing was heard there lately
+	Responsive   bool  // it answered the peer lately
+	LearnedAt    int64 // when the peer learnt it, on this instance's clock
 }
 
 // Run is a duty that is due at this instance.
-type Run struct {
-	Key   string
-	Check bool // only a second opinion on a silence
+type DueRun struct {
+	Key           string
+	SecondOpinion bool // only a second opinion on a silence
 }
 
 // Table is what one instance knows of duties and members.
 type Table struct {
-	self     int
-	interval int64
-	size     int     // instances that there are at the least, as the operator says
-	boxLoad  float64 // runs a second of one duty by all instances together, at most, whatever they know of another
-	takeRate float64 // duties a second that this instance takes over at most
-	takes    float64
-	takesAt  int64
-	tickAt   int64
-	lateBy   int64 // length of the last standstill
-	lateTill int64
-	lag      float64 // age at which words arrive, by its upper end
-	heard    bool    // a peer's fresh word has come since the start
-	working  bool
-	workAt   int64
-	returns  int
-	backAt   int64
-	minority bool
-	most     int // greatest number of members lately
-	mostAt   int64
-	every    int64 // interval in force
-	stale    bool  // targets are to be found anew
+	self          int
+	interval      int64
+	size          int     // instances that there are at the least, as the operator says
+	boxLoad       float64 // runs a second of one duty by all instances together, at most, whatever they know of another
+	takeRate      float64 // duties a second that this instance takes over at most
+	takes         float64
+	takesAt       int64
+	tickAt        int64
+	lateBy        int64 // length of the last standstill
+	lateTill      int64
+	lag           float64 // age at which words arrive, by its upper end
+	heard         bool    // a peer's fresh word has come since the start
+	working       bool
+	workAt        int64
+	returns       int
+	backAt        int64
+	minority      bool
+	most          int // greatest number of members lately
+	mostAt        int64
+	everyInterval int64 // interval in force
+	stale         bool  // targets are to be found anew
 
 	member members
 	duty   duties
@@ -155,7 +155,7 @@
 // how many duties a second one instance takes over.
 func New(now int64, self string, weight float64, born uint64, interval int64, size int, boxLoad, takeRate float64) *Table {
 	t := &Table{interval: max(interval, 1), size: max(size, 1), boxLoad: boxLoad, takeRate: takeRate,
-		takes: takeRate * takeBurst, takesAt: now, tickAt: now, workAt: now + joinWait,
+		takes: takeRate * takeBurst, takesAt: now, tickAt: now, workAt: now + startupListen,
 		mostAt: now, stale: true}
 	t.member.index, t.duty.index = map[string]int{}, map[string]int{}
 	t.self = t.enter(self, weight)
@@ -190,7 +190,7 @@
 func (t *Table) forget(now int64) {
 	s := &t.member
 	for m, name := range s.name {
-		if name != "" && s.state[m] != Alive && !s.usable[m] && s.holds[m] == 0 && now-s.goneAt[m] > sizeKept {
+		if name != "" && s.state[m] != Alive && !s.usable[m] && s.holds[m] == 0 && now-s.goneAt[m] > memberMemory {
 			delete(s.index, name)
 			s.name[m] = ""
 			s.free = append(s.free, m)
@@ -199,7 +199,7 @@
 }
 
 // Up tells that a member is there, in an incarnation.
-func (t *Table) Up(now int64, name string, weight float64, born uint64) {
+func (t *Table) MemberUp(now int64, name string, weight float64, born uint64) {
 	s := &t.member
 	m, known := s.index[name]
 	if !known {
@@ -229,13 +229,13 @@
 	s.born[m], s.state[m], s.weight[m] = born, Alive, weight
 	if !was && t.minority { // it was cut off with few others: what the many do goes on, and it comes in like a newcomer
 		t.minority = t.few(t.alive())
-		t.Returned(now, t.returns+1)
+		t.NoteRejoins(now, t.returns+1)
 	}
 	t.pace(now)
 }
 
 // Down tells that a member is gone, or left in order; a word on an older incarnation counts for nothing.
-func (t *Table) Down(now int64, name string, born uint64, left bool) {
+func (t *Table) MemberDown(now int64, name string, born uint64, left bool) {
 	s := &t.member
 	m, known := s.index[name]
 	if !known || m == t.self || born < s.born[m] || s.state[m] != Alive {
@@ -255,7 +255,7 @@
 
 // Returned tells how often this instance came back lately, as others saw it, once at least; the more often, the longer
 // it waits before it works again.
-func (t *Table) Returned(now int64, times int) {
+func (t *Table) NoteRejoins(now int64, times int) {
 	if now-t.backAt > calmFor {
 		t.returns = 0
 	}
@@ -264,7 +264,7 @@
 }
 
 // Returns is how often a member came back lately, to be told to it.
-func (t *Table) Returns(name string) int {
+func (t *Table) Rejoins(name string) int {
 	if m, known := t.member.index[name]; known {
 		return t.member.returns[m]
 	}
@@ -273,7 +273,7 @@
 
 // Working tells whether this instance claims what it is the target of. One that has just come back does not yet;
 // those that hold its duties go on until it claims them.
-func (t *Table) Working() bool { return t.working }
+func (t *Table) ClaimsTasks() bool { return t.working }
 
 func (t *Table) alive() (n int) {
 	for _, st := range t.member.state {
@@ -288,18 +288,18 @@
 // times a second at most come to boxLoad together.
 func (t *Table) pace(now int64) {
 	live := t.alive()
-	if live >= t.most || now-t.mostAt > sizeKept {
+	if live >= t.most || now-t.mostAt > memberMemory {
 		t.most, t.mostAt = live, now
 	}
 	n := max(t.most, t.size, live)
-	t.every = max(t.interval, int64(float64(n)/(float64(live)*t.boxLoad)*1e6))
+	t.everyInterval = max(t.interval, int64(float64(n)/(float64(live)*t.boxLoad)*1e6))
 }
 
 // Every is the interval in force, in us.
-func (t *Table) Every() int64 { return t.every }
+func (t *Table) Interval() int64 { return t.everyInterval }
 
 // Add takes a duty on, or a new process of its node.
-func (t *Table) Add(now int64, key string, started int64) {
+func (t *Table) AddTask(now int64, key string, started int64) {
 	s := &t.duty
 	if d, known := s.index[key]; known {
 		if s.started[d] != started { // the node is another process: what was known of it is of no use
@@ -330,11 +330,11 @@
 
 // phase spreads the first runs of a duty over an interval, otherwise at each instance.
 func (t *Table) phase(d int) int64 {
-	return int64(mix(t.duty.hash[d], t.member.hash[t.self]) % uint64(t.every))
+	return int64(mixHashes(t.duty.hash[d], t.member.hash[t.self]) % uint64(t.everyInterval))
 }
 
 // Drop forgets a duty.
-func (t *Table) Drop(key string) {
+func (t *Table) RemoveTask(key string) {
 	s := &t.duty
 	d, known := s.index[key]
 	if !known {
@@ -357,7 +357,7 @@
 }
 
 // mix joins two hashes; splitmix64's finish makes all bits depend on all.
-func mix(a, b uint64) uint64 {
+func mixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -369,7 +369,7 @@
 // score is a member's weight in rendezvous hashing (Thaler and Ravishankar; weighted after Schindelhauer and
 // Schomaker): the highest has the duty, and another member's coming or going changes nothing between the rest.
 func (t *Table) score(m, d int) float64 {
-	u := (float64(mix(t.duty.hash[d], t.member.hash[m])>>11) + 0.5) / (1 << 53)
+	u := (float64(mixHashes(t.duty.hash[d], t.member.hash[m])>>11) + 0.5) / (1 << 53)
 	return -t.member.weight[m] / math.Log(u)
 }
 
@@ -458,7 +458,7 @@
 }
 
 // Hear takes the word of another instance and tells what it may be used for.
-func (t *Table) Hear(now int64, w Word) (u Use) {
+func (t *Table) HandleUpdate(now int64, w Update) (u Evidence) {
 	s := &t.duty
 	d, known := s.index[w.Key]
 	if !known || w.Age < 0 {
@@ -468,21 +468,21 @@
 	if now < t.lateTill { // it may have lain unread while this instance stood still
 		w.Age += t.lateBy
 	}
-	u.At = now - w.Age
-	m, member := t.member.index[w.Holder]
+	u.LearnedAt = now - w.Age
+	m, member := t.member.index[w.Owner]
 	if member && m == t.self { // an echo, or an earlier life of this instance
 		s.term[d] = max(s.term[d], w.Term)
-		return Use{}
+		return Evidence{}
 	}
-	t.heard = t.heard || w.Age < 2*t.every
-	newest := !s.heard[d] || u.At >= s.freshAt[d]
+	t.heard = t.heard || w.Age < 2*t.everyInterval
+	newest := !s.heard[d] || u.LearnedAt >= s.freshAt[d]
 	if newest {
-		s.freshAt[d], s.heard[d] = u.At, true
+		s.freshAt[d], s.heard[d] = u.LearnedAt, true
 		gain := lateDown
 		if float64(w.Age) > t.lag {
 			gain = lateUp
 		}
-		t.lag += gain * (min(float64(w.Age), 2*float64(t.every)) - t.lag)
+		t.lag += gain * (min(float64(w.Age), 2*float64(t.everyInterval)) - t.lag)
 	}
 	switch alive := member && t.member.state[m] == Alive; {
 	case !alive: // what is gone claims nothing, but a claim after it must be greater
@@ -495,40 +495,40 @@
 		s.term[d] = w.Term
 		t.give(d, int32(m))
 	}
-	if w.Started != s.started[d] { // of another process than the list names here: it proves nothing
-		return Use{}
+	if w.NodeStarted != s.started[d] { // of another process than the list names here: it proves nothing
+		return Evidence{}
 	}
 	// A log position never falls within one process, so it stays proven however old the word is.
-	u.Pos = w.Pos
-	if newest && now-u.At <= roleFor {
-		u.Lead = w.Lead
+	u.Position = w.Position
+	if newest && now-u.LearnedAt <= roleFor {
+		u.PrimaryHint = w.PrimaryHint
 	}
-	if newest && float64(now-u.At) <= quietFor*float64(t.every) {
-		u.Silent, u.Alive = w.Silent, !w.Silent
+	if newest && float64(now-u.LearnedAt) <= quietFor*float64(t.everyInterval) {
+		u.Unresponsive, u.Responsive = w.Unresponsive, !w.Unresponsive
 	}
-	if newest && w.Silent && w.Term > 0 && now-s.secondAt[d] >= secondGap && t.rank(d) == 0 && t.working {
+	if newest && w.Unresponsive && w.Term > 0 && now-s.secondAt[d] >= secondGap && t.rank(d) == 0 && t.working {
 		s.secondAt[d], s.check[d] = now, true
 	}
 	return u
 }
 
 // Done takes what this instance learnt by a run, and returns it as the word for the others.
-func (t *Table) Done(now int64, w Word, check bool) Word {
+func (t *Table) RecordRun(now int64, w Update, check bool) Update {
 	s := &t.duty
 	d, known := s.index[w.Key]
-	w.Holder, w.Age = t.member.name[t.self], 0
+	w.Owner, w.Age = t.member.name[t.self], 0
 	if !known {
 		return w
 	}
-	w.Started = s.started[d]
+	w.NodeStarted = s.started[d]
 	s.freshAt[d], s.heard[d] = now, true
 	switch {
 	case s.holder[d] == int32(t.self):
 		w.Term = s.term[d]
-		if !w.Silent && now > s.yield[d] {
+		if !w.Unresponsive && now > s.yield[d] {
 			s.yields[d] = 0
 		}
-	case check && !w.Silent: // the holder alone does not reach it
+	case check && !w.Unresponsive: // the holder alone does not reach it
 		t.claim(d, now)
 		w.Term = s.term[d]
 	}
@@ -542,19 +542,19 @@
 	t.give(d, int32(t.self))
 	t.taken++
 	if s.heard[d] {
-		s.nextAt[d] = max(now, s.freshAt[d]+t.every)
+		s.nextAt[d] = max(now, s.freshAt[d]+t.everyInterval)
 	} else { // nobody spoke of it: instances that start together must not run all at once
 		s.nextAt[d] = now + t.phase(d)
 	}
 }
 
 // Tick is to be called some ten times a second; it returns what is to be run now, in dst's room.
-func (t *Table) Tick(now int64, dst []Run) []Run {
+func (t *Table) Tick(now int64, dst []DueRun) []DueRun {
 	dst = dst[:0]
 	t.beat(now)
 	if !t.working && now >= t.workAt {
 		if t.heard && t.returns == 0 { // others are at work: it came back, whoever had counted it
-			t.Returned(now, 1)
+			t.NoteRejoins(now, 1)
 		} else {
 			t.working = true
 		}
@@ -576,12 +576,12 @@
 		}
 		switch {
 		case s.holder[d] == int32(t.self) && now >= s.nextAt[d]:
-			s.nextAt[d] = max(s.nextAt[d]+t.every, now+t.every/2)
+			s.nextAt[d] = max(s.nextAt[d]+t.everyInterval, now+t.everyInterval/2)
 			s.check[d] = false
-			dst = append(dst, Run{Key: key})
+			dst = append(dst, DueRun{Key: key})
 		case s.check[d]:
 			s.check[d] = false
-			dst = append(dst, Run{Key: key, Check: true})
+			dst = append(dst, DueRun{Key: key, SecondOpinion: true})
 		}
 	}
 	return dst
@@ -590,8 +590,8 @@
 // wants tells whether this instance is to claim a duty.
 func (t *Table) wants(d int, now int64) bool {
 	s := &t.duty
-	if late := now - s.freshAt[d] - t.patience(); late >= 0 {
-		return late >= int64(overdueStep*float64(t.every))*int64(t.rank(d))
+	if late := now - s.freshAt[d] - t.overdueAfter(); late >= 0 {
+		return late >= int64(overdueStep*float64(t.everyInterval))*int64(t.rank(d))
 	}
 	if s.target[d] != int32(t.self) || !t.working {
 		return false
@@ -603,15 +603,15 @@
 }
 
 // patience is how old the newest word of a duty may be: where words arrive late, more, by up to an interval.
-func (t *Table) patience() int64 {
-	return int64(overdueTimes*float64(t.every) + min(t.lag, float64(t.every)))
+func (t *Table) overdueAfter() int64 {
+	return int64(overdueIntervals*float64(t.everyInterval) + min(t.lag, float64(t.everyInterval)))
 }
 
 // judge finds members that live and yet do not deliver.
 func (t *Table) judge(now int64) {
 	s := &t.member
 	clear(s.overdue)
-	over := t.patience()
+	over := t.overdueAfter()
 	for d, h := range t.duty.holder {
 		if h >= 0 && now-t.duty.freshAt[d] > over {
 			s.overdue[h]++
@@ -630,7 +630,7 @@
 
 // beat finds out whether this instance stood still itself.
 func (t *Table) beat(now int64) {
-	if gap := now - t.tickAt; gap > standstill {
+	if gap := now - t.tickAt; gap > pauseThreshold {
 		t.wake(now, gap)
 	}
 	t.tickAt = now
@@ -640,24 +640,24 @@
 // nothing of it for as long as anybody would wait.
 func (t *Table) wake(now, gap int64) {
 	t.lateBy, t.lateTill = gap, now+catchUp
-	if gap < t.patience() {
+	if gap < t.overdueAfter() {
 		return
 	}
 	for d, h := range t.duty.holder {
-		t.duty.freshAt[d] = max(t.duty.freshAt[d], now-t.every/2)
+		t.duty.freshAt[d] = max(t.duty.freshAt[d], now-t.everyInterval/2)
 		if h == int32(t.self) {
 			t.give(d, -1)
 		}
 	}
 	clear(t.member.slowTill)
-	t.Returned(now, max(1, t.returns))
+	t.NoteRejoins(now, max(1, t.returns))
 }
 
 // Holds is how many duties this instance runs.
-func (t *Table) Holds() int { return t.member.holds[t.self] }
+func (t *Table) OwnedTasks() int { return t.member.holds[t.self] }
 
 // Falls is how many duties a member is the target of.
-func (t *Table) Falls(name string) (n int) {
+func (t *Table) TargetedTasks(name string) (n int) {
 	for d, at := range t.duty.target {
 		if t.duty.key[d] != "" && at >= 0 && t.member.name[at] == name {
 			n++
@@ -667,13 +667,13 @@
 }
 
 // Mine tells whether this instance runs a duty.
-func (t *Table) Mine(key string) bool {
+func (t *Table) Owns(key string) bool {
 	d, known := t.duty.index[key]
 	return known && t.duty.holder[d] == int32(t.self)
 }
 
 // Holder is who runs a duty as far as is known, its term, and the age of the newest word in us; -1 for none yet.
-func (t *Table) Holder(now int64, key string) (name string, term uint64, age int64) {
+func (t *Table) Owner(now int64, key string) (name string, term uint64, age int64) {
 	d, known := t.duty.index[key]
 	if !known {
 		return "", 0, -1
@@ -698,11 +698,11 @@
 }
 
 // Left tells whether another instance runs a duty and is heard of in time, so that nobody else need look there.
-func (t *Table) Left(now int64, key string) bool {
+func (t *Table) Delegated(now int64, key string) bool {
 	d, known := t.duty.index[key]
 	if !known || !t.duty.heard[d] {
 		return false
 	}
 	h := t.duty.holder[d]
-	return h >= 0 && h != int32(t.self) && t.member.usable[h] && now-t.duty.freshAt[d] < t.patience()
+	return h >= 0 && h != int32(t.self) && t.member.usable[h] && now-t.duty.freshAt[d] < t.overdueAfter()
 }
--- a/internal/assignment/hard_test.go
+++ b/internal/assignment/hard_test.go
@@ -9,7 +9,7 @@
 const second = 1_000_000
 
 // calm makes three instances and ten boxes that have come to rest.
-func calm(seed uint64, n, boxes int) *assignmentsim.World {
+func calm(seed uint64, n, boxes int) *assignmentsim.Cluster {
 	w := assignmentsim.New(seed, n, boxes, second, 4, 50)
 	w.Run(10 * second)
 	w.Mark()
@@ -17,7 +17,7 @@
 }
 
 // within fails where a box went unprobed for longer than a limit.
-func within(t *testing.T, w *assignmentsim.World, limit int64) {
+func within(t *testing.T, w *assignmentsim.Cluster, limit int64) {
 	t.Helper()
 	if got, box := w.Longest(); got > limit {
 		t.Errorf("box %d went unprobed for %.1f s, limit %.1f", box, float64(got)/second, float64(limit)/second)
@@ -25,7 +25,7 @@
 }
 
 // single fails where a box has no owner, or more than one.
-func single(t *testing.T, w *assignmentsim.World, boxes int) {
+func single(t *testing.T, w *assignmentsim.Cluster, boxes int) {
 	t.Helper()
 	for b := range boxes {
 		if n := w.Owners(b); n != 1 {
@@ -35,7 +35,7 @@
 }
 
 // settles is single for a moment in which a duty may be changing hands, which is over within 3 s.
-func settles(t *testing.T, w *assignmentsim.World, boxes int) {
+func settles(t *testing.T, w *assignmentsim.Cluster, boxes int) {
 	t.Helper()
 	for b := range boxes {
 		for tries := 0; w.Owners(b) != 1; tries++ {
@@ -61,7 +61,7 @@
 			}
 		}
 		for i := range 3 {
-			if n := w.Table(i).Holds(); n < 3 || n > 20 {
+			if n := w.Table(i).OwnedTasks(); n < 3 || n > 20 {
 				t.Errorf("seed %d: instance %d holds %d of 30", seed, i, n)
 			}
 		}
@@ -160,7 +160,7 @@
 		w.Continue(0)
 		w.Mark()
 		w.Run(500_000)
-		if n := w.Table(0).Holds(); n != 0 {
+		if n := w.Table(0).OwnedTasks(); n != 0 {
 			t.Errorf("seed %d: it still holds %d duties that others took over", seed, n)
 		}
 		w.Run(20 * second)
@@ -193,10 +193,10 @@
 	for seed := range uint64(20) {
 		w := calm(seed, 3, 20)
 		for i := range 3 {
-			if w.Table(i).Mine(w.Key(4)) {
+			if w.Table(i).Owns(w.Key(4)) {
 				w.Blind(i, 4, true)
 				w.Run(8 * second)
-				if w.Table(i).Mine(w.Key(4)) {
+				if w.Table(i).Owns(w.Key(4)) {
 					t.Errorf("seed %d: instance %d keeps what it can't reach", seed, i)
 				}
 				if n := w.Owners(4); n != 1 {
@@ -248,7 +248,7 @@
 	w.Start(2)
 	w.Run(second)
 	for b := range 20 {
-		if _, _, age := w.Table(2).Holder(w.At(2), w.Key(b)); age < 0 || age > 2*second {
+		if _, _, age := w.Table(2).Owner(w.At(2), w.Key(b)); age < 0 || age > 2*second {
 			t.Errorf("box %d: its newest word is %d us old", b, age)
 		}
 	}
@@ -300,12 +300,12 @@
 		w.Run(6 * second)
 	}
 	within(t, w, 4*second)
-	if n := w.Table(0).Holds(); n > 5 {
+	if n := w.Table(0).OwnedTasks(); n > 5 {
 		t.Errorf("it holds %d of 100 duties, 6 s after its eighth return", n)
 	}
 	w.Run(60 * second)
 	single(t, w, 100)
-	if n := w.Table(0).Holds(); n < 10 {
+	if n := w.Table(0).OwnedTasks(); n < 10 {
 		t.Errorf("it holds %d of 100 duties, a minute after", n)
 	}
 }
--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -39,7 +39,7 @@
 }
 
 func (m *model) score(member, key string) float64 {
-	u := (float64(mix(xxhash.Sum64String(key), xxhash.Sum64String(member))>>11) + 0.5) / (1 << 53)
+	u := (float64(mixHashes(xxhash.Sum64String(key), xxhash.Sum64String(member))>>11) + 0.5) / (1 << 53)
 	return -m.members[member].weight / math.Log(u)
 }
 
@@ -72,34 +72,34 @@
 	return by < d.holder
 }
 
-func (m *model) hear(w Word) (want Use, any bool) {
+func (m *model) hear(w Update) (want Evidence, any bool) {
 	d := m.duties[w.Key]
 	if d == nil || w.Age < 0 {
-		return Use{}, false
+		return Evidence{}, false
 	}
-	if w.Holder == m.self {
+	if w.Owner == m.self {
 		d.term = max(d.term, w.Term)
-		return Use{}, false
+		return Evidence{}, false
 	}
 	at := m.now - w.Age
 	newest := !d.heard || at >= d.fresh
 	if newest {
 		d.fresh, d.heard = at, true
 	}
-	if one := m.members[w.Holder]; one == nil || !one.alive {
+	if one := m.members[w.Owner]; one == nil || !one.alive {
 		d.term = max(d.term, w.Term)
-	} else if w.Term > 0 && m.greater(w.Key, w.Term, w.Holder) {
-		d.term, d.holder = w.Term, w.Holder
+	} else if w.Term > 0 && m.greater(w.Key, w.Term, w.Owner) {
+		d.term, d.holder = w.Term, w.Owner
 	}
-	if w.Started != d.started {
-		return Use{}, false
+	if w.NodeStarted != d.started {
+		return Evidence{}, false
 	}
-	want = Use{At: at, Pos: w.Pos}
+	want = Evidence{LearnedAt: at, Position: w.Position}
 	if newest && w.Age <= 2_000_000 {
-		want.Lead = w.Lead
+		want.PrimaryHint = w.PrimaryHint
 	}
 	if newest && w.Age <= m.interval*5/2 {
-		want.Silent, want.Alive = w.Silent, !w.Silent
+		want.Unresponsive, want.Responsive = w.Unresponsive, !w.Unresponsive
 	}
 	return want, true
 }
@@ -111,7 +111,7 @@
 		slow[name] = m.now < tab.member.slowTill[i]
 	}
 	for key, d := range m.duties {
-		holder, term, age := tab.Holder(m.now, key)
+		holder, term, age := tab.Owner(m.now, key)
 		if holder != d.holder || term != d.term {
 			m.t.Fatalf("%s: held by %q at %d, want %q at %d", key, holder, term, d.holder, d.term)
 		}
@@ -139,7 +139,7 @@
 	for key, d := range m.duties {
 		before[key] = *d
 	}
-	if m.now-m.tickAt > standstill {
+	if m.now-m.tickAt > pauseThreshold {
 		m.still(tab)
 	}
 	runs := tab.Tick(m.now, nil)
@@ -150,13 +150,13 @@
 	}
 	claims := 0
 	for key, d := range m.duties {
-		holder, term, _ := tab.Holder(m.now, key)
+		holder, term, _ := tab.Owner(m.now, key)
 		if holder == d.holder && term == d.term {
 			continue
 		}
 		claims++
-		late := m.now-d.fresh >= int64(overdueTimes*float64(tab.Every()))
-		if holder != m.self || term != d.term+1 || !late && (m.target(key, slow) != m.self || !tab.Working()) {
+		late := m.now-d.fresh >= int64(overdueIntervals*float64(tab.Interval()))
+		if holder != m.self || term != d.term+1 || !late && (m.target(key, slow) != m.self || !tab.ClaimsTasks()) {
 			m.t.Fatalf("%s: claimed by %q at %d after %+v, late %v", key, holder, term, d, late)
 		}
 		d.holder, d.term = holder, term
@@ -166,7 +166,7 @@
 	}
 	seen := map[string]bool{}
 	for _, r := range runs {
-		if seen[r.Key] || m.duties[r.Key] == nil || !r.Check && m.duties[r.Key].holder != m.self {
+		if seen[r.Key] || m.duties[r.Key] == nil || !r.SecondOpinion && m.duties[r.Key].holder != m.self {
 			m.t.Fatalf("%+v is run, held by %q", r, m.duties[r.Key].holder)
 		}
 		seen[r.Key] = true
@@ -176,11 +176,11 @@
 
 // still is a standstill of the instance's own: after one as long as others wait, what it held is theirs.
 func (m *model) still(tab *Table) {
-	if m.now-m.tickAt < tab.patience() {
+	if m.now-m.tickAt < tab.overdueAfter() {
 		return
 	}
 	for _, d := range m.duties {
-		d.fresh = max(d.fresh, m.now-tab.Every()/2)
+		d.fresh = max(d.fresh, m.now-tab.Interval()/2)
 		if d.holder == m.self {
 			d.holder = ""
 		}
@@ -199,21 +199,21 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"up": func(t *rapid.T) {
 			name, weight, born := member.Draw(t, "name"), rapid.Float64Range(0.5, 2).Draw(t, "weight"), rapid.Uint64Range(1, 4).Draw(t, "born")
-			tab.Up(m.now, name, weight, born)
+			tab.MemberUp(m.now, name, weight, born)
 			if one := m.members[name]; name != m.self && (one == nil || born >= one.born) {
 				m.members[name] = &modelMember{weight, born, true}
 			}
 		},
 		"down": func(t *rapid.T) {
 			name, born := member.Draw(t, "name"), rapid.Uint64Range(1, 4).Draw(t, "born")
-			tab.Down(m.now, name, born, rapid.Bool().Draw(t, "left"))
+			tab.MemberDown(m.now, name, born, rapid.Bool().Draw(t, "left"))
 			if one := m.members[name]; one != nil && name != m.self && born >= one.born {
 				one.alive = false
 			}
 		},
 		"add": func(t *rapid.T) {
 			k, started := key.Draw(t, "key"), rapid.Int64Range(0, 2).Draw(t, "started")
-			tab.Add(m.now, k, started)
+			tab.AddTask(m.now, k, started)
 			if d := m.duties[k]; d != nil {
 				d.started = started
 			} else {
@@ -222,22 +222,22 @@
 		},
 		"drop": func(t *rapid.T) {
 			k := key.Draw(t, "key")
-			tab.Drop(k)
+			tab.RemoveTask(k)
 			delete(m.duties, k)
 		},
 		"hear": func(t *rapid.T) {
-			w := Word{Key: key.Draw(t, "key"), Holder: member.Draw(t, "holder"), Term: rapid.Uint64Range(0, 9).Draw(t, "term"),
-				Age: rapid.Int64Range(-1, 6_000_000).Draw(t, "age"), Started: rapid.Int64Range(0, 2).Draw(t, "started"),
-				Silent: rapid.Bool().Draw(t, "silent"), Pos: rapid.Int64Range(0, 9).Draw(t, "pos"),
-				Lead: rapid.SampledFrom([]int8{-1, 0, 1}).Draw(t, "lead")}
+			w := Update{Key: key.Draw(t, "key"), Owner: member.Draw(t, "holder"), Term: rapid.Uint64Range(0, 9).Draw(t, "term"),
+				Age: rapid.Int64Range(-1, 6_000_000).Draw(t, "age"), NodeStarted: rapid.Int64Range(0, 2).Draw(t, "started"),
+				Unresponsive: rapid.Bool().Draw(t, "silent"), Position: rapid.Int64Range(0, 9).Draw(t, "pos"),
+				PrimaryHint: rapid.SampledFrom([]int8{-1, 0, 1}).Draw(t, "lead")}
 			want, any := m.hear(w)
-			if got := tab.Hear(m.now, w); any && got != want || !any && (got.Pos != 0 || got.Lead != 0 || got.Silent || got.Alive) {
+			if got := tab.HandleUpdate(m.now, w); any && got != want || !any && (got.Position != 0 || got.PrimaryHint != 0 || got.Unresponsive || got.Responsive) {
 				t.Fatalf("%+v is taken for %+v, want %+v", w, got, want)
 			}
 		},
 		"done": func(t *rapid.T) {
 			k, silent, check := key.Draw(t, "key"), rapid.Bool().Draw(t, "silent"), rapid.Bool().Draw(t, "check")
-			w := tab.Done(m.now, Word{Key: k, Silent: silent}, check)
+			w := tab.RecordRun(m.now, Update{Key: k, Unresponsive: silent}, check)
 			d := m.duties[k]
 			if d == nil {
 				return
@@ -246,7 +246,7 @@
 			if d.holder != m.self && check && !silent {
 				d.holder, d.term = m.self, d.term+1
 			}
-			if want := d.term; w.Holder != m.self || w.Started != d.started || d.holder == m.self && w.Term != want ||
+			if want := d.term; w.Owner != m.self || w.NodeStarted != d.started || d.holder == m.self && w.Term != want ||
 				d.holder != m.self && w.Term != 0 {
 				t.Fatalf("%+v of %+v", w, d)
 			}
@@ -278,11 +278,11 @@
 // TestWhatLayUnread: what is read after a standstill is as old as it may be.
 func TestWhatLayUnread(t *testing.T) {
 	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 50)
-	tab.Add(0, "probe/a", 7)
-	tab.Up(0, "r1", 1, 1)
+	tab.AddTask(0, "probe/a", 7)
+	tab.MemberUp(0, "r1", 1, 1)
 	tab.Tick(100_000, nil)
-	u := tab.Hear(10_100_000, Word{Key: "probe/a", Holder: "r1", Term: 1, Age: 50_000, Started: 7, Pos: 9, Lead: 1})
-	if u.At != 50_000 || u.Pos != 9 || u.Lead != 0 || u.Alive {
+	u := tab.HandleUpdate(10_100_000, Update{Key: "probe/a", Owner: "r1", Term: 1, Age: 50_000, NodeStarted: 7, Position: 9, PrimaryHint: 1})
+	if u.LearnedAt != 50_000 || u.Position != 9 || u.PrimaryHint != 0 || u.Responsive {
 		t.Errorf("%+v", u)
 	}
 }
@@ -290,14 +290,14 @@
 // TestWeights: a member of twice the weight has twice the duties.
 func TestWeights(t *testing.T) {
 	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 1e9)
-	tab.Up(0, "r1", 2, 1)
-	tab.Up(0, "r2", 1, 1)
+	tab.MemberUp(0, "r1", 2, 1)
+	tab.MemberUp(0, "r2", 1, 1)
 	for i := range 4000 {
-		tab.Add(0, fmt.Sprint("probe/", i), 0)
+		tab.AddTask(0, fmt.Sprint("probe/", i), 0)
 	}
-	tab.Tick(joinWait, nil)
-	tab.Tick(joinWait+100_000, nil)
-	if n := tab.Holds(); n < 900 || n > 1100 {
+	tab.Tick(startupListen, nil)
+	tab.Tick(startupListen+100_000, nil)
+	if n := tab.OwnedTasks(); n < 900 || n > 1100 {
 		t.Errorf("%d of 4000 at a quarter of the weight", n)
 	}
 }
@@ -306,10 +306,10 @@
 func TestBoundedMoves(t *testing.T) {
 	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 1e9)
 	for i := 1; i < 10; i++ {
-		tab.Up(0, fmt.Sprint("r", i), 1, 1)
+		tab.MemberUp(0, fmt.Sprint("r", i), 1, 1)
 	}
 	for i := range 1000 {
-		tab.Add(0, fmt.Sprint("probe/", i), 0)
+		tab.AddTask(0, fmt.Sprint("probe/", i), 0)
 	}
 	tab.Tick(100_000, nil)
 	own := int64(0)
@@ -319,12 +319,12 @@
 		}
 	}
 	_, was, _, _ := tab.Figures(0)
-	tab.Down(200_000, "r4", 1, false)
+	tab.MemberDown(200_000, "r4", 1, false)
 	tab.Tick(200_000, nil)
 	if _, n, _, _ := tab.Figures(0); n-was != own || own == 0 {
 		t.Errorf("%d moves for %d duties of the dead", n-was, own)
 	}
-	tab.Up(300_000, "r4", 1, 2)
+	tab.MemberUp(300_000, "r4", 1, 2)
 	tab.Tick(300_000, nil)
 	if _, n, _, _ := tab.Figures(0); n-was != 2*own {
 		t.Errorf("%d moves there and back for %d duties", n-was, own)
@@ -335,17 +335,17 @@
 func TestFlood(t *testing.T) {
 	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 50)
 	for i := range 1000 {
-		tab.Add(0, fmt.Sprint("probe/", i), 0)
+		tab.AddTask(0, fmt.Sprint("probe/", i), 0)
 	}
-	tab.Up(0, "r1", 1, 1)
+	tab.MemberUp(0, "r1", 1, 1)
 	now := int64(100_000)
 	tab.Tick(now, nil)
 	was := append([]int32(nil), tab.duty.target...)
 	_, moved, _, _ := tab.Figures(now)
 	for round := range 20 {
 		for i := range 500 {
-			tab.Up(now, fmt.Sprint("flood", i), 1, uint64(round)+1)
-			tab.Down(now, fmt.Sprint("flood", i), uint64(round)+1, true)
+			tab.MemberUp(now, fmt.Sprint("flood", i), 1, uint64(round)+1)
+			tab.MemberDown(now, fmt.Sprint("flood", i), uint64(round)+1, true)
 		}
 		now += 100_000
 		tab.Tick(now, nil)
@@ -358,15 +358,15 @@
 			t.Fatalf("duty %d fell to another", d)
 		}
 	}
-	now += sizeKept
-	tab.Up(now, "r1", 2, 1)
+	now += memberMemory
+	tab.MemberUp(now, "r1", 2, 1)
 	tab.Tick(now, nil)
 	for round := range 10 {
-		now += sizeKept + 1
+		now += memberMemory + 1
 		for i := range 100 {
 			name := fmt.Sprint("later", round, "-", i)
-			tab.Up(now, name, 1, 1)
-			tab.Down(now, name, 1, false)
+			tab.MemberUp(now, name, 1, 1)
+			tab.MemberDown(now, name, 1, false)
 		}
 		tab.Tick(now, nil)
 	}
@@ -385,12 +385,12 @@
 		for _, k := range parts {
 			tab := New(0, "r0", 1, 1, 1_000_000, 1, 4, 50)
 			for i := 1; i < all; i++ {
-				tab.Up(0, fmt.Sprint("r", i), 1, 1)
+				tab.MemberUp(0, fmt.Sprint("r", i), 1, 1)
 			}
 			for i := k; i < all; i++ {
-				tab.Down(0, fmt.Sprint("r", i), 1, false)
+				tab.MemberDown(0, fmt.Sprint("r", i), 1, false)
 			}
-			load += 1e6 / float64(tab.Every())
+			load += 1e6 / float64(tab.Interval())
 		}
 		if load > 4.001 {
 			t.Errorf("%v: %.1f runs a second", parts, load)
--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -27,24 +27,24 @@
 	tab := New(now, "r0", 1, 5, 500_000+rng.Int64N(1_000_000), 1+rng.IntN(6), 1+rng.Float64()*5, 2+rng.Float64()*20)
 	member := func() string { return fmt.Sprint("r", rng.IntN(8)) }
 	key := func() string { return fmt.Sprint("probe/s-", rng.IntN(20)) }
-	var runs []Run
+	var runs []DueRun
 	for range 4000 {
 		switch n := rng.IntN(40); {
 		case n < 3:
-			tab.Up(now, member(), []float64{1, 1, 1, 2}[rng.IntN(4)], uint64(1+rng.IntN(9)))
+			tab.MemberUp(now, member(), []float64{1, 1, 1, 2}[rng.IntN(4)], uint64(1+rng.IntN(9)))
 		case n < 4:
-			tab.Down(now, member(), uint64(1+rng.IntN(9)), rng.IntN(2) == 0)
+			tab.MemberDown(now, member(), uint64(1+rng.IntN(9)), rng.IntN(2) == 0)
 		case n < 7:
-			tab.Add(now, key(), rng.Int64N(2))
+			tab.AddTask(now, key(), rng.Int64N(2))
 		case n < 8:
-			tab.Drop(key())
+			tab.RemoveTask(key())
 		case n < 20:
-			u := tab.Hear(now, Word{Key: key(), Holder: member(), Term: uint64(rng.IntN(40)), Age: rng.Int64N(4_000_000) - 1000,
-				Started: rng.Int64N(2), Silent: rng.IntN(4) == 0, Pos: rng.Int64N(9), Lead: int8(rng.IntN(3) - 1), Load: "x"})
-			number(u.Pos, int64(u.Lead), u.At)
-			flag(u.Silent, u.Alive)
+			u := tab.HandleUpdate(now, Update{Key: key(), Owner: member(), Term: uint64(rng.IntN(40)), Age: rng.Int64N(4_000_000) - 1000,
+				NodeStarted: rng.Int64N(2), Unresponsive: rng.IntN(4) == 0, Position: rng.Int64N(9), PrimaryHint: int8(rng.IntN(3) - 1), LoadReport: "x"})
+			number(u.Position, int64(u.PrimaryHint), u.LearnedAt)
+			flag(u.Unresponsive, u.Responsive)
 		case n < 21:
-			tab.Returned(now, 1+rng.IntN(3))
+			tab.NoteRejoins(now, 1+rng.IntN(3))
 		case n < 22 && rng.IntN(10) == 0:
 			now += rng.Int64N(9_000_000)
 		case n < 22 && rng.IntN(40) == 0:
@@ -54,21 +54,21 @@
 			runs = tab.Tick(now, runs)
 			for _, r := range runs {
 				text(r.Key)
-				flag(r.Check)
+				flag(r.SecondOpinion)
 				if rng.IntN(8) > 0 {
-					w := tab.Done(now+1000, Word{Key: r.Key, Silent: rng.IntN(5) == 0, Pos: rng.Int64N(9), Lead: 1, Load: "y"}, r.Check)
-					text(w.Key + w.Holder + w.Load)
-					number(int64(w.Term), w.Age, w.Started, w.Pos, int64(w.Lead))
-					flag(w.Silent)
+					w := tab.RecordRun(now+1000, Update{Key: r.Key, Unresponsive: rng.IntN(5) == 0, Position: rng.Int64N(9), PrimaryHint: 1, LoadReport: "y"}, r.SecondOpinion)
+					text(w.Key + w.Owner + w.LoadReport)
+					number(int64(w.Term), w.Age, w.NodeStarted, w.Position, int64(w.PrimaryHint))
+					flag(w.Unresponsive)
 				}
 			}
 		}
 		one, name := key(), member()
-		holder, term, age := tab.Holder(now, one)
+		holder, term, age := tab.Owner(now, one)
 		text(holder)
 		taken, moved, live, slow := tab.Figures(now)
-		number(int64(term), age, taken, moved, int64(live), int64(slow), tab.Every(), int64(tab.Holds()), int64(tab.Falls(name)), int64(tab.Returns(name)))
-		flag(tab.Mine(one), tab.Left(now, one), tab.Working())
+		number(int64(term), age, taken, moved, int64(live), int64(slow), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
+		flag(tab.Owns(one), tab.Delegated(now, one), tab.ClaimsTasks())
 	}
 	return sum.Sum64()
 }
--- a/internal/codec/packing.go
+++ b/internal/codec/packing.go
@@ -23,7 +23,7 @@
 
 // Strict is a decoder for what others send: so many levels, elements of an array and pairs of a map at the most, none
 // without a stated length, no tags, no key twice.
-func Strict(levels, elements, pairs int) cbor.DecMode {
+func StrictDecoder(levels, elements, pairs int) cbor.DecMode {
 	return must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: levels, MaxArrayElements: elements, MaxMapPairs: pairs,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 }
--- a/internal/leaseservice/desk.go
+++ b/internal/leaseservice/desk.go
@@ -132,7 +132,7 @@
 	return o
 }
 
-func (l *Service) list(ctx context.Context, x *adminsocket.Exchange) error {
+func (l *Service) list(ctx context.Context, x *adminsocket.Session) error {
 	o := l.overview(ctx)
 	if x.Name != "" {
 		o.Leases = slices.DeleteFunc(o.Leases, func(n LeaseStatus) bool { return n.Lease != x.Name })
@@ -140,11 +140,11 @@
 			return fmt.Errorf("no voter that answered knows a lease %q", x.Name)
 		}
 	}
-	return x.Say(o)
+	return x.Reply(o)
 }
 
 // free asks a lease's holder to give it up.
-func (l *Service) free(ctx context.Context, x *adminsocket.Exchange) error {
+func (l *Service) free(ctx context.Context, x *adminsocket.Session) error {
 	for _, n := range l.overview(ctx).Leases {
 		if n.Lease != x.Name {
 			continue
@@ -154,16 +154,16 @@
 		}
 		if n.Holder == l.self {
 			l.wanted(x.Name, "an operator frees it")
-		} else if err := l.send(n.Holder, membership.KindLeases, codec.Encode(poll{Version: pollVersion, Free: x.Name})); err != nil {
+		} else if err := l.send(n.Holder, membership.KindLeaseQuery, codec.Encode(poll{Version: pollVersion, Free: x.Name})); err != nil {
 			return fmt.Errorf("%s, which holds it, can't be reached; what it holds runs out within %d ms: %w", n.Holder, n.RemainingMS, err)
 		}
-		return x.Say(n)
+		return x.Reply(n)
 	}
 	return fmt.Errorf("no voter that answered knows a lease %q", x.Name)
 }
 
 // whole reads a whole number of a request, 0 where it is not given.
-func whole(x *adminsocket.Exchange, name string, least, most int64) (int64, error) {
+func whole(x *adminsocket.Session, name string, least, most int64) (int64, error) {
 	word := x.Args[name]
 	if word == "" {
 		return 0, nil
@@ -177,7 +177,7 @@
 
 // hold wishes for a lease on behalf of a command, tells it of each change, and gives the lease up once the command has
 // ended. Where the command vanishes without that word, the lease runs out by itself: what ran under it may still.
-func (l *Service) hold(ctx context.Context, x *adminsocket.Exchange) error {
+func (l *Service) hold(ctx context.Context, x *adminsocket.Session) error {
 	length, err1 := whole(x, "length_us", leastLength, l.at.LongestLease)
 	turn, err2 := whole(x, "turn_us", 0, 1<<50)
 	priority, err3 := whole(x, "priority", -100, 100)
@@ -203,7 +203,7 @@
 	ended := make(chan bool, 1)
 	go func() {
 		var e CommandEnded
-		err := x.Next(&e)
+		err := x.ReadLine(&e)
 		ended <- err == nil && e.Ended
 	}()
 	next := ""
@@ -213,7 +213,7 @@
 			if e.Change == YieldRequested {
 				next = e.Next
 			}
-			if x.Say(HoldUpdate{changeNames[e.Change], x.Name, e.Term, e.Until, e.Next, e.Reason}) != nil {
+			if x.Reply(HoldUpdate{changeNames[e.Change], x.Name, e.Term, e.Until, e.Next, e.Reason}) != nil {
 				t.Abandon()
 				return nil
 			}
--- a/internal/leaseservice/leasing.go
+++ b/internal/leaseservice/leasing.go
@@ -164,7 +164,7 @@
 
 // Hear takes a member's message; it never blocks.
 func (l *Service) Receive(from string, kind uint8, body []byte) {
-	if kind == membership.KindLeases {
+	if kind == membership.KindLeaseQuery {
 		l.hearBoard(from, body)
 		return
 	}
--- a/internal/leaseservice/leasing_test.go
+++ b/internal/leaseservice/leasing_test.go
@@ -195,7 +195,7 @@
 		h.drop = drop
 	}
 	lose(func(_, _ string, kind uint8) bool {
-		if kind != membership.KindLeases {
+		if kind != membership.KindLeaseQuery {
 			return false
 		}
 		sent++
@@ -206,7 +206,7 @@
 	}
 	pages := 0
 	lose(func(from, _ string, kind uint8) bool {
-		if from != "c" || kind != membership.KindLeases {
+		if from != "c" || kind != membership.KindLeaseQuery {
 			return false
 		}
 		pages++
@@ -373,7 +373,7 @@
 		if err != nil || !reflect.DeepEqual(m, again) {
 			t.Fatalf("%v: %+v, %+v", err, m, again)
 		}
-		if len(Encode(m)) > membership.MostDirect && len(raw) <= membership.MostDirect {
+		if len(Encode(m)) > membership.MaxDatagram && len(raw) <= membership.MaxDatagram {
 			t.Fatalf("%d bytes became %d", len(raw), len(Encode(m)))
 		}
 	})
--- a/internal/leaseservice/wire.go
+++ b/internal/leaseservice/wire.go
@@ -52,7 +52,7 @@
 }
 
 var (
-	decoding = codec.Strict(6, mostItems, 16)
+	decoding = codec.StrictDecoder(6, mostItems, 16)
 
 	errBounds  = errors.New("a field out of bounds")
 	errVersion = errors.New("unknown version")
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -63,51 +63,51 @@
 
 // Events are what the fleet tells; each is called on a goroutine of the library's and must not block.
 type Events struct {
-	Up       func(name string, weight float64, born uint64)
-	Down     func(name string, born uint64, left bool)
-	Words    func([]assignment.Word)
-	Returned func(times int) // others saw this instance come back so often
-	Direct   func(from string, born uint64, kind uint8, body []byte)
+	MemberUp   func(name string, weight float64, born uint64)
+	MemberDown func(name string, born uint64, left bool)
+	Updates    func([]assignment.Update)
+	Rejoined   func(times int) // others saw this instance come back so often
+	Message    func(from string, born uint64, kind uint8, body []byte)
 }
 
 // fill stands for what nobody wants to be told.
 func (e *Events) fill() {
-	if e.Up == nil {
-		e.Up = func(string, float64, uint64) {}
+	if e.MemberUp == nil {
+		e.MemberUp = func(string, float64, uint64) {}
 	}
-	if e.Down == nil {
-		e.Down = func(string, uint64, bool) {}
+	if e.MemberDown == nil {
+		e.MemberDown = func(string, uint64, bool) {}
 	}
-	if e.Words == nil {
-		e.Words = func([]assignment.Word) {}
+	if e.Updates == nil {
+		e.Updates = func([]assignment.Update) {}
 	}
-	if e.Returned == nil {
-		e.Returned = func(int) {}
+	if e.Rejoined == nil {
+		e.Rejoined = func(int) {}
 	}
-	if e.Direct == nil {
-		e.Direct = func(string, uint64, uint8, []byte) {}
+	if e.Message == nil {
+		e.Message = func(string, uint64, uint8, []byte) {}
 	}
 }
 
 // Place is where an instance stands among the others.
-type Place struct {
+type Settings struct {
 	Name, Cluster     string
 	Listen, Advertise string // host:port each; Advertise may be empty
-	Join              []string
+	Seeds             []string
 	Keys              [][]byte // the first is the one to send with
-	Most              int      // members at most
+	MaxMembers        int      // members at most
 	Weight            float64
 	Bandwidth         int // bytes a second that words may take on the way out
 }
 
 // Wrap stands between the library and the network; for tests and proofs.
-type Wrap func(memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
+type WrapTransport func(memberlist.NodeAwareTransport) memberlist.NodeAwareTransport
 
 // Read takes an instance's place from the operator's file; otherwise is its name where the file gives none.
-func Read(p *sexp.Part, otherwise string) Place {
-	at := Place{Name: p.Text("name", otherwise), Cluster: p.Text("cluster", "cairntiller"),
-		Listen: p.Text("listen", ""), Advertise: p.Text("advertise", ""), Join: p.Texts("join"),
-		Most: p.Integer("members", 256, 1, 10_000), Weight: p.Number("weight", 1, 0.01, 1000),
+func ReadSettings(p *sexp.Part, otherwise string) Settings {
+	at := Settings{Name: p.Text("name", otherwise), Cluster: p.Text("cluster", "cairntiller"),
+		Listen: p.Text("listen", ""), Advertise: p.Text("advertise", ""), Seeds: p.Texts("join"),
+		MaxMembers: p.Integer("members", 256, 1, 10_000), Weight: p.Number("weight", 1, 0.01, 1000),
 		Bandwidth: int(p.Size("bandwidth", 1<<20, 1<<14, 1<<30))}
 	keys := p.Texts("keys")
 	file := p.Text("key-file", "")
@@ -126,7 +126,7 @@
 			p.AddFault(name, strconv.Quote(address), `an address such as "10.0.0.1:7946"`)
 		}
 	}
-	for _, one := range at.Join {
+	for _, one := range at.Seeds {
 		if _, _, err := net.SplitHostPort(one); err != nil {
 			p.AddFault("join", strconv.Quote(one), `addresses such as "10.0.0.1:7946"`)
 		}
@@ -153,8 +153,8 @@
 }
 
 // Fleet is one instance's membership.
-type Fleet struct {
-	at     Place
+type Service struct {
+	at     Settings
 	events Events
 	list   *memberlist.Memberlist
 	ring   *memberlist.Keyring
@@ -179,22 +179,22 @@
 }
 
 type posted struct {
-	word assignment.Word
+	word assignment.Update
 	at   int64
 }
 
 // Start joins the fleet, or waits for others where nobody answers yet.
-func Start(at Place, events Events, wrap Wrap) (*Fleet, error) {
+func Start(at Settings, events Events, wrap WrapTransport) (*Service, error) {
 	ring, err := memberlist.NewKeyring(at.Keys, at.Keys[0])
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{at: at, ring: ring, zero: time.Now(),
+	f := &Service{at: at, ring: ring, zero: time.Now(),
 		ready: make(chan struct{}), over: make(chan struct{}),
 		born: uint64(time.Now().UnixMicro()), live: map[string]about{}, where: map[string]string{}, large: map[string]bool{}, seen: map[string]returns{}, board: map[string]posted{}}
 	events.fill()
 	f.events = events
-	f.gate, f.seeker = newGate(0, at.Cluster, at.Most), newSeeker(0, at.Join)
+	f.gate, f.seeker = newGate(0, at.Cluster, at.MaxMembers), newSeeker(0, at.Seeds)
 	f.spread, f.rng = &spreader{}, rand.New(rand.NewPCG(f.born, 0))
 	host, port, _ := net.SplitHostPort(at.Listen)
 	number, _ := strconv.Atoi(port)
@@ -240,19 +240,19 @@
 }
 
 // Address is where the others reach this instance.
-func (f *Fleet) Address() string { return f.list.LocalNode().Address() }
+func (f *Service) Address() string { return f.list.LocalNode().Address() }
 
 // Born is this process's number among all that had its name.
-func (f *Fleet) Born() uint64 {
+func (f *Service) Incarnation() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.born
 }
 
-func (f *Fleet) now() int64 { return time.Since(f.zero).Microseconds() }
+func (f *Service) now() int64 { return time.Since(f.zero).Microseconds() }
 
 // seek looks for the first members, and again for whoever is missing.
-func (f *Fleet) seek() {
+func (f *Service) seek() {
 	for {
 		f.mu.Lock()
 		ask := f.seeker.ask(f.now(), len(f.live) == 0)
@@ -275,7 +275,7 @@
 }
 
 // Say spreads what this instance learnt.
-func (f *Fleet) Say(words []assignment.Word) {
+func (f *Service) Broadcast(words []assignment.Update) {
 	f.post(words)
 	for _, one := range pack(f.at.Name, words) {
 		f.mu.Lock()
@@ -289,7 +289,7 @@
 }
 
 // send queues a message.
-func (f *Fleet) send(e envelope) {
+func (f *Service) send(e envelope) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.spread.add(&item{e: e, at: f.now(), size: len(e.Words) + len(e.Origin) + 32})
@@ -299,7 +299,7 @@
 }
 
 // gossip sends the rounds of news; a message's age is what it is when it goes out.
-func (f *Fleet) gossip() {
+func (f *Service) gossip() {
 	beat := time.NewTicker(gossipEvery)
 	defer beat.Stop()
 	for {
@@ -331,7 +331,7 @@
 }
 
 // post keeps the newest word of each duty for members that join.
-func (f *Fleet) post(words []assignment.Word) {
+func (f *Service) post(words []assignment.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -347,14 +347,14 @@
 }
 
 // Forget drops the words of a duty that is no more.
-func (f *Fleet) Forget(key string) {
+func (f *Service) ForgetUpdate(key string) {
 	f.mu.Lock()
 	delete(f.board, key)
 	f.mu.Unlock()
 }
 
 // Returns notes how often a member came back, to be told to it.
-func (f *Fleet) Returns(name string, times int) {
+func (f *Service) RecordRejoins(name string, times int) {
 	f.mu.Lock()
 	if one, known := f.seen[name]; known { // the bound on those kept is where they come up
 		one.Times = times
@@ -364,7 +364,7 @@
 }
 
 // Rekey takes other keys: the first is sent with, all are understood, those no longer named are not.
-func (f *Fleet) Rekey(keys [][]byte) error {
+func (f *Service) ReplaceKeys(keys [][]byte) error {
 	for _, one := range keys {
 		if err := f.ring.AddKey(one); err != nil {
 			return err
@@ -388,7 +388,7 @@
 }
 
 // renew tells the others what this instance says of itself now.
-func (f *Fleet) renew() {
+func (f *Service) renew() {
 	<-f.ready
 	if err := f.list.UpdateNode(leaveWait); err != nil {
 		slog.Debug("not told at once", "err", err)
@@ -396,7 +396,7 @@
 }
 
 // Leave tells the others that this instance goes, and ends its part.
-func (f *Fleet) Leave() {
+func (f *Service) Leave() {
 	close(f.over)
 	f.mu.Lock()
 	f.leaves = true
@@ -409,12 +409,12 @@
 }
 
 // Cut ends its part without a word, as a crash does; for tests.
-func (f *Fleet) Cut() {
+func (f *Service) Abort() {
 	close(f.over)
 	f.end()
 }
 
-func (f *Fleet) end() {
+func (f *Service) end() {
 	if err := f.list.Shutdown(); err != nil {
 		slog.Debug("membership did not end", "err", err)
 	}
@@ -422,7 +422,7 @@
 }
 
 // NodeMeta implements memberlist.Delegate.
-func (f *Fleet) NodeMeta(int) []byte {
+func (f *Service) NodeMeta(int) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return encode(about{Version: version, Cluster: f.at.Cluster, Born: f.born, Weight: f.at.Weight, Leaving: f.leaves})
@@ -430,21 +430,21 @@
 
 // Send sends a message to one member, where it was last seen; it may be lost, doubled or late. It never blocks for
 // longer than the system takes to take a datagram.
-func (f *Fleet) Send(to string, kind uint8, body []byte) error {
+func (f *Service) SendDatagram(to string, kind uint8, body []byte) error {
 	f.mu.Lock()
 	at, known := f.where[to]
 	f.mu.Unlock()
 	switch {
 	case !known:
-		return ErrNobody
-	case len(body) > MostDirect:
-		return errBounds
+		return ErrUnknownMember
+	case len(body) > MaxDatagram:
+		return ErrOutOfBounds
 	}
 	return f.list.SendToAddress(memberlist.Address{Addr: at, Name: to}, f.straight(kind, body))
 }
 
 // straight packs a message to one member.
-func (f *Fleet) straight(kind uint8, body []byte) []byte {
+func (f *Service) straight(kind uint8, body []byte) []byte {
 	sentTo.Add()
 	f.mu.Lock()
 	born := f.born
@@ -453,7 +453,7 @@
 }
 
 // Members are the names of the other live members.
-func (f *Fleet) Members() (all []string) {
+func (f *Service) Members() (all []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name := range f.live {
@@ -464,7 +464,7 @@
 }
 
 // hand takes a message that was sent to this member alone.
-func (f *Fleet) hand(raw []byte) {
+func (f *Service) hand(raw []byte) {
 	d, err := readDirect(raw)
 	if err != nil {
 		unread.Add()
@@ -478,11 +478,11 @@
 		return
 	}
 	toldBy.Add()
-	f.events.Direct(d.From, d.Born, d.Kind, d.Body)
+	f.events.Message(d.From, d.Born, d.Kind, d.Body)
 }
 
 // NotifyMsg implements memberlist.Delegate.
-func (f *Fleet) NotifyMsg(raw []byte) {
+func (f *Service) NotifyMsg(raw []byte) {
 	if isDirect(raw) {
 		f.hand(raw)
 		return
@@ -498,9 +498,9 @@
 }
 
 // take checks a message, hands it on and sends it further, once.
-func (f *Fleet) take(raw []byte) {
+func (f *Service) take(raw []byte) {
 	e, err := readEnvelope(raw)
-	var words []assignment.Word
+	var words []assignment.Update
 	if err == nil {
 		words, err = unpack(&e)
 	}
@@ -520,15 +520,15 @@
 	taken.Add()
 	f.send(e)
 	f.post(words)
-	f.events.Words(words)
+	f.events.Updates(words)
 }
 
 // GetBroadcasts implements memberlist.Delegate; words go by gossip, for the library sends one packet a round at most.
-func (f *Fleet) GetBroadcasts(int, int) [][]byte { return nil }
+func (f *Service) GetBroadcasts(int, int) [][]byte { return nil }
 
 // LocalState implements memberlist.Delegate: what a member that joins is handed. The library's regular exchanges
 // carry none of it: each word is said anew every interval, and all state each time would grow with all nodes.
-func (f *Fleet) LocalState(join bool) []byte {
+func (f *Service) LocalState(join bool) []byte {
 	if !join {
 		return nil
 	}
@@ -551,7 +551,7 @@
 }
 
 // MergeRemoteState implements memberlist.Delegate.
-func (f *Fleet) MergeRemoteState(raw []byte, _ bool) {
+func (f *Service) MergeRemoteState(raw []byte, _ bool) {
 	if len(raw) == 0 {
 		return
 	}
@@ -579,13 +579,13 @@
 	f.mu.Unlock()
 	f.post(all)
 	if times > 0 {
-		f.events.Returned(times)
+		f.events.Rejoined(times)
 	}
-	f.events.Words(all)
+	f.events.Updates(all)
 }
 
 // NotifyAlive implements memberlist.AliveDelegate: who may be a member.
-func (f *Fleet) NotifyAlive(n *memberlist.Node) error {
+func (f *Service) NotifyAlive(n *memberlist.Node) error {
 	if n.Name == f.at.Name {
 		return nil
 	}
@@ -597,7 +597,7 @@
 	}
 	switch err {
 	case nil:
-	case ErrVersion, ErrMeta:
+	case ErrVersion, ErrMetadata:
 		refusedV.Add()
 	case ErrCluster:
 		refusedC.Add()
@@ -608,13 +608,13 @@
 }
 
 // NotifyConflict implements memberlist.ConflictDelegate: two instances under one name.
-func (f *Fleet) NotifyConflict(existing, other *memberlist.Node) {
+func (f *Service) NotifyConflict(existing, other *memberlist.Node) {
 	conflicts.Add()
 	slog.Warn("two members under one name", "name", existing.Name, "held", existing.Address(), "turned away", other.Address())
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (f *Fleet) NotifyJoin(n *memberlist.Node) {
+func (f *Service) NotifyJoin(n *memberlist.Node) {
 	if n.Name == f.at.Name {
 		return
 	}
@@ -624,36 +624,36 @@
 }
 
 // NotifyUpdate implements memberlist.EventDelegate: a member started again before anybody missed it.
-func (f *Fleet) NotifyUpdate(n *memberlist.Node) {
+func (f *Service) NotifyUpdate(n *memberlist.Node) {
 	if n.Name != f.at.Name {
 		f.up(n)
 	}
 }
 
-func (f *Fleet) up(n *memberlist.Node) {
+func (f *Service) up(n *memberlist.Node) {
 	m, err := readAbout(n.Meta)
 	if err != nil {
 		return
 	}
 	f.mu.Lock()
 	f.live[n.Name] = m
-	if len(f.where) >= 2*f.at.Most { // names that came and went
+	if len(f.where) >= 2*f.at.MaxMembers { // names that came and went
 		maps.DeleteFunc(f.where, func(name, _ string) bool { _, lives := f.live[name]; return !lives })
 	}
 	f.where[n.Name] = n.Address()
-	if one := f.seen[n.Name]; len(f.seen) < f.at.Most || one.Name != "" {
+	if one := f.seen[n.Name]; len(f.seen) < f.at.MaxMembers || one.Name != "" {
 		f.seen[n.Name] = returns{Name: n.Name, Born: max(m.Born, one.Born), Times: one.Times}
 	}
 	f.gate.stay(f.now(), n.Name)
 	f.seeker.back(n.Address())
 	f.mu.Unlock()
 	if !m.Leaving {
-		f.events.Up(n.Name, m.Weight, m.Born)
+		f.events.MemberUp(n.Name, m.Weight, m.Born)
 	}
 }
 
 // NotifyLeave implements memberlist.EventDelegate.
-func (f *Fleet) NotifyLeave(n *memberlist.Node) {
+func (f *Service) NotifyLeave(n *memberlist.Node) {
 	if n.Name == f.at.Name {
 		return
 	}
@@ -667,7 +667,7 @@
 	f.mu.Unlock()
 	lost.Add()
 	slog.Info("member gone", "name", n.Name, "left", m.Leaving)
-	f.events.Down(n.Name, m.Born, m.Leaving)
+	f.events.MemberDown(n.Name, m.Born, m.Leaving)
 }
 
 // heard takes the library's log: what it turns away is counted, the rest is for debugging.
@@ -688,9 +688,9 @@
 
 // SendLarge sends a message of up to MostLarge bytes to one live member, over a connection; it returns at once, and a
 // message to a member that has one under way is given up.
-func (f *Fleet) SendLarge(to string, kind uint8, body []byte) error {
-	if len(body) > MostLarge {
-		return errBounds
+func (f *Service) SendStream(to string, kind uint8, body []byte) error {
+	if len(body) > MaxStream {
+		return ErrOutOfBounds
 	}
 	var node *memberlist.Node
 	for _, n := range f.list.Members() {
@@ -699,7 +699,7 @@
 		}
 	}
 	if node == nil {
-		return ErrNobody
+		return ErrUnknownMember
 	}
 	f.mu.Lock()
 	busy := f.large[to]
@@ -721,9 +721,9 @@
 }
 
 // Any sends a message by the way that its size needs.
-func (f *Fleet) Any(to string, kind uint8, body []byte) error {
-	if len(body) <= MostDirect {
-		return f.Send(to, kind, body)
+func (f *Service) Send(to string, kind uint8, body []byte) error {
+	if len(body) <= MaxDatagram {
+		return f.SendDatagram(to, kind, body)
 	}
-	return f.SendLarge(to, kind, body)
+	return f.SendStream(to, kind, body)
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -23,12 +23,12 @@
 
 // member is a fleet of one instance with what it was told.
 type member struct {
-	*Fleet
+	*Service
 	net     *faultnet.Net
 	mu      sync.Mutex
 	up      map[string]uint64
 	left    map[string]bool
-	words   []assignment.Word
+	words   []assignment.Update
 	returns int
 }
 
@@ -37,25 +37,25 @@
 func start(t *testing.T, name, cluster string, keys [][]byte, join ...string) *member {
 	t.Helper()
 	m := &member{net: faultnet.New(uint64(len(name))), up: map[string]uint64{}, left: map[string]bool{}}
-	f, err := Start(Place{Name: name, Cluster: cluster, Listen: "127.0.0.1:0", Join: join, Keys: keys, Most: 64, Weight: 1, Bandwidth: 1 << 20},
+	f, err := Start(Settings{Name: name, Cluster: cluster, Listen: "127.0.0.1:0", Seeds: join, Keys: keys, MaxMembers: 64, Weight: 1, Bandwidth: 1 << 20},
 		Events{
-			Up: func(name string, _ float64, born uint64) {
+			MemberUp: func(name string, _ float64, born uint64) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
 				m.up[name] = born
 			},
-			Down: func(name string, _ uint64, left bool) {
+			MemberDown: func(name string, _ uint64, left bool) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
 				delete(m.up, name)
 				m.left[name] = left
 			},
-			Words: func(all []assignment.Word) {
+			Updates: func(all []assignment.Update) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
 				m.words = append(m.words, all...)
 			},
-			Returned: func(n int) {
+			Rejoined: func(n int) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
 				m.returns = max(m.returns, n)
@@ -64,14 +64,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Fleet = f
+	m.Service = f
 	return m
 }
 
 // cutAtEnd ends members at the end of a test, whichever still live.
 func cutAtEnd(t *testing.T, all ...*member) {
 	for _, m := range all {
-		t.Cleanup(m.Cut)
+		t.Cleanup(m.Abort)
 	}
 }
 
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (m *member) heard(key string) (all []assignment.Word) {
+func (m *member) heard(key string) (all []assignment.Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range m.words {
@@ -123,11 +123,11 @@
 func TestWordsReachAll(t *testing.T) {
 	a, b, c := trio(t)
 	cutAtEnd(t, a, b, c)
-	var many []assignment.Word
+	var many []assignment.Update
 	for i := range 100 {
-		many = append(many, assignment.Word{Key: fmt.Sprint("probe/", i), Holder: "a", Term: 3, Age: 5_000, Started: 9, Pos: 77, Lead: -1, Load: "x0=1"})
+		many = append(many, assignment.Update{Key: fmt.Sprint("probe/", i), Owner: "a", Term: 3, Age: 5_000, NodeStarted: 9, Position: 77, PrimaryHint: -1, LoadReport: "x0=1"})
 	}
-	a.Say(many)
+	a.Broadcast(many)
 	for _, m := range []*member{b, c} {
 		eventually(t, "all words", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.words) >= 100 })
 		time.Sleep(300 * time.Millisecond) // echoes would come now
@@ -152,11 +152,11 @@
 	a, b, c := trio(t)
 	cutAtEnd(t, a, b, c)
 	for second := range 3 {
-		var all []assignment.Word
+		var all []assignment.Update
 		for i := range 1000 {
-			all = append(all, assignment.Word{Key: fmt.Sprintf("probe/%d/%d", second, i), Holder: "a", Term: 1, Pos: 1 << 50, Load: "x0=1796148000.000000,x1=0,inflight=3"})
+			all = append(all, assignment.Update{Key: fmt.Sprintf("probe/%d/%d", second, i), Owner: "a", Term: 1, Position: 1 << 50, LoadReport: "x0=1796148000.000000,x1=0,inflight=3"})
 		}
-		a.Say(all)
+		a.Broadcast(all)
 		for _, m := range []*member{b, c} {
 			eventually(t, "all words of a second", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.words) == 1000*(second+1) })
 			m.mu.Lock()
@@ -230,9 +230,9 @@
 	cutAtEnd(t, start(t, "x", "kandy", [][]byte{key(9)}, a.Address()), start(t, "y", "colombo", [][]byte{key(1)}, a.Address()))
 	eventually(t, "both counted", func() bool { return refusedK.Count() > wrongKey && refusedC.Count() > wrongCluster })
 	for _, m := range []about{{Version: 2, Cluster: "kandy", Weight: 1}, {Version: 1, Cluster: "colombo", Weight: 1}} {
-		a.Fleet.mu.Lock()
+		a.Service.mu.Lock()
 		err := a.gate.admit(a.now(), "z", m)
-		a.Fleet.mu.Unlock()
+		a.Service.mu.Unlock()
 		if err == nil {
 			t.Errorf("%+v is let in", m)
 		}
@@ -243,7 +243,7 @@
 	if unread.Count() != was+2 {
 		t.Errorf("%d messages unread, want 2", unread.Count()-was)
 	}
-	b.Say([]assignment.Word{{Key: "probe/s", Holder: "b", Term: 1}})
+	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 1}})
 	eventually(t, "a word among the members", func() bool { return len(a.heard("probe/s")) == 1 && len(c.heard("probe/s")) == 1 })
 	if !a.sees("b", "c") {
 		t.Error("the members changed")
@@ -259,14 +259,14 @@
 		t.Helper()
 		say++
 		word := fmt.Sprint("probe/", say)
-		from.Say([]assignment.Word{{Key: word, Holder: "?", Term: 1}})
+		from.Broadcast([]assignment.Update{{Key: word, Owner: "?", Term: 1}})
 		for _, m := range to {
 			eventually(t, "a word", func() bool { return len(m.heard(word)) == 1 })
 		}
 	}
 	for _, keys := range [][][]byte{{key(1), key(2)}, {key(2), key(1)}, {key(2)}} {
 		for _, m := range []*member{a, b, c} {
-			if err := m.Rekey(keys); err != nil {
+			if err := m.ReplaceKeys(keys); err != nil {
 				t.Fatal(err)
 			}
 			tell(a, b, c)
@@ -289,12 +289,12 @@
 func TestDeathAndReturn(t *testing.T) {
 	a, b, c := trio(t)
 	cutAtEnd(t, a, b)
-	address, born := c.Address(), c.Born()
-	b.Say([]assignment.Word{{Key: "probe/s", Holder: "b", Term: 4, Pos: 9}})
-	c.Cut()
+	address, born := c.Address(), c.Incarnation()
+	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 4, Position: 9}})
+	c.Abort()
 	eventually(t, "its loss", func() bool { return a.sees("b") && b.sees("a") })
-	a.Returns("c", 3)
-	b.Returns("c", 3)
+	a.RecordRejoins("c", 3)
+	b.RecordRejoins("c", 3)
 	keys := [][]byte{key(1)}
 	c = start(t, "c", "kandy", keys, a.Address())
 	eventually(t, "its return", func() bool { return a.sees("b", "c") && c.sees("a", "b") })
@@ -308,8 +308,8 @@
 	_ = address
 	c.Leave()
 	eventually(t, "a leave in order", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.left["c"] })
-	a.Fleet.mu.Lock()
-	defer a.Fleet.mu.Unlock()
+	a.Service.mu.Lock()
+	defer a.Service.mu.Unlock()
 	if _, missed := a.seeker.lost[c.Address()]; missed {
 		t.Error("it is looked for though it left")
 	}
@@ -325,11 +325,11 @@
 func TestClockWentBack(t *testing.T) {
 	a, b, c := trio(t)
 	cutAtEnd(t, a, b, c)
-	a.Fleet.mu.Lock()
-	a.seen["b"] = returns{Name: "b", Born: b.Born() + 1_000_000}
-	a.Fleet.mu.Unlock()
+	a.Service.mu.Lock()
+	a.seen["b"] = returns{Name: "b", Born: b.Incarnation() + 1_000_000}
+	a.Service.mu.Unlock()
 	b.MergeRemoteState(a.LocalState(true), true)
-	eventually(t, "a later number", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.up["b"] == b.Born() })
+	eventually(t, "a later number", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.up["b"] == b.Incarnation() })
 }
 
 // TestPartitionAndHeal: both sides lose each other, and find each other again by themselves.
@@ -340,7 +340,7 @@
 	eventually(t, "both sides apart", func() bool { return a.sees("b") && c.sees() })
 	c.net.Cut(false, false)
 	eventually(t, "the heal", func() bool { return a.sees("b", "c") && c.sees("a", "b") })
-	c.Say([]assignment.Word{{Key: "probe/after", Holder: "c", Term: 1}})
+	c.Broadcast([]assignment.Update{{Key: "probe/after", Owner: "c", Term: 1}})
 	eventually(t, "a word after it", func() bool { return len(a.heard("probe/after")) == 1 })
 }
 
@@ -352,7 +352,7 @@
 		m.net.Packets(0.15, 0.3, 80*time.Millisecond)
 	}
 	for i := range 50 {
-		a.Say([]assignment.Word{{Key: fmt.Sprint("probe/", i), Holder: "a", Term: 1}})
+		a.Broadcast([]assignment.Update{{Key: fmt.Sprint("probe/", i), Owner: "a", Term: 1}})
 		time.Sleep(20 * time.Millisecond)
 	}
 	eventually(t, "nearly all words", func() bool {
@@ -379,7 +379,7 @@
 	was := conflicts.Count()
 	cutAtEnd(t, start(t, "b", "kandy", [][]byte{key(1)}, a.Address()))
 	eventually(t, "the conflict", func() bool { return conflicts.Count() > was })
-	b.Say([]assignment.Word{{Key: "probe/s", Holder: "b", Term: 1}})
+	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 1}})
 	eventually(t, "a word of the first", func() bool { return len(a.heard("probe/s")) == 1 })
 }
 
@@ -394,7 +394,7 @@
 	for i := range 500 {
 		if err := g.admit(int64(i), fmt.Sprint("flood", i), ok); err == nil {
 			in++
-		} else if !errors.Is(err, ErrFlood) {
+		} else if !errors.Is(err, ErrTooManyJoins) {
 			t.Fatal(err)
 		}
 	}
@@ -410,7 +410,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := small.admit(0, "3", ok); !errors.Is(err, ErrMost) {
+	if err := small.admit(0, "3", ok); !errors.Is(err, ErrTooManyMembers) {
 		t.Error(err)
 	}
 	small.stay(4000e6, "0")
@@ -488,12 +488,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := Read(f.Part("fleet"), "n0")
-	if err := f.Faults(); err != nil || at.Name != "r1" || !bytes.Equal(at.Keys[0], key(1)) || at.Most != 256 {
+	at := ReadSettings(f.Part("fleet"), "n0")
+	if err := f.Faults(); err != nil || at.Name != "r1" || !bytes.Equal(at.Keys[0], key(1)) || at.MaxMembers != 256 {
 		t.Errorf("%+v, %v", at, err)
 	}
 	f, _ = sexp.Parse("f", []byte(`(fleet (listen "here") (join "10.0.0.1") (keys "short") (members 0))`))
-	Read(f.Part("fleet"), "")
+	ReadSettings(f.Part("fleet"), "")
 	err = f.Faults()
 	for _, want := range []string{"a name of 0 bytes", `found "\"here\""`, `found "\"10.0.0.1\""`, "a key of 5 signs", "a whole number from 1 to 10000"} {
 		if err == nil || !strings.Contains(err.Error(), want) && !strings.Contains(err.Error(), strings.ReplaceAll(want, `\"`, "")) {
@@ -501,20 +501,20 @@
 		}
 	}
 	f, _ = sexp.Parse("f", []byte(`(fleet (name a) (listen "127.0.0.1:1"))`))
-	Read(f.Part("fleet"), "")
+	ReadSettings(f.Part("fleet"), "")
 	if err := f.Faults(); err == nil || !strings.Contains(err.Error(), "no key") {
 		t.Error(err)
 	}
-	if got := Read(sexp.EmptyFile().Part("fleet"), "n0"); got.Name != "n0" {
+	if got := ReadSettings(sexp.EmptyFile().Part("fleet"), "n0"); got.Name != "n0" {
 		t.Errorf("%+v", got)
 	}
 }
 
 // TestPackBounds: no message is larger than a datagram takes, and all words are in.
 func TestPackBounds(t *testing.T) {
-	var all []assignment.Word
+	var all []assignment.Update
 	for i := range 500 {
-		all = append(all, assignment.Word{Key: fmt.Sprintf("probe/%0100d", i), Holder: "a", Load: strings.Repeat("x", i)})
+		all = append(all, assignment.Update{Key: fmt.Sprintf("probe/%0100d", i), Owner: "a", LoadReport: strings.Repeat("x", i)})
 	}
 	n := 0
 	for _, one := range pack("a", all) {
@@ -538,7 +538,7 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(encode(envelope{Version: version, Origin: "a", Born: 1, Number: 1, Words: pack("a", []assignment.Word{{Key: "k"}})[0]}))
+	f.Add(encode(envelope{Version: version, Origin: "a", Born: 1, Number: 1, Words: pack("a", []assignment.Update{{Key: "k"}})[0]}))
 	f.Add(encode(state{Version: version, Members: []returns{{Name: "a"}}, Words: []word{{Key: "k", Age: -1}}}))
 	f.Add(encode(about{Version: version, Cluster: "kandy", Weight: 1}))
 	f.Add([]byte{0x9f, 0xff})
@@ -546,7 +546,7 @@
 		if e, err := readEnvelope(raw); err == nil {
 			words, err := unpack(&e)
 			for _, w := range words {
-				if err != nil || w.Age < 0 || w.Pos < 0 || w.Key == "" || w.Holder == "" {
+				if err != nil || w.Age < 0 || w.Position < 0 || w.Key == "" || w.Owner == "" {
 					t.Fatalf("%+v, %v", w, err)
 				}
 			}
--- a/internal/membership/gate.go
+++ b/internal/membership/gate.go
@@ -22,12 +22,12 @@
 
 // Why a member or a message is turned away.
 var (
-	ErrVersion = errors.New("unknown version")
-	ErrCluster = errors.New("another cluster")
-	ErrFlood   = errors.New("too many new members at once")
-	ErrMost    = errors.New("too many members")
-	ErrMeta    = errors.New("what it says of itself can't be read")
-	ErrNobody  = errors.New("no member of that name was ever seen")
+	ErrVersion        = errors.New("unknown version")
+	ErrCluster        = errors.New("another cluster")
+	ErrTooManyJoins   = errors.New("too many new members at once")
+	ErrTooManyMembers = errors.New("too many members")
+	ErrMetadata       = errors.New("what it says of itself can't be read")
+	ErrUnknownMember  = errors.New("no member of that name was ever seen")
 )
 
 // gate decides who may be a member, and which message is news.
@@ -94,10 +94,10 @@
 			g.forget(now)
 		}
 		if len(g.known) >= g.most {
-			return ErrMost
+			return ErrTooManyMembers
 		}
 		if g.store < 1 {
-			return ErrFlood
+			return ErrTooManyJoins
 		}
 		g.store--
 	}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,10 +10,10 @@
 )
 
 // goldenWords are words of every kind: of the origin and of another, with and without each field.
-var goldenWords = []assignment.Word{
-	{Key: "probe/s-1", Holder: "r1", Term: 7, Age: 250_000, Started: 1_796_148_000_000_000, Pos: 1_796_148_000_123_456, Lead: 1, Load: "x0=1796148000.000000,x1=0,inflight=3"},
-	{Key: "probe/s-2", Holder: "r2", Term: 1 << 40, Age: 0, Started: -1, Silent: true, Lead: -1},
-	{Key: "probe/s-3", Holder: "r1", Age: 1},
+var goldenWords = []assignment.Update{
+	{Key: "probe/s-1", Owner: "r1", Term: 7, Age: 250_000, NodeStarted: 1_796_148_000_000_000, Position: 1_796_148_000_123_456, PrimaryHint: 1, LoadReport: "x0=1796148000.000000,x1=0,inflight=3"},
+	{Key: "probe/s-2", Owner: "r2", Term: 1 << 40, Age: 0, NodeStarted: -1, Unresponsive: true, PrimaryHint: -1},
+	{Key: "probe/s-3", Owner: "r1", Age: 1},
 }
 
 var goldenMessages = []struct {
@@ -24,7 +24,7 @@
 	{"metadata", about{Version: 1, Cluster: "kandy", Born: 1_796_148_000_000_001, Weight: 1.5, Leaving: true}, "8501656b616e64791b000661964b810801f93e00f5"},
 	{"update message", envelope{Version: 1, Origin: "r1", Born: 1_796_148_000_000_001, Number: 99, Held: 123_456, Words: pack("r1", goldenWords)[0]}, "86016272311b000661964b81080118631a0001e240990003896970726f62652f732d3160071a0003d0901b000661964b810800f41b000661964b82ea4001782478303d313739363134383030302e3030303030302c78313d302c696e666c696768743d33896970726f62652f732d326272321b00000100000000000020f5002060896970726f62652f732d3360000100f4000060"},
 	{"packet", [][]byte{{1, 2, 3}, {4}}, "82430102034104"},
-	{"direct message", direct{Version: 1, From: "r2", Born: 3, Kind: KindRoll, Body: []byte("body")}, "8501627232030344626f6479"},
+	{"direct message", direct{Version: 1, From: "r2", Born: 3, Kind: KindVersionAudit, Body: []byte("body")}, "8501627232030344626f6479"},
 	{"state", state{Version: 1, Members: []returns{{Name: "r2", Born: 12, Times: 3}}, Words: []word{onWire(goldenWords[0]), onWire(goldenWords[1])}}, "830181836272320c0382896970726f62652f732d31627231071a0003d0901b000661964b810800f41b000661964b82ea4001782478303d313739363134383030302e3030303030302c78313d302c696e666c696768743d33896970726f62652f732d326272321b00000100000000000020f5002060"},
 }
 
@@ -86,7 +86,7 @@
 	if d, err := readDirect(straight); err != nil || d.From != "r2" || d.Born != 3 || d.Kind != 3 || !bytes.Equal(d.Body, []byte("body")) {
 		t.Errorf("%+v, %v", d, err)
 	}
-	if KindLease != 1 || KindLeases != 2 || KindRoll != 3 || KindRelease != 4 {
+	if KindLease != 1 || KindLeaseQuery != 2 || KindVersionAudit != 3 || KindRollout != 4 {
 		t.Error("a kind of message has another number")
 	}
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -20,9 +20,9 @@
 	mostLoad     = 256     // bytes of a node's own figures
 
 	// MostDirect is how many bytes a message to one member may have: with what is put around it, it fits a datagram.
-	MostDirect = 1_200
+	MaxDatagram = 1_200
 	// MostLarge is how many one may have that goes over a connection.
-	MostLarge = 1 << 20
+	MaxStream = 1 << 20
 )
 
 // about is what a member says of itself with its membership.
@@ -89,25 +89,25 @@
 
 // The kinds of messages to one member, in one place so that no two users take the same.
 const (
-	KindLease   uint8 = iota + 1 // internal/leaseservice: asks and votes
-	KindLeases                   // internal/leaseservice: what voters know, for operators
-	KindRoll                     // internal/versionaudit
-	KindRelease                  // internal/rolloutservice
+	KindLease        uint8 = iota + 1 // internal/leaseservice: asks and votes
+	KindLeaseQuery                    // internal/leaseservice: what voters know, for operators
+	KindVersionAudit                  // internal/versionaudit
+	KindRollout                       // internal/rolloutservice
 )
 
-var decoding = codec.Strict(8, mostWords, 16)
+var decoding = codec.StrictDecoder(8, mostWords, 16)
 
-var errBounds = errors.New("a field out of bounds")
+var ErrOutOfBounds = errors.New("a field out of bounds")
 
 func encode(v any) []byte { return codec.Encode(v) }
 
-func onWire(w assignment.Word) word {
-	return word{Key: w.Key, Holder: w.Holder, Term: w.Term, Age: w.Age, Started: w.Started, Silent: w.Silent, Pos: w.Pos,
-		Lead: w.Lead, Load: w.Load}
+func onWire(w assignment.Update) word {
+	return word{Key: w.Key, Holder: w.Owner, Term: w.Term, Age: w.Age, Started: w.NodeStarted, Silent: w.Unresponsive, Pos: w.Position,
+		Lead: w.PrimaryHint, Load: w.LoadReport}
 }
 
 // pack encodes words in envelopes that each fit a datagram.
-func pack(origin string, words []assignment.Word) (packed [][]byte) {
+func pack(origin string, words []assignment.Update) (packed [][]byte) {
 	var parts [][]byte
 	size := 0
 	flush := func() {
@@ -122,11 +122,11 @@
 		parts, size = nil, 0
 	}
 	for _, w := range words {
-		if w.Holder == origin {
-			w.Holder = ""
+		if w.Owner == origin {
+			w.Owner = ""
 		}
-		if len(w.Load) > mostLoad {
-			w.Load = ""
+		if len(w.LoadReport) > mostLoad {
+			w.LoadReport = ""
 		}
 		one := encode(onWire(w))
 		if size+len(one) > mostEnvelope {
@@ -139,7 +139,7 @@
 }
 
 // unpack decodes an envelope's words, all or none.
-func unpack(e *envelope) ([]assignment.Word, error) {
+func unpack(e *envelope) ([]assignment.Update, error) {
 	var raw []word
 	if err := decoding.Unmarshal(e.Words, &raw); err != nil {
 		return nil, err
@@ -147,18 +147,18 @@
 	return words(raw, e.Origin, e.Held)
 }
 
-func words(raw []word, origin string, held int64) ([]assignment.Word, error) {
-	all := make([]assignment.Word, 0, len(raw))
+func words(raw []word, origin string, held int64) ([]assignment.Update, error) {
+	all := make([]assignment.Update, 0, len(raw))
 	for _, w := range raw {
 		if w.Key == "" || len(w.Key) > mostName || len(w.Holder) > mostName || len(w.Load) > mostLoad || w.Age < 0 ||
 			held < 0 || w.Lead < -1 || w.Lead > 1 || w.Pos < 0 {
-			return nil, errBounds
+			return nil, ErrOutOfBounds
 		}
 		if w.Holder == "" {
 			w.Holder = origin
 		}
-		all = append(all, assignment.Word{Key: w.Key, Holder: w.Holder, Term: w.Term, Age: w.Age + held, Started: w.Started,
-			Silent: w.Silent, Pos: w.Pos, Lead: w.Lead, Load: w.Load})
+		all = append(all, assignment.Update{Key: w.Key, Owner: w.Holder, Term: w.Term, Age: w.Age + held, NodeStarted: w.Started,
+			Unresponsive: w.Silent, Position: w.Pos, PrimaryHint: w.Lead, LoadReport: w.Load})
 	}
 	return all, nil
 }
@@ -166,10 +166,10 @@
 // readAbout decodes what a member says of itself.
 func readAbout(raw []byte) (a about, err error) {
 	if err = decoding.Unmarshal(raw, &a); err != nil {
-		return a, ErrMeta
+		return a, ErrMetadata
 	}
 	if !(a.Weight > 0 && a.Weight <= 1000) {
-		return a, ErrMeta
+		return a, ErrMetadata
 	}
 	return a, nil
 }
@@ -177,11 +177,11 @@
 // readEnvelope decodes a message, less its words.
 func readEnvelope(raw []byte) (e envelope, err error) {
 	if len(raw) > 4*mostEnvelope {
-		return e, errBounds
+		return e, ErrOutOfBounds
 	}
 	var only []cbor.RawMessage // the version is read first: a later one may have other fields
 	if err = decoding.Unmarshal(raw, &only); err != nil || len(only) == 0 {
-		return e, errBounds
+		return e, ErrOutOfBounds
 	}
 	v := 0
 	if decoding.Unmarshal(only[0], &v) != nil || v != version {
@@ -191,7 +191,7 @@
 		return e, err
 	}
 	if e.Origin == "" || len(e.Origin) > mostName || e.Held < 0 {
-		return e, errBounds
+		return e, ErrOutOfBounds
 	}
 	return e, nil
 }
@@ -207,15 +207,15 @@
 	switch {
 	case d.Version != version:
 		return d, ErrVersion
-	case d.From == "" || len(d.From) > mostName || len(d.Body) > MostLarge:
-		return d, errBounds
+	case d.From == "" || len(d.From) > mostName || len(d.Body) > MaxStream:
+		return d, ErrOutOfBounds
 	}
 	return d, nil
 }
 
 // Bytes is what words of one origin cost a member a time that it sends them, envelopes and all, before encryption;
 // Sends is how often it sends each message where there are so many members. Both are for measurements.
-func Bytes(origin string, all []assignment.Word) (n int) {
+func EncodedSize(origin string, all []assignment.Update) (n int) {
 	for _, one := range pack(origin, all) {
 		n += len(encode(envelope{Version: version, Origin: origin, Born: 1 << 50, Number: 1 << 20, Held: 100_000, Words: one}))
 	}
@@ -223,4 +223,4 @@
 }
 
 // Sends is how often each instance sends a message.
-func Sends(members int) int { return rounds(members) * min(fanout, members-1) }
+func SendsPerMessage(members int) int { return rounds(members) * min(fanout, members-1) }
--- a/internal/rolloutservice/codec.go
+++ b/internal/rolloutservice/codec.go
@@ -52,7 +52,7 @@
 }
 
 var (
-	decoding = codec.Strict(10, 2*rollout.MaxUnits, 64)
+	decoding = codec.StrictDecoder(10, 2*rollout.MaxUnits, 64)
 
 	// ErrFormatVersion is a message of a form that this version of the program does not know.
 	ErrFormatVersion = errors.New("unknown version")
--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -61,13 +61,13 @@
 
 // Serve answers operators.
 func (r *Service) Serve(s *adminsocket.Server) {
-	s.Handle("fleet-status", func(ctx context.Context, x *adminsocket.Exchange) error {
+	s.Handle("fleet-status", func(ctx context.Context, x *adminsocket.Session) error {
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
 		st, err := r.Status(ctx)
-		return errors.Join(err, x.Say(st))
+		return errors.Join(err, x.Reply(st))
 	})
-	s.Handle("fleet-word", func(ctx context.Context, x *adminsocket.Exchange) error {
+	s.Handle("fleet-word", func(ctx context.Context, x *adminsocket.Session) error {
 		w, err := decodeCommand(x.Text)
 		if err != nil {
 			return err
@@ -77,7 +77,7 @@
 		if err := r.Execute(ctx, *w); err != nil {
 			return err
 		}
-		return x.Say(w.Token)
+		return x.Reply(w.Token)
 	})
 }
 
--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -320,7 +320,7 @@
 		r.post(func(now int64) { r.handle(now, to, m) })
 		return
 	}
-	if err := r.send(to, membership.KindRelease, encode(m)); err != nil {
+	if err := r.send(to, membership.KindRollout, encode(m)); err != nil {
 		messagesUnsent.Add()
 		slog.Debug("a release message was not sent", "to", to, "err", err)
 	}
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -19,7 +19,7 @@
 
 // Instead is what tests and proofs put in the place of the machine's own; each may be nil.
 type TestHooks struct {
-	Wrap   membership.Wrap             // stands before the network among instances
+	Wrap   membership.WrapTransport    // stands before the network among instances
 	Clock  func() int64                // of leases
 	Leases func(*leaseservice.Service) // is told of the router's part in leases, once it has begun
 }
@@ -33,11 +33,11 @@
 
 // wishes are the parts of the operator's file that concern what a router does with others, each as its package reads it.
 type wishes struct {
-	fleet   membership.Place
-	duties  sharedprobes.Pace
+	fleet   membership.Settings
+	duties  sharedprobes.Settings
 	leases  leaseservice.Settings
-	rolls   versionaudit.Pace
-	control adminsocket.Place
+	rolls   versionaudit.Settings
+	control adminsocket.Settings
 	release rolloutservice.Settings
 }
 
@@ -51,9 +51,9 @@
 		sql.ReadKnowledge(file.Part("statements")) // its faults; for classify, no router uses it yet
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
-	w = wishes{membership.Read(own, name), sharedprobes.Read(duties), leaseservice.ReadSettings(leases), versionaudit.Read(leases.Part("roll-call")),
-		adminsocket.Read(file.Part("control")), rolloutservice.ReadSettings(releases)}
-	if w.duties.Given && !own.Present() {
+	w = wishes{membership.ReadSettings(own, name), sharedprobes.ReadSettings(duties), leaseservice.ReadSettings(leases), versionaudit.ReadSettings(leases.Part("roll-call")),
+		adminsocket.ReadSettings(file.Part("control")), rolloutservice.ReadSettings(releases)}
+	if w.duties.Enabled && !own.Present() {
 		duties.AddFault("", "duties without a fleet", "a part fleet, which says who shares them")
 	}
 	if w.leases.Given && !own.Present() {
@@ -69,10 +69,10 @@
 type company struct {
 	name      string
 	wishes    wishes
-	fleet     *membership.Fleet
-	shares    *sharedprobes.Patrol
+	fleet     *membership.Service
+	shares    *sharedprobes.Service
 	leases    *leaseservice.Service
-	rolls     *versionaudit.Roll
+	rolls     *versionaudit.Auditor
 	control   *adminsocket.Server
 	releasing atomic.Pointer[rolloutservice.Service] // messages may come before it has begun
 }
@@ -85,26 +85,26 @@
 			c.end()
 		}
 	}()
-	if w.control.Given {
+	if w.control.Enabled {
 		if c.control, err = adminsocket.Listen(w.control); err != nil {
 			return c, err
 		}
 	}
-	if w.duties.Given && !probes {
+	if w.duties.Enabled && !probes {
 		slog.Warn("the settings allow no probes, so none are shared")
-		w.duties.Given = false
+		w.duties.Enabled = false
 	}
-	if !w.duties.Given && !w.leases.Given {
+	if !w.duties.Enabled && !w.leases.Given {
 		return c, nil
 	}
 	var events membership.Events
-	if w.duties.Given {
+	if w.duties.Enabled {
 		c.shares = sharedprobes.New(e)
 		events = c.shares.Events(now)
 	}
-	events.Direct = c.direct
-	if down := events.Down; w.leases.Given {
-		events.Down = func(name string, born uint64, left bool) {
+	events.Message = c.direct
+	if down := events.MemberDown; w.leases.Given {
+		events.MemberDown = func(name string, born uint64, left bool) {
 			if down != nil {
 				down(name, born, left)
 			}
@@ -114,7 +114,7 @@
 	ready := make(chan struct{}) // nothing is sent before there is a fleet
 	send := func(to string, kind uint8, body []byte) error {
 		<-ready
-		return c.fleet.Send(to, kind, body)
+		return c.fleet.SendDatagram(to, kind, body)
 	}
 	if w.leases.Given {
 		clock := in.Clock
@@ -143,7 +143,7 @@
 		}
 		if w.release.Given {
 			e.EnableClusterServices(targets)
-			r := rolloutservice.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.LongestLease, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Any)
+			r := rolloutservice.New(w.fleet.Name, w.release, w.leases.Voters.Names, w.leases.LongestLease, me, leaseservice.Clock, c.leases, c.fleet.Members, c.fleet.Send)
 			r.Start()
 			c.releasing.Store(r)
 			if c.control != nil {
@@ -158,12 +158,12 @@
 func (c *company) direct(from string, _ uint64, kind uint8, body []byte) {
 	switch {
 	case c.leases == nil:
-	case kind == membership.KindRelease:
+	case kind == membership.KindRollout:
 		if r := c.releasing.Load(); r != nil {
 			r.Receive(from, body)
 		}
-	case kind == membership.KindRoll:
-		c.rolls.Hear(from, body)
+	case kind == membership.KindVersionAudit:
+		c.rolls.HandleMessage(from, body)
 	default:
 		c.leases.Receive(from, kind, body)
 	}
@@ -172,7 +172,7 @@
 // listed tells which version of the node list is in use.
 func (c *company) listed(version int64) {
 	if c.rolls != nil {
-		c.rolls.Listed(version)
+		c.rolls.SetVersion(version)
 	}
 }
 
@@ -189,7 +189,7 @@
 		return
 	}
 	if c.fleet != nil && !reflect.DeepEqual(fresh.fleet.Keys, c.wishes.fleet.Keys) {
-		if err := c.fleet.Rekey(fresh.fleet.Keys); err != nil {
+		if err := c.fleet.ReplaceKeys(fresh.fleet.Keys); err != nil {
 			slog.Error("keys not changed", "err", err)
 			return
 		}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -187,13 +187,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	up := make(chan string, 9)
-	m, err := membership.Start(membership.Place{Name: "other", Cluster: "test", Listen: "127.0.0.1:0", Join: []string{place},
-		Keys: [][]byte{fresh}, Most: 8, Weight: 1, Bandwidth: 1 << 20}, membership.Events{Up: func(name string, _ float64, _ uint64) { up <- name },
-		Down: func(string, uint64, bool) {}, Words: func([]assignment.Word) {}, Returned: func(int) {}}, nil)
+	m, err := membership.Start(membership.Settings{Name: "other", Cluster: "test", Listen: "127.0.0.1:0", Seeds: []string{place},
+		Keys: [][]byte{fresh}, MaxMembers: 8, Weight: 1, Bandwidth: 1 << 20}, membership.Events{MemberUp: func(name string, _ float64, _ uint64) { up <- name },
+		MemberDown: func(string, uint64, bool) {}, Updates: func([]assignment.Update) {}, Rejoined: func(int) {}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer m.Cut()
+	defer m.Abort()
 	hangUp := func(counted *metrics.Counter) {
 		t.Helper()
 		before := counted.Count()
--- a/internal/sharedprobes/golden_test.go
+++ b/internal/sharedprobes/golden_test.go
@@ -44,8 +44,8 @@
 		"896970726f62652f732d326272310100184ef5000060",
 	}
 	for i, w := range p.said {
-		raw := hex.EncodeToString(codec.Encode(wire{Key: w.Key, Holder: w.Holder, Term: w.Term, Age: w.Age, Started: w.Started, Silent: w.Silent,
-			Pos: w.Pos, Lead: w.Lead, Load: w.Load}))
+		raw := hex.EncodeToString(codec.Encode(wire{Key: w.Key, Holder: w.Owner, Term: w.Term, Age: w.Age, Started: w.NodeStarted, Silent: w.Unresponsive,
+			Pos: w.Position, Lead: w.PrimaryHint, Load: w.LoadReport}))
 		if i >= len(want) || raw != want[i] {
 			t.Errorf("RECORD\t%q,", raw)
 		}
--- a/internal/sharedprobes/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -38,69 +38,69 @@
 }
 
 // Pace is how duties are divided: the times in us, and the bounds.
-type Pace struct {
-	Given    bool
-	Every    int64   // between probes of one node by all instances together
-	Size     int     // instances that the operator runs
-	BoxLoad  float64 // probes of one node a second, by all instances, whatever they know of one another
-	TakeOver float64 // duties a second that one instance takes over
+type Settings struct {
+	Enabled      bool
+	Interval     int64   // between probes of one node by all instances together
+	Instances    int     // instances that the operator runs
+	MaxProbeRate float64 // probes of one node a second, by all instances, whatever they know of one another
+	ClaimRate    float64 // duties a second that one instance takes over
 }
 
 // Read takes the pace from the operator's file.
-func Read(p *sexp.Part) Pace {
+func ReadSettings(p *sexp.Part) Settings {
 	probe := p.Part("probe")
-	return Pace{Given: p.Present(), Every: probe.Duration("every", 1_000_000, 100_000, 60_000_000),
-		Size: p.Integer("instances", 1, 1, 10_000), BoxLoad: p.Number("box-load", 4, 0.1, 1000),
-		TakeOver: p.Number("take-over", 50, 1, 100_000)}
+	return Settings{Enabled: p.Present(), Interval: probe.Duration("every", 1_000_000, 100_000, 60_000_000),
+		Instances: p.Integer("instances", 1, 1, 10_000), MaxProbeRate: p.Number("box-load", 4, 0.1, 1000),
+		ClaimRate: p.Number("take-over", 50, 1, 100_000)}
 }
 
 // Patrol is one instance's part in the shared duties.
-type Patrol struct {
+type Service struct {
 	engine Engine
-	fleet  *membership.Fleet
+	fleet  *membership.Service
 	table  *assignment.Table
 	asked  map[string]bool // nodes that are being probed on duty; true for a second opinion
 	listed map[string]bool // nodes of the whole list that is being read
 	left   map[string]bool // nodes on duty; true for those that another instance looks after
-	runs   []assignment.Run
-	said   []assignment.Word
+	runs   []assignment.DueRun
+	said   []assignment.Update
 	ticks  int
 	taken  int64
 }
 
 // New makes an instance's part; it begins with Join.
-func New(engine Engine) *Patrol {
-	return &Patrol{engine: engine, asked: map[string]bool{}, listed: map[string]bool{}, left: map[string]bool{}}
+func New(engine Engine) *Service {
+	return &Service{engine: engine, asked: map[string]bool{}, listed: map[string]bool{}, left: map[string]bool{}}
 }
 
 // Events takes what the fleet tells, on the engine's goroutine; none is handled before the engine runs.
-func (p *Patrol) Events(now func() int64) membership.Events {
+func (p *Service) Events(now func() int64) membership.Events {
 	on := func(do func(now int64)) { p.engine.Post(now(), do) }
 	return membership.Events{
-		Up: func(name string, weight float64, born uint64) {
+		MemberUp: func(name string, weight float64, born uint64) {
 			on(func(now int64) {
-				p.table.Up(now, name, weight, born)
-				p.fleet.Returns(name, p.table.Returns(name))
+				p.table.MemberUp(now, name, weight, born)
+				p.fleet.RecordRejoins(name, p.table.Rejoins(name))
 			})
 		},
-		Down: func(name string, born uint64, left bool) {
-			on(func(now int64) { p.table.Down(now, name, born, left) })
+		MemberDown: func(name string, born uint64, left bool) {
+			on(func(now int64) { p.table.MemberDown(now, name, born, left) })
 		},
-		Words:    func(all []assignment.Word) { on(func(now int64) { p.hear(now, all) }) },
-		Returned: func(times int) { on(func(now int64) { p.table.Returned(now, times) }) },
+		Updates:  func(all []assignment.Update) { on(func(now int64) { p.hear(now, all) }) },
+		Rejoined: func(times int) { on(func(now int64) { p.table.NoteRejoins(now, times) }) },
 	}
 }
 
 // Join begins to share with a fleet that was started with the patrol's events. It is called before the engine runs.
-func (p *Patrol) Join(now int64, f *membership.Fleet, at membership.Place, pace Pace) {
+func (p *Service) Join(now int64, f *membership.Service, at membership.Settings, pace Settings) {
 	p.fleet = f
-	p.table = assignment.New(now, at.Name, at.Weight, f.Born(), pace.Every, pace.Size, pace.BoxLoad, pace.TakeOver)
+	p.table = assignment.New(now, at.Name, at.Weight, f.Incarnation(), pace.Interval, pace.Instances, pace.MaxProbeRate, pace.ClaimRate)
 	p.engine.After(tickEvery, p.tick)
-	slog.Info("sharing probes", "name", at.Name, "cluster", at.Cluster, "address", f.Address(), "born", f.Born())
+	slog.Info("sharing probes", "name", at.Name, "cluster", at.Cluster, "address", f.Address(), "born", f.Incarnation())
 }
 
 // EndpointListed implements engine.SharedProbes: a node that left the list, or drained and is gone, is nobody's duty.
-func (p *Patrol) EndpointListed(now int64, name string, state routing.EndpointState, started int64) {
+func (p *Service) EndpointListed(now int64, name string, state routing.EndpointState, started int64) {
 	if state != routing.Up { // what drains is left alone
 		p.drop(name)
 		return
@@ -109,11 +109,11 @@
 	if _, known := p.left[name]; !known {
 		p.left[name] = false
 	}
-	p.table.Add(now, probing+name, started)
+	p.table.AddTask(now, probing+name, started)
 }
 
 // ListApplied implements engine.SharedProbes.
-func (p *Patrol) ListApplied(_ int64, whole bool) {
+func (p *Service) ListApplied(_ int64, whole bool) {
 	if whole {
 		for name := range p.left {
 			if !p.listed[name] {
@@ -124,14 +124,14 @@
 	clear(p.listed)
 }
 
-func (p *Patrol) drop(name string) {
-	p.table.Drop(probing + name)
-	p.fleet.Forget(probing + name)
+func (p *Service) drop(name string) {
+	p.table.RemoveTask(probing + name)
+	p.fleet.ForgetUpdate(probing + name)
 	delete(p.left, name)
 }
 
 // tick runs what is due and spreads what was learnt.
-func (p *Patrol) tick(now int64) {
+func (p *Service) tick(now int64) {
 	p.runs = p.table.Tick(now, p.runs)
 	for _, one := range p.runs {
 		name := strings.TrimPrefix(one.Key, probing)
@@ -139,15 +139,15 @@
 			continue // the last probe has not ended
 		}
 		shared.Add()
-		if one.Check {
+		if one.SecondOpinion {
 			checked.Add()
 		}
-		p.asked[name] = one.Check
+		p.asked[name] = one.SecondOpinion
 		p.engine.HealthCheck(name)
 	}
 	if p.ticks++; p.ticks%sayEvery == 0 {
 		if len(p.said) > 0 {
-			p.fleet.Say(p.said)
+			p.fleet.Broadcast(p.said)
 			p.said = nil
 		}
 		p.mind(now)
@@ -156,9 +156,9 @@
 }
 
 // mind tells the module which nodes another instance looks after.
-func (p *Patrol) mind(now int64) {
+func (p *Service) mind(now int64) {
 	for name, was := range p.left {
-		if left := p.table.Left(now, probing+name); left != was {
+		if left := p.table.Delegated(now, probing+name); left != was {
 			p.left[name] = left
 			p.engine.DelegateHealthChecks(name, left)
 		}
@@ -167,30 +167,30 @@
 		for range taken - p.taken {
 			claims.Add()
 		}
-		slog.Debug("duties", "held", p.table.Holds(), "members", live, "slow", slow, "every", p.table.Every())
+		slog.Debug("duties", "held", p.table.OwnedTasks(), "members", live, "slow", slow, "every", p.table.Interval())
 		p.taken = taken
 	}
 }
 
 // HealthCheckEnded implements engine.SharedProbes.
-func (p *Patrol) HealthCheckEnded(now int64, node string, o routing.Outcome, pos int64, lead int8, load string) {
+func (p *Service) HealthCheckEnded(now int64, node string, o routing.Outcome, pos int64, lead int8, load string) {
 	check, ours := p.asked[node]
 	if !ours {
 		return
 	}
 	delete(p.asked, node)
-	p.said = append(p.said, p.table.Done(now, assignment.Word{Key: probing + node, Silent: o != routing.Answered, Pos: pos,
-		Lead: lead, Load: load}, check))
+	p.said = append(p.said, p.table.RecordRun(now, assignment.Update{Key: probing + node, Unresponsive: o != routing.Answered, Position: pos,
+		PrimaryHint: lead, LoadReport: load}, check))
 }
 
 // hear passes on what others learnt, as far as it counts.
-func (p *Patrol) hear(now int64, all []assignment.Word) {
+func (p *Service) hear(now int64, all []assignment.Update) {
 	for _, w := range all {
 		words.Add()
-		u := p.table.Hear(now, w)
-		if u.Pos > 0 || u.Lead != 0 || u.Silent || u.Alive {
+		u := p.table.HandleUpdate(now, w)
+		if u.Position > 0 || u.PrimaryHint != 0 || u.Unresponsive || u.Responsive {
 			used.Add()
-			p.engine.ApplyGossip(now, strings.TrimPrefix(w.Key, probing), u.At, u.Pos, u.Lead, u.Silent, u.Alive)
+			p.engine.ApplyGossip(now, strings.TrimPrefix(w.Key, probing), u.LearnedAt, u.Position, u.PrimaryHint, u.Unresponsive, u.Responsive)
 		}
 	}
 }
--- a/internal/sharedprobes/patrol_test.go
+++ b/internal/sharedprobes/patrol_test.go
@@ -19,7 +19,7 @@
 	heard  map[string]int64 // highest position a peer told
 	left   map[string]bool
 	over   bool
-	p      *Patrol
+	p      *Service
 	dead   map[string]bool // nodes that answer no probe
 	hold   map[string]bool // nodes whose probes do not end
 }
@@ -64,13 +64,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := New(l)
-	at := membership.Place{Name: name, Cluster: "test", Listen: "127.0.0.1:0", Join: join,
-		Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, Most: 8, Weight: 1, Bandwidth: 1 << 20}
+	at := membership.Settings{Name: name, Cluster: "test", Listen: "127.0.0.1:0", Seeds: join,
+		Keys: [][]byte{bytes.Repeat([]byte{1}, 32)}, MaxMembers: 8, Weight: 1, Bandwidth: 1 << 20}
 	f, err := membership.Start(at, p.Events(clock), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Join(clock(), f, at, Pace{Given: true, Every: 200_000, Size: 2, BoxLoad: 20, TakeOver: 100})
+	p.Join(clock(), f, at, Settings{Enabled: true, Interval: 200_000, Instances: 2, MaxProbeRate: 20, ClaimRate: 100})
 	l.p = p
 	t.Cleanup(func() {
 		l.mu.Lock()
@@ -198,10 +198,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := Read(f.Part("duties")); got != (Pace{true, 2_000_000, 3, 2, 9}) || f.Faults() != nil {
+	if got := ReadSettings(f.Part("duties")); got != (Settings{true, 2_000_000, 3, 2, 9}) || f.Faults() != nil {
 		t.Errorf("%+v, %v", got, f.Faults())
 	}
-	if got := Read(sexp.EmptyFile().Part("duties")); got != (Pace{false, 1_000_000, 1, 4, 50}) {
+	if got := ReadSettings(sexp.EmptyFile().Part("duties")); got != (Settings{false, 1_000_000, 1, 4, 50}) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/simulation/assignmentsim/instances.go
+++ b/internal/simulation/assignmentsim/instances.go
@@ -26,7 +26,7 @@
 )
 
 // World is the simulated fleet.
-type World struct {
+type Cluster struct {
 	Now   int64 // us since the start
 	Loss  float64
 	Twice float64
@@ -49,7 +49,7 @@
 	Total    int64
 	Words    int64 // words sent
 	Batches  int64 // batches sent
-	Weigh    func(origin string, words []assignment.Word) int
+	Weigh    func(origin string, words []assignment.Update) int
 	Bytes    int64         // of all batches, by Weigh
 	Spent    time.Duration // wall time in all tables together
 	probeLog func(at int64, instance, box int)
@@ -69,8 +69,8 @@
 	views   []view
 	inbox   map[int64][]batch // by the step in which it is read
 	kept    []batch           // what came while it stood still
-	out     []assignment.Word
-	runs    []assignment.Run
+	out     []assignment.Update
+	runs    []assignment.DueRun
 	rng     *rand.Rand
 	spent   time.Duration
 	lost    map[string]bool // words of its own that never leave, by box
@@ -87,13 +87,13 @@
 }
 
 type batch struct {
-	words []assignment.Word
+	words []assignment.Update
 	at    int64
 }
 
 // New makes instances and boxes; all instances start at once unless they are stopped first.
-func New(seed uint64, instances, boxes int, interval int64, boxLoad, takeRate float64) *World {
-	w := &World{interval: interval, size: instances, boxLoad: boxLoad, takeRate: takeRate, Slow: 600_000,
+func New(seed uint64, instances, boxes int, interval int64, boxLoad, takeRate float64) *Cluster {
+	w := &Cluster{interval: interval, size: instances, boxLoad: boxLoad, takeRate: takeRate, Slow: 600_000,
 		box: map[string]int{}, blindSet: map[[2]int]bool{}, oneWay: map[[2]int]bool{},
 		rng: rand.New(rand.NewPCG(seed, 0))}
 	for b := range boxes {
@@ -114,7 +114,7 @@
 }
 
 // Start starts an instance, or starts it again under its name, knowing nothing.
-func (w *World) Start(i int) {
+func (w *Cluster) Start(i int) {
 	in := w.list[i]
 	in.born++
 	in.up, in.stopped = true, false
@@ -122,7 +122,7 @@
 	in.kept, in.out = nil, nil
 	in.table = assignment.New(in.clock(w), in.name, 1, in.born, w.interval, w.size, w.boxLoad, w.takeRate)
 	for b, key := range w.keys {
-		in.table.Add(in.clock(w), key, w.started[b])
+		in.table.AddTask(in.clock(w), key, w.started[b])
 	}
 	for j := range in.views {
 		in.views[j] = view{}
@@ -131,19 +131,19 @@
 }
 
 // Kill ends an instance at once.
-func (w *World) Kill(i int) { w.list[i].up = false }
+func (w *Cluster) Kill(i int) { w.list[i].up = false }
 
 // Stop holds an instance still; Continue lets it go on, and read what came meanwhile.
-func (w *World) Stop(i int) { w.list[i].stopped = true }
+func (w *Cluster) Stop(i int) { w.list[i].stopped = true }
 
 // Continue lets a stopped instance go on.
-func (w *World) Continue(i int) { w.list[i].stopped = false }
+func (w *Cluster) Continue(i int) { w.list[i].stopped = false }
 
 // Side puts an instance behind a cut: only those of one side reach each other.
-func (w *World) Side(i, side int) { w.list[i].side = side }
+func (w *Cluster) Side(i, side int) { w.list[i].side = side }
 
 // OneWay cuts what goes from one instance to another, or mends it.
-func (w *World) OneWay(from, to int, cut bool) {
+func (w *Cluster) OneWay(from, to int, cut bool) {
 	delete(w.oneWay, [2]int{from, to})
 	if cut {
 		w.oneWay[[2]int{from, to}] = true
@@ -151,46 +151,46 @@
 }
 
 // Blind cuts an instance from one box.
-func (w *World) Blind(i, box int, cut bool) { w.blindSet[[2]int{i, box}] = cut }
+func (w *Cluster) Blind(i, box int, cut bool) { w.blindSet[[2]int{i, box}] = cut }
 
 // Mute makes an instance run nothing while its heart goes on beating.
-func (w *World) Mute(i int, on bool) { w.list[i].mute = on }
+func (w *Cluster) Mute(i int, on bool) { w.list[i].mute = on }
 
 // Clock sets an instance's clock off the others'; it takes a new start.
-func (w *World) Clock(i int, off int64) {
+func (w *Cluster) Clock(i int, off int64) {
 	w.list[i].off = off
 	w.Start(i)
 }
 
 // Box makes a box answer nobody, or again.
-func (w *World) Box(box int, dead bool) { w.dead[box] = dead }
+func (w *Cluster) Box(box int, dead bool) { w.dead[box] = dead }
 
 // Replace puts another process behind a box's name; every instance is told by its list.
-func (w *World) Replace(box int) {
+func (w *Cluster) Replace(box int) {
 	w.started[box] = w.Now + 1
 	for _, in := range w.list {
 		if in.up {
-			in.table.Add(in.clock(w), w.keys[box], w.started[box])
+			in.table.AddTask(in.clock(w), w.keys[box], w.started[box])
 		}
 	}
 }
 
 // OnProbe hears of each probe.
-func (w *World) OnProbe(do func(at int64, instance, box int)) { w.probeLog = do }
+func (w *Cluster) OnProbe(do func(at int64, instance, box int)) { w.probeLog = do }
 
 // Table is an instance's table, and Clock its time.
-func (w *World) Table(i int) *assignment.Table { return w.list[i].table }
+func (w *Cluster) Table(i int) *assignment.Table { return w.list[i].table }
 
 // At is an instance's time.
-func (w *World) At(i int) int64 { return w.list[i].clock(w) }
+func (w *Cluster) At(i int) int64 { return w.list[i].clock(w) }
 
 // Key is a box's duty.
-func (w *World) Key(box int) string { return w.keys[box] }
+func (w *Cluster) Key(box int) string { return w.keys[box] }
 
-func (in *instance) clock(w *World) int64 { return w.Now + in.off + 1 }
+func (in *instance) clock(w *Cluster) int64 { return w.Now + in.off + 1 }
 
 // link tells whether what one sends can reach another, straight or over a third one.
-func (w *World) link(from, to int) bool {
+func (w *Cluster) link(from, to int) bool {
 	a, b := w.list[from], w.list[to]
 	if !a.up || !b.up || a.stopped || a.side != b.side {
 		return false
@@ -208,7 +208,7 @@
 }
 
 // members lets each instance find out, each in its own time, who can be reached.
-func (w *World) members() {
+func (w *Cluster) members() {
 	for i, in := range w.list {
 		if !in.up || in.stopped {
 			continue
@@ -234,47 +234,47 @@
 			case reach && (!v.alive || v.born != other.born):
 				joined := !v.alive
 				v.alive, v.born = true, other.born
-				in.table.Up(now, other.name, 1, other.born)
+				in.table.MemberUp(now, other.name, 1, other.born)
 				if joined && !in.told { // the first that it joins hands over what it knows
 					in.told = true
-					if n := other.table.Returns(in.name); n > 0 {
-						in.table.Returned(now, n)
+					if n := other.table.Rejoins(in.name); n > 0 {
+						in.table.NoteRejoins(now, n)
 					}
 					in.receive(w, batch{words: other.knows(w), at: w.Now})
 				}
 			case !reach && v.alive:
 				v.alive = false
-				in.table.Down(now, other.name, v.born, false)
+				in.table.MemberDown(now, other.name, v.born, false)
 			}
 		}
 	}
 }
 
 // knows is what an instance hands to one that joins.
-func (in *instance) knows(w *World) (words []assignment.Word) {
+func (in *instance) knows(w *Cluster) (words []assignment.Update) {
 	for b, key := range w.keys {
-		if holder, term, age := in.table.Holder(in.clock(w), key); age >= 0 {
-			words = append(words, assignment.Word{Key: key, Holder: holder, Term: term, Age: age, Started: w.started[b],
-				Pos: max(1, w.Now-age)})
+		if holder, term, age := in.table.Owner(in.clock(w), key); age >= 0 {
+			words = append(words, assignment.Update{Key: key, Owner: holder, Term: term, Age: age, NodeStarted: w.started[b],
+				Position: max(1, w.Now-age)})
 		}
 	}
 	return words
 }
 
-func (in *instance) receive(w *World, b batch) {
+func (in *instance) receive(w *Cluster, b batch) {
 	for _, one := range b.words {
 		one.Age += w.Now - b.at
-		in.table.Hear(in.clock(w), one)
+		in.table.HandleUpdate(in.clock(w), one)
 	}
 }
 
 // turn is one step of one instance; it touches nothing of the others.
-func (in *instance) turn(w *World, step int64) {
+func (in *instance) turn(w *Cluster, step int64) {
 	began := time.Now()
 	now := in.clock(w)
 	for _, b := range in.kept { // it lay unread, and looks as old as when it came
 		for _, one := range b.words {
-			in.table.Hear(now, one)
+			in.table.HandleUpdate(now, one)
 		}
 	}
 	in.kept = nil
@@ -287,13 +287,13 @@
 }
 
 // Run lets simulated time pass.
-func (w *World) Run(span int64) {
+func (w *Cluster) Run(span int64) {
 	for end := w.Now + span; w.Now < end; w.Now += Step {
 		w.step()
 	}
 }
 
-func (w *World) step() {
+func (w *Cluster) step() {
 	step := w.Now / Step
 	w.members()
 	var all sync.WaitGroup
@@ -314,7 +314,7 @@
 						in.turn(w, step)
 					} else if in.up { // its socket keeps what comes
 						for _, b := range in.inbox[step] {
-							b.words = append([]assignment.Word(nil), b.words...) // the other receivers have the same
+							b.words = append([]assignment.Update(nil), b.words...) // the other receivers have the same
 							for n := range b.words {
 								b.words[n].Age += w.Now - b.at
 							}
@@ -348,7 +348,7 @@
 	}
 }
 
-func (w *World) probe(i int, in *instance, r assignment.Run) {
+func (w *Cluster) probe(i int, in *instance, r assignment.DueRun) {
 	b := w.box[r.Key]
 	w.last[b] = w.Now
 	w.probes[b]++
@@ -359,15 +359,15 @@
 	if w.probeLog != nil {
 		w.probeLog(w.Now, i, b)
 	}
-	word := assignment.Word{Key: r.Key, Silent: w.dead[b] || w.blindSet[[2]int{i, b}], Pos: w.Now + 1}
-	if word.Silent {
-		word.Pos = 0
+	word := assignment.Update{Key: r.Key, Unresponsive: w.dead[b] || w.blindSet[[2]int{i, b}], Position: w.Now + 1}
+	if word.Unresponsive {
+		word.Position = 0
 	}
-	in.out = append(in.out, in.table.Done(in.clock(w), word, r.Check))
+	in.out = append(in.out, in.table.RecordRun(in.clock(w), word, r.SecondOpinion))
 }
 
 // spread sends what an instance learnt to all it can reach; ages grow on the way.
-func (w *World) spread(i int, in *instance) {
+func (w *Cluster) spread(i int, in *instance) {
 	w.Batches++
 	w.Words += int64(len(in.out))
 	if w.Weigh != nil {
@@ -381,7 +381,7 @@
 			at := (w.Now+1+w.rng.Int64N(max(1, w.Slow)))/Step + 1
 			b := batch{at: w.Now, words: in.out}
 			if other.stopped {
-				b.words = append([]assignment.Word(nil), in.out...)
+				b.words = append([]assignment.Update(nil), in.out...)
 			}
 			other.inbox[at] = append(other.inbox[at], b)
 		}
@@ -397,7 +397,7 @@
 }
 
 // Longest is the longest time that any box went unprobed, in us, since the last Mark.
-func (w *World) Longest() (longest int64, box int) {
+func (w *Cluster) Longest() (longest int64, box int) {
 	for b, g := range w.gap {
 		if g > longest {
 			longest, box = g, b
@@ -407,7 +407,7 @@
 }
 
 // Mark begins to measure anew.
-func (w *World) Mark() {
+func (w *Cluster) Mark() {
 	clear(w.gap)
 	for b := range w.last {
 		w.last[b] = w.Now
@@ -420,10 +420,10 @@
 }
 
 // Probes is how often a box was probed since the last Mark.
-func (w *World) Probes(box int) int64 { return w.probes[box] }
+func (w *Cluster) Probes(box int) int64 { return w.probes[box] }
 
 // Busy is the wall time that tables took on average since the last Mark.
-func (w *World) Busy() time.Duration {
+func (w *Cluster) Busy() time.Duration {
 	var sum time.Duration
 	for _, in := range w.list {
 		sum += in.spent
@@ -432,18 +432,18 @@
 }
 
 // Moves is how often duties changed their target in an instance's view, and Falls how many one is the target of.
-func (w *World) Moves(i int) int64 {
+func (w *Cluster) Moves(i int) int64 {
 	_, moved, _, _ := w.list[i].table.Figures(w.At(i))
 	return moved
 }
 
 // Falls is for the instance of, in the view of another.
-func (w *World) Falls(view, of int) int { return w.list[view].table.Falls(w.list[of].name) }
+func (w *Cluster) Falls(view, of int) int { return w.list[view].table.TargetedTasks(w.list[of].name) }
 
 // Owners is how many live instances hold a box's duty.
-func (w *World) Owners(box int) (n int) {
+func (w *Cluster) Owners(box int) (n int) {
 	for _, in := range w.list {
-		if in.up && !in.stopped && in.table.Mine(w.keys[box]) {
+		if in.up && !in.stopped && in.table.Owns(w.keys[box]) {
 			n++
 		}
 	}
--- a/internal/simulation/assignmentsim/trace_test.go
+++ b/internal/simulation/assignmentsim/trace_test.go
@@ -33,12 +33,12 @@
 	}
 }
 
-func (t trace) word(w assignment.Word) {
+func (t trace) word(w assignment.Update) {
 	t.text(w.Key)
-	t.text(w.Holder)
-	t.number(int64(w.Term), w.Age, w.Started, w.Pos, int64(w.Lead))
-	t.flag(w.Silent)
-	t.text(w.Load)
+	t.text(w.Owner)
+	t.number(int64(w.Term), w.Age, w.NodeStarted, w.Position, int64(w.PrimaryHint))
+	t.flag(w.Unresponsive)
+	t.text(w.LoadReport)
 }
 
 // play runs one seed through every kind of fault that the simulation has, and hashes in each step what every instance
@@ -46,7 +46,7 @@
 func play(seed uint64, instances, boxes int) uint64 {
 	t := trace{fnv.New64a()}
 	w := New(seed, instances, boxes, 1_000_000, 4, 50)
-	w.Weigh = func(origin string, words []assignment.Word) int {
+	w.Weigh = func(origin string, words []assignment.Update) int {
 		t.text(origin)
 		for _, one := range words {
 			t.word(one)
@@ -60,7 +60,7 @@
 			for _, in := range w.list {
 				for _, r := range in.runs {
 					t.text(r.Key)
-					t.flag(r.Check)
+					t.flag(r.SecondOpinion)
 				}
 				for _, one := range in.out {
 					t.word(one)
@@ -103,21 +103,21 @@
 }
 
 // beliefs hashes what each instance's table says of itself, of the others and of every box.
-func (t trace) beliefs(w *World) {
+func (t trace) beliefs(w *Cluster) {
 	for i, in := range w.list {
 		now := w.At(i)
 		taken, moved, live, slow := in.table.Figures(now)
-		t.number(taken, moved, int64(live), int64(slow), in.table.Every(), int64(in.table.Holds()))
-		t.flag(in.table.Working())
+		t.number(taken, moved, int64(live), int64(slow), in.table.Interval(), int64(in.table.OwnedTasks()))
+		t.flag(in.table.ClaimsTasks())
 		for _, other := range w.list {
-			t.number(int64(in.table.Returns(other.name)), int64(in.table.Falls(other.name)))
+			t.number(int64(in.table.Rejoins(other.name)), int64(in.table.TargetedTasks(other.name)))
 		}
 		for _, key := range w.keys {
-			holder, term, age := in.table.Holder(now, key)
+			holder, term, age := in.table.Owner(now, key)
 			t.text(holder)
 			t.number(int64(term), age)
-			t.flag(in.table.Mine(key))
-			t.flag(in.table.Left(now, key))
+			t.flag(in.table.Owns(key))
+			t.flag(in.table.Delegated(now, key))
 		}
 		t.number(int64(math.Float64bits(float64(w.Probes(i % len(w.keys))))))
 	}
--- a/internal/supervisor/hold.go
+++ b/internal/supervisor/hold.go
@@ -36,7 +36,7 @@
 	if w.YieldAfter > 0 {
 		args["turn_us"] = strconv.FormatInt(w.YieldAfter.Microseconds(), 10)
 	}
-	call, err := adminsocket.Dial(socket, adminsocket.Request{Verb: "lease-hold", Name: name, Args: args})
+	call, err := adminsocket.Dial(socket, adminsocket.Request{Command: "lease-hold", Name: name, Args: args})
 	if err != nil {
 		return ExitNotStarted, err
 	}
@@ -47,7 +47,7 @@
 	go func() {
 		for {
 			var h leaseservice.HoldUpdate
-			more, err := call.Next(&h)
+			more, err := call.ReadLine(&h)
 			if !more {
 				fault <- err
 				return
--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -272,7 +272,7 @@
 
 // knows asks a router for what the voters know.
 func (c *tribunal) knows(i int) (o leaseservice.Overview, err error) {
-	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "leases"}, &o)
+	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Command: "leases"}, &o)
 	return o, err
 }
 
@@ -419,7 +419,7 @@
 			continue
 		}
 		var n leaseservice.LeaseStatus
-		if adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "lease-free", Name: name}, &n) == nil {
+		if adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Command: "lease-free", Name: name}, &n) == nil {
 			return
 		}
 	}
--- a/internal/testcluster/proof/releases.go
+++ b/internal/testcluster/proof/releases.go
@@ -293,7 +293,7 @@
 }
 
 func (c *rollingOut) status(i int) (s rolloutservice.Status, err error) {
-	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Verb: "fleet-status"}, &s)
+	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
@@ -461,5 +461,5 @@
 		return err
 	}
 	var token string
-	return adminsocket.Ask(socket, adminsocket.Request{Verb: "fleet-word", Text: text}, &token)
+	return adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token)
 }
--- a/internal/testcluster/proof/sizes.go
+++ b/internal/testcluster/proof/sizes.go
@@ -37,11 +37,11 @@
 		began := time.Now()
 		n, boxes := size[0], size[1]
 		w := assignmentsim.New(p.Seed, n, boxes, second, 4, max(50, float64(boxes)/float64(n)))
-		w.Weigh = membership.Bytes
+		w.Weigh = membership.EncodedSize
 		w.Run(settleSpan)
 		w.Mark()
 		w.Run(calmSpan)
-		busy, bytes := w.Busy(), float64(w.Bytes)/(calmSpan/second)*float64(membership.Sends(n))
+		busy, bytes := w.Busy(), float64(w.Bytes)/(calmSpan/second)*float64(membership.SendsPerMessage(n))
 		probes, peak := float64(w.Total)/float64(boxes)/(calmSpan/second), w.Peak
 		least, before := float64(w.Falls(0, n-1)), w.Moves(0)
 		w.Kill(n - 1)
@@ -57,7 +57,7 @@
 			moves = max(moves, moved/least)
 		}
 		fmt.Fprintf(out, "%d\t%d\t%.0f\t%.0f\t%d\t%.2f\t%d\t%.0f\t%.0f\t%.1f\t%.0f\t\n", n, boxes,
-			float64(busy.Microseconds())/(calmSpan/second), bytes, membership.Sends(n), probes, peak, moved, least,
+			float64(busy.Microseconds())/(calmSpan/second), bytes, membership.SendsPerMessage(n), probes, peak, moved, least,
 			float64(longest)/second, time.Since(began).Seconds())
 		out.Flush()
 	}
@@ -72,7 +72,7 @@
 }
 
 // churn lets one in a hundred instances a minute die and come back; at least one does.
-func churn(w *assignmentsim.World, seed uint64, n int) {
+func churn(w *assignmentsim.Cluster, seed uint64, n int) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	deaths := max(1, int(churnShare*float64(n)))
 	back := map[int64]int{}
--- a/internal/versionaudit/rollcall.go
+++ b/internal/versionaudit/rollcall.go
@@ -17,7 +17,7 @@
 
 const (
 	// Lease is what the task is done under.
-	Lease = "list-version"
+	LeaseName = "list-version"
 
 	version    = 1
 	lookWait   = time.Second      // for answers to one look
@@ -35,7 +35,7 @@
 	unread = metrics.New("roll call messages unread")
 )
 
-var decoding = codec.Strict(4, 16, 16)
+var decoding = codec.StrictDecoder(4, 16, 16)
 
 // message is a question or its answer.
 type message struct {
@@ -47,13 +47,15 @@
 }
 
 // Pace is how often the roll is called.
-type Pace struct{ Every int64 } // us
+type Settings struct{ Interval int64 } // us
 
 // Read takes it from the operator's file.
-func Read(p *sexp.Part) Pace { return Pace{p.Duration("every", 60_000_000, 1_000_000, 86_400_000_000)} }
+func ReadSettings(p *sexp.Part) Settings {
+	return Settings{p.Duration("every", 60_000_000, 1_000_000, 86_400_000_000)}
+}
 
 // Roll is one instance's part.
-type Roll struct {
+type Auditor struct {
 	self    string
 	every   time.Duration
 	leases  *leaseservice.Service
@@ -70,26 +72,26 @@
 }
 
 // New makes an instance's part.
-func New(self string, pace Pace, leases *leaseservice.Service, members func() []string,
-	send func(to string, kind uint8, body []byte) error) *Roll {
-	r := &Roll{self: self, every: time.Duration(pace.Every) * time.Microsecond, leases: leases, members: members, send: send, over: make(chan struct{})}
+func New(self string, pace Settings, leases *leaseservice.Service, members func() []string,
+	send func(to string, kind uint8, body []byte) error) *Auditor {
+	r := &Auditor{self: self, every: time.Duration(pace.Interval) * time.Microsecond, leases: leases, members: members, send: send, over: make(chan struct{})}
 	r.list.Store(-1)
 	return r
 }
 
 // Listed tells which version of the list this instance has now.
-func (r *Roll) Listed(version int64) { r.list.Store(version) }
+func (r *Auditor) SetVersion(version int64) { r.list.Store(version) }
 
 // Start begins to stand for the task.
-func (r *Roll) Start(longest int64) { r.done.Go(func() { r.run(min(longest, mostLength)) }) }
+func (r *Auditor) Start(longest int64) { r.done.Go(func() { r.run(min(longest, mostLength)) }) }
 
 // Stop ends this instance's part; the lease is given up by who ends the leases.
-func (r *Roll) Stop() {
+func (r *Auditor) Stop() {
 	close(r.over)
 	r.done.Wait()
 }
 
-func (r *Roll) sleep(d time.Duration) bool {
+func (r *Auditor) sleep(d time.Duration) bool {
 	select {
 	case <-r.over:
 		return false
@@ -98,15 +100,15 @@
 	}
 }
 
-func (r *Roll) run(length int64) {
+func (r *Auditor) run(length int64) {
 	var t *leaseservice.Guard
 	due := time.Now().Add(min(firstLook, r.every))
 	for r.sleep(min(standEvery, r.every)) {
-		stands := lease.Eligible(r.self, r.members(), Lease, standMost)
+		stands := lease.Eligible(r.self, r.members(), LeaseName, standMost)
 		switch {
 		case stands && t == nil:
 			var err error
-			if t, err = r.leases.RequestLease(lease.Request{Lease: Lease, Length: length}, nil); err != nil {
+			if t, err = r.leases.RequestLease(lease.Request{Lease: LeaseName, Length: length}, nil); err != nil {
 				slog.Error("no roll calls", "err", err)
 				return
 			}
@@ -126,7 +128,7 @@
 }
 
 // call makes one roll call, if this instance holds the lease; each of its two looks is an act by itself.
-func (r *Roll) call(t *leaseservice.Guard) bool {
+func (r *Auditor) call(t *leaseservice.Guard) bool {
 	if term, _ := t.Held(); term == 0 {
 		return false
 	}
@@ -155,7 +157,7 @@
 	return true
 }
 
-func (r *Roll) ask(ctx context.Context, t *tally, look int) {
+func (r *Auditor) ask(ctx context.Context, t *tally, look int) {
 	r.mu.Lock()
 	r.number++
 	r.tally, r.look = t, look
@@ -166,7 +168,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err := r.send(name, membership.KindRoll, raw); err != nil {
+		if err := r.send(name, membership.KindVersionAudit, raw); err != nil {
 			slog.Debug("not asked", "member", name, "err", err)
 		}
 	}
@@ -178,14 +180,14 @@
 }
 
 // Hear takes a member's message; it never blocks.
-func (r *Roll) Hear(from string, body []byte) {
+func (r *Auditor) HandleMessage(from string, body []byte) {
 	var m message
 	if decoding.Unmarshal(body, &m) != nil || m.Version != version {
 		unread.Add()
 		return
 	}
 	if !m.Answer {
-		if err := r.send(from, membership.KindRoll, codec.Encode(message{Version: version, Number: m.Number, Answer: true, List: r.list.Load()})); err != nil {
+		if err := r.send(from, membership.KindVersionAudit, codec.Encode(message{Version: version, Number: m.Number, Answer: true, List: r.list.Load()})); err != nil {
 			slog.Debug("not answered", "member", from, "err", err)
 		}
 		return
--- a/internal/versionaudit/tally.go
+++ b/internal/versionaudit/tally.go
@@ -12,9 +12,9 @@
 
 // The faults.
 const (
-	Behind Fault = iota + 1 // it has an older list than others had at the first look already
-	Silent                  // it answered neither look
-	Mute                    // it has never had a list
+	Behind       Fault = iota + 1 // it has an older list than others had at the first look already
+	Unresponsive                  // it answered neither look
+	WithoutList                   // it has never had a list
 )
 
 var faultNames = [...]string{"", "behind", "silent", "without a list"}
@@ -23,7 +23,7 @@
 func (f Fault) String() string { return faultNames[f] }
 
 // Report is what is wrong with one member.
-type Report struct {
+type Finding struct {
 	Member  string
 	Fault   Fault
 	Version int64 // that it has, where it answered
@@ -45,7 +45,7 @@
 func (t *tally) note(look int, member string, version int64) { t.seen[look][member] = version }
 
 // judge finds the faults, by member's name.
-func (t *tally) judge() (all []Report) {
+func (t *tally) judge() (all []Finding) {
 	want := int64(0)
 	for _, v := range t.seen[0] {
 		want = max(want, v)
@@ -58,13 +58,13 @@
 		}
 		switch {
 		case !a && !b:
-			all = append(all, Report{name, Silent, 0, want})
+			all = append(all, Finding{name, Unresponsive, 0, want})
 		case v < 0:
-			all = append(all, Report{name, Mute, 0, want})
+			all = append(all, Finding{name, WithoutList, 0, want})
 		case v < want && b: // one look alone proves nothing
-			all = append(all, Report{name, Behind, v, want})
+			all = append(all, Finding{name, Behind, v, want})
 		}
 	}
-	slices.SortFunc(all, func(a, b Report) int { return cmp.Compare(a.Member, b.Member) })
+	slices.SortFunc(all, func(a, b Finding) int { return cmp.Compare(a.Member, b.Member) })
 	return all
 }
--- a/internal/versionaudit/tally_test.go
+++ b/internal/versionaudit/tally_test.go
@@ -21,7 +21,7 @@
 	}
 	look.note(1, "a", 8)
 	look.note(1, "b", 8)
-	want := []Report{{"c", Behind, 6, 8}, {"d", Silent, 0, 8}, {"e", Mute, 0, 8}}
+	want := []Finding{{"c", Behind, 6, 8}, {"d", Unresponsive, 0, 8}, {"e", WithoutList, 0, 8}}
 	if got := look.judge(); !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
