--- a/internal/leaseservice/golden_test.go
+++ b/internal/leaseservice/golden_test.go
@@ -40,12 +40,12 @@
 	return all
 }
 
-func goldenPolls() map[string]poll {
-	return map[string]poll{
-		"question": {Version: pollVersion, Number: 7, After: "task"},
-		"release":  {Version: pollVersion, Free: "task"},
-		"page": {Version: pollVersion, Number: 7, Answer: true, After: "l", More: true, Set: 3, Away: 1500, States: []pollState{
-			{Lease: "nightly", Holder: "b", Term: 8, Left: 900_000, Waiting: 2}, {Lease: "task", Term: 1 << 50}}},
+func goldenQueries() map[string]queryMessage {
+	return map[string]queryMessage{
+		"question": {Version: queryVersion, Number: 7, After: "task"},
+		"release":  {Version: queryVersion, FreeLease: "task"},
+		"page": {Version: queryVersion, Number: 7, IsPage: true, After: "l", More: true, SetNumber: 3, AbstainsFor: 1500, Leases: []queryLease{
+			{Lease: "nightly", Holder: "b", Term: 8, Remaining: 900_000, Waiting: 2}, {Lease: "task", Term: 1 << 50}}},
 	}
 }
 
@@ -86,18 +86,18 @@
 	}
 }
 
-// TestGoldenPolls guards the questions by which operators' commands learn what voters know, in a fleet of two versions.
-func TestGoldenPolls(t *testing.T) {
-	golden, polls := readGolden(t, "polls.txt"), goldenPolls()
-	if len(golden) != len(polls) {
-		t.Errorf("%d are recorded, %d are checked", len(golden), len(polls))
+// TestGoldenQueries guards the questions by which operators' commands learn what voters know, in a fleet of two versions.
+func TestGoldenQueries(t *testing.T) {
+	golden, queries := readGolden(t, "queries.txt"), goldenQueries()
+	if len(golden) != len(queries) {
+		t.Errorf("%d are recorded, %d are checked", len(golden), len(queries))
 	}
-	for name, p := range polls {
+	for name, p := range queries {
 		t.Run(name, func(t *testing.T) {
 			if got := codec.Encode(p); !bytes.Equal(got, golden[name]) {
 				t.Errorf("encoded as %x, recorded %x", got, golden[name])
 			}
-			var got poll
+			var got queryMessage
 			if err := decoding.Unmarshal(golden[name], &got); err != nil || !reflect.DeepEqual(got, p) {
 				t.Errorf("recorded bytes read as %+v, %v; want %+v", got, err, p)
 			}
@@ -105,8 +105,8 @@
 	}
 }
 
-// goldenOuts are what the voter of the recorded file wanted kept, and its floor.
-func goldenOuts() (outs []lease.Action, floor uint64) {
+// goldenActions are what the voter of the recorded file wanted kept, and its floor.
+func goldenActions() (actions []lease.Action, floor uint64) {
 	return []lease.Action{lease.StoreVoterSet{Number: 3}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "nightly", Term: 7, Holder: "b", Incarnation: 11}},
 		lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "task", Term: 1 << 50, Holder: "c", Incarnation: 1<<63 - 1}}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "x", Term: 2, Holder: "a", Incarnation: 1}},
 		lease.DeleteGrant{Lease: "x"}}, 1<<50 + 9
@@ -140,11 +140,11 @@
 func TestGoldenStore(t *testing.T) {
 	golden := readGolden(t, "records.txt")
 	folder := t.TempDir()
-	s, _, _, _, err := openStore(folder, "kandy", "a")
+	s, _, err := openStore(folder, "kandy", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.keep(goldenOuts()); err != nil {
+	if err := s.write(goldenActions()); err != nil {
 		t.Fatal(err)
 	}
 	s.close()
@@ -160,14 +160,14 @@
 	if err := os.WriteFile(filepath.Join(former, storeName), whole, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, kept, floor, set, err := openStore(former, "kandy", "a")
+	s, stored, err := openStore(former, "kandy", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.close()
-	want := []lease.GrantRecord{{Lease: "nightly", Holder: "b", Term: 7, Incarnation: 11}, {Lease: "task", Holder: "c", Term: 1 << 50, Incarnation: 1<<63 - 1}}
-	if !reflect.DeepEqual(kept, want) || floor != 1<<50+9 || set != 3 {
-		t.Errorf("the former version's file read as %+v, floor %d, set %d", kept, floor, set)
+	want := storedState{termFloor: 1<<50 + 9, setNumber: 3, grants: []lease.GrantRecord{{Lease: "nightly", Holder: "b", Term: 7, Incarnation: 11}, {Lease: "task", Holder: "c", Term: 1 << 50, Incarnation: 1<<63 - 1}}}
+	if !reflect.DeepEqual(stored, want) {
+		t.Errorf("the former version's file read as %+v", stored)
 	}
 	if got := storedBytes(t, filepath.Join(former, storeName)); !reflect.DeepEqual(got, golden) {
 		t.Errorf("the former version's file holds %x, recorded %x", got, golden)
--- a/internal/leaseservice/leasing_test.go
+++ b/internal/leaseservice/service_test.go
@@ -1,6 +1,7 @@
 package leaseservice
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -223,22 +224,23 @@
 // TestStore keeps, opens again, and refuses what is damaged, another's or newer, without changing it.
 func TestStore(t *testing.T) {
 	folder := t.TempDir()
-	s, kept, floor, set, err := openStore(folder, "kandy", "a")
-	if err != nil || len(kept) != 0 || floor != 0 || set != 0 {
-		t.Fatal(kept, floor, set, err)
+	s, stored, err := openStore(folder, "kandy", "a")
+	if err != nil || len(stored.grants) != 0 || stored.termFloor != 0 || stored.setNumber != 0 {
+		t.Fatal(stored, err)
 	}
-	outs := []lease.Action{lease.StoreVoterSet{Number: 3}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "x", Term: 7, Holder: "b", Incarnation: 11}},
+	actions := []lease.Action{lease.StoreVoterSet{Number: 3}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "x", Term: 7, Holder: "b", Incarnation: 11}},
 		lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "y", Term: 8, Holder: "c", Incarnation: 12}}, lease.DeleteGrant{Lease: "x"}, lease.Send{}}
-	if err := s.keep(outs, 9); err != nil {
+	if err := s.write(actions, 9); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, _, err := openStore(folder, "kandy", "a"); err == nil {
-		t.Error("two processes have one file")
+	if _, _, err := openStore(folder, "kandy", "a"); !errors.Is(err, ErrInUse) {
+		t.Error("two processes have one file:", err)
 	}
 	s.close()
-	s, kept, floor, set, err = openStore(folder, "kandy", "a")
-	if err != nil || floor != 9 || set != 3 || !reflect.DeepEqual(kept, []lease.GrantRecord{{Lease: "y", Holder: "c", Term: 8, Incarnation: 12}}) {
-		t.Fatal(kept, floor, set, err)
+	s, stored, err = openStore(folder, "kandy", "a")
+	want := storedState{grants: []lease.GrantRecord{{Lease: "y", Holder: "c", Term: 8, Incarnation: 12}}, termFloor: 9, setNumber: 3}
+	if err != nil || !reflect.DeepEqual(stored, want) {
+		t.Fatal(stored, err)
 	}
 	s.close()
 	path := filepath.Join(folder, storeName)
@@ -253,7 +255,7 @@
 		if err := os.WriteFile(at, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, _, _, _, err := openStore(other, cluster, name)
+		s, _, err := openStore(other, cluster, name)
 		if err == nil {
 			s.close()
 			t.Errorf("%s: taken", what)
@@ -268,17 +270,17 @@
 		if err := os.WriteFile(filepath.Join(other, storeName), whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, again, _, _, err := openStore(other, "kandy", "a")
+		s, again, err := openStore(other, "kandy", "a")
 		if err == nil {
 			s.close()
 		}
-		if err == nil && !reflect.DeepEqual(again, kept) || err != nil && !errors.Is(err, ErrDamaged) && cut > 8192 {
+		if err == nil && !reflect.DeepEqual(again.grants, stored.grants) || err != nil && !errors.Is(err, ErrDamaged) && cut > 8192 {
 			t.Errorf("cut at %d: %v, %v", cut, again, err)
 		}
 	}
 	for _, text := range []string{"kandy", "y\x83"} { // the owner's record, a lease's
-		at := slices.IndexFunc(whole, func(byte) bool { return true })
-		for at = 0; at+len(text) < len(whole) && string(whole[at:at+len(text)]) != text; at++ {
+		if !bytes.Contains(whole, []byte(text)) {
+			t.Fatalf("%q is not in the file", text)
 		}
 		flipped := slices.Clone(whole)
 		for i := range flipped { // in each page that has it
@@ -293,7 +295,7 @@
 		t.Fatal(err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		return put(tx.Bucket(inMeta), keyOwner, owner{Version: storeVersion + 1, Cluster: "kandy", Name: "a"})
+		return putRecord(tx.Bucket(metaBucket), ownerKey, ownerRecord{Version: storeVersion + 1, Cluster: "kandy", Voter: "a"})
 	})
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
@@ -305,7 +307,7 @@
 // TestOutOfService takes a voter whose file is another's out of service, and a claimant on the same instance goes on.
 func TestOutOfService(t *testing.T) {
 	folder := t.TempDir()
-	s, _, _, _, err := openStore(folder, "test", "other")
+	s, _, err := openStore(folder, "test", "other")
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/leaseservice/settings.go
@@ -0,0 +1,59 @@
+package leaseservice
+
+import (
+	"fmt"
+	"slices"
+
+	"cairntiller/internal/lease"
+	"cairntiller/internal/sexp"
+)
+
+// Settings are what the operator's file says of leases.
+type Settings struct {
+	Given        bool
+	Voters       lease.VoterSet
+	LongestLease int64 // us
+	MaxDrift     int64 // by how many parts of a million a machine's clock may be off
+	MaxLeases    int   // that a voter keeps
+	Folder       string
+}
+
+// ReadSettings takes them from the part (leases …) of the operator's file, and notes there what is wrong.
+func ReadSettings(p *sexp.Part) Settings {
+	const partsPerPercent = 10_000
+	voters := p.Part("voters")
+	s := Settings{
+		Given:        p.Present(),
+		LongestLease: p.Duration("longest", 10_000_000, minLeaseLength, maxLeaseLength),
+		MaxDrift:     int64(p.Number("drift", 1, 0.01, 10) * partsPerPercent),
+		MaxLeases:    p.Integer("most", 20_000, 1, 1_000_000),
+		Folder:       p.Text("folder", ""),
+		Voters: lease.VoterSet{
+			Number:   uint64(voters.Integer("number", 1, 1, 1<<30)),
+			Names:    voters.Texts("names"),
+			Previous: voters.Texts("before"),
+		},
+	}
+	if s.Given {
+		checkVoters(voters, s.Voters)
+	}
+	return s
+}
+
+// checkVoters notes what is wrong with a voter set.
+func checkVoters(p *sexp.Part, voters lease.VoterSet) {
+	n := len(voters.Names)
+	distinct := slices.Compact(slices.Sorted(slices.Values(voters.Names)))
+	switch {
+	case n == 0 || n > lease.MaxVoters-1:
+		p.AddFault("names", fmt.Sprintf("%d voters", n), "the names of 1, 3, 5 or 7 members")
+	case len(distinct) != n:
+		p.AddFault("names", "a name twice", "each voter once")
+	case len(voters.Previous) > 0 && !lease.ValidSuccessor(voters.Previous, voters.Names):
+		p.AddFault("before", "a set that differs by more than one voter", "the set before, one voter more or less")
+	case len(voters.Previous) > 0 && voters.Number == 1:
+		p.AddFault("number", "1 with a set before it", "a number above the former one's")
+	case n%2 == 0 && len(voters.Previous) == 0:
+		p.AddFault("names", fmt.Sprintf("%d voters", n), "an odd number: an even one bears no more losses than one fewer; while one is replaced, name the former ones in (before …)")
+	}
+}
--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -11,63 +11,77 @@
 
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 
 	"cairntiller/internal/codec"
 	"cairntiller/internal/lease"
 )
 
-// The lasting place of a voter: one file of the storage library, whose commits are atomic and synced. Each record has a
-// sum of its own over key and value, for the library looks at its own pages only as far as their form.
+// A voter's file is one of the storage library bbolt, whose commits are atomic and synced. Bucket meta holds the owner,
+// the term floor and the number of the voter set; bucket leases a record for each lease under its name. Each record is
+// CBOR with a checksum behind it over key and value, for the library checks its own pages only as far as their form.
 const (
 	storeName    = "leases.db"
 	storeVersion = 1
-	storeWait    = time.Second // for another process to let go of the file
+	// storeTimeout is how long an open waits for another process to let go of the file: one that is about to end.
+	storeTimeout = time.Second
+	// checksumSize is the size of a record's checksum, in bytes.
+	checksumSize = 8
 )
 
 var (
-	inMeta   = []byte("meta")
-	inLeases = []byte("leases")
-	keyOwner = []byte("owner")
-	keyFloor = []byte("floor")
-	keySet   = []byte("set")
+	metaBucket   = []byte("meta")
+	leasesBucket = []byte("leases")
+	ownerKey     = []byte("owner")
+	floorKey     = []byte("floor")
+	setKey       = []byte("set")
 )
 
-// Why a lasting place is refused.
+// Why a voter's file is refused.
 var (
 	ErrDamaged    = errors.New("a record does not match its sum")
 	ErrOtherVoter = errors.New("it belongs to another voter")
 	ErrNewer      = errors.New("it was written by a later version")
+	ErrInUse      = errors.New("another process has it")
 )
 
-// store is an open lasting place.
+// store is an open voter's file.
 type store struct {
 	db   *bbolt.DB
 	path string
 }
 
-// owner is whose file it is.
-type owner struct {
+// storedState is what a voter's file held when it was opened.
+type storedState struct {
+	grants    []lease.GrantRecord
+	termFloor uint64
+	setNumber uint64
+}
+
+// ownerRecord says whose file it is.
+type ownerRecord struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
 	Cluster string
-	Name    string
+	Voter   string
 }
 
-// record is one lease's.
-type record struct {
-	_      struct{} `cbor:",toarray"`
-	Term   uint64
-	Holder string
-	Born   uint64
+// grantRecord is a lease's last term and holder.
+type grantRecord struct {
+	_           struct{} `cbor:",toarray"`
+	Term        uint64
+	Holder      string
+	Incarnation uint64
 }
 
-// openStore opens a voter's file in a folder, or makes it; kept is what it holds. A file that is damaged, another
-// voter's, or a later version's is refused, and left as it is.
-func openStore(folder, cluster, name string) (s *store, kept []lease.GrantRecord, floor, set uint64, err error) {
+// openStore opens a voter's file in a folder, or makes it, and reads it. A file that is damaged, in use, another voter's
+// or a later version's is refused with one of the errors above, and left as it is.
+func openStore(folder, cluster, voter string) (s *store, stored storedState, err error) {
 	path := filepath.Join(folder, storeName)
-	// The library maps the file: where it was cut short, reading what it says there is would end the process.
+	// The library maps the file into memory. Where the file was cut short, reading a page that should be there would end
+	// the process; this makes it a panic, as the library's own on pages that can't be.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() { // the library panics on pages that can't be
+	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%s: %w: %v", path, ErrDamaged, r)
 		}
@@ -76,118 +90,159 @@
 			s = nil
 		}
 	}()
-	if err = os.MkdirAll(folder, 0o700); err != nil {
-		return nil, nil, 0, 0, err
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return nil, storedState{}, err
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: storeWait})
-	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, nil, 0, 0, fmt.Errorf("%s: another process has it", path)
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: storeTimeout})
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, storedState{}, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
 	if err != nil {
-		return nil, nil, 0, 0, fmt.Errorf("%s: %w", path, err)
+		return nil, storedState{}, fmt.Errorf("%s: %w", path, err)
 	}
 	s = &store{db, path}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		if st, err := os.Stat(path); err != nil || st.Size() < tx.Size() { // Check reads on a goroutine of its own
-			return fmt.Errorf("%w: the file is cut short", ErrDamaged)
-		}
-		for e := range tx.Check() {
-			return fmt.Errorf("%w: %v", ErrDamaged, e)
-		}
-		meta, err := tx.CreateBucketIfNotExists(inMeta)
-		if err != nil {
+		if err := checkPages(tx, path); err != nil {
 			return err
 		}
-		leases, err := tx.CreateBucketIfNotExists(inLeases)
+		meta, leases, err := openBuckets(tx)
 		if err != nil {
 			return err
 		}
-		o := owner{Version: storeVersion, Cluster: cluster, Name: name}
-		if raw := meta.Get(keyOwner); raw == nil {
-			if err := put(meta, keyOwner, o); err != nil {
-				return err
-			}
-		} else if err := get(keyOwner, raw, &o); err != nil {
+		if err := checkOwner(meta, cluster, voter); err != nil {
 			return err
 		}
-		switch {
-		case o.Version > storeVersion:
-			return fmt.Errorf("%w: %d, this one knows %d", ErrNewer, o.Version, storeVersion)
-		case o.Cluster != cluster || o.Name != name:
-			return fmt.Errorf("%w: %q of cluster %q", ErrOtherVoter, o.Name, o.Cluster)
-		}
-		for key, to := range map[string]*uint64{string(keyFloor): &floor, string(keySet): &set} {
-			if raw := meta.Get([]byte(key)); raw != nil {
-				if err := get([]byte(key), raw, to); err != nil {
-					return err
-				}
-			}
-		}
-		return leases.ForEach(func(k, raw []byte) error {
-			var r record
-			if err := get(k, raw, &r); err != nil {
-				return err
-			}
-			kept = append(kept, lease.GrantRecord{Lease: string(k), Holder: r.Holder, Term: r.Term, Incarnation: r.Born})
-			return nil
-		})
+		stored, err = readState(meta, leases)
+		return err
 	})
 	if err != nil {
-		return s, nil, 0, 0, fmt.Errorf("%s: %w", path, err)
+		return s, storedState{}, fmt.Errorf("%s: %w", path, err)
+	}
+	return s, stored, nil
+}
+
+// checkPages checks the form of the file's pages. The library does so on a goroutine of its own, where a fault could not
+// be caught, so a file that is cut short is found first.
+func checkPages(tx *bbolt.Tx, path string) error {
+	if file, err := os.Stat(path); err != nil || file.Size() < tx.Size() {
+		return fmt.Errorf("%w: the file is cut short", ErrDamaged)
+	}
+	for fault := range tx.Check() {
+		return fmt.Errorf("%w: %v", ErrDamaged, fault)
+	}
+	return nil
+}
+
+func openBuckets(tx *bbolt.Tx) (meta, leases *bbolt.Bucket, err error) {
+	if meta, err = tx.CreateBucketIfNotExists(metaBucket); err != nil {
+		return nil, nil, err
+	}
+	leases, err = tx.CreateBucketIfNotExists(leasesBucket)
+	return meta, leases, err
+}
+
+// checkOwner refuses a file of another voter, fleet or later version; a new file becomes this voter's.
+func checkOwner(meta *bbolt.Bucket, cluster, voter string) error {
+	raw := meta.Get(ownerKey)
+	if raw == nil {
+		return putRecord(meta, ownerKey, ownerRecord{Version: storeVersion, Cluster: cluster, Voter: voter})
+	}
+	var owner ownerRecord
+	if err := decodeRecord(ownerKey, raw, &owner); err != nil {
+		return err
 	}
-	return s, kept, floor, set, nil
+	if owner.Version > storeVersion {
+		return fmt.Errorf("%w: %d, this one knows %d", ErrNewer, owner.Version, storeVersion)
+	}
+	if owner.Cluster != cluster || owner.Voter != voter {
+		return fmt.Errorf("%w: %q of cluster %q", ErrOtherVoter, owner.Voter, owner.Cluster)
+	}
+	return nil
 }
 
-// sum is over key and value together, so that a value under another key is found too.
-func sum(key, value []byte) uint64 {
-	d := xxhash.New()
-	d.Write(key)
-	d.Write([]byte{0})
-	d.Write(value)
-	return d.Sum64()
+// readState reads what the voter stored.
+func readState(meta, leases *bbolt.Bucket) (stored storedState, err error) {
+	if stored.termFloor, err = getNumber(meta, floorKey); err != nil {
+		return storedState{}, err
+	}
+	if stored.setNumber, err = getNumber(meta, setKey); err != nil {
+		return storedState{}, err
+	}
+	err = leases.ForEach(func(name, raw []byte) error {
+		var record grantRecord
+		if err := decodeRecord(name, raw, &record); err != nil {
+			return err
+		}
+		stored.grants = append(stored.grants, lease.GrantRecord{Lease: string(name), Holder: record.Holder, Term: record.Term, Incarnation: record.Incarnation})
+		return nil
+	})
+	return stored, err
 }
 
-func put(b *bbolt.Bucket, key []byte, v any) error {
-	raw := codec.Encode(v)
-	return b.Put(key, binary.BigEndian.AppendUint64(raw, sum(key, raw)))
+// getNumber reads a number, 0 where there is none.
+func getNumber(b *bbolt.Bucket, key []byte) (n uint64, err error) {
+	raw := b.Get(key)
+	if raw == nil {
+		return 0, nil
+	}
+	err = decodeRecord(key, raw, &n)
+	return n, err
 }
 
-func get(key, raw []byte, v any) error {
-	n := len(raw) - 8
-	if n < 0 || binary.BigEndian.Uint64(raw[n:]) != sum(key, raw[:n]) {
+// checksum is over key and value together, so that a value under another key is found too.
+func checksum(key, value []byte) uint64 {
+	digest := xxhash.New()
+	digest.Write(key)
+	digest.Write([]byte{0})
+	digest.Write(value)
+	return digest.Sum64()
+}
+
+func putRecord(b *bbolt.Bucket, key []byte, record any) error {
+	value := codec.Encode(record)
+	return b.Put(key, binary.BigEndian.AppendUint64(value, checksum(key, value)))
+}
+
+func decodeRecord(key, raw []byte, record any) error {
+	size := len(raw) - checksumSize
+	if size < 0 || binary.BigEndian.Uint64(raw[size:]) != checksum(key, raw[:size]) {
 		return fmt.Errorf("%w: %q", ErrDamaged, key)
 	}
-	if err := decoding.Unmarshal(raw[:n], v); err != nil {
+	if err := decoding.Unmarshal(raw[:size], record); err != nil {
 		return fmt.Errorf("%w: %q: %v", ErrDamaged, key, err)
 	}
 	return nil
 }
 
-// keep writes what a voter wants kept, all in one commit; when it returns it is on the disk.
-func (s *store) keep(actions []lease.Action, floor uint64) (err error) {
-	defer func() {
+// write stores what a voter wants stored, and its term floor, all in one commit; when it returns it is on the disk.
+func (s *store) write(actions []lease.Action, termFloor uint64) (err error) {
+	defer func() { // the library panics on pages that can't be
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%s: %w: %v", s.path, ErrDamaged, r)
 		}
 	}()
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		meta, leases := tx.Bucket(inMeta), tx.Bucket(inLeases)
-		for _, o := range actions {
-			var err error
-			switch a := o.(type) {
-			case lease.StoreGrant:
-				err = put(leases, []byte(a.Lease), record{Term: a.Term, Holder: a.Holder, Born: a.Incarnation})
-			case lease.StoreVoterSet:
-				err = put(meta, keySet, a.Number)
-			case lease.DeleteGrant:
-				err = leases.Delete([]byte(a.Lease))
-			}
-			if err != nil {
+		meta := tx.Bucket(metaBucket)
+		leases := tx.Bucket(leasesBucket)
+		for _, action := range actions {
+			if err := writeAction(meta, leases, action); err != nil {
 				return err
 			}
 		}
-		return put(meta, keyFloor, floor)
+		return putRecord(meta, floorKey, termFloor)
 	})
 }
 
+func writeAction(meta, leases *bbolt.Bucket, action lease.Action) error {
+	switch a := action.(type) {
+	case lease.StoreGrant:
+		return putRecord(leases, []byte(a.Lease), grantRecord{Term: a.Term, Holder: a.Holder, Incarnation: a.Incarnation})
+	case lease.StoreVoterSet:
+		return putRecord(meta, setKey, a.Number)
+	case lease.DeleteGrant:
+		return leases.Delete([]byte(a.Lease))
+	}
+	return nil
+}
+
 func (s *store) close() { s.db.Close() }
