--- /dev/null
+++ b/internal/assignment/interval.go
@@ -0,0 +1,19 @@
+package assignment
+
+// updateInterval sets the interval between two runs of one task from the number of members that this instance sees.
+//
+// Each part of a parted network runs every task. A part of k of N instances therefore runs a task at most
+// k * MaxRunRate / N times a second: however the instances are parted, the parts together stay within MaxRunRate. N is the
+// greatest number of members seen lately, or what the operator says.
+func (t *Table) updateInterval(now int64) {
+	live := t.liveMembers()
+	if live >= t.peakMembers || now-t.peakAt > memberMemory {
+		t.peakMembers = live
+		t.peakAt = now
+	}
+	all := max(t.peakMembers, t.config.Instances, live)
+	t.interval = max(t.config.Interval, int64(float64(all)/(float64(live)*t.config.MaxRunRate)*1e6))
+}
+
+// Interval is the time in us between two runs of one task, as far as this instance sees.
+func (t *Table) Interval() int64 { return t.interval }
--- /dev/null
+++ b/internal/assignment/member_health.go
@@ -0,0 +1,50 @@
+package assignment
+
+const (
+	// slowOverdueShare is the share of a member's tasks that must be overdue for it to count as slow: its peers would run
+	// them better.
+	slowOverdueShare = 0.5
+	// slowMinTasks is how many tasks a member must own to be judged: a few say nothing.
+	slowMinTasks = 3
+	// slowTime is how long (us) a slow member is nobody's target: it must not come and go.
+	slowTime = 15_000_000
+)
+
+// updateSlowMembers finds members that are alive and yet do not deliver. What counts is the updates alone: a process
+// whose heartbeats get through while its probes do not would otherwise keep its tasks.
+func (t *Table) updateSlowMembers(now int64) {
+	t.countOverdueTasks(now)
+	for _, m := range t.members {
+		if m == nil {
+			continue
+		}
+		if m != t.self && m.state == memberAlive && now >= m.slowUntil && m.isOverdue() {
+			m.slowUntil = now + slowTime
+			t.targetsStale = true
+		}
+		if m.slowUntil > 0 && now >= m.slowUntil {
+			m.slowUntil = 0
+			t.targetsStale = true
+		}
+	}
+}
+
+// countOverdueTasks counts for each member the tasks that it owns whose newest update is too old.
+func (t *Table) countOverdueTasks(now int64) {
+	for _, m := range t.members {
+		if m != nil {
+			m.overdue = 0
+		}
+	}
+	limit := t.overdueAfter()
+	for _, task := range t.tasks {
+		if task != nil && task.owner != nil && now-task.learnedAt > limit {
+			task.owner.overdue++
+		}
+	}
+}
+
+// isOverdue tells whether so many of a member's tasks are overdue that it counts as slow.
+func (m *member) isOverdue() bool {
+	return m.owned >= slowMinTasks && float64(m.overdue) > slowOverdueShare*float64(m.owned)
+}
--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -107,8 +107,8 @@
 // agree compares all that the table believes with the model.
 func (m *model) agree(tab *Table) {
 	slow := map[string]bool{}
-	for i, name := range tab.member.name {
-		slow[name] = m.now < tab.member.slowTill[i]
+	for name, one := range tab.memberByName {
+		slow[name] = m.now < one.slowUntil
 	}
 	for key, d := range m.duties {
 		holder, term, age := tab.Owner(m.now, key)
@@ -118,17 +118,17 @@
 		if d.heard && age != m.now-d.fresh {
 			m.t.Fatalf("%s: its word is %d us old, want %d", key, age, m.now-d.fresh)
 		}
-		if want := m.target(key, slow); !tab.stale && tab.member.name[tab.duty.target[tab.duty.index[key]]] != want {
-			m.t.Fatalf("%s: it falls to %s, want %s", key, tab.member.name[tab.duty.target[tab.duty.index[key]]], want)
+		if want := m.target(key, slow); !tab.targetsStale && tab.taskByKey[key].target.name != want {
+			m.t.Fatalf("%s: it falls to %s, want %s", key, tab.taskByKey[key].target.name, want)
 		}
 	}
 	held := map[string]int{}
 	for _, d := range m.duties {
 		held[d.holder]++
 	}
-	for i, name := range tab.member.name {
-		if tab.member.holds[i] != held[name] {
-			m.t.Fatalf("%s holds %d, want %d", name, tab.member.holds[i], held[name])
+	for name, one := range tab.memberByName {
+		if one.owned != held[name] {
+			m.t.Fatalf("%s owns %d, want %d", name, one.owned, held[name])
 		}
 	}
 }
@@ -145,8 +145,8 @@
 	runs := tab.Tick(m.now, nil)
 	m.tickAt = m.now
 	slow := map[string]bool{}
-	for i, name := range tab.member.name {
-		slow[name] = m.now < tab.member.slowTill[i]
+	for name, one := range tab.memberByName {
+		slow[name] = m.now < one.slowUntil
 	}
 	claims := 0
 	for key, d := range m.duties {
@@ -193,7 +193,7 @@
 	m := &model{t: t, self: "r0", now: 5_000_000, tickAt: 5_000_000, interval: interval,
 		members: map[string]*modelMember{"r0": {weight: 1, born: 1, alive: true}}, duties: map[string]*modelDuty{}}
 	// A box load without bound keeps the interval as it is.
-	tab := New(m.now, "r0", 1, 1, interval, 1, 1e9, 5)
+	tab := New(m.now, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: interval, Instances: 1, MaxRunRate: 1e9, ClaimRate: 5})
 	member := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "member")) })
 	key := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("probe/s-", rapid.IntRange(0, 9).Draw(t, "box")) })
 	t.Repeat(map[string]func(*rapid.T){
@@ -259,7 +259,7 @@
 			m.now += rapid.Int64Range(1_100_000, 12_000_000).Draw(t, "us")
 			m.tick(tab)
 			// What is read right after lies as long as the instance stood: it is left out here.
-			for m.now < tab.lateTill {
+			for m.now < tab.pauses.backlogUntil {
 				m.now += 400_000
 				m.tick(tab)
 			}
@@ -277,7 +277,7 @@
 
 // TestWhatLayUnread: what is read after a standstill is as old as it may be.
 func TestWhatLayUnread(t *testing.T) {
-	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 50)
+	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 50})
 	tab.AddTask(0, "probe/a", 7)
 	tab.MemberUp(0, "r1", 1, 1)
 	tab.Tick(100_000, nil)
@@ -289,7 +289,7 @@
 
 // TestWeights: a member of twice the weight has twice the duties.
 func TestWeights(t *testing.T) {
-	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 1e9)
+	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 1e9})
 	tab.MemberUp(0, "r1", 2, 1)
 	tab.MemberUp(0, "r2", 1, 1)
 	for i := range 4000 {
@@ -304,7 +304,7 @@
 
 // TestBoundedMoves: a member's death moves its own duties and no others, its return the same ones back.
 func TestBoundedMoves(t *testing.T) {
-	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 1e9)
+	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 1e9})
 	for i := 1; i < 10; i++ {
 		tab.MemberUp(0, fmt.Sprint("r", i), 1, 1)
 	}
@@ -313,35 +313,38 @@
 	}
 	tab.Tick(100_000, nil)
 	own := int64(0)
-	for _, at := range tab.duty.target {
-		if tab.member.name[at] == "r4" {
+	for _, one := range tab.tasks {
+		if one.target.name == "r4" {
 			own++
 		}
 	}
-	_, was, _, _ := tab.Figures(0)
+	was := tab.Stats(0).TargetChanges
 	tab.MemberDown(200_000, "r4", 1, false)
 	tab.Tick(200_000, nil)
-	if _, n, _, _ := tab.Figures(0); n-was != own || own == 0 {
+	if n := tab.Stats(0).TargetChanges; n-was != own || own == 0 {
 		t.Errorf("%d moves for %d duties of the dead", n-was, own)
 	}
 	tab.MemberUp(300_000, "r4", 1, 2)
 	tab.Tick(300_000, nil)
-	if _, n, _, _ := tab.Figures(0); n-was != 2*own {
+	if n := tab.Stats(0).TargetChanges; n-was != 2*own {
 		t.Errorf("%d moves there and back for %d duties", n-was, own)
 	}
 }
 
 // TestFlood: hundreds of members that come and go between ticks move what must move once, and leave all as it was.
 func TestFlood(t *testing.T) {
-	tab := New(0, "r0", 1, 1, 1_000_000, 3, 4, 50)
+	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 50})
 	for i := range 1000 {
 		tab.AddTask(0, fmt.Sprint("probe/", i), 0)
 	}
 	tab.MemberUp(0, "r1", 1, 1)
 	now := int64(100_000)
 	tab.Tick(now, nil)
-	was := append([]int32(nil), tab.duty.target...)
-	_, moved, _, _ := tab.Figures(now)
+	was := map[string]*member{}
+	for key, one := range tab.taskByKey {
+		was[key] = one.target
+	}
+	moved := tab.Stats(now).TargetChanges
 	for round := range 20 {
 		for i := range 500 {
 			tab.MemberUp(now, fmt.Sprint("flood", i), 1, uint64(round)+1)
@@ -350,12 +353,15 @@
 		now += 100_000
 		tab.Tick(now, nil)
 	}
-	if _, n, live, _ := tab.Figures(now); n != moved || live != 2 {
-		t.Errorf("%d moves, %d members live", n-moved, live)
+	if stats := tab.Stats(now); stats.TargetChanges != moved || stats.LiveMembers != 2 {
+		t.Errorf("%d moves, %d members live", stats.TargetChanges-moved, stats.LiveMembers)
+	}
+	if len(tab.taskByKey) != len(was) {
+		t.Fatalf("%d tasks of %d", len(tab.taskByKey), len(was))
 	}
-	for d, at := range tab.duty.target {
-		if at != was[d] {
-			t.Fatalf("duty %d fell to another", d)
+	for key, one := range tab.taskByKey {
+		if one.target != was[key] {
+			t.Fatalf("task %s fell to another", key)
 		}
 	}
 	now += memberMemory
@@ -370,7 +376,7 @@
 		}
 		tab.Tick(now, nil)
 	}
-	if n := len(tab.member.name); n > 800 {
+	if n := len(tab.members); n > 800 {
 		t.Errorf("%d members are kept in mind", n)
 	}
 }
@@ -383,7 +389,7 @@
 			all += k
 		}
 		for _, k := range parts {
-			tab := New(0, "r0", 1, 1, 1_000_000, 1, 4, 50)
+			tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 1, MaxRunRate: 4, ClaimRate: 50})
 			for i := 1; i < all; i++ {
 				tab.MemberUp(0, fmt.Sprint("r", i), 1, 1)
 			}
--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -24,7 +24,15 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 7))
 	now := int64(1_000_000)
-	tab := New(now, "r0", 1, 5, 500_000+rng.Int64N(1_000_000), 1+rng.IntN(6), 1+rng.Float64()*5, 2+rng.Float64()*20)
+	tab := New(now, Config{
+		Self:        "r0",
+		Weight:      1,
+		Incarnation: 5,
+		Interval:    500_000 + rng.Int64N(1_000_000),
+		Instances:   1 + rng.IntN(6),
+		MaxRunRate:  1 + rng.Float64()*5,
+		ClaimRate:   2 + rng.Float64()*20,
+	})
 	member := func() string { return fmt.Sprint("r", rng.IntN(8)) }
 	key := func() string { return fmt.Sprint("probe/s-", rng.IntN(20)) }
 	var runs []DueRun
@@ -66,8 +74,8 @@
 		one, name := key(), member()
 		holder, term, age := tab.Owner(now, one)
 		text(holder)
-		taken, moved, live, slow := tab.Figures(now)
-		number(int64(term), age, taken, moved, int64(live), int64(slow), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
+		stats := tab.Stats(now)
+		number(int64(term), age, stats.Claims, stats.TargetChanges, int64(stats.LiveMembers), int64(stats.SlowMembers), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
 		flag(tab.Owns(one), tab.Delegated(now, one), tab.ClaimsTasks())
 	}
 	return sum.Sum64()
--- a/internal/sharedprobes/golden_test.go
+++ b/internal/sharedprobes/golden_test.go
@@ -28,7 +28,7 @@
 func TestGoldenProbes(t *testing.T) {
 	l := &loop{heard: map[string]int64{}, left: map[string]bool{}, dead: map[string]bool{}, hold: map[string]bool{}}
 	p := New(l)
-	p.table = assignment.New(0, "r1", 1, 5, 1_000_000, 1, 4, 50)
+	p.table = assignment.New(0, assignment.Config{Self: "r1", Weight: 1, Incarnation: 5, Interval: 1_000_000, Instances: 1, MaxRunRate: 4, ClaimRate: 50})
 	p.EndpointListed(0, "s-1", routing.Up, 77)
 	p.EndpointListed(0, "s-2", routing.Up, 78)
 	p.ListApplied(0, true)
--- a/internal/sharedprobes/patrol.go
+++ b/internal/sharedprobes/patrol.go
@@ -94,7 +94,8 @@
 // Join begins to share with a fleet that was started with the patrol's events. It is called before the engine runs.
 func (p *Service) Join(now int64, f *membership.Service, at membership.Settings, pace Settings) {
 	p.fleet = f
-	p.table = assignment.New(now, at.Name, at.Weight, f.Incarnation(), pace.Interval, pace.Instances, pace.MaxProbeRate, pace.ClaimRate)
+	p.table = assignment.New(now, assignment.Config{Self: at.Name, Weight: at.Weight, Incarnation: f.Incarnation(), Interval: pace.Interval,
+		Instances: pace.Instances, MaxRunRate: pace.MaxProbeRate, ClaimRate: pace.ClaimRate})
 	p.engine.After(tickEvery, p.tick)
 	slog.Info("sharing probes", "name", at.Name, "cluster", at.Cluster, "address", f.Address(), "born", f.Incarnation())
 }
@@ -163,12 +164,12 @@
 			p.engine.DelegateHealthChecks(name, left)
 		}
 	}
-	if taken, _, live, slow := p.table.Figures(now); taken != p.taken {
-		for range taken - p.taken {
+	if stats := p.table.Stats(now); stats.Claims != p.taken {
+		for range stats.Claims - p.taken {
 			claims.Add()
 		}
-		slog.Debug("duties", "held", p.table.OwnedTasks(), "members", live, "slow", slow, "every", p.table.Interval())
-		p.taken = taken
+		slog.Debug("duties", "held", p.table.OwnedTasks(), "members", stats.LiveMembers, "slow", stats.SlowMembers, "every", p.table.Interval())
+		p.taken = stats.Claims
 	}
 }
 
--- a/internal/simulation/assignmentsim/instances.go
+++ b/internal/simulation/assignmentsim/instances.go
@@ -120,7 +120,8 @@
 	in.up, in.stopped = true, false
 	clear(in.inbox)
 	in.kept, in.out = nil, nil
-	in.table = assignment.New(in.clock(w), in.name, 1, in.born, w.interval, w.size, w.boxLoad, w.takeRate)
+	in.table = assignment.New(in.clock(w), assignment.Config{Self: in.name, Weight: 1, Incarnation: in.born, Interval: w.interval,
+		Instances: w.size, MaxRunRate: w.boxLoad, ClaimRate: w.takeRate})
 	for b, key := range w.keys {
 		in.table.AddTask(in.clock(w), key, w.started[b])
 	}
@@ -433,8 +434,7 @@
 
 // Moves is how often duties changed their target in an instance's view, and Falls how many one is the target of.
 func (w *Cluster) Moves(i int) int64 {
-	_, moved, _, _ := w.list[i].table.Figures(w.At(i))
-	return moved
+	return w.list[i].table.Stats(w.At(i)).TargetChanges
 }
 
 // Falls is for the instance of, in the view of another.
--- a/internal/simulation/assignmentsim/trace_test.go
+++ b/internal/simulation/assignmentsim/trace_test.go
@@ -106,8 +106,8 @@
 func (t trace) beliefs(w *Cluster) {
 	for i, in := range w.list {
 		now := w.At(i)
-		taken, moved, live, slow := in.table.Figures(now)
-		t.number(taken, moved, int64(live), int64(slow), in.table.Interval(), int64(in.table.OwnedTasks()))
+		stats := in.table.Stats(now)
+		t.number(stats.Claims, stats.TargetChanges, int64(stats.LiveMembers), int64(stats.SlowMembers), in.table.Interval(), int64(in.table.OwnedTasks()))
 		t.flag(in.table.ClaimsTasks())
 		for _, other := range w.list {
 			t.number(int64(in.table.Rejoins(other.name)), int64(in.table.TargetedTasks(other.name)))
