--- /dev/null
+++ b/internal/rollout/budget.go
@@ -0,0 +1,193 @@
+package rollout
+
+import "slices"
+
+// The disruption budget: who may leave service now. All that is unavailable counts, by any plan or unplanned, so that a
+// loss in the middle of a rollout leaves fewer slots and never more.
+
+// unavailability counts what is unavailable at a moment, of one sort of unit: routers or nodes.
+type unavailability struct {
+	known       int // units of that sort
+	total       int
+	byZone      map[string]int
+	byGroup     map[int]int     // nodes
+	workByGroup map[int]float64 // share of each group's usual work that is without its nodes
+	voters      int             // routers that vote and are unavailable or may have forgotten the record
+	holdsSlot   map[string]bool // by unit
+}
+
+// countUnavailable finds what is unavailable now: units that hold a slot of any plan, members that are out of sight or take no
+// commands, nodes that are not up.
+func (l *Leader) countUnavailable(now int64, nodes bool) *unavailability {
+	u := &unavailability{byZone: map[string]int{}, byGroup: map[int]int{}, workByGroup: map[int]float64{}, holdsSlot: map[string]bool{}}
+	known := l.plannedUnits(nodes, u.holdsSlot)
+	if nodes {
+		for name := range l.nodes {
+			known[name] = true
+		}
+	} else {
+		for name := range l.members {
+			known[name] = true
+		}
+	}
+	u.known = len(known)
+	for name := range known {
+		if nodes {
+			node := l.nodes[name]
+			if u.holdsSlot[name] || node == nil || !node.Up {
+				u.add(name, l)
+			}
+			continue
+		}
+		out := u.holdsSlot[name] || !l.inSight(now, name) || !l.members[name].report.Ready
+		if out {
+			u.add(name, l)
+		}
+		if l.isVoter(name) && (out || l.members[name].report.MayHaveForgotten) {
+			u.voters++
+		}
+	}
+	return u
+}
+
+// plannedUnits returns the units of plans under way and notes those that hold a slot of any plan.
+func (l *Leader) plannedUnits(nodes bool, holdsSlot map[string]bool) map[string]bool {
+	units := map[string]bool{}
+	for _, p := range l.record.Plans {
+		if nodes != (p.Plan.Kind == KindNodes) {
+			continue
+		}
+		for i, name := range p.Plan.Units {
+			if p.Units[i].Phase != PhaseForgotten && !p.State.Ended() {
+				units[name] = true
+			}
+			if p.Units[i].Phase.HoldsSlot() {
+				holdsSlot[name] = true
+			}
+		}
+	}
+	return units
+}
+
+// add counts one more unit that is unavailable.
+func (u *unavailability) add(name string, l *Leader) {
+	u.total++
+	if node := l.nodes[name]; node != nil {
+		u.byZone[node.Zone]++
+		u.byGroup[node.Group]++
+		u.workByGroup[node.Group] += node.WorkShare
+	} else if member := l.members[name]; member != nil {
+		u.byZone[member.report.Zone]++
+	}
+}
+
+// Limit is how many of so many known units may be unavailable at once. One always may: else a small fleet could never
+// be restarted.
+func (b *Budget) Limit(known int) int {
+	limit := max(1, int(b.MaxShare*float64(known)))
+	if b.MaxUnavailable > 0 {
+		limit = min(limit, b.MaxUnavailable)
+	}
+	return limit
+}
+
+// checkBudget returns why a unit of a plan may not leave service now, or nil. It is asked right before each slot.
+func (l *Leader) checkBudget(now int64, p *Progress, name string, u *unavailability) error {
+	b := &p.Plan.Budget
+	if limit := b.Limit(u.known); u.total >= limit {
+		return refuse(ErrBudgetUsed, "%d of %d are out, planned or not, and %d may be", u.total, u.known, limit)
+	}
+	if p.Plan.Kind == KindNodes {
+		node := l.nodes[name]
+		if node == nil || !node.Up {
+			return refuse(ErrUnavailable, "%s is out already", name)
+		}
+		if err := b.checkZone(node.Zone, u); err != nil {
+			return err
+		}
+		return l.checkGroup(b, node, u)
+	}
+	if !l.inSight(now, name) {
+		return refuse(ErrUnavailable, "%s is not in sight", name)
+	}
+	if err := b.checkZone(l.members[name].report.Zone, u); err != nil {
+		return err
+	}
+	return l.checkVoters(name, u)
+}
+
+func (b *Budget) checkZone(zone string, u *unavailability) error {
+	if b.MaxPerZone > 0 && u.byZone[zone] >= b.MaxPerZone {
+		return refuse(ErrZoneBudgetUsed, "%d of zone %s are out, and %d may be", u.byZone[zone], zone, b.MaxPerZone)
+	}
+	return nil
+}
+
+// checkVoters keeps a majority of voters that remember the record. Without it the lead would be stuck until an operator
+// says begin: a voter that restarts has forgotten, and counts as out until it was written to again.
+func (l *Leader) checkVoters(name string, u *unavailability) error {
+	canMiss := (len(l.voters) - 1) / 2
+	if l.isVoter(name) && u.voters+1 > canMiss {
+		return refuse(ErrVotersOut, "%d of %d voters are out or have forgotten", u.voters, len(l.voters))
+	}
+	return nil
+}
+
+// checkGroup returns why a node may not leave its group, or nil: a primary goes only where a replica near the log's end can
+// lead in its place, and the group keeps as many such replicas beside its primary as the plan says.
+func (l *Leader) checkGroup(b *Budget, node *NodeState, u *unavailability) error {
+	group := node.Group
+	if u.byGroup[group] >= b.MaxPerGroup {
+		return refuse(ErrGroupBudgetUsed, "%d of group %d are out, and %d may be", u.byGroup[group], group, b.MaxPerGroup)
+	}
+	if work := u.workByGroup[group] + node.WorkShare; b.MaxGroupWork > 0 && work > b.MaxGroupWork {
+		return refuse(ErrGroupWork, "group %d would be without %.0f%% of its usual work", group, 100*work)
+	}
+	hasPrimary := false
+	replicas := 0 // near the log's end
+	for _, other := range l.groups[group] {
+		if other == node || !other.Up || u.holdsSlot[other.Name] {
+			continue
+		}
+		if other.Primary {
+			hasPrimary = true
+		} else if other.NearLogEnd {
+			replicas++
+		}
+	}
+	if node.Primary { // one of these replicas has to lead in its place
+		hasPrimary = replicas > 0
+		replicas--
+	}
+	if !hasPrimary {
+		return refuse(ErrNoPrimary, "group %d would have no primary, and none that could become one", group)
+	}
+	if replicas < b.MinReplicas {
+		return refuse(ErrTooFewReplicas, "group %d would have %d replicas near the log's end, and %d must stay", group, replicas, b.MinReplicas)
+	}
+	return nil
+}
+
+// grantSlot grants a unit a slot. It counts as unavailable at once; the unit hears of it when a majority of voters
+// keeps it.
+func (l *Leader) grantSlot(now int64, p *Progress, i int, u *unavailability, why string) {
+	name := p.Plan.Units[i]
+	unit := &p.Units[i]
+	l.record.SlotsGranted++
+	unit.Slot = Slot{l.term, l.record.SlotsGranted}
+	unit.Attempts++
+	unit.Incarnation = 0
+	if member := l.members[name]; member != nil {
+		unit.Incarnation = member.report.Incarnation
+	}
+	if !u.holdsSlot[name] {
+		u.holdsSlot[name] = true
+		u.add(name, l)
+		if l.isVoter(name) {
+			u.voters++
+		}
+	}
+	l.setPhase(now, p, i, PhaseLeaving, why)
+}
+
+func (l *Leader) isVoter(name string) bool { return slices.Contains(l.voters, name) }
--- /dev/null
+++ b/internal/rollout/doc.go
@@ -0,0 +1,48 @@
+// Package rollout decides what of a fleet may be out of service, when, and when to stop: routers that restart, a new
+// version that goes round them, nodes that are drained and returned. It does no I/O, has no clock and starts no goroutine.
+// A Leader, a Member and a Voter are fed with reports, answers, operators' commands and ticks, each with its time in
+// microseconds, and TakeActions returns what to do. The same calls give the same actions. internal/rolloutservice carries
+// them; docs/releases.md holds the argument for the budget, line by line.
+//
+// # Who decides
+//
+// The instance that holds the lease "releases" runs the Leader. What it decides it first writes to a majority of the voters,
+// complete, under the lease's term (replication.go); only then does anybody hear of it. A later leader reads a majority,
+// which shares a voter with the former one's, so it knows of every slot that was ever granted.
+//
+// # A plan's states
+//
+//	running ──all units done──────────────> finished
+//	   │ ▲                                     │
+//	   │ └──resume── halted <──halt, no progress, evidence (restart, nodes, or no rollback wished)
+//	   │               │                       │
+//	   └─evidence──────┴──back─────────────────┴──> going back ──all touched units are back──> back
+//
+// An operator's command gives halt, resume and back. "Evidence" is the canary analysis (canary.go): routers that the plan
+// has touched do worse than those that it has not. "No progress" is the plan's ProgressTimeout without a change of any unit.
+//
+// # A unit's phases
+//
+//	waits ──slot granted──> going ──has left──> away ──new process or return──> returning ──proven healthy──> done
+//
+// A unit from going to returning holds a disruption budget slot. It becomes stuck, and keeps the slot, where it can't go
+// back by itself; an operator's forget takes it out of the plan from any phase. A slot is freed by proof or by an
+// operator, never by time.
+//
+// # Where to look
+//
+//   - plan.go: what an operator asks for, and the defaults; record.go: how plans stand
+//   - waves.go: who is next, when a wave is over, when the leader hands over; budget.go: who may leave service at all
+//   - unit.go: how a router proves that it is back; drain.go: the same of a node, and which nodes get nothing new
+//   - canary.go: what counts as evidence against a version; rollback.go: the way back
+//   - operator_command.go: what operators may ask, and every reason for which they are refused
+//   - fleet.go: which members are in sight; replication.go: how a record is written, read and recovered
+//   - leader.go: the lead's begin and end, and what is due at a tick; member.go, voter.go: the other instances' parts
+//
+// # What survives
+//
+// The Record survives a restart and a change of leader as long as a majority of voters keeps it: plans, phases, slots, the
+// names of known members, tokens of operators' commands. Voters keep it in memory; one that starts anew says that it may
+// have forgotten and is written to at once. A new leader starts afresh with the rest (planTracker, memberState): the
+// canary's counts, how long a wave has been watched and how long a plan has made no progress.
+package rollout
--- /dev/null
+++ b/internal/rollout/drain.go
@@ -0,0 +1,89 @@
+package rollout
+
+import (
+	"maps"
+	"slices"
+)
+
+// How a node that holds a slot is drained and returned, and which nodes get nothing new.
+
+// advanceNode takes a node that holds a slot from phase to phase.
+func (l *Leader) advanceNode(now int64, p *Progress, i int) {
+	name := p.Plan.Units[i]
+	switch p.Units[i].Phase {
+	case PhaseLeaving:
+		if l.stillUsedBy(now, name) == "" {
+			l.setPhase(now, p, i, PhaseUnavailable, "no router in sight has anything open there")
+		}
+	case PhaseUnavailable:
+		outFor := now - l.trackers[p.Plan.ID].phaseSince[i]
+		if p.Plan.DrainTime > 0 && outFor >= p.Plan.DrainTime {
+			l.setPhase(now, p, i, PhaseReturning, "its time is over")
+		}
+	case PhaseReturning, PhaseStuck:
+		if l.missingNodeProof(name) == "" {
+			l.setPhase(now, p, i, PhaseDone, "it serves")
+		}
+	}
+}
+
+// stillUsedBy says who may still use a drained node, "" for nobody. A router that can't be heard is waited for: it may send
+// commands there without having heard of the drain, and an operator who then stops the node would break them.
+func (l *Leader) stillUsedBy(now int64, name string) string {
+	if node := l.nodes[name]; node != nil && node.Primary {
+		return "its group has no other primary yet"
+	}
+	for _, member := range slices.Sorted(maps.Keys(l.members)) {
+		m := l.members[member]
+		if now-m.reportedAt >= reportTimeout {
+			return member + " is not heard of"
+		}
+		isUnused := func(use NodeUse) bool { return use.Node == name && use.OpenCommands == 0 }
+		if !slices.ContainsFunc(m.report.Nodes, isUnused) {
+			return member + " still uses it, or has not heard"
+		}
+	}
+	return ""
+}
+
+// missingNodeProof says what a node that is back still has to prove, "" for nothing.
+func (l *Leader) missingNodeProof(name string) string {
+	node := l.nodes[name]
+	if node == nil || !node.Up || !node.NearLogEnd && !node.Primary {
+		return "it is not up, or its log lags"
+	}
+	answers := uint64(0)
+	for _, m := range l.members {
+		for _, use := range m.report.Nodes {
+			if use.Node == name {
+				answers += use.Answers
+			}
+		}
+	}
+	if answers == 0 {
+		return "no router has had an answer of it"
+	}
+	return ""
+}
+
+// DrainStatement is the statement on drained nodes alone that a voter makes of its record for whoever asks.
+func DrainStatement(r *Record) *Statement {
+	return &Statement{Term: r.Term, Seq: r.Seq, DrainedNodes: drainedNodes(r)}
+}
+
+// drainedNodes returns, in order, the nodes that no router may send anything new to.
+func drainedNodes(r *Record) []string {
+	var names []string
+	for _, p := range r.Plans {
+		if p.Plan.Kind != KindNodes {
+			continue
+		}
+		for i, unit := range p.Units {
+			if unit.Phase == PhaseLeaving || unit.Phase == PhaseUnavailable || unit.Phase == PhaseStuck {
+				names = append(names, p.Plan.Units[i])
+			}
+		}
+	}
+	slices.Sort(names)
+	return slices.Compact(names)
+}
--- /dev/null
+++ b/internal/rollout/fleet.go
@@ -0,0 +1,113 @@
+package rollout
+
+import "slices"
+
+// What a leader knows of the fleet: members by their reports and by the membership, nodes by its own router.
+
+// reportTimeout is for how long after its last report a member is in sight, in us. Reports come each second and two in a row
+// may be lost; an operator who pulls a plug sees the slot counted within that time.
+const reportTimeout = 3_500_000
+
+// maxNearLag is how far behind the clock, in us, a replica's last proven position may lie for it to count as near the
+// log's end. Routers probe each second or two, so an idle replica that is up to date is seen at most that far behind.
+const maxNearLag = 3_000_000
+
+// NodeState is a node as the leader's own router knows it.
+type NodeState struct {
+	Name, Zone string
+	Group      int
+	Primary    bool
+	Up         bool    // listed as up, and not silent
+	NearLogEnd bool    // IsNearLogEnd of its position
+	WorkShare  float64 // its share of its group's usual work
+}
+
+// IsNearLogEnd tells whether a replica whose position is so many microseconds behind the clock could lead in its
+// primary's place.
+func IsNearLogEnd(behind int64) bool { return behind <= maxNearLag }
+
+// memberState is what a leader knows of one member.
+type memberState struct {
+	report         Report        // the newest
+	reportedAt     int64         // 0 for never, or since the membership missed it
+	returnedAt     int64         // when its present incarnation was first heard of
+	countsAtReturn CommandCounts // what it had counted then
+}
+
+// HandleReport takes a member's report.
+func (l *Leader) HandleReport(now int64, r *Report) {
+	m := l.members[r.Member]
+	if m == nil {
+		m = &memberState{returnedAt: now, countsAtReturn: r.Counts}
+		l.members[r.Member] = m
+		l.addMember(r.Member)
+	} else if m.report.Incarnation != r.Incarnation {
+		m.returnedAt = now
+		m.countsAtReturn = CommandCounts{}
+	}
+	before := *m
+	m.report = *r
+	m.reportedAt = now
+	if l.term > 0 && l.isVoter(r.Member) && (l.voterIncarnations[r.Member] != r.Incarnation || r.MayHaveForgotten) {
+		l.restoreVoter(r)
+	}
+	if l.committed == nil {
+		return
+	}
+	for _, p := range l.record.Plans {
+		if p.Plan.Kind != KindNodes {
+			l.recordEvidence(now, p, &before, m)
+		}
+	}
+}
+
+// MemberUp tells that the membership knows a member, before it has reported.
+func (l *Leader) MemberUp(member string) {
+	if l.members[member] == nil {
+		l.members[member] = &memberState{report: Report{Member: member}}
+	}
+	l.addMember(member)
+}
+
+// MemberGone tells that a member is gone. It counts as unavailable until it is back or forgotten, also where it left in order:
+// an operator who restarts it by hand takes it out as much as a plan does.
+func (l *Leader) MemberGone(member string) {
+	if m := l.members[member]; m != nil {
+		m.reportedAt = 0
+	}
+}
+
+// SetNode tells of a node; a later call stands for the earlier.
+func (l *Leader) SetNode(n NodeState) {
+	if l.nodes[n.Name] == nil {
+		l.nodes[n.Name] = &NodeState{Group: n.Group}
+		l.groups[n.Group] = append(l.groups[n.Group], l.nodes[n.Name])
+	}
+	*l.nodes[n.Name] = n
+}
+
+// inSight tells whether a member has reported lately.
+func (l *Leader) inSight(now int64, member string) bool {
+	m := l.members[member]
+	return m != nil && m.reportedAt > 0 && now-m.reportedAt < reportTimeout
+}
+
+// addMember notes in the record that there is such a member, so that a later leader misses it too.
+func (l *Leader) addMember(member string) {
+	if l.record == nil {
+		return
+	}
+	if i, known := slices.BinarySearch(l.record.Members, member); !known {
+		l.record.Members = slices.Insert(l.record.Members, i, member)
+		l.changed = true
+	}
+}
+
+// removeMember takes a member out that is not missed any more.
+func (l *Leader) removeMember(member string) {
+	delete(l.members, member)
+	if i, known := slices.BinarySearch(l.record.Members, member); known {
+		l.record.Members = slices.Delete(l.record.Members, i, i+1)
+		l.changed = true
+	}
+}
--- /dev/null
+++ b/internal/rollout/leader_test.go
@@ -0,0 +1,77 @@
+package rollout
+
+import (
+	"fmt"
+	"testing"
+)
+
+const second = 1_000_000 // us
+
+// testFleet is a leader with one voter, itself, and members that report each second and serve.
+type testFleet struct {
+	leader  *Leader
+	voter   *Voter
+	members int
+	now     int64
+}
+
+// newTestFleet makes a fleet whose leader has begun and granted nothing yet.
+func newTestFleet(t *testing.T, members int, nodes ...NodeState) *testFleet {
+	t.Helper()
+	f := &testFleet{leader: NewLeader("r0", []string{"r0"}), voter: NewVoter(1, &Record{}), members: members}
+	for _, node := range nodes {
+		f.leader.SetNode(node)
+	}
+	f.leader.BecomeLeader(f.now, 1)
+	f.carryOut()
+	for range 7 {
+		f.advance(second)
+	}
+	if term, _ := f.leader.Leading(); term != 1 {
+		t.Fatal("it does not lead: ", f.leader.NotLeadingReason())
+	}
+	return f
+}
+
+// carryOut lets the voter answer until the leader wants nothing more of it.
+func (f *testFleet) carryOut() {
+	for again := true; again; {
+		again = false
+		for _, action := range f.leader.TakeActions() {
+			switch a := action.(type) {
+			case ReadVoter:
+				state, accepted := f.voter.Read(a.Term)
+				f.leader.HandleReadAnswer(f.now, "r0", a.Term, state, accepted)
+				again = true
+			case WriteVoter:
+				accepted := f.voter.Write(a.Record, a.Incarnation)
+				f.leader.HandleWriteAnswer(f.now, "r0", a.Record.Term, a.Record.Seq, accepted)
+				again = true
+			}
+		}
+	}
+}
+
+// advance lets time pass: each member reports, then the leader ticks.
+func (f *testFleet) advance(d int64) {
+	f.now += d
+	for i := range f.members {
+		f.leader.HandleReport(f.now, &Report{Member: fmt.Sprint("r", i), Zone: "z", Incarnation: 1, Ready: true, Counts: CommandCounts{Commands: uint64(f.now / 1000)}})
+	}
+	f.leader.Tick(f.now)
+	f.carryOut()
+}
+
+// plan is the first plan as a majority of voters keeps it.
+func (f *testFleet) plan() *Progress {
+	_, record := f.leader.Leading()
+	return record.Plans[0]
+}
+
+// phases returns the first letter of each unit's phase.
+func phases(p *Progress) (letters string) {
+	for _, unit := range p.Units {
+		letters += unit.Phase.String()[:1]
+	}
+	return letters
+}
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -2,114 +2,105 @@
 
 import "slices"
 
-// Do is what a member is told to do with itself.
+// Instruction is what a member is told to do with itself. The numbers are sent to other instances.
 type Instruction uint8
 
-// What a member is told.
+// The instructions.
 const (
-	InstructionContinue Instruction = iota // go on
-	InstructionLeave                       // leave in order, and let the supervisor start the version that is named
+	InstructionContinue Instruction = iota
+	InstructionLeave                // leave in order, and let the supervisor start the version that is named
 )
 
-// Statement is what a leader tells one member, from a record that a majority keeps.
+// String returns the instruction's name.
+func (i Instruction) String() string {
+	if i == InstructionLeave {
+		return "leave"
+	}
+	return "continue"
+}
+
+// Statement is what a leader tells one member, from a record that a majority of voters keeps.
 type Statement struct {
-	Term, Seq     uint64
+	Term, Seq     uint64 // of that record
 	Instruction   Instruction
 	Slot          Slot
-	Incarnation   uint64 // the process that it is meant for
-	TargetVersion uint64 // version to be started with, 0 for the present one
+	Incarnation   uint64 // the process that the instruction is for
+	TargetVersion uint64 // to be started with, 0 for the present one
 	DrainedNodes  []string
 }
 
-// Report is what a member tells whoever leads.
+// Report is what a member tells whoever leads, each second.
 type Report struct {
 	Member           string
 	Zone             string
-	Incarnation      uint64 // its process, by a number that grows with each start
+	Incarnation      uint64 // of its process: a number that grows with each start
 	Version          uint64
 	Ready            bool // it takes commands
 	Leaving          bool
 	Term, Seq        uint64 // of the newest statement that it has heard
 	Counts           CommandCounts
 	StartupTime      int64     // us that it took to be ready
-	ResidentBytes    int64     // bytes resident
-	Nodes            []NodeUse // at nodes that are drained, or are being returned
-	MayHaveForgotten bool      // it votes, and may have forgotten what it kept
+	ResidentBytes    int64     // 0 where it does not know
+	Nodes            []NodeUse // those that are drained, or are being returned
+	MayHaveForgotten bool      // it votes, and has kept no record since its process started
 }
 
-// Open is what a router has open at one node.
+// NodeUse is what a router does at one node.
 type NodeUse struct {
 	Node         string
 	OpenCommands int
-	Answers      uint64 // by it since the router was last told that it is back
+	Answers      uint64 // of the node since the router was last told that it is back
 }
 
-// Member is one router's part.
+// drainQueryInterval is the time between queries of a member that has heard no statement yet, in us: a router that starts
+// while there is no leader waits a second more for a lost one before it takes commands.
+const drainQueryInterval = 1_000_000
+
+// Member is one router's part: it heeds the newest statement.
 type Member struct {
 	incarnation  uint64
 	newest       Statement
 	hasStatement bool
 	leaving      bool
 	nextQueryAt  int64
-	actions      []Out
+	actions      []Action
 }
 
-const drainQueryInterval = 1_000_000 // us between questions of one that has heard no leader yet
-
 // NewMember makes one for a process.
-func NewMember(born uint64) *Member { return &Member{incarnation: born} }
+func NewMember(incarnation uint64) *Member { return &Member{incarnation: incarnation} }
 
-// Take returns what is to be done, in order.
-func (m *Member) TakeActions() []Out {
-	out := m.actions
+// TakeActions returns what is to be done, in order, and forgets it.
+func (m *Member) TakeActions() []Action {
+	actions := m.actions
 	m.actions = nil
-	return out
+	return actions
 }
 
-// Heard is the newest statement, false for none.
+// Statement returns the newest statement, false for none.
 func (m *Member) Statement() (Statement, bool) { return m.newest, m.hasStatement }
 
-// Hear takes a statement, of a leader or, where it says nothing of this process, of a voter. Older ones are nothing: a
+// HandleStatement takes a statement of a leader, or of a voter on drained nodes alone. Older ones than the newest are ignored: a
 // message that comes late must neither send anybody out nor bring a drained node back.
-func (m *Member) HandleStatement(now int64, s *Statement) {
+func (m *Member) HandleStatement(s *Statement) {
 	if m.hasStatement && !isNewer(s.Term, s.Seq, m.newest.Term, m.newest.Seq) {
 		return
 	}
 	if !m.hasStatement || !slices.Equal(s.DrainedNodes, m.newest.DrainedNodes) {
-		m.actions = append(m.actions, Out{Act: Drain, Nodes: slices.Clone(s.DrainedNodes)})
+		m.actions = append(m.actions, DrainNodes{slices.Clone(s.DrainedNodes)})
 	}
-	m.newest, m.hasStatement = *s, true
-	if s.Instruction == InstructionLeave && s.Incarnation == m.incarnation && !m.leaving { // the process that came back after it has another number
+	m.newest = *s
+	m.hasStatement = true
+	isForThisProcess := s.Incarnation == m.incarnation // the one that comes back after it has another number
+	if s.Instruction == InstructionLeave && isForThisProcess && !m.leaving {
 		m.leaving = true
-		m.actions = append(m.actions, Out{Act: Go, Slot: s.Slot, Want: s.TargetVersion})
+		m.actions = append(m.actions, LeaveService{s.Slot, s.TargetVersion})
 	}
 }
 
-// Tick asks voters for what is drained, as long as no leader has spoken: the list may call a drained node up.
+// Tick asks voters for what is drained, as long as no leader has spoken: discovery may list a drained node as up.
 func (m *Member) Tick(now int64) {
 	if !m.hasStatement && now >= m.nextQueryAt {
 		m.nextQueryAt = now + drainQueryInterval
-		m.actions = append(m.actions, Out{Act: Seek})
-	}
-}
-
-// Drained is the statement on drains alone that a record makes for whoever asks.
-func DrainStatement(r *Record) *Statement {
-	return &Statement{Term: r.Term, Seq: r.Seq, DrainedNodes: drainedNodes(r)}
-}
-
-// drains lists the nodes that no router may send anything new to.
-func drainedNodes(r *Record) (all []string) {
-	for _, p := range r.Plans {
-		if p.Plan.Kind != KindNodes {
-			continue
-		}
-		for i, u := range p.Units {
-			if u.Phase == PhaseLeaving || u.Phase == PhaseUnavailable || u.Phase == PhaseStuck {
-				all = append(all, p.Plan.Units[i])
-			}
-		}
+		m.actions = append(m.actions, QueryDrainedNodes{})
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
 }
--- /dev/null
+++ b/internal/rollout/operator_command.go
@@ -0,0 +1,225 @@
+package rollout
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// What operators may ask of the leader, and when it is refused.
+
+// CommandType is what an operator asks for. The numbers are sent.
+type CommandType uint8
+
+// The types of operators' commands, with the fields of Command that each needs beside its token.
+const (
+	CommandStart    CommandType = iota + 1 // Plan: begin it
+	CommandHalt                            // PlanID: nobody new leaves
+	CommandResume                          // PlanID: a halted plan goes on
+	CommandRollBack                        // PlanID: what it touched goes back
+	CommandForget                          // PlanID, Unit: take it out of the plan, with its slot. Unit alone: it is not a member any more
+	CommandReturn                          // PlanID, Unit: bring a drained node back
+	CommandBegin                           // lead with what is left, though voters have forgotten
+)
+
+var commandNames = [...]string{"", "start", "halt", "resume", "back", "forget", "return", "begin"}
+
+// String returns the type as the command line says it.
+func (t CommandType) String() string {
+	if int(t) < len(commandNames) {
+		return commandNames[t]
+	}
+	return fmt.Sprintf("command %d", uint8(t))
+}
+
+// Command is an operator's. One whose token was accepted before is accepted as the same command and does nothing more, so
+// that it can be repeated until it is answered.
+type Command struct {
+	Type   CommandType
+	Token  string
+	Plan   Plan
+	PlanID string
+	Unit   string
+}
+
+// byOperator is the reason that is noted for what a command does.
+const byOperator = "an operator's word"
+
+// HandleCommand takes an operator's command. A refusal is answered at once, an accepted one when a majority of voters keeps
+// what it did.
+func (l *Leader) HandleCommand(now int64, c *Command) {
+	if c.Type == CommandBegin && l.term > 0 && l.record == nil {
+		l.recoverRecord(now, true)
+		if l.record == nil {
+			l.act(ReplyToCommand{c.Token, refuse(ErrNotLeading, "%s", l.notLeadingReason)})
+			return
+		}
+		l.pendingReplies = append(l.pendingReplies, pendingReply{c.Token, 1})
+		return
+	}
+	if l.committed == nil {
+		reason := cmp.Or(l.notLeadingReason, "another one holds the lease, or none does")
+		l.act(ReplyToCommand{c.Token, refuse(ErrNotLeading, "this router does not lead: %s", reason)})
+		return
+	}
+	if slices.Contains(l.committed.Tokens, c.Token) {
+		l.act(ReplyToCommand{Token: c.Token})
+		return
+	}
+	if slices.Contains(l.record.Tokens, c.Token) { // its reply waits for a majority
+		return
+	}
+	if err := l.applyCommand(now, c); err != nil {
+		l.act(ReplyToCommand{c.Token, err})
+		return
+	}
+	tokens := append(l.record.Tokens, c.Token)
+	l.record.Tokens = tokens[max(0, len(tokens)-maxTokens):]
+	l.changed = true
+	l.pendingReplies = append(l.pendingReplies, pendingReply{c.Token, l.record.Seq + 1})
+	l.replicate(now)
+}
+
+// applyCommand does what a command asks for, or returns why not.
+func (l *Leader) applyCommand(now int64, c *Command) error {
+	if c.Type == CommandStart {
+		return l.startPlan(c.Plan)
+	}
+	if c.Type == CommandForget && c.PlanID == "" {
+		return l.forgetMember(now, c.Unit)
+	}
+	p := l.record.progress(c.PlanID)
+	if p == nil {
+		return refuse(ErrUnknownPlan, "no plan %q", c.PlanID)
+	}
+	if l.trackers[p.Plan.ID] == nil {
+		return refuse(ErrNotLeading, "it has only begun to lead")
+	}
+	switch c.Type {
+	case CommandHalt:
+		return l.changeState(now, p, StateHalted, StateRunning)
+	case CommandResume:
+		if err := l.changeState(now, p, StateRunning, StateHalted); err != nil {
+			return err
+		}
+		l.trackers[p.Plan.ID].canary = newCanaryAnalysis()
+		return nil
+	case CommandRollBack:
+		return l.changeState(now, p, StateRollingBack, StateRunning, StateHalted, StateFinished)
+	case CommandForget:
+		return l.forgetUnit(now, p, c.Unit)
+	case CommandReturn:
+		return l.returnNode(now, p, c.Unit)
+	}
+	return refuse(ErrUnknownCommand, "an unknown word")
+}
+
+// changeState changes a plan's state for an operator, where it is in one of the states from which that may be.
+func (l *Leader) changeState(now int64, p *Progress, to State, from ...State) error {
+	if !slices.Contains(from, p.State) {
+		return refuse(ErrPlanState, "plan %s is %s", p.Plan.ID, p.State)
+	}
+	l.setState(now, p, to, byOperator)
+	return nil
+}
+
+// forgetMember takes a member out that is missed for good.
+func (l *Leader) forgetMember(now int64, member string) error {
+	if l.members[member] == nil || l.inSight(now, member) {
+		return refuse(ErrUnknownUnit, "%q is in sight, or no member of that name is missed", member)
+	}
+	l.removeMember(member)
+	return nil
+}
+
+// forgetUnit takes a unit out of a plan: the operator answers for it.
+func (l *Leader) forgetUnit(now int64, p *Progress, name string) error {
+	i := slices.Index(p.Plan.Units, name)
+	if i < 0 || p.Units[i].Phase == PhaseForgotten {
+		return refuse(ErrUnknownUnit, "plan %s has no unit %q, or forgot it", p.Plan.ID, name)
+	}
+	l.setPhase(now, p, i, PhaseForgotten, byOperator)
+	return nil
+}
+
+// returnNode brings a drained node back.
+func (l *Leader) returnNode(now int64, p *Progress, name string) error {
+	i := slices.Index(p.Plan.Units, name)
+	isDrained := i >= 0 && p.Plan.Kind == KindNodes && (p.Units[i].Phase == PhaseUnavailable || p.Units[i].Phase == PhaseLeaving)
+	if !isDrained {
+		return refuse(ErrUnknownUnit, "plan %s has no drained node %q", p.Plan.ID, name)
+	}
+	l.setPhase(now, p, i, PhaseReturning, byOperator)
+	return nil
+}
+
+// startPlan begins a plan, if no other one under way has one of its units.
+func (l *Leader) startPlan(p Plan) error {
+	p.SetDefaults()
+	if err := p.Validate(); err != nil {
+		return err
+	}
+	if l.record.progress(p.ID) != nil {
+		return refuse(ErrPlanExists, "a plan %s was started before", p.ID)
+	}
+	underWay := 0
+	for _, other := range l.record.Plans {
+		if other.State.Ended() {
+			continue
+		}
+		underWay++
+		if err := other.checkOverlap(&p); err != nil {
+			return err
+		}
+	}
+	if underWay >= MaxPlans {
+		return refuse(ErrTooManyPlans, "%d plans are under way", underWay)
+	}
+	if err := l.checkUnitsKnown(&p); err != nil {
+		return err
+	}
+	l.record.dropOldestEnded(underWay)
+	progress := &Progress{Plan: p, State: StateRunning, Reason: "it was started", Units: make([]Unit, len(p.Units))}
+	l.record.Plans = append(l.record.Plans, progress)
+	l.logf(p.ID, "plan %s of %d units begins", p.Kind, len(p.Units))
+	return nil
+}
+
+// checkOverlap returns which of another plan's units this one still has to do with, or nil.
+func (p *Progress) checkOverlap(other *Plan) error {
+	if (p.Plan.Kind == KindNodes) != (other.Kind == KindNodes) {
+		return nil
+	}
+	for i, name := range p.Plan.Units {
+		phase := p.Units[i].Phase
+		if phase != PhaseDone && phase != PhaseForgotten && slices.Contains(other.Units, name) {
+			return refuse(ErrUnitInPlan, "%s belongs to plan %s, which is %s", name, p.Plan.ID, p.State)
+		}
+	}
+	return nil
+}
+
+// checkUnitsKnown returns which of a plan's units the leader does not know, or nil.
+func (l *Leader) checkUnitsKnown(p *Plan) error {
+	for _, name := range p.Units {
+		if p.Kind == KindNodes && l.nodes[name] == nil {
+			return refuse(ErrUnknownUnit, "no node %q", name)
+		}
+		if p.Kind != KindNodes && l.members[name] == nil {
+			return refuse(ErrUnknownUnit, "no member %q was ever in sight", name)
+		}
+	}
+	return nil
+}
+
+// dropOldestEnded drops ended plans beside so many under way, so that with one more of them MaxPlans are kept.
+func (r *Record) dropOldestEnded(underWay int) {
+	for i := 0; i < len(r.Plans); {
+		ended := len(r.Plans) - underWay
+		if r.Plans[i].State.Ended() && ended >= MaxPlans {
+			r.Plans = slices.Delete(r.Plans, i, i+1)
+			continue
+		}
+		i++
+	}
+}
--- /dev/null
+++ b/internal/rollout/record.go
@@ -0,0 +1,128 @@
+package rollout
+
+import "slices"
+
+// Slot is the right to be unavailable, granted under a term of the leader's lease; a later one is greater.
+type Slot struct {
+	Term   uint64
+	Number uint64
+}
+
+// Less orders slots.
+func (s Slot) Less(other Slot) bool {
+	return s.Term < other.Term || s.Term == other.Term && s.Number < other.Number
+}
+
+// Phase is how far a unit has come. The numbers are sent to other instances.
+type Phase uint8
+
+// The phases. A unit from PhaseLeaving to PhaseReturning, and one in PhaseStuck, holds a slot.
+const (
+	PhaseWaiting     Phase = iota // not touched
+	PhaseLeaving                  // it has a slot; it may be out from now on
+	PhaseUnavailable              // it is out
+	PhaseReturning                // it is to come back, and has to prove its health
+	PhaseDone                     // it is back and proven
+	PhaseStuck                    // it could not go back; an operator has to look at it
+	PhaseForgotten                // an operator took it out of the plan
+)
+
+var phaseNames = [...]string{"waits", "going", "away", "returning", "done", "stuck", "forgotten"}
+
+// String returns the phase as operators see it.
+func (p Phase) String() string { return phaseNames[p] }
+
+// HoldsSlot tells whether a unit in this phase holds a slot.
+func (p Phase) HoldsSlot() bool { return p >= PhaseLeaving && p <= PhaseReturning || p == PhaseStuck }
+
+// State is how a plan stands. The numbers are sent to other instances.
+type State uint8
+
+// The states of a plan.
+const (
+	StateRunning     State = iota + 1
+	StateHalted            // nobody new leaves; who is out may come back
+	StateRollingBack       // touched units go back, newest first
+	StateFinished          // all are done
+	StateRolledBack        // all touched units are back
+)
+
+var stateNames = [...]string{"", "running", "halted", "going back", "finished", "back"}
+
+// String returns the state as operators see it.
+func (s State) String() string { return stateNames[s] }
+
+// Ended tells whether the plan is over: it does nothing more by itself. A finished one can still be rolled back.
+func (s State) Ended() bool { return s == StateFinished || s == StateRolledBack }
+
+// Unit is how one of a plan's units stands.
+type Unit struct {
+	Phase       Phase
+	Slot        Slot
+	Incarnation uint64 // the process that was told to leave; 0 for a node
+	RollingBack bool   // it goes back, or has gone back
+	Attempts    int    // times that it left on the way it is on
+}
+
+// Progress is a plan and how it stands. Units are in the plan's order.
+type Progress struct {
+	Plan   Plan
+	State  State
+	Reason string // for the state, as operators see it
+	Wave   int    // the present one, the first being 0
+	Units  []Unit
+}
+
+// targetVersion is the version that a unit is to have at the end of the way it is on, 0 for any.
+func (p *Progress) targetVersion(unit int) uint64 {
+	switch {
+	case p.Plan.Kind != KindVersion:
+		return 0
+	case p.Units[unit].RollingBack:
+		return p.Plan.PreviousVersion
+	}
+	return p.Plan.TargetVersion
+}
+
+// Record is all that a leader knows and the next one has to. It is written complete.
+type Record struct {
+	Term         uint64   // of the leader that wrote it
+	Seq          uint64   // grows with each write under a term
+	SlotsGranted uint64   // so far
+	Members      []string // routers that were there and are not forgotten, by name: a later leader misses them too
+	Plans        []*Progress
+	Tokens       []string // of operators' commands that were accepted, the newest last
+}
+
+// maxTokens is how many operators' commands are recognized when they are given again. An operator repeats the last few;
+// a record of these is a kilobyte larger.
+const maxTokens = 64
+
+// Clone copies a record; plans themselves are never changed and are shared.
+func (r *Record) Clone() *Record {
+	c := *r
+	c.Tokens = slices.Clone(r.Tokens)
+	c.Members = slices.Clone(r.Members)
+	c.Plans = nil
+	for _, p := range r.Plans {
+		progress := *p
+		progress.Units = slices.Clone(p.Units)
+		c.Plans = append(c.Plans, &progress)
+	}
+	return &c
+}
+
+// progress finds a plan by its name, nil for none.
+func (r *Record) progress(id string) *Progress {
+	for _, p := range r.Plans {
+		if p.Plan.ID == id {
+			return p
+		}
+	}
+	return nil
+}
+
+// isNewer tells whether a write comes after another.
+func isNewer(term, seq, otherTerm, otherSeq uint64) bool {
+	return term > otherTerm || term == otherTerm && seq > otherSeq
+}
--- /dev/null
+++ b/internal/rollout/unit.go
@@ -0,0 +1,97 @@
+package rollout
+
+import "fmt"
+
+// How a router that holds a slot goes from phase to phase, and what it has to prove for the slot to be freed. A slot that was
+// freed by time instead would let the next router leave while this one is down.
+
+const (
+	// minCommandsServed is how many commands a router answers after its return to prove that it serves: a second's work of a
+	// router that clients have found again.
+	minCommandsServed = 20
+
+	// idleWatches is how many of the plan's WatchTime after its return a router that is asked less than that counts as
+	// proven: one that no client uses must not hold its slot for ever.
+	idleWatches = 4
+
+	// maxFailedShare is the share of failed commands above which a returned router is not healthy: a database that fails
+	// some commands of all routers alike must not hold the slots, a router that reaches none must.
+	maxFailedShare = 0.5
+)
+
+// advanceUnit takes a unit that holds a slot from phase to phase, by what members tell.
+func (l *Leader) advanceUnit(now int64, p *Progress, i int) {
+	if p.Plan.Kind == KindNodes {
+		l.advanceNode(now, p, i)
+		return
+	}
+	name := p.Plan.Units[i]
+	unit := &p.Units[i]
+	member := l.members[name]
+	inSight := l.inSight(now, name)
+	isBack := inSight && member.report.Incarnation != unit.Incarnation
+	switch unit.Phase {
+	case PhaseLeaving:
+		if isBack {
+			l.setPhase(now, p, i, PhaseReturning, "it is back")
+		} else if !inSight || member.report.Leaving {
+			l.setPhase(now, p, i, PhaseUnavailable, "it left")
+		}
+	case PhaseUnavailable:
+		if isBack {
+			l.setPhase(now, p, i, PhaseReturning, "it is back")
+		}
+	case PhaseReturning, PhaseStuck:
+		if l.missingProof(now, p, i) == "" {
+			l.setPhase(now, p, i, PhaseDone, "it serves")
+			return
+		}
+		wrongVersion := p.Plan.Kind == KindVersion && unit.RollingBack && isBack && member.report.Ready && member.report.Version != p.Plan.PreviousVersion
+		if unit.Phase == PhaseReturning && wrongVersion {
+			l.sendAgain(now, p, i)
+		}
+	}
+}
+
+// missingProof says what a returned unit still has to prove, "" for nothing.
+func (l *Leader) missingProof(now int64, p *Progress, i int) string {
+	unit := &p.Units[i]
+	name := p.Plan.Units[i]
+	if p.Plan.Kind == KindNodes {
+		if unit.Phase == PhaseLeaving {
+			return l.stillUsedBy(now, name)
+		}
+		return l.missingNodeProof(name)
+	}
+	if !l.inSight(now, name) {
+		return "it is not in sight"
+	}
+	member := l.members[name]
+	report := &member.report
+	switch {
+	case report.Incarnation == unit.Incarnation:
+		return "it has not left"
+	case !report.Ready:
+		return "it takes no commands yet"
+	case p.Plan.Kind == KindVersion && report.Version != p.targetVersion(i):
+		return fmt.Sprintf("it has version %d, not %d", report.Version, p.targetVersion(i))
+	case l.isVoter(name) && report.MayHaveForgotten:
+		return "it votes, and has not been written to yet"
+	}
+	return member.missingService(now, p.Plan.WatchTime)
+}
+
+// missingService says what a router that is back still lacks in commands answered, "" for nothing.
+func (m *memberState) missingService(now, watchTime int64) string {
+	served := m.report.Counts.minus(m.countsAtReturn)
+	if served.Commands < minCommandsServed {
+		if now-m.returnedAt < idleWatches*watchTime {
+			return fmt.Sprintf("it has answered %d commands", served.Commands)
+		}
+		return ""
+	}
+	if float64(served.Failed) > maxFailedShare*float64(served.Commands) {
+		return fmt.Sprintf("%d of its %d commands failed", served.Failed, served.Commands)
+	}
+	return ""
+}
--- a/internal/rolloutservice/codec.go
+++ b/internal/rolloutservice/codec.go
@@ -101,16 +101,16 @@
 	return nil
 }
 
-func (r *wireRecord) check() error {
-	if r == nil {
+func (w *wireRecord) check() error {
+	if w == nil {
 		return nil
 	}
-	for _, p := range r.Plans {
+	for _, p := range w.Plans {
 		if p == nil || len(p.Units) != len(p.Plan.Units) {
 			return ErrMalformed
 		}
 		plan := p.Plan.plan()
-		if plan.Wrong() != "" {
+		if plan.Validate() != nil {
 			return ErrMalformed
 		}
 	}
@@ -193,13 +193,13 @@
 	return wireMessage{Kind: kindCommandReply, Token: m.token, OK: m.accepted, Why: m.reason}
 }
 
-// encodeCommand is an operator's command as the admin socket takes it: JSON with the names of wireCommand.
-func encodeCommand(c *rollout.Command) (string, error) {
-	text, err := json.Marshal(newWireCommand(c))
+// EncodeCommand returns an operator's command as the admin socket's "fleet-word" takes it: JSON with the names of wireCommand.
+func EncodeCommand(c rollout.Command) (string, error) {
+	text, err := json.Marshal(newWireCommand(&c))
 	return string(text), err
 }
 
-// decodeCommand reads what encodeCommand wrote.
+// decodeCommand reads what EncodeCommand returned.
 func decodeCommand(text string) (*rollout.Command, error) {
 	var w wireCommand
 	if err := json.Unmarshal([]byte(text), &w); err != nil {
--- /dev/null
+++ b/internal/rolloutservice/dispatch.go
@@ -0,0 +1,197 @@
+package rolloutservice
+
+import (
+	"errors"
+	"log/slog"
+	"os"
+	"slices"
+	"strconv"
+
+	"cairntiller/internal/membership"
+	"cairntiller/internal/rollout"
+)
+
+// maxCommandSenders is how many commands' senders are kept until their replies: operators are few, and one that was dropped gives
+// its command again.
+const maxCommandSenders = 256
+
+// sendMessage sends a message, to itself without the network.
+func (s *Service) sendMessage(to string, m message) {
+	if to == s.self {
+		s.post(func(now int64) { s.handle(now, to, m) })
+		return
+	}
+	if err := s.send(to, membership.KindRollout, encode(m)); err != nil {
+		messagesUnsent.Add()
+		slog.Debug("a rollout message was not sent", "to", to, "err", err)
+	}
+}
+
+// Receive takes a member's message; it never blocks.
+func (s *Service) Receive(from string, body []byte) {
+	m, err := decode(body)
+	if err != nil {
+		messagesUnread.Add()
+		slog.Debug("a rollout message can't be read", "from", from, "err", err)
+		return
+	}
+	s.post(func(now int64) { s.handle(now, from, m) })
+}
+
+// handle hands a message to the part that it is for.
+func (s *Service) handle(now int64, from string, m message) {
+	switch m := m.(type) {
+	case reportMessage:
+		if s.term > 0 && m.report.Member == from {
+			s.leader.HandleReport(now, m.report)
+		}
+	case reportRequest:
+		s.knownLeader = from
+		s.nextReportAt = 0
+	case statementMessage:
+		s.knownLeader = from
+		if m.fromVoter {
+			s.knownLeader = ""
+		}
+		s.member.HandleStatement(m.statement)
+	case readRequest:
+		if s.voter != nil {
+			state, accepted := s.voter.Read(m.term)
+			s.sendMessage(from, readAnswer{m.term, accepted, state})
+		}
+	case readAnswer:
+		if s.term > 0 {
+			s.leader.HandleReadAnswer(now, from, m.term, m.state, m.accepted)
+		}
+	case writeRequest:
+		if s.voter != nil {
+			accepted := s.voter.Write(m.record, m.incarnation)
+			s.sendMessage(from, writeAnswer{m.record.Term, m.record.Seq, accepted})
+		}
+	case writeAnswer:
+		if s.term > 0 {
+			s.leader.HandleWriteAnswer(now, from, m.term, m.seq, m.accepted)
+		}
+	case drainQuery:
+		if s.voter != nil {
+			if record, _ := s.voter.Record(); record != nil {
+				s.sendMessage(from, statementMessage{rollout.DrainStatement(record), true})
+			}
+		}
+	case commandMessage:
+		s.handleCommand(now, from, m.command)
+	case commandReply:
+		s.handleReply(m)
+	}
+}
+
+// handleCommand hands an operator's command to the leader, where that is here.
+func (s *Service) handleCommand(now int64, from string, c *rollout.Command) {
+	if s.term == 0 {
+		s.sendMessage(from, commandReply{c.Token, false, notLeadingReason})
+		return
+	}
+	if len(s.commandSenders) >= maxCommandSenders {
+		clear(s.commandSenders) // they give their commands again
+	}
+	s.commandSenders[c.Token] = from
+	s.leader.HandleCommand(now, c)
+}
+
+// carryOut does what the parts want done.
+func (s *Service) carryOut() {
+	for _, action := range s.member.TakeActions() {
+		s.carryOutOne(action)
+	}
+	for _, action := range s.leader.TakeActions() {
+		s.carryOutOne(action)
+	}
+}
+
+func (s *Service) carryOutOne(action rollout.Action) {
+	switch a := action.(type) {
+	case rollout.ReadVoter:
+		s.sendMessage(a.Voter, readRequest{a.Term})
+	case rollout.RequestReport:
+		if s.holdsLease() {
+			s.sendMessage(a.Member, reportRequest{})
+		}
+	case rollout.WriteVoter:
+		if s.holdsLease() {
+			s.sendMessage(a.Voter, writeRequest{a.Incarnation, a.Record})
+		}
+	case rollout.SendStatement:
+		if s.holdsLease() {
+			s.sendMessage(a.Member, statementMessage{a.Statement, false})
+		}
+	case rollout.ReplyToCommand:
+		s.reply(a)
+	case rollout.HandOverLead:
+		slog.Info("lets another router lead, for it is to leave itself", "plan", a.PlanID)
+		s.handOver("")
+	case rollout.QueryDrainedNodes:
+		for _, voter := range s.voters {
+			s.sendMessage(voter, drainQuery{})
+		}
+	case rollout.DrainNodes:
+		s.drain(a.Nodes)
+	case rollout.LeaveService:
+		s.leave(a)
+	case rollout.LogEvent:
+		slog.Info("rollout", "plan", a.PlanID, "event", a.Text)
+	}
+}
+
+// reply answers an operator's command.
+func (s *Service) reply(a rollout.ReplyToCommand) {
+	reply := commandReply{token: a.Token, accepted: a.Err == nil}
+	if reply.accepted {
+		commandsAccepted.Add()
+	} else {
+		commandsRejected.Add()
+		reply.reason = a.Err.Error()
+	}
+	if sender := s.commandSenders[a.Token]; sender != "" {
+		s.sendMessage(sender, reply)
+	}
+}
+
+// drain tells the router which nodes get nothing new, and notes those that are back.
+func (s *Service) drain(names []string) {
+	drainChanges.Add()
+	now := s.clock()
+	for _, name := range s.drained {
+		if !slices.Contains(names, name) {
+			s.returned[name] = returnedNode{now, s.nodes[name].Answers}
+		}
+	}
+	for _, name := range names {
+		delete(s.returned, name)
+	}
+	s.drained = names
+	s.router.Drain(names)
+	s.nextQueryAt = 0
+	slog.Info("drained by plans", "nodes", names)
+}
+
+// leave lets the router leave in order; its supervisor starts the version that is named.
+func (s *Service) leave(a rollout.LeaveService) {
+	if a.Version > 0 && s.settings.NextVersionFile != "" {
+		if err := writeNextVersion(s.settings.NextVersionFile, a.Version); err != nil {
+			slog.Error("stays: the next version can't be written", "err", err)
+			return
+		}
+	}
+	timesLeft.Add()
+	s.leaving = true
+	slog.Info("leaves service by a plan", "term", a.Slot.Term, "slot", a.Slot.Number, "version", a.Version)
+	s.report(s.clock())
+	s.router.Leave()
+}
+
+// writeNextVersion replaces the file at once: a supervisor that reads it meanwhile sees one version or the other.
+func writeNextVersion(path string, version uint64) error {
+	part := path + ".part"
+	err := os.WriteFile(part, []byte(strconv.FormatUint(version, 10)+"\n"), 0o644)
+	return errors.Join(err, os.Rename(part, path))
+}
--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -6,30 +6,48 @@
 	"crypto/rand"
 	"errors"
 	"fmt"
-	"slices"
-	"strconv"
 	"time"
 
 	"cairntiller/internal/adminsocket"
 	"cairntiller/internal/rollout"
-	"cairntiller/internal/sexp"
 )
 
-// What operators may ask of a running router; cmd/cairntiller speaks it.
+// What operators may ask of a running router by its admin socket; cmd/cairntiller speaks it.
 
-// PlanLine is one plan as whoever was asked knows it.
+const (
+	commandTimeout       = 15 * time.Second // for a command to be kept by a majority of voters: a leader's end and the next one's begin
+	commandRetryInterval = time.Second      // between sendings of one
+)
+
+// notLeadingReason is what an instance replies to a command that came to it after its lead. The text is sent, and
+// recognized by the sender.
+const notLeadingReason = "that router does not lead any more"
+
+// ErrNoReply is a command that no leader has answered in time. It may have been accepted: given again with the same token it is
+// the same command.
+var ErrNoReply = errors.New("no reply of a leader")
+
+// CommandRefused is a leader's refusal of a command, in its words for operators.
+type CommandRefused struct {
+	Reason string
+}
+
+// Error returns the reason.
+func (e *CommandRefused) Error() string { return e.Reason }
+
+// PlanStatus is one plan as whoever was asked knows it.
 type PlanStatus struct {
 	ID      string         `json:"id"`
 	Kind    string         `json:"kind"`
 	State   string         `json:"state"`
 	Reason  string         `json:"why"`
-	Wave    int            `json:"wave"`
+	Wave    int            `json:"wave"` // the present one, the first being 1
 	Units   int            `json:"units"`
-	Phases  map[string]int `json:"phases"`
+	Phases  map[string]int `json:"phases"`            // units by phase
 	Holding []string       `json:"holding,omitempty"` // units with a slot, with their phase
 }
 
-// Status is how releases stand, as one router knows it.
+// Status is how rollouts stand, as one router knows it.
 type Status struct {
 	Router           string       `json:"router"`
 	Leads            bool         `json:"leads"`
@@ -40,133 +58,144 @@
 	DrainedNodes     []string     `json:"drains,omitempty"`
 }
 
+// addRecord adds what a record says.
 func (s *Status) addRecord(r *rollout.Record) {
 	s.DrainedNodes = rollout.DrainStatement(r).DrainedNodes
 	for _, p := range r.Plans {
-		line := PlanStatus{ID: p.Plan.ID, Kind: p.Plan.Kind.String(), State: p.State.String(), Reason: p.Reason, Wave: p.Wave + 1, Units: len(p.Units), Phases: map[string]int{}}
-		for i, u := range p.Units {
-			line.Phases[u.Phase.String()]++
-			if u.Phase.HoldsSlot() {
-				line.Holding = append(line.Holding, p.Plan.Units[i]+" "+u.Phase.String())
+		plan := PlanStatus{
+			ID:     p.Plan.ID,
+			Kind:   p.Plan.Kind.String(),
+			State:  p.State.String(),
+			Reason: p.Reason,
+			Wave:   p.Wave + 1,
+			Units:  len(p.Units),
+			Phases: map[string]int{},
+		}
+		for i, unit := range p.Units {
+			plan.Phases[unit.Phase.String()]++
+			if unit.Phase.HoldsSlot() {
+				plan.Holding = append(plan.Holding, p.Plan.Units[i]+" "+unit.Phase.String())
 			}
 		}
-		s.Plans = append(s.Plans, line)
+		s.Plans = append(s.Plans, plan)
 	}
 }
 
-// Over tells whether nothing more happens by itself.
-func (l *PlanStatus) Settled() bool {
-	return l.State == rollout.StateFinished.String() || l.State == rollout.StateRolledBack.String() || l.State == rollout.StateHalted.String()
+// Settled tells whether nothing more happens by itself: the plan is finished, rolled back or halted.
+func (p *PlanStatus) Settled() bool {
+	return p.State == rollout.StateFinished.String() || p.State == rollout.StateRolledBack.String() || p.State == rollout.StateHalted.String()
 }
 
-// Serve answers operators.
-func (r *Service) Serve(s *adminsocket.Server) {
-	s.Handle("fleet-status", func(ctx context.Context, x *adminsocket.Session) error {
+// Serve answers operators: "fleet-status" with a Status; "fleet-word" and a command's text, once it was accepted, with the
+// token that it came with.
+func (s *Service) Serve(server *adminsocket.Server) {
+	server.Handle("fleet-status", func(ctx context.Context, session *adminsocket.Session) error {
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
-		st, err := r.Status(ctx)
-		return errors.Join(err, x.Reply(st))
+		status, err := s.Status(ctx)
+		return errors.Join(err, session.Reply(status))
 	})
-	s.Handle("fleet-word", func(ctx context.Context, x *adminsocket.Session) error {
-		w, err := decodeCommand(x.Text)
+	server.Handle("fleet-word", func(ctx context.Context, session *adminsocket.Session) error {
+		command, err := decodeCommand(session.Text)
 		if err != nil {
 			return err
 		}
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
-		if err := r.Execute(ctx, *w); err != nil {
+		if err := s.Execute(ctx, *command); err != nil {
 			return err
 		}
-		return x.Reply(w.Token)
+		return session.Reply(command.Token)
 	})
 }
 
-// Word hands an operator's word to whoever leads and waits until a majority keeps what it does. It is said again until it
-// is taken or refused: its token tells that it is the same.
-func (r *Service) Execute(ctx context.Context, w rollout.Command) error {
-	if w.Token == "" {
-		var b [8]byte
-		rand.Read(b[:])
-		w.Token = fmt.Sprintf("%x", b)
+// Status returns how rollouts stand as this router knows it: what it leads by, else what its voter keeps.
+func (s *Service) Status(ctx context.Context) (Status, error) {
+	answer := make(chan Status, 1)
+	s.post(func(int64) { answer <- s.status() })
+	select {
+	case status := <-answer:
+		return status, nil
+	case <-ctx.Done():
+		return Status{}, ctx.Err()
+	}
+}
+
+func (s *Service) status() Status {
+	term, record := s.leader.Leading()
+	status := Status{
+		Router:           s.self,
+		Leads:            term > 0,
+		Leader:           s.knownLeader,
+		NotLeadingReason: s.leader.NotLeadingReason(),
+		Term:             term,
+	}
+	if record == nil && s.voter != nil {
+		record, _ = s.voter.Record()
+	}
+	if record != nil {
+		status.addRecord(record)
+	}
+	return status
+}
+
+// Execute hands an operator's command to whoever leads and waits until a majority of voters keeps what it does. It is sent
+// again until it is accepted or refused: its token, which is made up where it has none, tells that it is the same. The
+// error is a CommandRefused or ErrNoReply.
+func (s *Service) Execute(ctx context.Context, c rollout.Command) error {
+	if c.Token == "" {
+		c.Token = newToken()
 	}
-	reply := make(chan string, 1)
-	r.post(func(int64) { r.waiting[w.Token] = reply })
-	defer r.post(func(int64) { delete(r.waiting, w.Token) })
+	replies := make(chan commandReply, 1)
+	s.post(func(int64) { s.waiting[c.Token] = replies })
+	defer s.post(func(int64) { delete(s.waiting, c.Token) })
 	last := "no router is known to lead"
 	for {
-		r.post(func(int64) {
-			to := r.knownLeader
-			if r.term > 0 {
-				to = r.self
-			}
-			if to != "" {
-				r.sendMessage(to, commandMessage{&w})
-			}
-		})
+		s.post(func(int64) { s.sendToLeader(commandMessage{&c}) })
 		select {
-		case why := <-reply:
-			switch why {
-			case "":
+		case reply := <-replies:
+			if reply.accepted {
 				return nil
-			case notLeading:
-				last = why
-			default:
-				return errors.New(why)
 			}
+			if reply.reason != notLeadingReason {
+				return &CommandRefused{reply.reason}
+			}
+			last = reply.reason
 		case <-time.After(commandRetryInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("no reply of a leader: %s", last)
+			return fmt.Errorf("%w: %s", ErrNoReply, last)
 		}
 	}
 }
 
-// WordText is a word as the socket takes it.
-func EncodeCommand(w rollout.Command) (string, error) {
-	return encodeCommand(&w)
+func newToken() string {
+	var b [8]byte
+	rand.Read(b[:])
+	return fmt.Sprintf("%x", b)
 }
 
-func (r *Service) handleReply(token string, ok bool, why string) {
-	if c := r.waiting[token]; c != nil {
-		if !ok {
-			why = cmp.Or(why, "refused")
-		}
-		select {
-		case c <- why:
-		default:
-		}
+// sendToLeader sends a message to whoever leads, as far as that is known.
+func (s *Service) sendToLeader(m message) {
+	to := s.knownLeader
+	if s.term > 0 {
+		to = s.self
+	}
+	if to != "" {
+		s.sendMessage(to, m)
 	}
 }
 
-var kindsByName = map[string]rollout.Kind{"restart": rollout.KindRestart, "version": rollout.KindVersion, "nodes": rollout.KindNodes}
-
-// ReadPlan reads an operator's plan from a file.
-func ReadPlan(path string) (p rollout.Plan, err error) {
-	file, err := sexp.ReadFile(path)
-	if err != nil {
-		return p, err
-	}
-	part := file.Part("plan")
-	b := part.Part("budget")
-	kind := part.Text("kind", "")
-	p = rollout.Plan{ID: part.Text("id", ""), Kind: kindsByName[kind], Units: part.Texts("units"), TargetVersion: uint64(part.Integer("want", 0, 0, 1<<40)),
-		PreviousVersion: uint64(part.Integer("was", 0, 0, 1<<40)), WatchTime: part.Duration("watch", 0, 0, 86_400_000_000), DrainTime: part.Duration("rest", 0, 0, 86_400_000_000),
-		ProgressTimeout: part.Duration("patience", 0, 0, 86_400_000_000), NoRollback: part.Text("stay", "no") == "yes",
-		Budget: rollout.Budget{MaxUnavailable: b.Integer("most", 0, 0, rollout.MaxUnits), MaxShare: b.Number("share", 0, 0, 100) / 100, MaxPerZone: b.Integer("zone", 0, 0, rollout.MaxUnits),
-			MaxPerGroup: b.Integer("group", 0, 0, 100), MinReplicas: b.Integer("replicas", 0, 0, 100), MaxGroupWork: b.Number("work", 0, 0, 100) / 100}}
-	for _, one := range part.Texts("waves") {
-		n, err := strconv.Atoi(one)
-		if err != nil || n < 1 {
-			part.AddFault("waves", strconv.Quote(one), "how many units, such as 3")
-		}
-		p.WaveSizes = append(p.WaveSizes, n)
+// handleReply hands a leader's reply to whoever waits for it.
+func (s *Service) handleReply(reply commandReply) {
+	if !reply.accepted {
+		reply.reason = cmp.Or(reply.reason, "refused")
 	}
-	if p.Kind == 0 {
-		part.AddFault("kind", strconv.Quote(kind), "one of nodes, restart, version")
-	} else if why := p.Wrong(); why != "" {
-		part.AddFault("", why, "a plan that can be played")
+	waiting := s.waiting[reply.token]
+	if waiting == nil {
+		return
 	}
-	if slices.Contains(p.Units, "") {
-		part.AddFault("units", "an empty name", "names of members or nodes")
+	select {
+	case waiting <- reply:
+	default: // it has one already
 	}
-	return p, file.Faults()
 }
--- /dev/null
+++ b/internal/rolloutservice/settings.go
@@ -0,0 +1,30 @@
+package rolloutservice
+
+import (
+	"fmt"
+	"path/filepath"
+
+	"cairntiller/internal/sexp"
+)
+
+// Settings are what the operator's file says of releases.
+type Settings struct {
+	Given           bool // the file has that part; without it the service is off
+	Zone            string
+	Version         uint64
+	NextVersionFile string // to which the version that the supervisor is to start next is written; "" for none
+}
+
+// ReadSettings takes them from the part "releases" of the operator's file; its faults are noted there.
+func ReadSettings(p *sexp.Part) Settings {
+	settings := Settings{
+		Given:           p.Present(),
+		Zone:            p.Text("zone", ""),
+		Version:         uint64(p.Integer("version", 1, 1, 1<<40)),
+		NextVersionFile: p.Text("next", ""),
+	}
+	if settings.NextVersionFile != "" && !filepath.IsAbs(settings.NextVersionFile) {
+		p.AddFault("next", fmt.Sprintf("%q", settings.NextVersionFile), `a path such as "/var/lib/cairntiller/next"`)
+	}
+	return settings
+}
--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -29,31 +29,35 @@
 }
 
 // writeAction writes all of an action in such a form.
-func writeAction(out io.Writer, now int64, router string, o rollout.Out) {
+func writeAction(out io.Writer, now int64, router string, action rollout.Action) {
 	fmt.Fprintf(out, "%d %s ", now, router)
-	switch o.Act {
-	case rollout.Ask:
-		fmt.Fprintf(out, "read-voter %s %d\n", o.To, o.Term)
-	case rollout.Call:
-		fmt.Fprintf(out, "request-report %s\n", o.To)
-	case rollout.Write:
-		fmt.Fprintf(out, "write-voter %s %d\n", o.To, o.Born)
-		writeRecord(out, o.Record)
-	case rollout.Say:
-		s := o.Statement
-		fmt.Fprintf(out, "statement %s %d %d %d %d %d %d %d %q\n", o.To, s.Term, s.Seq, uint8(s.Instruction), s.Slot.Term, s.Slot.Number, s.Incarnation, s.TargetVersion, s.DrainedNodes)
-	case rollout.Reply:
-		fmt.Fprintf(out, "reply %q %q\n", o.Token, o.Why)
-	case rollout.Yield:
-		fmt.Fprintf(out, "hand-over %q\n", o.Plan)
-	case rollout.Go:
-		fmt.Fprintf(out, "leave %d %d %d\n", o.Slot.Term, o.Slot.Number, o.Want)
-	case rollout.Drain:
-		fmt.Fprintf(out, "drain %q\n", o.Nodes)
-	case rollout.Seek:
+	switch a := action.(type) {
+	case rollout.ReadVoter:
+		fmt.Fprintf(out, "read-voter %s %d\n", a.Voter, a.Term)
+	case rollout.RequestReport:
+		fmt.Fprintf(out, "request-report %s\n", a.Member)
+	case rollout.WriteVoter:
+		fmt.Fprintf(out, "write-voter %s %d\n", a.Voter, a.Incarnation)
+		writeRecord(out, a.Record)
+	case rollout.SendStatement:
+		s := a.Statement
+		fmt.Fprintf(out, "statement %s %d %d %d %d %d %d %d %q\n", a.Member, s.Term, s.Seq, uint8(s.Instruction), s.Slot.Term, s.Slot.Number, s.Incarnation, s.TargetVersion, s.DrainedNodes)
+	case rollout.ReplyToCommand:
+		reason := ""
+		if a.Err != nil {
+			reason = a.Err.Error()
+		}
+		fmt.Fprintf(out, "reply %q %q\n", a.Token, reason)
+	case rollout.HandOverLead:
+		fmt.Fprintf(out, "hand-over %q\n", a.PlanID)
+	case rollout.LeaveService:
+		fmt.Fprintf(out, "leave %d %d %d\n", a.Slot.Term, a.Slot.Number, a.Version)
+	case rollout.DrainNodes:
+		fmt.Fprintf(out, "drain %q\n", a.Nodes)
+	case rollout.QueryDrainedNodes:
 		fmt.Fprintf(out, "query-drains\n")
-	case rollout.Note:
-		fmt.Fprintf(out, "log %q %q\n", o.Plan, o.Why)
+	case rollout.LogEvent:
+		fmt.Fprintf(out, "log %q %q\n", a.PlanID, a.Text)
 	default:
 		panic("unknown action")
 	}
@@ -114,8 +118,8 @@
 		t.Run(name, func(t *testing.T) {
 			digest := xxhash.New()
 			actions := 0
-			w.observe = func(router string, o rollout.Out) {
-				writeAction(digest, w.Now, router, o)
+			w.observe = func(router string, a rollout.Action) {
+				writeAction(digest, w.Now, router, a)
 				actions++
 			}
 			figures := w.Run()
--- a/internal/simulation/rolloutsim/rollout.go
+++ b/internal/simulation/rolloutsim/rollout.go
@@ -86,7 +86,7 @@
 	Violation string
 	Trace     func(at int64, what string)
 	// observe is told of each action of each router before it is carried out; nil for nobody.
-	observe func(router string, o rollout.Out)
+	observe func(router string, a rollout.Action)
 
 	rng          *rand.Rand
 	events       eventqueue.Queue[func()]
@@ -470,99 +470,120 @@
 	})
 }
 
-// carry does what a router's parts ask for.
+// carryOut does what a router's parts want done, and checks what its leader commits.
 func (w *World) carryOut(r *router) {
-	for _, o := range r.member.TakeActions() {
-		w.carryOutOne(r, o)
+	for _, action := range r.member.TakeActions() {
+		w.carryOutOne(r, action)
 	}
-	for _, o := range r.leader.TakeActions() {
-		w.carryOutOne(r, o)
+	for _, action := range r.leader.TakeActions() {
+		w.carryOutOne(r, action)
 	}
 	if w.holdsLease(r) {
-		if _, rec := r.leader.Leading(); rec != nil && rec != w.committed {
-			w.checkCommitted(rec)
+		if _, record := r.leader.Leading(); record != nil && record != w.committed {
+			w.checkCommitted(record)
 		}
 	}
 }
 
-func (w *World) carryOutOne(r *router, o rollout.Out) {
+func (w *World) carryOutOne(r *router, action rollout.Action) {
 	if w.observe != nil {
-		w.observe(r.name, o)
+		w.observe(r.name, action)
 	}
-	switch o.Act {
-	case rollout.Ask:
-		to := w.routers[w.routerIndex[o.To]]
-		if w.Planted == ReadsOneVoter && to.index > 0 {
-			to = w.routers[0] // every voter's answer is the first one's
-		}
-		w.send(r, to, func() {
-			k, ok := to.voter.Read(o.Term)
-			if w.Planted == HidesForgottenState {
-				k.MayHaveForgotten = false
-			}
-			w.send(to, r, func() {
-				if w.holdsLease(r) {
-					r.leader.HandleReadAnswer(w.Now, o.To, o.Term, k, ok)
-					w.carryOut(r)
-				}
-			})
-		})
-	case rollout.Call:
-		to := w.routers[w.routerIndex[o.To]]
+	switch a := action.(type) {
+	case rollout.ReadVoter:
+		w.readVoter(r, a)
+	case rollout.RequestReport:
+		to := w.routers[w.routerIndex[a.Member]]
 		w.send(r, to, func() {
 			to.knownLeader = r.index
 			w.report(to)
 		})
-	case rollout.Write:
-		to := w.routers[w.routerIndex[o.To]]
-		if w.Planted == AnnouncesBeforeCommit {
-			r.leader.HandleWriteAnswer(w.Now, o.To, o.Record.Term, o.Record.Seq, true)
-		}
-		w.send(r, to, func() {
-			ok := to.voter.Write(o.Record, o.Born)
-			if ok {
-				to.durableRecord = o.Record
+	case rollout.WriteVoter:
+		w.writeVoter(r, a)
+	case rollout.SendStatement:
+		to := w.routers[w.routerIndex[a.Member]]
+		statement := *a.Statement
+		w.send(r, to, func() { w.deliverStatement(to, &statement, r.index) })
+	case rollout.QueryDrainedNodes:
+		w.queryDrainedNodes(r)
+	case rollout.LeaveService:
+		w.leave(r, a)
+	case rollout.DrainNodes:
+		w.drainNodes(r, a.Nodes)
+	case rollout.HandOverLead:
+		w.handOverLead(r)
+	case rollout.LogEvent:
+		w.trace("%s: %s %s", r.name, a.PlanID, a.Text)
+	case rollout.ReplyToCommand: // operators go by the committed record, see sendCommand
+	}
+}
+
+func (w *World) readVoter(r *router, a rollout.ReadVoter) {
+	to := w.routers[w.routerIndex[a.Voter]]
+	if w.Planted == ReadsOneVoter && to.index > 0 {
+		to = w.routers[0] // every voter's answer is the first one's
+	}
+	w.send(r, to, func() {
+		state, accepted := to.voter.Read(a.Term)
+		if w.Planted == HidesForgottenState {
+			state.MayHaveForgotten = false
+		}
+		w.send(to, r, func() {
+			if w.holdsLease(r) {
+				r.leader.HandleReadAnswer(w.Now, a.Voter, a.Term, state, accepted)
+				w.carryOut(r)
+			}
+		})
+	})
+}
+
+func (w *World) writeVoter(r *router, a rollout.WriteVoter) {
+	to := w.routers[w.routerIndex[a.Voter]]
+	if w.Planted == AnnouncesBeforeCommit {
+		r.leader.HandleWriteAnswer(w.Now, a.Voter, a.Record.Term, a.Record.Seq, true)
+	}
+	w.send(r, to, func() {
+		accepted := to.voter.Write(a.Record, a.Incarnation)
+		if accepted {
+			to.durableRecord = a.Record
+		}
+		w.send(to, r, func() {
+			if w.holdsLease(r) {
+				r.leader.HandleWriteAnswer(w.Now, a.Voter, a.Record.Term, a.Record.Seq, accepted)
+				w.carryOut(r)
 			}
-			w.send(to, r, func() {
-				if w.holdsLease(r) {
-					r.leader.HandleWriteAnswer(w.Now, o.To, o.Record.Term, o.Record.Seq, ok)
-					w.carryOut(r)
-				}
-			})
 		})
-	case rollout.Say:
-		to := w.routers[w.routerIndex[o.To]]
-		s := *o.Statement
-		w.send(r, to, func() { w.deliverStatement(to, &s, r.index) })
-	case rollout.Seek:
-		for _, v := range w.routers[:w.Voters] {
-			w.send(r, v, func() {
-				if rec, _ := v.voter.Record(); rec != nil {
-					s := rollout.DrainStatement(rec)
-					w.send(v, r, func() { w.deliverStatement(r, s, -1) })
-				}
-			})
-		}
-	case rollout.Go:
-		w.leave(r, o)
-	case rollout.Drain:
-		w.drainNodes(r, o.Nodes)
-	case rollout.Yield:
-		if w.holdsLease(r) {
-			w.trace("%s yields", r.name)
-			r.leader.StepDown()
-			w.holder = -1
-			w.after(50_000, func() {
-				if w.holder < 0 {
-					if i := w.rng.IntN(len(w.routers)); i != r.index && w.routers[i].ready && w.reachesMajority(w.routers[i]) {
-						w.grantLease(i)
-					}
-				}
-			})
-		}
-	case rollout.Note:
-		w.trace("%s: %s %s", r.name, o.Plan, o.Why)
+	})
+}
+
+func (w *World) queryDrainedNodes(r *router) {
+	for _, voter := range w.routers[:w.Voters] {
+		w.send(r, voter, func() {
+			if record, _ := voter.voter.Record(); record != nil {
+				statement := rollout.DrainStatement(record)
+				w.send(voter, r, func() { w.deliverStatement(r, statement, -1) })
+			}
+		})
+	}
+}
+
+// handOverLead gives the lease up; soon after some other router may get it.
+func (w *World) handOverLead(r *router) {
+	if !w.holdsLease(r) {
+		return
 	}
+	w.trace("%s yields", r.name)
+	r.leader.StepDown()
+	w.holder = -1
+	w.after(50_000, func() {
+		if w.holder >= 0 {
+			return
+		}
+		i := w.rng.IntN(len(w.routers))
+		if i != r.index && w.routers[i].ready && w.reachesMajority(w.routers[i]) {
+			w.grantLease(i)
+		}
+	})
 }
 
 // hear hands a statement to a member.
@@ -578,23 +599,23 @@
 	if from >= 0 {
 		r.knownLeader = from
 	}
-	r.member.HandleStatement(w.Now, s)
+	r.member.HandleStatement(s)
 	w.carryOut(r)
 }
 
 // goes lets a router leave in order, and checks that it may.
-func (w *World) leave(r *router, o rollout.Out) {
-	w.trace("%s goes out by slot %d/%d for version %d", r.name, o.Slot.Term, o.Slot.Number, o.Want)
-	w.addToHash(3, r.index, o.Slot.Number)
-	if w.grantedSlots[r.name] != o.Slot {
-		w.violated("%s goes out by slot %v, and a majority keeps %v", r.name, o.Slot, w.grantedSlots[r.name])
+func (w *World) leave(r *router, a rollout.LeaveService) {
+	w.trace("%s goes out by slot %d/%d for version %d", r.name, a.Slot.Term, a.Slot.Number, a.Version)
+	w.addToHash(3, r.index, a.Slot.Number)
+	if w.grantedSlots[r.name] != a.Slot {
+		w.violated("%s goes out by slot %v, and a majority keeps %v", r.name, a.Slot, w.grantedSlots[r.name])
 	}
 	if meant := w.slotIncarnation(r.name); meant != r.incarnation {
 		w.violated("%s goes out as process %d, and the slot is for process %d", r.name, r.incarnation, meant)
 	}
 	r.leaving, r.planned, r.ready = true, true, false
-	if o.Want > 0 {
-		r.nextVersion = o.Want
+	if a.Version > 0 {
+		r.nextVersion = a.Version
 	}
 	out := 0
 	for _, one := range w.routers {
