--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -21,42 +21,42 @@
 // recordings lists the runs: mixed faults, a planted fault each, and calm fleets whose leases are handed over, taken
 // from a killed holder and carried over while voters restart.
 func recordings() (all []recording) {
-	observed := func(p Scenario, observe func(at int64, process string, action lease.Action)) *Simulation {
-		w := New(p)
-		w.Observe = observe
-		return w
+	observed := func(scenario Scenario, observe func(at int64, process string, action lease.Action)) *Simulation {
+		sim := New(scenario)
+		sim.Observe = observe
+		return sim
 	}
 	for seed := range uint64(40) {
 		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
-			w := observed(MixedFaults(seed), observe)
-			w.Run(w.Span)
-			w.Settle()
-			w.Run(w.Now + 4*w.Length)
-			return w
+			sim := observed(MixedFaults(seed), observe)
+			sim.Run(sim.Span)
+			sim.Settle()
+			sim.Run(sim.Now + 4*sim.Length)
+			return sim
 		}})
 	}
-	for f := None + 1; f < MistakeCount; f++ {
-		all = append(all, recording{"planted-" + f.String(), func(observe func(int64, string, lease.Action)) *Simulation {
-			w := observed(MixedFaults(uint64(f)).WithMistake(f), observe)
-			w.Run(w.Span)
-			return w
+	for mistake := None + 1; mistake < MistakeCount; mistake++ {
+		all = append(all, recording{"planted-" + mistake.String(), func(observe func(int64, string, lease.Action)) *Simulation {
+			sim := observed(MixedFaults(uint64(mistake)).WithMistake(mistake), observe)
+			sim.Run(sim.Span)
+			return sim
 		}})
 	}
 	for seed, voters := range []int{3, 5, 3, 5} {
 		all = append(all, recording{fmt.Sprintf("handover-%d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
-			w := observed(Scenario{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, Wanted: 4, Length: 2_000_000, Drift: 10_000, Lasting: seed >= 2, Calm: true}, observe)
-			w.Run(8_000_000)
+			sim := observed(Scenario{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, Wanted: 4, Length: 2_000_000, Drift: 10_000, Lasting: seed >= 2, Calm: true}, observe)
+			sim.Run(8_000_000)
 			for l := range 12 {
-				w.Release(l, (l+seed)%(voters+3))
-				w.Run(w.Now + 300_000)
+				sim.Release(l, (l+seed)%(voters+3))
+				sim.Run(sim.Now + 300_000)
 			}
 			for i := range voters {
-				w.Kill(i, 300_000)
-				w.Run(w.Now + 5_000_000)
+				sim.Kill(i, 300_000)
+				sim.Run(sim.Now + 5_000_000)
 			}
-			w.Kill(voters, -1)
-			w.Run(w.Now + 6_000_000)
-			return w
+			sim.Kill(voters, -1)
+			sim.Run(sim.Now + 6_000_000)
+			return sim
 		}})
 	}
 	return all
@@ -138,11 +138,11 @@
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
 			hash, count := xxhash.New(), 0
-			w := r.play(func(at int64, process string, action lease.Action) {
+			sim := r.play(func(at int64, process string, action lease.Action) {
 				writeAction(hash, at, process, action)
 				count++
 			})
-			figures := w.Figures()
+			figures := sim.Figures()
 			got := fmt.Sprintf("actions=%d hash=%016x events=%d eventhash=%016x", count, hash.Sum64(), figures.Events, figures.Hash)
 			if want := recorded[r.name]; got != want {
 				t.Errorf("%s: played %s, recorded %s", r.name, got, want)
--- a/internal/testcluster/proof/council.go
+++ b/internal/testcluster/proof/council.go
@@ -59,10 +59,10 @@
 func (p Council) mixed() (events, holds int64, share float64, hashes int, broken string) {
 	sum := 0.0
 	hashes, broken = search(p.From, p.Seeds, p.Twice, func(seed uint64) (f leasesim.Figures, hash uint64, broken string) {
-		w := leasesim.New(leasesim.MixedFaults(seed))
-		w.Run(w.Span)
-		f = w.Figures()
-		return f, f.Hash, w.Violation
+		sim := leasesim.New(leasesim.MixedFaults(seed))
+		sim.Run(sim.Span)
+		f = sim.Figures()
+		return f, f.Hash, sim.Violation
 	}, func(f leasesim.Figures) {
 		events, holds, sum = events+f.Events, holds+f.Holds, sum+f.HeldShare
 	})
@@ -74,9 +74,9 @@
 	took := make([]int, leasesim.MistakeCount)
 	for f := leasesim.None + 1; f < leasesim.MistakeCount; f++ {
 		took[f] = first(p.Plant, func(seed uint64) bool {
-			w := leasesim.New(leasesim.MixedFaults(seed).WithMistake(f))
-			w.Run(w.Span)
-			return w.Violation != ""
+			sim := leasesim.New(leasesim.MixedFaults(seed).WithMistake(f))
+			sim.Run(sim.Span)
+			return sim.Violation != ""
 		})
 	}
 	return took
@@ -90,30 +90,30 @@
 		began := time.Now()
 		n, leases := size[0], size[1]
 		length := int64(10_000_000)
-		w := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: 3, Others: n - 3, Leases: leases, Wanted: min(n, 3), Length: length, Drift: 10_000, Calm: true})
-		w.MessageSize = func(m *leasesim.Message) int { return len(leaseservice.Encode(m)) }
-		w.Run(length) // they abstain
+		sim := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: 3, Others: n - 3, Leases: leases, Wanted: min(n, 3), Length: length, Drift: 10_000, Calm: true})
+		sim.MessageSize = func(m *leasesim.Message) int { return len(leaseservice.Encode(m)) }
+		sim.Run(length) // they abstain
 		held := int64(0)
-		for held = 0; held < 30 && w.Held() < leases; held++ {
-			w.Run(w.Now + 1_000_000)
+		for held = 0; held < 30 && sim.Held() < leases; held++ {
+			sim.Run(sim.Now + 1_000_000)
 		}
-		w.Run(w.Now + 2*length)
-		before := w.Figures()
-		w.Measure = true
+		sim.Run(sim.Now + 2*length)
+		before := sim.Figures()
+		sim.Measure = true
 		const span = 10
-		w.Run(w.Now + span*1_000_000)
-		after := w.Figures()
-		w.Measure = false
-		voter := slices.Max(w.ModuleTime[:3])
+		sim.Run(sim.Now + span*1_000_000)
+		after := sim.Figures()
+		sim.Measure = false
+		voter := slices.Max(sim.ModuleTime[:3])
 		holder := time.Duration(0)
 		if n > 3 {
-			holder = slices.Max(w.ModuleTime[3:])
+			holder = slices.Max(sim.ModuleTime[3:])
 		}
 		victim := n - 1
-		lost := w.HeldBy(victim)
-		w.Kill(victim, -1)
-		w.Run(w.Now + 3*length)
-		took := w.TakeoverTimes()
+		lost := sim.HeldBy(victim)
+		sim.Kill(victim, -1)
+		sim.Run(sim.Now + 3*length)
+		took := sim.TakeoverTimes()
 		slices.Sort(took)
 		half, worst := 0.0, 0.0
 		if len(took) > 0 {
