--- a/internal/engine/cluster_services.go
+++ b/internal/engine/cluster_services.go
@@ -10,7 +10,7 @@
 	"cairntiller/internal/routing"
 )
 
-var lateAnswers = metrics.New("answers behind their target")
+var lateAnswers = metrics.New("answers past their objective")
 
 // clusterServices is what the engine does for the cluster's rollouts: it drains nodes for them, and knows what this
 // router has open at each node. A nil one, which stands where rollouts are off, does nothing.
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -250,7 +250,7 @@
 	r := start(t, 999, &scriptedserver.Node{Addr: h.addr})
 	const crowd = 200
 	over := func() int64 { // a few may have had their dispatches before their clients went
-		return counted("commands left by clients") + counted("commands throttled")
+		return counted("commands abandoned by clients") + counted("commands rejected")
 	}
 	before := over()
 	var all []net.Conn
--- a/internal/engine/endpoint_list.go
+++ b/internal/engine/endpoint_list.go
@@ -6,7 +6,7 @@
 	"cairntiller/internal/routing"
 )
 
-var listsApplied = metrics.New("lists taken")
+var listsApplied = metrics.New("endpoint lists applied")
 
 // ApplyEndpointList hands discovery's list to all who go by it: a complete one, or the changed endpoints.
 func (e *Engine) ApplyEndpointList(now int64, list *discovery.EndpointList) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,8 +10,8 @@
 
 var (
 	lateTimers       = metrics.New("timers late by 5 ms or more")
-	maxTimerDelay    = metrics.New("latest timer, us")
-	maxEventWaitTime = metrics.New("latest event, us")
+	maxTimerDelay    = metrics.New("longest timer delay, us")
+	maxEventWaitTime = metrics.New("longest event wait, us")
 )
 
 // lateTimerThreshold is how far past its time, in us, a timer is counted as late: a machine without a free core shows
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -12,7 +12,7 @@
 // What is learnt of a node: its status beside an answer, its load report, the outcome of a health check, and gossip of
 // other routers.
 
-var impossibleReports = metrics.New("reports that can't be true")
+var impossibleReports = metrics.New("load reports impossible")
 
 // positionResolution is the step in us in which nodes report positions, rounded either way: a position may lie so far
 // past the clock and be true.
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -10,18 +10,18 @@
 // Events of requests: one arrives, its client goes, one of its attempts ends.
 
 var (
-	commandsAccepted = metrics.New("commands taken")
-	duplicateIDs     = metrics.New("commands with an id in hand")
+	commandsAccepted = metrics.New("commands accepted")
+	duplicateIDs     = metrics.New("commands with a duplicate id")
 	attemptOutcomes  = [...]*metrics.Counter{
-		routing.Errored:        metrics.New("dispatches errored"),
-		routing.Answered:       metrics.New("dispatches answered"),
-		routing.Rejected:       metrics.New("dispatches turned away"),
-		routing.TimedOut:       metrics.New("dispatches timed out"),
-		routing.ConnectFailed:  metrics.New("dispatches unconnected"),
-		routing.ConnectionLost: metrics.New("dispatches broken"),
-		routing.Canceled:       metrics.New("dispatches withdrawn"),
-		routing.NotSent:        metrics.New("dispatches unsent"),
-		routing.NotPrimary:     metrics.New("dispatches missed"),
+		routing.Errored:        metrics.New("attempts errored"),
+		routing.Answered:       metrics.New("attempts answered"),
+		routing.Rejected:       metrics.New("attempts rejected"),
+		routing.TimedOut:       metrics.New("attempts timed out"),
+		routing.ConnectFailed:  metrics.New("attempts unconnected"),
+		routing.ConnectionLost: metrics.New("attempts broken"),
+		routing.Canceled:       metrics.New("attempts cancelled"),
+		routing.NotSent:        metrics.New("attempts unsent"),
+		routing.NotPrimary:     metrics.New("attempts missed"),
 	}
 )
 
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -733,13 +733,13 @@
 		millis, seconds := told(c.late)
 		r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome,
 			scriptedserver.Status("role", "replica")+scriptedserver.Status("applied_ms", millis)+scriptedserver.Status("load", fmt.Sprintf(c.load, seconds))+scriptedserver.Row+scriptedserver.Ready))
-		before := counted("reports that can't be true")
+		before := counted("load reports impossible")
 		conn := r.dial(t)
 		ask(conn, "1", "look", "900")
 		if got := brief(until(t, conn, 'Z')); got != "row" {
 			t.Errorf("%s: %q", name, got)
 		}
-		if got := counted("reports that can't be true") - before; got != c.wants {
+		if got := counted("load reports impossible") - before; got != c.wants {
 			t.Errorf("%s: %d taken for untrue", name, got)
 		}
 	}
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -8,9 +8,9 @@
 
 var (
 	answeredRequests  = metrics.New("commands answered")
-	rejectedRequests  = metrics.New("commands throttled")
+	rejectedRequests  = metrics.New("commands rejected")
 	failedRequests    = metrics.New("commands failed")
-	abandonedRequests = metrics.New("commands left by clients")
+	abandonedRequests = metrics.New("commands abandoned by clients")
 	lateAnswers       = metrics.New("answers after the final one")
 )
 
