--- /dev/null
+++ b/internal/simwire/actions.go
@@ -0,0 +1,100 @@
+package simwire
+
+import (
+	"strconv"
+)
+
+// StartAttempt implements routing.Actions. An attempt goes out at once here, so there is no bound to when it may begin.
+func (i *instance) StartAttempt(cmd, node string, timeout, _ int64) {
+	i.beginAction("transmit")
+	i.writeText(cmd)
+	i.writeText(node)
+	i.writeMillis(timeout)
+	i.endAction()
+}
+
+// RejectWithRetry implements routing.Actions.
+func (i *instance) RejectWithRetry(cmd string, retryIn int64) {
+	i.beginAction("not_now")
+	i.writeText(cmd)
+	i.writeMillis(retryIn)
+	i.endAction()
+}
+
+// Fail implements routing.Actions.
+func (i *instance) Fail(cmd string) {
+	i.beginAction("report_failure")
+	i.writeText(cmd)
+	i.endAction()
+}
+
+// CancelAttempt implements routing.Actions.
+func (i *instance) CancelAttempt(cmd string, dispatch int) {
+	i.beginAction("withdraw")
+	i.writeText(cmd)
+	i.writeInt(dispatch)
+	i.endAction()
+}
+
+// SetTimer implements routing.Actions. The routing module has one kind of timer, so the wire's cookie is always 0.
+func (i *instance) SetTimer(in int64) {
+	i.beginAction("timer")
+	i.writeMillis(in)
+	i.writeInt(0)
+	i.endAction()
+}
+
+// CheckHealth implements routing.Actions.
+func (i *instance) CheckHealth(node string) {
+	i.beginAction("probe")
+	i.writeText(node)
+	i.endAction()
+}
+
+// CloseIdleConnections implements routing.Actions.
+func (i *instance) CloseIdleConnections(node string) {
+	i.beginAction("drop_conns")
+	i.writeText(node)
+	i.endAction()
+}
+
+// StopNewAttempts implements routing.Actions; no attempt waits for a connection here.
+func (*instance) StopNewAttempts(string) {}
+
+// ForgetNode implements routing.Actions; the simulator has no such action.
+func (*instance) ForgetNode(string) {}
+
+// WatchEndpoints implements routing.Actions.
+func (i *instance) WatchEndpoints() {
+	i.beginAction("keep_informed")
+	i.writeText("1")
+	i.endAction()
+}
+
+func (i *instance) beginAction(name string) {
+	i.server.reply = append(i.server.reply, name...)
+	i.writeText(i.name)
+}
+
+func (i *instance) endAction() { i.server.reply = append(i.server.reply, '\n') }
+
+func (i *instance) writeText(s string) {
+	i.server.reply = append(i.server.reply, ' ')
+	i.server.reply = append(i.server.reply, s...)
+}
+
+func (i *instance) writeInt(value int) {
+	i.server.reply = append(i.server.reply, ' ')
+	i.server.reply = strconv.AppendInt(i.server.reply, int64(value), 10)
+}
+
+// writeMillis writes us as decimal milliseconds.
+func (i *instance) writeMillis(t int64) {
+	i.server.reply = append(i.server.reply, ' ')
+	if t < 0 {
+		i.server.reply = append(i.server.reply, '-')
+		t = -t
+	}
+	i.server.reply = strconv.AppendInt(i.server.reply, t/1000, 10)
+	i.server.reply = append(i.server.reply, '.', byte('0'+t/100%10), byte('0'+t/10%10), byte('0'+t%10))
+}
--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,169 @@
+package simwire
+
+import (
+	"bytes"
+	"encoding/hex"
+	"strconv"
+
+	"cairntiller/internal/pgwire"
+	"cairntiller/internal/routing"
+)
+
+// eventHandler hands one event to an instance's routing module. It reads the fields by n, which keeps the first fault;
+// what the module is told waits until all fields of the event are read.
+type eventHandler func(i *instance, now int64, fields [][]byte, n *fieldReader) error
+
+// events are the events by name; minFields is the least number of their fields, the name included.
+var events = map[string]struct {
+	minFields int
+	handle    eventHandler // nil for those that the server handles itself
+}{
+	"open_instance": {3, nil},
+	"detach":        {2, nil},
+	"peers_known":   {5, (*instance).endpointList},
+	"req":           {11, (*instance).request},
+	"started":       {6, (*instance).attemptStarted},
+	"result":        {9, (*instance).attemptEnded},
+	"gone":          {3, (*instance).clientGone},
+	"elapsed":       {3, (*instance).timer},
+	"checked":       {5, (*instance).healthCheckEnded},
+	"note_from":     {4, (*instance).note},
+}
+
+// request: id, group, tenant, session, time left, a cost that is not used, shard, time since the session's commit, and
+// a mark that is not used.
+func (i *instance) request(now int64, fields [][]byte, n *fieldReader) error {
+	group, known := i.groupNumbers[string(fields[3])]
+	if !known {
+		return i.server.fault("grade", "unknown class")
+	}
+	tenant, known := i.tenantNumbers[string(fields[4])]
+	if !known {
+		tenant = -1
+	}
+	left := n.time(fields[6], "timeLeft")
+	shard := n.int(fields[8], "clusterNo")
+	sinceCommit := n.time(fields[9], "sinceWriteMs")
+	n.int(fields[10], "marks")
+	if n.err == nil {
+		i.router.RequestArrived(now, string(fields[2]), group, tenant, text(fields[5]), left, int(shard), sinceCommit)
+	}
+	return nil
+}
+
+// attemptStarted: the module does not use when a node began an attempt.
+func (*instance) attemptStarted(int64, [][]byte, *fieldReader) error { return nil }
+
+// attemptEnded: request, node, whether the client has had its answer, outcome, the attempt's number, its time, the
+// node's position and role in one number, and its load report where it sent one.
+func (i *instance) attemptEnded(now int64, fields [][]byte, n *fieldReader) error {
+	request, node := string(fields[2]), string(fields[3])
+	result := outcome(n.int(fields[5], "result"))
+	number := n.int(fields[6], "hop")
+	elapsed := n.time(fields[7], "delaySeen")
+	status := n.int(fields[8], "stand")
+	final := n.int(fields[4], "final") != 0
+	if n.err != nil {
+		return nil
+	}
+	role, position := i.nodeStatus(status)
+	i.router.ObserveReply(now, node, role, position)
+	if len(fields) > 9 {
+		i.loadReport(now, node, fields[9], n)
+	}
+	if n.err == nil {
+		i.router.AttemptEnded(now, request, int(number), result, elapsed, final)
+	}
+	return nil
+}
+
+// nodeStatus takes apart four times the position, in ms, plus the role: 1 for primary, 2 for replica. 0 stands for a
+// position that is not told.
+func (i *instance) nodeStatus(status int64) (role routing.Role, position int64) {
+	switch status & 3 {
+	case 1:
+		role = routing.Primary
+	case 2:
+		role = routing.Replica
+	}
+	if millis := status >> 2; millis > 0 {
+		position = millis*1000 + i.positionZero
+	}
+	return role, position
+}
+
+// healthCheckEnded: node, a time that is not used, outcome, and the node's load report where it sent one.
+func (i *instance) healthCheckEnded(now int64, fields [][]byte, n *fieldReader) error {
+	node := string(fields[2])
+	n.time(fields[3], "delaySeen")
+	result := outcome(n.int(fields[4], "result"))
+	if len(fields) > 5 && n.err == nil {
+		i.loadReport(now, node, fields[5], n)
+	}
+	if n.err == nil {
+		i.router.HealthChecked(now, node, result)
+	}
+	return nil
+}
+
+// loadReport passes on the figures of a node's load report, name:value parted by commas. Those before one that can't be
+// read are passed on.
+func (i *instance) loadReport(now int64, node string, pairs []byte, n *fieldReader) {
+	for len(pairs) > 0 && string(pairs) != "-" {
+		pair, rest, _ := bytes.Cut(pairs, []byte(","))
+		pairs = rest
+		name, value, found := bytes.Cut(pair, []byte(":"))
+		if !found {
+			n.fail("healthInfo", "not a pair")
+			return
+		}
+		switch string(name) {
+		case pgwire.LoadPosition:
+			position := n.seconds(value, pgwire.LoadPosition)
+			if n.err == nil {
+				i.router.ReportedPosition(now, node, position+i.positionZero)
+			}
+		case pgwire.LoadPrimary:
+			primary := n.float(value, pgwire.LoadPrimary)
+			if n.err == nil {
+				i.router.ReportedRole(now, node, primary >= 0.5)
+			}
+		}
+	}
+}
+
+// clientGone: request.
+func (i *instance) clientGone(now int64, fields [][]byte, _ *fieldReader) error {
+	i.router.ClientGone(now, string(fields[2]))
+	return nil
+}
+
+// timer: a cookie that is always 0, for the routing module has one kind of timer.
+func (i *instance) timer(now int64, fields [][]byte, _ *fieldReader) error {
+	if _, err := strconv.ParseUint(string(fields[2]), 10, 64); err != nil {
+		return i.server.fault("cookie", "no number")
+	}
+	i.router.TimerFired(now)
+	return nil
+}
+
+// note: sender, bytes. Routers send no notes, so one is read and dropped.
+func (i *instance) note(_ int64, fields [][]byte, n *fieldReader) error {
+	if _, err := hex.DecodeString(text(fields[3])); err != nil {
+		return i.server.fault("bytes", "no hex digits")
+	}
+	n.int(fields[2], "from")
+	return nil
+}
+
+// outcomes are the routing module's, by their number on the wire.
+var outcomes = [...]routing.Outcome{routing.Errored, routing.Answered, routing.Rejected, routing.TimedOut, routing.ConnectFailed,
+	routing.ConnectionLost, routing.Canceled, routing.NotSent, routing.NotPrimary}
+
+// outcome reads an outcome's number. An unknown one says nothing of never having run.
+func outcome(number int64) routing.Outcome {
+	if number < 0 || number >= int64(len(outcomes)) {
+		return routing.Errored
+	}
+	return outcomes[number]
+}
--- /dev/null
+++ b/internal/simwire/server.go
@@ -0,0 +1,158 @@
+package simwire
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+
+	"cairntiller/internal/decimal"
+)
+
+// ioBuffer is the bytes of input and output that are read and written at once; most batches fit.
+const ioBuffer = 1 << 20
+
+// server is the state of one process: its instances, the numbered endpoint lists and the batch that is being handled.
+type server struct {
+	in        *bufio.Reader
+	out       *bufio.Writer
+	instances map[string]*instance
+	lists     [maxLists][][]byte // lines of each endpoint list, by its number
+
+	line     int // number of the input line, for faults
+	longLine []byte
+	fields   [][]byte // of the line; they stand until the next one is read
+	reader   fieldReader
+
+	inBatch bool
+	batch   string // its number, as it was given
+	now     int64  // the batch's time, us
+	reply   []byte // actions of the batch so far
+}
+
+// Serve answers batches until the input ends. The error names line and field of what can't be read.
+func Serve(in io.Reader, out io.Writer) error {
+	s := &server{
+		in:        bufio.NewReaderSize(in, ioBuffer),
+		out:       bufio.NewWriterSize(out, ioBuffer),
+		instances: map[string]*instance{},
+	}
+	s.reader.server = s
+	for {
+		line, err := s.readLine()
+		if errors.Is(err, io.EOF) {
+			if s.inBatch {
+				return s.fault("eob", "input ends within a batch")
+			}
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		s.split(line)
+		if err := s.handleLine(); err != nil {
+			return err
+		}
+	}
+}
+
+// readLine reads the next line, without its end; it stands until the next call. The last line may lack an end.
+func (s *server) readLine() ([]byte, error) {
+	s.longLine = s.longLine[:0]
+	for {
+		part, err := s.in.ReadSlice('\n')
+		if errors.Is(err, bufio.ErrBufferFull) {
+			s.longLine = append(s.longLine, part...)
+			continue
+		}
+		if len(s.longLine) > 0 {
+			s.longLine = append(s.longLine, part...)
+			part = s.longLine
+		}
+		if err != nil && (!errors.Is(err, io.EOF) || len(part) == 0) {
+			return nil, err
+		}
+		s.line++
+		return bytes.TrimRight(part, "\r\n"), nil
+	}
+}
+
+func (s *server) split(line []byte) {
+	s.fields = s.fields[:0]
+	for len(line) > 0 {
+		field, rest, _ := bytes.Cut(line, []byte(" "))
+		s.fields = append(s.fields, field)
+		line = rest
+	}
+}
+
+func (s *server) handleLine() error {
+	if len(s.fields) == 0 {
+		return s.fault("message", "empty line")
+	}
+	if !s.inBatch {
+		return s.beginBatch()
+	}
+	switch string(s.fields[0]) {
+	case "eob":
+		return s.endBatch()
+	case "inventory":
+		return s.readEndpointList()
+	}
+	return s.handleEvent()
+}
+
+func (s *server) beginBatch() (err error) {
+	if string(s.fields[0]) != "clock" || len(s.fields) < 3 {
+		return s.fault("clock", "batch does not start with a clock line")
+	}
+	if s.now, err = decimal.Micros(s.fields[1]); err != nil {
+		return s.fault("clock", err.Error())
+	}
+	s.batch = string(s.fields[2])
+	s.inBatch = true
+	return nil
+}
+
+func (s *server) endBatch() error {
+	s.reply = append(s.reply, "finished "...)
+	s.reply = append(s.reply, s.batch...)
+	s.reply = append(s.reply, '\n')
+	if _, err := s.out.Write(s.reply); err != nil {
+		return err
+	}
+	s.reply = s.reply[:0]
+	s.inBatch = false
+	return s.out.Flush()
+}
+
+// handleEvent handles an event of one instance. Events of instances that are not open, or have crashed, are ignored.
+func (s *server) handleEvent() error {
+	fields := s.fields
+	event, known := events[string(fields[0])]
+	if !known {
+		return s.fault("message", fmt.Sprintf("unknown event %q", fields[0]))
+	}
+	if len(fields) < event.minFields {
+		return s.fault(string(fields[0]), "too few fields")
+	}
+	name := string(fields[1])
+	switch string(fields[0]) {
+	case "open_instance":
+		return s.openInstance(name, fields)
+	case "detach":
+		delete(s.instances, name)
+		return nil
+	}
+	i := s.instances[name]
+	if i == nil || i.crashed {
+		return nil
+	}
+	return i.deliver(event.handle, fields)
+}
+
+// fault names what can't be read, and where.
+func (s *server) fault(field, why string) error {
+	return fmt.Errorf("line %d, field %s: %s", s.line, field, why)
+}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -74,8 +74,8 @@
 tenants.1.quotaPerS=1.5
 tenants.count=2`
 
-// events goes through each event that the wire has, for the instance that everySetting opened.
-const events = "inventory 3 4\nm node_a a 1 k 0 up 1 -\nm node_b a 0 k 0 up 1 -\nm node_c b 0 k 0 up 1 4000.5\nm node_d b 0 - 0 draining 1 -\n" +
+// everyEvent goes through each event that the wire has, for the instance that everySetting opened.
+const everyEvent = "inventory 3 4\nm node_a a 1 k 0 up 1 -\nm node_b a 0 k 0 up 1 -\nm node_c b 0 k 0 up 1 4000.5\nm node_d b 0 - 0 draining 1 -\n" +
 	"peers_known router/0 SAVED 1 3\n" +
 	"req router/0 r-1 look acme s-1 300.5 - 0 - 0\nreq router/0 r-2 put other s-1 300.0 - 0 - 4\n" +
 	"req router/0 r-3 set - s-1 300.0 - 0 12.5 0\nreq router/0 r-4 look none - 90.0 - 0 - 0\neob\n" +
@@ -127,7 +127,7 @@
 	if got := strings.Join(lines, "\n"); got != settingsRead {
 		t.Errorf("read\n%s\nrecorded\n%s", got, settingsRead)
 	}
-	out, err := serve(t, "clock 5000.0 1\nopen_instance router/0 7 "+strings.Join(lines, " ")+"\n"+events)
+	out, err := serve(t, "clock 5000.0 1\nopen_instance router/0 7 "+strings.Join(lines, " ")+"\n"+everyEvent)
 	if err != nil || out != recorded {
 		t.Errorf("%v, wrote\n%s\nrecorded\n%s", err, out, recorded)
 	}
