--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -905,6 +905,7 @@
 		times := max(silenceTimes, lostTimes-silenceTimes/2*float64(len(s.open[n])-1)) // one may be slow by chance
 		if float64(now-max(t.sent, r.stalled)) > silenceTimes*usual {
 			r.copy(o.c, now)
+			t = &o.c.tries[o.n] // a second dispatch may have moved the command's list of them
 		}
 		if since := max(t.sent, s.answered[n], r.stalled); i == 0 && !s.suspect[n] &&
 			float64(now-since) > max(silenceLeast, times*usual) {
--- a/internal/routing/route_test.go
+++ b/internal/routing/route_test.go
@@ -952,3 +952,31 @@
 		t.Errorf("%d writes are taken to be out", n)
 	}
 }
+
+// A read is hedged in the very sweep in which its first attempt is taken to be lost, because the budget allowed no hedge
+// before. The node must give up its place in flight once: counted down again in each later sweep, it would seem to have
+// capacity that it hasn't.
+func TestLostAttemptThatIsHedgedCountsOnce(t *testing.T) {
+	w := group(t, 2, 3)
+	w.r.group.usual[gLong] = 50_000
+	w.beats(1) // the first one counts as the end of a standstill
+	w.arrive("c", gLong, 0, 6e6, 0)
+	first := w.r.node.index[sentTo(w)]
+	sent := w.now
+	for range 30 {
+		if w.now+20_000-sent > 8*50_000 {
+			w.r.copiesLeft = 1
+		}
+		w.r.node.answered[first] = w.now // it answers other routers' requests meanwhile
+		w.beats(1)
+	}
+	if len(w.open) != 2 || w.r.node.out[first] != 0 {
+		t.Fatal("in flight:", len(w.open), "counted at the first node:", w.r.node.out[first])
+	}
+	serve(w, nil)
+	for n, out := range w.r.node.out {
+		if out != 0 {
+			t.Errorf("%d counted as in flight at %s after all has ended", out, w.r.node.id[n])
+		}
+	}
+}
