--- /dev/null
+++ b/internal/membership/direct.go
@@ -0,0 +1,94 @@
+package membership
+
+import (
+	"log/slog"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// Send sends a direct message by the way that its size needs: SendDatagram or SendStream.
+func (s *Service) Send(to string, kind uint8, body []byte) error {
+	if len(body) <= MaxDatagram {
+		return s.SendDatagram(to, kind, body)
+	}
+	return s.SendStream(to, kind, body)
+}
+
+// SendDatagram sends a direct message of up to MaxDatagram bytes to the address where a member was last seen; it may be
+// lost, doubled or late. It blocks no longer than the system takes to take a datagram. The error is ErrUnknownMember,
+// ErrOutOfBounds or the system's.
+func (s *Service) SendDatagram(to string, kind uint8, body []byte) error {
+	s.mu.Lock()
+	address, known := s.addresses[to]
+	s.mu.Unlock()
+	if !known {
+		return ErrUnknownMember
+	}
+	if len(body) > MaxDatagram {
+		return ErrOutOfBounds
+	}
+	return s.list.SendToAddress(memberlist.Address{Addr: address, Name: to}, s.encodeDirect(kind, body))
+}
+
+// SendStream sends a direct message of up to MaxStream bytes to a live member, over a connection. It returns at once; a
+// message to a member that has one under way is dropped. The error is ErrUnknownMember or ErrOutOfBounds.
+func (s *Service) SendStream(to string, kind uint8, body []byte) error {
+	if len(body) > MaxStream {
+		return ErrOutOfBounds
+	}
+	node := s.liveNode(to)
+	if node == nil {
+		return ErrUnknownMember
+	}
+	s.mu.Lock()
+	underWay := s.streaming[to]
+	s.streaming[to] = true
+	s.mu.Unlock()
+	if underWay {
+		messagesDropped.Add()
+		return nil
+	}
+	go func() {
+		if err := s.list.SendReliable(node, s.encodeDirect(kind, body)); err != nil {
+			slog.Debug("a large message was not sent", "to", to, "err", err)
+		}
+		s.mu.Lock()
+		delete(s.streaming, to)
+		s.mu.Unlock()
+	}()
+	return nil
+}
+
+// liveNode returns the library's node of a live member, or nil.
+func (s *Service) liveNode(name string) *memberlist.Node {
+	for _, n := range s.list.Members() {
+		if n.Name == name {
+			return n
+		}
+	}
+	return nil
+}
+
+// encodeDirect counts and encodes a direct message.
+func (s *Service) encodeDirect(kind uint8, body []byte) []byte {
+	directSent.Add()
+	return encode(directMessage{Version: version, From: s.settings.Name, Incarnation: s.Incarnation(), Kind: kind, Body: body})
+}
+
+// receiveDirect checks a direct message to this instance and reports it.
+func (s *Service) receiveDirect(raw []byte) {
+	message, err := decodeDirectMessage(raw)
+	if err != nil {
+		unreadableMessages.Add()
+		return
+	}
+	s.mu.Lock()
+	admitted := s.admission.admitDirect(s.now(), message.From)
+	s.mu.Unlock()
+	if !admitted {
+		directOverRate.Add()
+		return
+	}
+	directReceived.Add()
+	s.events.Message(message.From, message.Incarnation, message.Kind, message.Body)
+}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -21,11 +21,11 @@
 	value any
 	hex   string
 }{
-	{"metadata", about{Version: 1, Cluster: "kandy", Born: 1_796_148_000_000_001, Weight: 1.5, Leaving: true}, "8501656b616e64791b000661964b810801f93e00f5"},
-	{"update message", envelope{Version: 1, Origin: "r1", Born: 1_796_148_000_000_001, Number: 99, Held: 123_456, Words: pack("r1", goldenWords)[0]}, "86016272311b000661964b81080118631a0001e240990003896970726f62652f732d3160071a0003d0901b000661964b810800f41b000661964b82ea4001782478303d313739363134383030302e3030303030302c78313d302c696e666c696768743d33896970726f62652f732d326272321b00000100000000000020f5002060896970726f62652f732d3360000100f4000060"},
+	{"metadata", metadata{Version: 1, Cluster: "kandy", Incarnation: 1_796_148_000_000_001, Weight: 1.5, Leaving: true}, "8501656b616e64791b000661964b810801f93e00f5"},
+	{"update message", updateMessage{Version: 1, Origin: "r1", Incarnation: 1_796_148_000_000_001, Number: 99, Held: 123_456, Updates: packUpdates("r1", goldenWords)[0]}, "86016272311b000661964b81080118631a0001e240990003896970726f62652f732d3160071a0003d0901b000661964b810800f41b000661964b82ea4001782478303d313739363134383030302e3030303030302c78313d302c696e666c696768743d33896970726f62652f732d326272321b00000100000000000020f5002060896970726f62652f732d3360000100f4000060"},
 	{"packet", [][]byte{{1, 2, 3}, {4}}, "82430102034104"},
-	{"direct message", direct{Version: 1, From: "r2", Born: 3, Kind: KindVersionAudit, Body: []byte("body")}, "8501627232030344626f6479"},
-	{"state", state{Version: 1, Members: []returns{{Name: "r2", Born: 12, Times: 3}}, Words: []word{onWire(goldenWords[0]), onWire(goldenWords[1])}}, "830181836272320c0382896970726f62652f732d31627231071a0003d0901b000661964b810800f41b000661964b82ea4001782478303d313739363134383030302e3030303030302c78313d302c696e666c696768743d33896970726f62652f732d326272321b00000100000000000020f5002060"},
+	{"direct message", directMessage{Version: 1, From: "r2", Incarnation: 3, Kind: KindVersionAudit, Body: []byte("body")}, "8501627232030344626f6479"},
+	{"state", joinState{Version: 1, Members: []memberRecord{{Name: "r2", Incarnation: 12, Rejoins: 3}}, Updates: []wireUpdate{toWire(goldenWords[0]), toWire(goldenWords[1])}}, "830181836272320c0382896970726f62652f732d31627231071a0003d0901b000661964b810800f41b000661964b82ea4001782478303d313739363134383030302e3030303030302c78313d302c696e666c696768743d33896970726f62652f732d326272321b00000100000000000020f5002060"},
 }
 
 // TestGoldenMessages holds the messages among members to the bytes of the version before, both ways: members of two
@@ -55,11 +55,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := readEnvelope(raw)
+	e, err := decodeUpdateMessage(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	words, err := unpack(&e)
+	words, err := unpackUpdates(&e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,14 +76,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := readAbout(about); err != nil || m.Born != 1_796_148_000_000_001 || m.Weight != 1.5 || !m.Leaving || m.Cluster != "kandy" {
+	if m, err := decodeMetadata(about); err != nil || m.Incarnation != 1_796_148_000_000_001 || m.Weight != 1.5 || !m.Leaving || m.Cluster != "kandy" {
 		t.Errorf("%+v, %v", m, err)
 	}
 	straight, err := hex.DecodeString(goldenMessages[3].hex)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, err := readDirect(straight); err != nil || d.From != "r2" || d.Born != 3 || d.Kind != 3 || !bytes.Equal(d.Body, []byte("body")) {
+	if d, err := decodeDirectMessage(straight); err != nil || d.From != "r2" || d.Incarnation != 3 || d.Kind != 3 || !bytes.Equal(d.Body, []byte("body")) {
 		t.Errorf("%+v, %v", d, err)
 	}
 	if KindLease != 1 || KindLeaseQuery != 2 || KindVersionAudit != 3 || KindRollout != 4 {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/service_test.go
@@ -28,8 +28,8 @@
 	mu      sync.Mutex
 	up      map[string]uint64
 	left    map[string]bool
-	words   []assignment.Update
-	returns int
+	updates []assignment.Update
+	rejoins int
 }
 
 func key(b byte) []byte { return bytes.Repeat([]byte{b}, 32) }
@@ -53,12 +53,12 @@
 			Updates: func(all []assignment.Update) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
-				m.words = append(m.words, all...)
+				m.updates = append(m.updates, all...)
 			},
 			Rejoined: func(n int) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
-				m.returns = max(m.returns, n)
+				m.rejoins = max(m.rejoins, n)
 			},
 		}, m.net.Wrap)
 	if err != nil {
@@ -98,10 +98,10 @@
 	return true
 }
 
-func (m *member) heard(key string) (all []assignment.Update) {
+func (m *member) updatesOf(key string) (all []assignment.Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, w := range m.words {
+	for _, w := range m.updates {
 		if w.Key == key {
 			all = append(all, w)
 		}
@@ -109,7 +109,7 @@
 	return all
 }
 
-func trio(t *testing.T) (a, b, c *member) {
+func startThree(t *testing.T) (a, b, c *member) {
 	t.Helper()
 	keys := [][]byte{key(1)}
 	a = start(t, "a", "kandy", keys)
@@ -121,7 +121,7 @@
 
 // TestWordsReachAll: once each, with an age that grows on the way.
 func TestWordsReachAll(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
 	var many []assignment.Update
 	for i := range 100 {
@@ -129,10 +129,10 @@
 	}
 	a.Broadcast(many)
 	for _, m := range []*member{b, c} {
-		eventually(t, "all words", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.words) >= 100 })
+		eventually(t, "all words", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.updates) >= 100 })
 		time.Sleep(300 * time.Millisecond) // echoes would come now
 		for i := range 100 {
-			got := m.heard(fmt.Sprint("probe/", i))
+			got := m.updatesOf(fmt.Sprint("probe/", i))
 			if len(got) != 1 || got[0].Age < 5_000 || got[0].Age > 5_000_000 {
 				t.Fatalf("word %d: %+v", i, got)
 			}
@@ -142,14 +142,14 @@
 			}
 		}
 	}
-	if n := len(a.heard("probe/1")); n != 0 {
+	if n := len(a.updatesOf("probe/1")); n != 0 {
 		t.Errorf("its own word came back %d times", n)
 	}
 }
 
 // TestManyWords: a thousand boxes a second reach everybody in time.
 func TestManyWords(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
 	for second := range 3 {
 		var all []assignment.Update
@@ -158,9 +158,9 @@
 		}
 		a.Broadcast(all)
 		for _, m := range []*member{b, c} {
-			eventually(t, "all words of a second", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.words) == 1000*(second+1) })
+			eventually(t, "all words of a second", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.updates) == 1000*(second+1) })
 			m.mu.Lock()
-			for _, w := range m.words[1000*second:] {
+			for _, w := range m.updates[1000*second:] {
 				if w.Age > 1_500_000 {
 					t.Errorf("%s is %d us old", w.Key, w.Age)
 					break
@@ -175,17 +175,17 @@
 // a round keeps to its bytes.
 func TestSpreader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, members, budget := &spreader{}, rapid.IntRange(2, 2000).Draw(t, "members"), rapid.IntRange(300, 5000).Draw(t, "budget")
+		s, members, budget := &broadcastQueue{}, rapid.IntRange(2, 2000).Draw(t, "members"), rapid.IntRange(300, 5000).Draw(t, "budget")
 		had := map[uint64]int{}
 		added := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 9).Draw(t, "messages") {
 				added++
-				s.add(&item{e: envelope{Number: added}, size: rapid.IntRange(10, 300).Draw(t, "size")})
+				s.add(&queuedMessage{message: updateMessage{Number: added}, size: rapid.IntRange(10, 300).Draw(t, "size")})
 			}
 			size, least, seen := 0, 0, map[uint64]bool{}
-			for _, one := range s.round(members, budget) {
-				n := one.e.Number
+			for _, one := range s.nextRound(members, budget) {
+				n := one.message.Number
 				if size += one.size; seen[n] || size > budget || had[n] < least {
 					t.Fatalf("message %d after %d bytes of %d, sent %d times, one with %d before", n, size, budget, had[n], least)
 				}
@@ -194,57 +194,57 @@
 			}
 		}
 		for range 4000 {
-			for _, one := range s.round(members, budget) {
-				had[one.e.Number]++
+			for _, one := range s.nextRound(members, budget) {
+				had[one.message.Number]++
 			}
 		}
 		for n := uint64(1); n <= added; n++ {
-			if had[n] != rounds(members) {
-				t.Fatalf("message %d was sent in %d rounds, want %d", n, had[n], rounds(members))
+			if had[n] != roundsPerMessage(members) {
+				t.Fatalf("message %d was sent in %d rounds, want %d", n, had[n], roundsPerMessage(members))
 			}
 		}
 	})
-	s := &spreader{}
-	for i := range newsKept + 5 {
-		s.add(&item{e: envelope{Number: uint64(i)}, size: 1})
+	s := &broadcastQueue{}
+	for i := range maxQueued + 5 {
+		s.add(&queuedMessage{message: updateMessage{Number: uint64(i)}, size: 1})
 	}
-	if len(s.items) != newsKept || s.lost != 5 || s.items[0].e.Number != 5 {
-		t.Errorf("%d kept, %d given up, the first %d", len(s.items), s.lost, s.items[0].e.Number)
+	if len(s.messages) != maxQueued || s.dropped != 5 || s.messages[0].message.Number != 5 {
+		t.Errorf("%d kept, %d given up, the first %d", len(s.messages), s.dropped, s.messages[0].message.Number)
 	}
-	if got := targets(2, func(int) int { return 0 }); !slices.Equal(got, []int{0, 1}) {
+	if got := roundTargets(2, func(int) int { return 0 }); !slices.Equal(got, []int{0, 1}) {
 		t.Error(got)
 	}
-	if got := targets(9, func(n int) int { return n - 1 }); len(got) != 3 || got[0] == got[1] || got[1] == got[2] || got[0] == got[2] {
+	if got := roundTargets(9, func(n int) int { return n - 1 }); len(got) != 3 || got[0] == got[1] || got[1] == got[2] || got[0] == got[2] {
 		t.Error(got)
 	}
-	if s.round(1, 1000) != nil || len(s.items) != 0 {
+	if s.nextRound(1, 1000) != nil || len(s.messages) != 0 {
 		t.Error("news for nobody is kept")
 	}
 }
 
 // TestStrangers: another cluster, key or version is turned away and counted, and the members go on undisturbed.
 func TestStrangers(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
-	wrongKey, wrongCluster := refusedK.Count(), refusedC.Count()
+	wrongKey, wrongCluster := rejectedKey.Count(), rejectedCluster.Count()
 	cutAtEnd(t, start(t, "x", "kandy", [][]byte{key(9)}, a.Address()), start(t, "y", "colombo", [][]byte{key(1)}, a.Address()))
-	eventually(t, "both counted", func() bool { return refusedK.Count() > wrongKey && refusedC.Count() > wrongCluster })
-	for _, m := range []about{{Version: 2, Cluster: "kandy", Weight: 1}, {Version: 1, Cluster: "colombo", Weight: 1}} {
+	eventually(t, "both counted", func() bool { return rejectedKey.Count() > wrongKey && rejectedCluster.Count() > wrongCluster })
+	for _, m := range []metadata{{Version: 2, Cluster: "kandy", Weight: 1}, {Version: 1, Cluster: "colombo", Weight: 1}} {
 		a.Service.mu.Lock()
-		err := a.gate.admit(a.now(), "z", m)
+		err := a.admission.admit(a.now(), "z", m)
 		a.Service.mu.Unlock()
 		if err == nil {
 			t.Errorf("%+v is let in", m)
 		}
 	}
-	was := unread.Count()
-	a.NotifyMsg(encode([][]byte{encode(envelope{Version: 2, Origin: "b", Number: 1, Words: []byte{0x80}})}))
+	was := unreadableMessages.Count()
+	a.NotifyMsg(encode([][]byte{encode(updateMessage{Version: 2, Origin: "b", Number: 1, Updates: []byte{0x80}})}))
 	a.NotifyMsg([]byte("noise"))
-	if unread.Count() != was+2 {
-		t.Errorf("%d messages unread, want 2", unread.Count()-was)
+	if unreadableMessages.Count() != was+2 {
+		t.Errorf("%d messages unread, want 2", unreadableMessages.Count()-was)
 	}
 	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 1}})
-	eventually(t, "a word among the members", func() bool { return len(a.heard("probe/s")) == 1 && len(c.heard("probe/s")) == 1 })
+	eventually(t, "a word among the members", func() bool { return len(a.updatesOf("probe/s")) == 1 && len(c.updatesOf("probe/s")) == 1 })
 	if !a.sees("b", "c") {
 		t.Error("the members changed")
 	}
@@ -252,7 +252,7 @@
 
 // TestKeysChangeInService: old and new are understood during the change, and nobody is lost.
 func TestKeysChangeInService(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
 	say := 0
 	tell := func(from *member, to ...*member) {
@@ -261,7 +261,7 @@
 		word := fmt.Sprint("probe/", say)
 		from.Broadcast([]assignment.Update{{Key: word, Owner: "?", Term: 1}})
 		for _, m := range to {
-			eventually(t, "a word", func() bool { return len(m.heard(word)) == 1 })
+			eventually(t, "a word", func() bool { return len(m.updatesOf(word)) == 1 })
 		}
 	}
 	for _, keys := range [][][]byte{{key(1), key(2)}, {key(2), key(1)}, {key(2)}} {
@@ -287,7 +287,7 @@
 
 // TestDeathAndReturn: a crash is noticed, a return under the name is another process, and who comes back is told.
 func TestDeathAndReturn(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b)
 	address, born := c.Address(), c.Incarnation()
 	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 4, Position: 9}})
@@ -304,29 +304,29 @@
 	if again <= born {
 		t.Errorf("process %d after %d", again, born)
 	}
-	eventually(t, "what the others know", func() bool { return len(c.heard("probe/s")) > 0 && c.times(t) == 3 })
+	eventually(t, "what the others know", func() bool { return len(c.updatesOf("probe/s")) > 0 && c.timesRejoined(t) == 3 })
 	_ = address
 	c.Leave()
 	eventually(t, "a leave in order", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.left["c"] })
 	a.Service.mu.Lock()
 	defer a.Service.mu.Unlock()
-	if _, missed := a.seeker.lost[c.Address()]; missed {
+	if _, missed := a.missing.lost[c.Address()]; missed {
 		t.Error("it is looked for though it left")
 	}
 }
 
-func (m *member) times(t *testing.T) int {
+func (m *member) timesRejoined(t *testing.T) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.returns
+	return m.rejoins
 }
 
 // TestClockWentBack: a process whose clock is behind the last one's still counts as the newer.
 func TestClockWentBack(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
 	a.Service.mu.Lock()
-	a.seen["b"] = returns{Name: "b", Born: b.Incarnation() + 1_000_000}
+	a.records["b"] = memberRecord{Name: "b", Incarnation: b.Incarnation() + 1_000_000}
 	a.Service.mu.Unlock()
 	b.MergeRemoteState(a.LocalState(true), true)
 	eventually(t, "a later number", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.up["b"] == b.Incarnation() })
@@ -334,19 +334,19 @@
 
 // TestPartitionAndHeal: both sides lose each other, and find each other again by themselves.
 func TestPartitionAndHeal(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
 	c.net.Cut(true, true)
 	eventually(t, "both sides apart", func() bool { return a.sees("b") && c.sees() })
 	c.net.Cut(false, false)
 	eventually(t, "the heal", func() bool { return a.sees("b", "c") && c.sees("a", "b") })
 	c.Broadcast([]assignment.Update{{Key: "probe/after", Owner: "c", Term: 1}})
-	eventually(t, "a word after it", func() bool { return len(a.heard("probe/after")) == 1 })
+	eventually(t, "a word after it", func() bool { return len(a.updatesOf("probe/after")) == 1 })
 }
 
 // TestBadNetwork: packets are lost, doubled and reordered; every word comes, once.
 func TestBadNetwork(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
 	for _, m := range []*member{a, b, c} {
 		m.net.Packets(0.15, 0.3, 80*time.Millisecond)
@@ -358,12 +358,12 @@
 	eventually(t, "nearly all words", func() bool {
 		n := 0
 		for i := range 50 {
-			n += len(b.heard(fmt.Sprint("probe/", i)))
+			n += len(b.updatesOf(fmt.Sprint("probe/", i)))
 		}
 		return n >= 45
 	})
 	for i := range 50 {
-		if n := len(b.heard(fmt.Sprint("probe/", i))); n > 1 {
+		if n := len(b.updatesOf(fmt.Sprint("probe/", i))); n > 1 {
 			t.Errorf("word %d came %d times", i, n)
 		}
 	}
@@ -374,19 +374,19 @@
 
 // TestNameTaken: a second instance under a name is turned away; the first goes on.
 func TestNameTaken(t *testing.T) {
-	a, b, c := trio(t)
+	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
-	was := conflicts.Count()
+	was := nameConflicts.Count()
 	cutAtEnd(t, start(t, "b", "kandy", [][]byte{key(1)}, a.Address()))
-	eventually(t, "the conflict", func() bool { return conflicts.Count() > was })
+	eventually(t, "the conflict", func() bool { return nameConflicts.Count() > was })
 	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 1}})
-	eventually(t, "a word of the first", func() bool { return len(a.heard("probe/s")) == 1 })
+	eventually(t, "a word of the first", func() bool { return len(a.updatesOf("probe/s")) == 1 })
 }
 
 // TestFlood: new names are turned away past a burst, and those that are known always come in.
 func TestFlood(t *testing.T) {
-	g := newGate(0, "kandy", 1000)
-	ok := about{Version: version, Cluster: "kandy", Weight: 1}
+	g := newAdmission(0, "kandy", 1000)
+	ok := metadata{Version: version, Cluster: "kandy", Weight: 1}
 	if err := g.admit(0, "known", ok); err != nil {
 		t.Fatal(err)
 	}
@@ -398,13 +398,13 @@
 			t.Fatal(err)
 		}
 	}
-	if in != joinsKept-1 {
-		t.Errorf("%d strangers at once, want %d", in, joinsKept-1)
+	if in != joinBurst-1 {
+		t.Errorf("%d strangers at once, want %d", in, joinBurst-1)
 	}
 	if err := g.admit(500, "known", ok); err != nil {
 		t.Error(err)
 	}
-	small := newGate(0, "kandy", 3)
+	small := newAdmission(0, "kandy", 3)
 	for i := range 3 {
 		if err := small.admit(0, fmt.Sprint(i), ok); err != nil {
 			t.Fatal(err)
@@ -413,11 +413,11 @@
 	if err := small.admit(0, "3", ok); !errors.Is(err, ErrTooManyMembers) {
 		t.Error(err)
 	}
-	small.stay(4000e6, "0")
+	small.keepPlace(4000e6, "0")
 	if err := small.admit(4000e6, "3", ok); err != nil {
 		t.Errorf("places of the long gone are not free: %v", err)
 	}
-	if _, kept := small.known["0"]; !kept {
+	if _, kept := small.admitted["0"]; !kept {
 		t.Error("a live member lost its place")
 	}
 }
@@ -425,7 +425,7 @@
 // TestNewsModel holds the window against a plain set of all that was taken.
 func TestNewsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGate(0, "kandy", 4)
+		g := newAdmission(0, "kandy", 4)
 		born, top := map[string]uint64{}, map[string]uint64{}
 		took := map[string]bool{}
 		for range rapid.IntRange(1, 300).Draw(t, "messages") {
@@ -437,8 +437,8 @@
 				born[name], top[name] = b, 0
 			}
 			id := fmt.Sprint(name, b, "/", n)
-			want = want && !took[id] && n+window > top[name]
-			if got := g.news(name, b, n); got != want {
+			want = want && !took[id] && n+duplicateWindow > top[name]
+			if got := g.isNew(name, b, n); got != want {
 				t.Fatalf("%s under %d: %v, want %v", id, top[name], got, want)
 			}
 			if want {
@@ -451,10 +451,10 @@
 
 // TestSeeker: attempts grow rarer, go round all addresses, and end when nobody is missing.
 func TestSeeker(t *testing.T) {
-	s := newSeeker(0, []string{"s1", "s2", "s3", "s4"})
+	s := newMissingMembers(0, []string{"s1", "s2", "s3", "s4"})
 	asked, attempts := map[string]int{}, 0
 	for now := int64(0); now < 120_000_000; now += 100_000 {
-		if some := s.ask(now, true); len(some) > 0 {
+		if some := s.addressesToTry(now, true); len(some) > 0 {
 			attempts++
 			for _, one := range some {
 				asked[one]++
@@ -464,19 +464,19 @@
 	if len(asked) != 4 || attempts < 12 || attempts > 22 {
 		t.Errorf("%d attempts in two minutes: %v", attempts, asked)
 	}
-	if some := s.ask(200_000_000, false); some != nil {
+	if some := s.addressesToTry(200_000_000, false); some != nil {
 		t.Errorf("nobody is missing: %v", some)
 	}
-	s.gone(201_000_000, "x")
-	if some := s.ask(202_000_001, false); !slices.Equal(some, []string{"x"}) {
+	s.memberLost(201_000_000, "x")
+	if some := s.addressesToTry(202_000_001, false); !slices.Equal(some, []string{"x"}) {
 		t.Errorf("%v", some)
 	}
-	s.back("x")
-	if some := s.ask(300_000_000, false); some != nil {
+	s.memberFound("x")
+	if some := s.addressesToTry(300_000_000, false); some != nil {
 		t.Errorf("%v", some)
 	}
-	s.gone(301_000_000, "x")
-	if some := s.ask(301_000_000+addressKept+1, false); some != nil {
+	s.memberLost(301_000_000, "x")
+	if some := s.addressesToTry(301_000_000+addressMemory+1, false); some != nil {
 		t.Errorf("it is looked for for ever: %v", some)
 	}
 }
@@ -517,16 +517,16 @@
 		all = append(all, assignment.Update{Key: fmt.Sprintf("probe/%0100d", i), Owner: "a", LoadReport: strings.Repeat("x", i)})
 	}
 	n := 0
-	for _, one := range pack("a", all) {
-		e := envelope{Version: version, Origin: "a", Born: 1 << 60, Number: 1 << 60, Held: 1 << 40, Words: one}
-		if size := len(encode(e)); size > mostEnvelope+100 {
+	for _, one := range packUpdates("a", all) {
+		e := updateMessage{Version: version, Origin: "a", Incarnation: 1 << 60, Number: 1 << 60, Held: 1 << 40, Updates: one}
+		if size := len(encode(e)); size > maxUpdateMessage+100 {
 			t.Fatalf("%d bytes", size)
 		}
-		back, err := readEnvelope(encode(e))
+		back, err := decodeUpdateMessage(encode(e))
 		if err != nil {
 			t.Fatal(err)
 		}
-		words, err := unpack(&back)
+		words, err := unpackUpdates(&back)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -538,20 +538,20 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(encode(envelope{Version: version, Origin: "a", Born: 1, Number: 1, Words: pack("a", []assignment.Update{{Key: "k"}})[0]}))
-	f.Add(encode(state{Version: version, Members: []returns{{Name: "a"}}, Words: []word{{Key: "k", Age: -1}}}))
-	f.Add(encode(about{Version: version, Cluster: "kandy", Weight: 1}))
+	f.Add(encode(updateMessage{Version: version, Origin: "a", Incarnation: 1, Number: 1, Updates: packUpdates("a", []assignment.Update{{Key: "k"}})[0]}))
+	f.Add(encode(joinState{Version: version, Members: []memberRecord{{Name: "a"}}, Updates: []wireUpdate{{Key: "k", Age: -1}}}))
+	f.Add(encode(metadata{Version: version, Cluster: "kandy", Weight: 1}))
 	f.Add([]byte{0x9f, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if e, err := readEnvelope(raw); err == nil {
-			words, err := unpack(&e)
+		if e, err := decodeUpdateMessage(raw); err == nil {
+			words, err := unpackUpdates(&e)
 			for _, w := range words {
 				if err != nil || w.Age < 0 || w.Position < 0 || w.Key == "" || w.Owner == "" {
 					t.Fatalf("%+v, %v", w, err)
 				}
 			}
 		}
-		if a, err := readAbout(raw); err == nil && !(a.Weight > 0) {
+		if a, err := decodeMetadata(raw); err == nil && !(a.Weight > 0) {
 			t.Fatalf("%+v", a)
 		}
 	})
--- a/internal/membership/trace_test.go
+++ b/internal/membership/trace_test.go
@@ -18,40 +18,40 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := int64(0)
-	g, s := newGate(0, "kandy", 40), newSeeker(0, []string{"s1", "s2", "s3", "s4", "s5"})
-	queue := &spreader{}
+	g, s := newAdmission(0, "kandy", 40), newMissingMembers(0, []string{"s1", "s2", "s3", "s4", "s5"})
+	queue := &broadcastQueue{}
 	for n := range 6000 {
 		now += rng.Int64N(400_000)
 		if rng.IntN(2000) == 0 {
 			now += 3700e6
 		}
 		name := fmt.Sprint("m", rng.IntN(60))
-		err := g.admit(now, name, about{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
+		err := g.admit(now, name, metadata{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
 		fmt.Fprint(sum, err)
 		for range rng.IntN(4) {
-			fmt.Fprint(sum, g.straight(now, name), g.news(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
+			fmt.Fprint(sum, g.admitDirect(now, name), g.isNew(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
 		}
 		if rng.IntN(3) == 0 {
-			g.stay(now, name)
+			g.keepPlace(now, name)
 		}
 		switch rng.IntN(30) {
 		case 0:
-			s.gone(now, name)
+			s.memberLost(now, name)
 		case 1:
-			s.back(name)
+			s.memberFound(name)
 		}
-		fmt.Fprint(sum, s.ask(now, rng.IntN(3) == 0))
+		fmt.Fprint(sum, s.addressesToTry(now, rng.IntN(3) == 0))
 		for range rng.IntN(5) {
-			queue.add(&item{e: envelope{Number: uint64(n)}, size: 10 + rng.IntN(300)})
+			queue.add(&queuedMessage{message: updateMessage{Number: uint64(n)}, size: 10 + rng.IntN(300)})
 		}
 		others := 1 + rng.IntN(50)
-		for _, one := range queue.round(1+others, 200+rng.IntN(2000)) {
-			number(int64(one.e.Number), int64(one.size), int64(one.rounds))
+		for _, one := range queue.nextRound(1+others, 200+rng.IntN(2000)) {
+			number(int64(one.message.Number), int64(one.size), int64(one.rounds))
 		}
-		for _, one := range targets(others, rng.IntN) {
+		for _, one := range roundTargets(others, rng.IntN) {
 			number(int64(one))
 		}
-		number(int64(queue.lost), int64(rounds(others)))
+		number(int64(queue.dropped), int64(roundsPerMessage(others)))
 	}
 	return sum.Sum64()
 }
