--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			return err
 		}
-		if p.Script, err = process.Parse(string(raw)); err != nil {
+		if p.Script, err = process.ParseScript(string(raw)); err != nil {
 			return err
 		}
 	}
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -24,7 +24,7 @@
 // member is a fleet of one instance with what it was told.
 type member struct {
 	*Service
-	net     *faultnet.Net
+	net     *faultnet.Network
 	mu      sync.Mutex
 	up      map[string]uint64
 	left    map[string]bool
@@ -60,7 +60,7 @@
 				defer m.mu.Unlock()
 				m.rejoins = max(m.rejoins, n)
 			},
-		}, m.net.Wrap)
+		}, m.net.WrapTransport)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -349,7 +349,7 @@
 	a, b, c := startThree(t)
 	cutAtEnd(t, a, b, c)
 	for _, m := range []*member{a, b, c} {
-		m.net.Packets(0.15, 0.3, 80*time.Millisecond)
+		m.net.SetPacketFaults(0.15, 0.3, 80*time.Millisecond)
 	}
 	for i := range 50 {
 		a.Broadcast([]assignment.Update{{Key: fmt.Sprint("probe/", i), Owner: "a", Term: 1}})
@@ -367,7 +367,7 @@
 			t.Errorf("word %d came %d times", i, n)
 		}
 	}
-	if dropped, of := a.net.Dropped(); dropped == 0 || dropped == of {
+	if dropped, of := a.net.DroppedPackets(); dropped == 0 || dropped == of {
 		t.Errorf("%d of %d packets were lost", dropped, of)
 	}
 }
--- a/internal/testcluster/faultnet/badnet.go
+++ b/internal/testcluster/faultnet/badnet.go
@@ -12,139 +12,139 @@
 	"github.com/hashicorp/memberlist"
 )
 
-var errCut = errors.New("the network is cut")
+var ErrCut = errors.New("the network is cut")
 
 // Net is one member's faulty network.
-type Net struct {
-	mu            sync.Mutex
-	rng           *rand.Rand
-	in, out       bool // cut that way
-	loss, twice   float64
-	delay         time.Duration // up to which a packet is held
-	dropped, seen int64
-	conns         map[net.Conn]bool
+type Network struct {
+	mu                      sync.Mutex
+	random                  *rand.Rand
+	inboundCut, outboundCut bool // cut that way
+	loss, duplication       float64
+	maxDelay                time.Duration // up to which a packet is held
+	dropped, packets        int64
+	connections             map[net.Conn]bool
 }
 
 // New makes a network without faults.
-func New(seed uint64) *Net {
-	return &Net{rng: rand.New(rand.NewPCG(seed, 1)), conns: map[net.Conn]bool{}}
+func New(seed uint64) *Network {
+	return &Network{random: rand.New(rand.NewPCG(seed, 1)), connections: map[net.Conn]bool{}}
 }
 
 // Cut cuts off what comes in, what goes out, or mends them; connections that are up end with it.
-func (n *Net) Cut(in, out bool) {
+func (n *Network) Cut(in, out bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.in, n.out = in, out
+	n.inboundCut, n.outboundCut = in, out
 	if in || out {
-		for c := range n.conns {
+		for c := range n.connections {
 			c.Close()
 		}
-		clear(n.conns)
+		clear(n.connections)
 	}
 }
 
 // Packets sets how packets fare: the parts lost and doubled, and how long each is held at the most.
-func (n *Net) Packets(loss, twice float64, delay time.Duration) {
+func (n *Network) SetPacketFaults(loss, twice float64, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.twice, n.delay = loss, twice, delay
+	n.loss, n.duplication, n.maxDelay = loss, twice, delay
 }
 
 // Dropped is how many packets were lost or cut off, of how many.
-func (n *Net) Dropped() (dropped, of int64) {
+func (n *Network) DroppedPackets() (dropped, of int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dropped, n.seen
+	return n.dropped, n.packets
 }
 
 // Wrap puts the network before a member's transport.
-func (n *Net) Wrap(t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
-	w := &wrapped{NodeAwareTransport: t, net: n, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
-		over: make(chan struct{})}
-	go w.read()
+func (n *Network) WrapTransport(t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
+	w := &faultyTransport{NodeAwareTransport: t, network: n, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
+		closed: make(chan struct{})}
+	go w.forward()
 	return w
 }
 
-type wrapped struct {
+type faultyTransport struct {
 	memberlist.NodeAwareTransport
-	net     *Net
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	over    chan struct{}
-	once    sync.Once
+	network   *Network
+	packets   chan *memberlist.Packet
+	streams   chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // fate is how often a packet arrives and after what time each.
-func (n *Net) fate(cut bool) (after []time.Duration) {
+func (n *Network) deliveryDelays(cut bool) (after []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.seen++
-	if cut || n.rng.Float64() < n.loss {
+	n.packets++
+	if cut || n.random.Float64() < n.loss {
 		n.dropped++
 		return nil
 	}
-	for copies := 1 + int(n.twice+n.rng.Float64()); copies > 0; copies-- {
+	for copies := 1 + int(n.duplication+n.random.Float64()); copies > 0; copies-- {
 		wait := time.Duration(0)
-		if n.delay > 0 {
-			wait = time.Duration(n.rng.Int64N(int64(n.delay)))
+		if n.maxDelay > 0 {
+			wait = time.Duration(n.random.Int64N(int64(n.maxDelay)))
 		}
 		after = append(after, wait)
 	}
 	return after
 }
 
-func (n *Net) cutNow() (in, out bool) {
+func (n *Network) isCut() (in, out bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.in, n.out
+	return n.inboundCut, n.outboundCut
 }
 
-func (w *wrapped) read() {
+func (w *faultyTransport) forward() {
 	for {
 		select {
-		case <-w.over:
+		case <-w.closed:
 			return
 		case p := <-w.NodeAwareTransport.PacketCh():
-			if in, _ := w.net.cutNow(); in {
-				w.net.fate(true)
+			if in, _ := w.network.isCut(); in {
+				w.network.deliveryDelays(true)
 				continue
 			}
 			select {
 			case w.packets <- p:
-			case <-w.over:
+			case <-w.closed:
 				return
 			}
 		case c := <-w.NodeAwareTransport.StreamCh():
-			if in, out := w.net.cutNow(); in || out {
+			if in, out := w.network.isCut(); in || out {
 				c.Close()
 				continue
 			}
-			w.net.hold(c)
+			w.network.trackConnection(c)
 			select {
 			case w.streams <- c:
-			case <-w.over:
+			case <-w.closed:
 				return
 			}
 		}
 	}
 }
 
-func (n *Net) hold(c net.Conn) {
+func (n *Network) trackConnection(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conns[c] = true
+	n.connections[c] = true
 }
 
-func (w *wrapped) PacketCh() <-chan *memberlist.Packet { return w.packets }
-func (w *wrapped) StreamCh() <-chan net.Conn           { return w.streams }
+func (w *faultyTransport) PacketCh() <-chan *memberlist.Packet { return w.packets }
+func (w *faultyTransport) StreamCh() <-chan net.Conn           { return w.streams }
 
-func (w *wrapped) WriteTo(b []byte, addr string) (time.Time, error) {
+func (w *faultyTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return w.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (w *wrapped) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
-	_, out := w.net.cutNow()
-	for _, wait := range w.net.fate(out) {
+func (w *faultyTransport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
+	_, out := w.network.isCut()
+	for _, wait := range w.network.deliveryDelays(out) {
 		if wait == 0 {
 			w.NodeAwareTransport.WriteToAddress(b, addr)
 			continue
@@ -155,24 +155,24 @@
 	return time.Now(), nil
 }
 
-func (w *wrapped) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (w *faultyTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return w.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (w *wrapped) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	if in, out := w.net.cutNow(); in || out {
-		return nil, errCut
+func (w *faultyTransport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	if in, out := w.network.isCut(); in || out {
+		return nil, ErrCut
 	}
 	c, err := w.NodeAwareTransport.DialAddressTimeout(addr, timeout)
 	if err == nil {
-		w.net.hold(c)
+		w.network.trackConnection(c)
 	}
 	return c, err
 }
 
 // Shutdown ends the transport first: it waits for its readers, which hand what they have to this one.
-func (w *wrapped) Shutdown() error {
+func (w *faultyTransport) Shutdown() error {
 	err := w.NodeAwareTransport.Shutdown()
-	w.once.Do(func() { close(w.over) })
+	w.closeOnce.Do(func() { close(w.closed) })
 	return err
 }
--- a/internal/testcluster/process/script.go
+++ b/internal/testcluster/process/script.go
@@ -17,9 +17,9 @@
 
 // Step is one thing done at a time.
 type Step struct {
-	At   time.Duration
-	Do   string
-	Args []string
+	At      time.Duration
+	Command string
+	Args    []string
 }
 
 // Script is what is played, in the order of its times.
@@ -29,13 +29,13 @@
 func (s Script) String() string {
 	var b strings.Builder
 	for _, one := range s {
-		fmt.Fprintf(&b, "%d %s\n", one.At.Milliseconds(), strings.Join(append([]string{one.Do}, one.Args...), " "))
+		fmt.Fprintf(&b, "%d %s\n", one.At.Milliseconds(), strings.Join(append([]string{one.Command}, one.Args...), " "))
 	}
 	return b.String()
 }
 
 // Parse reads what String prints; empty lines and those that begin with # are passed over.
-func Parse(text string) (s Script, err error) {
+func ParseScript(text string) (s Script, err error) {
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
 		f := strings.Fields(lines.Text())
@@ -43,7 +43,7 @@
 			continue
 		}
 		at, err := strconv.ParseInt(f[0], 10, 64)
-		if err != nil || len(f) < 2 || verbs[f[1]] == "" {
+		if err != nil || len(f) < 2 || commands[f[1]] == "" {
 			return nil, fmt.Errorf("line %d: %q, want a time in ms, one of the verbs, and its arguments", n, lines.Text())
 		}
 		s = append(s, Step{time.Duration(at) * time.Millisecond, f[1], f[2:]})
@@ -57,7 +57,7 @@
 }
 
 // verbs are what a step may do. Processes are named by number; whoever uses the rig may add verbs.
-var verbs = map[string]string{
+var commands = map[string]string{
 	"kill": "N: end it at once", "start": "N: start it again", "bare": "N: the same, without what it kept",
 	"stop": "N: hold it still", "cont": "N: let it go on", "term": "N: end it in order",
 	"cut":  "N M: what goes from N to M, * for all; both ways with a third word both",
@@ -65,53 +65,53 @@
 }
 
 // Verb adds one, with a line on its arguments.
-func Verb(name, help string) { verbs[name] = help }
+func RegisterCommand(name, help string) { commands[name] = help }
 
 // Shrink takes steps out of a script as long as it still fails, halves first and single steps last, and returns what is
 // left. fails plays a script; as processes in real time don't always fail alike, it may play it more than once.
-func Shrink(s Script, fails func(Script) bool) Script {
-	for size := max(1, len(s)/2); size > 0; {
+func Shrink(script Script, fails func(Script) bool) Script {
+	for size := max(1, len(script)/2); size > 0; {
 		shrunk := false
-		for from := 0; from < len(s); {
-			less := slices.Concat(s[:from], s[min(len(s), from+size):])
-			if len(less) < len(s) && fails(less) {
-				s, shrunk = less, true
+		for from := 0; from < len(script); {
+			candidate := slices.Concat(script[:from], script[min(len(script), from+size):])
+			if len(candidate) < len(script) && fails(candidate) {
+				script, shrunk = candidate, true
 			} else {
 				from += size
 			}
 		}
-		if !shrunk || size > len(s) {
+		if !shrunk || size > len(script) {
 			size /= 2
 		}
 	}
-	return s
+	return script
 }
 
 // Draw makes a script of mixed faults from a seed: about one each gap, up to an end, all mended by then.
-func Draw(seed uint64, processes int, gap, end time.Duration, also ...func(rng *rand.Rand, at time.Duration) []Step) (s Script) {
-	rng := rand.New(rand.NewPCG(seed, 6))
+func RandomScript(seed uint64, processes int, gap, end time.Duration, extraSteps ...func(random *rand.Rand, at time.Duration) []Step) (s Script) {
+	random := rand.New(rand.NewPCG(seed, 6))
 	add := func(at time.Duration, do string, args ...any) {
-		one := Step{At: min(at, end), Do: do}
+		one := Step{At: min(at, end), Command: do}
 		for _, a := range args {
 			one.Args = append(one.Args, fmt.Sprint(a))
 		}
 		s = append(s, one)
 	}
-	busy := make([]time.Duration, processes) // killed or stopped until then
+	busyUntil := make([]time.Duration, processes) // killed or stopped until then
 	for at := time.Duration(0); at < end; {
-		at += time.Duration(rng.Int64N(int64(2 * gap)))
-		n, span := rng.IntN(processes), time.Duration(rng.Int64N(int64(4*gap)))+gap/2
-		free := at >= busy[n] && at+span < end
-		switch rng.IntN(11 + len(also)) {
+		at += time.Duration(random.Int64N(int64(2 * gap)))
+		n, span := random.IntN(processes), time.Duration(random.Int64N(int64(4*gap)))+gap/2
+		free := at >= busyUntil[n] && at+span < end
+		switch random.IntN(11 + len(extraSteps)) {
 		case 0, 1:
 			if free {
-				busy[n] = at + span
+				busyUntil[n] = at + span
 				add(at, "kill", n)
-				add(at+span, []string{"start", "start", "bare"}[rng.IntN(3)], n)
+				add(at+span, []string{"start", "start", "bare"}[random.IntN(3)], n)
 			}
 		case 2, 3:
 			if free {
-				busy[n] = at + span
+				busyUntil[n] = at + span
 				add(at, "stop", n)
 				add(at+span, "cont", n)
 			}
@@ -125,23 +125,23 @@
 			add(at, "cut", n, "*", "both")
 			add(at+span, "heal")
 		case 7:
-			add(at, "cut", n, rng.IntN(processes))
+			add(at, "cut", n, random.IntN(processes))
 			add(at+span, "heal")
 		case 8, 9:
-			add(at, "fate", fmt.Sprintf("%.2f", rng.Float64()*0.4), fmt.Sprintf("%.2f", rng.Float64()*0.4),
-				fmt.Sprintf("%.3f", rng.Float64()*0.02), rng.IntN(100), fmt.Sprintf("%.2f", rng.Float64()*0.5))
+			add(at, "fate", fmt.Sprintf("%.2f", random.Float64()*0.4), fmt.Sprintf("%.2f", random.Float64()*0.4),
+				fmt.Sprintf("%.3f", random.Float64()*0.02), random.IntN(100), fmt.Sprintf("%.2f", random.Float64()*0.5))
 			add(at+span, "fate", "0.01", "0.02", "0", "2", "0.1")
 		case 10:
-			if k := rng.IntN(processes); free && at >= busy[k] && k != n { // two at once
-				busy[n], busy[k] = at+span, at+span
+			if k := random.IntN(processes); free && at >= busyUntil[k] && k != n { // two at once
+				busyUntil[n], busyUntil[k] = at+span, at+span
 				add(at, "kill", n)
 				add(at, "kill", k)
 				add(at+span, "start", n)
 				add(at+span, "start", k)
 			}
 		default:
-			k := rng.IntN(len(also))
-			s = append(s, also[k](rng, at)...)
+			k := random.IntN(len(extraSteps))
+			s = append(s, extraSteps[k](random, at)...)
 		}
 	}
 	add(end, "heal")
--- a/internal/testcluster/process/script_test.go
+++ b/internal/testcluster/process/script_test.go
@@ -9,14 +9,14 @@
 // TestScript draws, prints and reads scripts, and refuses what none is.
 func TestScript(t *testing.T) {
 	for seed := range uint64(20) {
-		s := Draw(seed, 5, time.Second, 20*time.Second)
-		again, err := Parse("# a comment\n\n" + s.String())
+		s := RandomScript(seed, 5, time.Second, 20*time.Second)
+		again, err := ParseScript("# a comment\n\n" + s.String())
 		if err != nil || again.String() != s.String() {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 	for _, text := range []string{"soon kill 1", "5", "5 dance 1"} {
-		if _, err := Parse(text); err == nil {
+		if _, err := ParseScript(text); err == nil {
 			t.Errorf("%q was read", text)
 		}
 	}
@@ -24,8 +24,8 @@
 
 // TestShrink leaves the two steps that a failure takes.
 func TestShrink(t *testing.T) {
-	s := Draw(3, 5, time.Second, 30*time.Second)
-	s = append(s, Step{At: time.Second, Do: "kill", Args: []string{"7"}}, Step{At: time.Minute, Do: "stop", Args: []string{"8"}})
+	s := RandomScript(3, 5, time.Second, 30*time.Second)
+	s = append(s, Step{At: time.Second, Command: "kill", Args: []string{"7"}}, Step{At: time.Minute, Command: "stop", Args: []string{"8"}})
 	s.sort()
 	plays := 0
 	least := Shrink(s, func(one Script) bool {
--- a/internal/testcluster/process/skew.go
+++ b/internal/testcluster/process/skew.go
@@ -8,7 +8,7 @@
 )
 
 // Skew is a machine's clock that is not right. All processes of one machine have the same.
-type Skew struct {
+type ClockSkew struct {
 	Rate   float64       // of its seconds in a true one
 	Offset time.Duration // at the true clock's zero
 	JumpAt int64         // us of the true clock at which it jumps, 0 for never
@@ -16,11 +16,11 @@
 }
 
 // True is the clock of the world, which stand-ins write down.
-func True() int64 { return leaseservice.Clock() }
+func TrueClock() int64 { return leaseservice.Clock() }
 
 // Clock is the machine's own.
-func (k Skew) Clock() int64 {
-	now := True()
+func (k ClockSkew) Clock() int64 {
+	now := TrueClock()
 	own := int64(float64(now)*k.Rate) + k.Offset.Microseconds()
 	if k.JumpAt > 0 && now >= k.JumpAt {
 		own += k.Jump.Microseconds()
@@ -29,14 +29,14 @@
 }
 
 // String prints it in a form that ParseSkew reads.
-func (k Skew) String() string {
+func (k ClockSkew) String() string {
 	return fmt.Sprintf("%.6f,%d,%d,%d", k.Rate, k.Offset.Microseconds(), k.JumpAt, k.Jump.Microseconds())
 }
 
 // ParseSkew reads it; "" is the true clock.
-func ParseSkew(text string) (k Skew, err error) {
+func ParseClockSkew(text string) (k ClockSkew, err error) {
 	if text == "" {
-		return Skew{Rate: 1}, nil
+		return ClockSkew{Rate: 1}, nil
 	}
 	var off, jump int64
 	if _, err = fmt.Sscanf(text, "%f,%d,%d,%d", &k.Rate, &off, &k.JumpAt, &jump); err != nil {
--- a/internal/testcluster/proof/duties.go
+++ b/internal/testcluster/proof/duties.go
@@ -64,7 +64,7 @@
 		}
 		os.Exit(3)
 	}()
-	return serve.Run(file, serve.TestHooks{Wrap: n.Wrap})
+	return serve.Run(file, serve.TestHooks{Wrap: n.WrapTransport})
 }
 
 // Run plays the proof and returns its closing line; the error says which limits do not hold.
--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -30,7 +30,9 @@
 	Clock, Own, File string
 }
 
-func (s *self) at() process.Self { return process.Self{File: s.File, Clock: s.Clock, Own: s.Own} }
+func (s *self) at() process.ChildOptions {
+	return process.ChildOptions{OperatorFile: s.File, Clock: s.Clock, SourceAddress: s.Own}
+}
 
 func logAll() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})))
@@ -51,7 +53,7 @@
 
 func (l *childReleases) Run() error {
 	logAll()
-	return process.Child(l.at(), nil, nil)
+	return process.RunChild(l.at(), nil, nil)
 }
 
 type holdLine struct {
--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -57,8 +57,8 @@
 }
 
 // LeaseChild is the program that the proof starts as a router: it acts under each task's lease while it has it.
-func LeaseChild(at process.Self, address, name string, bulk int) error {
-	return process.Child(at, nil, func(l *leaseservice.Service) {
+func LeaseChild(at process.ChildOptions, address, name string, bulk int) error {
+	return process.RunChild(at, nil, func(l *leaseservice.Service) {
 		for n := range bulk {
 			if _, err := l.RequestLease(lease.Request{Lease: fmt.Sprint("bulk-", n), Length: leaseLength.Microseconds()}, nil); err != nil {
 				fmt.Fprintln(os.Stderr, "no lease:", err)
@@ -79,15 +79,15 @@
 	}
 	c := resource.NewClient(address, name)
 	for ; ; time.Sleep(actEvery) {
-		if term, _ := t.Held(); term == 0 || c.Begin(task) != nil {
+		if term, _ := t.Held(); term == 0 || c.Announce(task) != nil {
 			continue
 		}
 		err := t.Do(context.Background(), actBound, func(_ context.Context, term uint64) error {
-			_, err := c.Act(term)
+			_, err := c.Execute(term)
 			return err
 		})
 		if err == nil {
-			c.Done()
+			c.Finish()
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		return err
 	}
 	c := resource.NewClient(address, holder)
-	if err := c.Run(name, term); err != nil {
+	if err := c.BeginUsage(name, term); err != nil {
 		return err
 	}
 	time.Sleep(span)
@@ -124,7 +124,7 @@
 type tribunal struct {
 	p     Leases
 	s     *cluster.Cluster
-	r     *process.Rig
+	r     *process.Harness
 	res   *resource.Server
 	rng   *rand.Rand
 	over  chan struct{}
@@ -139,7 +139,7 @@
 	if c.s, err = cluster.New(c.p.Seed, 1, 2); err != nil {
 		return err
 	}
-	if c.res, err = resource.Start(process.True); err == nil {
+	if c.res, err = resource.Start(process.TrueClock); err == nil {
 		err = c.start()
 	}
 	if err != nil {
@@ -169,7 +169,7 @@
 	if err = c.await(20 * time.Second); err != nil {
 		return "", err
 	}
-	began := process.True()
+	began := process.TrueClock()
 	script := p.Script
 	if script == nil {
 		script = p.Draw()
@@ -177,7 +177,7 @@
 	if err = c.r.Play(script); err != nil {
 		return "", err
 	}
-	faults := process.True()
+	faults := process.TrueClock()
 	if err = c.await(30 * time.Second); err != nil {
 		return "", err
 	}
@@ -193,11 +193,11 @@
 	n := c.p.Voters + c.p.Others
 	var voters []string
 	for i := range c.p.Voters {
-		voters = append(voters, process.Name(i))
+		voters = append(voters, process.ProcessName(i))
 	}
 	var machines []process.Machine
 	for i := range n {
-		skew := process.Skew{Rate: 1 + leaseDrift*(2*c.rng.Float64()-1), Offset: time.Duration(c.rng.Int64N(int64(24 * time.Hour)))}
+		skew := process.ClockSkew{Rate: 1 + leaseDrift*(2*c.rng.Float64()-1), Offset: time.Duration(c.rng.Int64N(int64(24 * time.Hour)))}
 		if i == 0 && c.p.Rate > 0 {
 			skew.Rate = c.p.Rate
 		}
@@ -206,19 +206,19 @@
 			bulk = 0
 		}
 		file := c.file(voters, 1, nil, i)
-		machines = append(machines, process.Machine{Skew: skew, File: file, Args: []string{"--acts", c.res.Address(), "--name", process.Name(i), "--bulk", strconv.Itoa(bulk)}})
+		machines = append(machines, process.Machine{Skew: skew, File: file, Args: []string{"--acts", c.res.Address(), "--name", process.ProcessName(i), "--bulk", strconv.Itoa(bulk)}})
 	}
 	c.r, err = process.New(c.p.Seed, c.s, machines, c.p.Log, c.p.Writes, "child-leases")
 	if err != nil {
 		return err
 	}
-	c.r.On("free", func(args []string) error { c.free(args[0]); return nil })
-	c.r.On("stop-hold", func(args []string) error { c.signal(args[0], syscall.SIGSTOP); return nil })
-	c.r.On("cont-hold", func(args []string) error { c.signal(args[0], syscall.SIGCONT); return nil })
-	c.r.On("stop-at", func(args []string) error { return c.at(args, "stop") })
-	c.r.On("kill-at", func(args []string) error { return c.at(args, "kill") })
-	c.r.On("voters", func(args []string) error { return c.voters(args) })
-	c.r.On("up", func(args []string) error { return c.up() })
+	c.r.HandleCommand("free", func(args []string) error { c.free(args[0]); return nil })
+	c.r.HandleCommand("stop-hold", func(args []string) error { c.signal(args[0], syscall.SIGSTOP); return nil })
+	c.r.HandleCommand("cont-hold", func(args []string) error { c.signal(args[0], syscall.SIGCONT); return nil })
+	c.r.HandleCommand("stop-at", func(args []string) error { return c.at(args, "stop") })
+	c.r.HandleCommand("kill-at", func(args []string) error { return c.at(args, "kill") })
+	c.r.HandleCommand("voters", func(args []string) error { return c.voters(args) })
+	c.r.HandleCommand("up", func(args []string) error { return c.up() })
 	for i := range n {
 		for w := range works {
 			c.done.Go(func() { c.hold(i, fmt.Sprint("work-", w)) })
@@ -228,13 +228,13 @@
 }
 
 func init() {
-	process.Verb("free", "LEASE: ask its holder to give it up")
-	process.Verb("stop-hold", "N/LEASE: hold the asker of a command still")
-	process.Verb("cont-hold", "N/LEASE: let it go on")
-	process.Verb("stop-at", "LEASE: hold the router still that has it")
-	process.Verb("kill-at", "LEASE: kill the router that has it")
-	process.Verb("voters", "NUMBER NAMES BEFORE: another set of voters in every file, names joined by commas")
-	process.Verb("up", "let every process go on, and start those that were killed")
+	process.RegisterCommand("free", "LEASE: ask its holder to give it up")
+	process.RegisterCommand("stop-hold", "N/LEASE: hold the asker of a command still")
+	process.RegisterCommand("cont-hold", "N/LEASE: let it go on")
+	process.RegisterCommand("stop-at", "LEASE: hold the router still that has it")
+	process.RegisterCommand("kill-at", "LEASE: kill the router that has it")
+	process.RegisterCommand("voters", "NUMBER NAMES BEFORE: another set of voters in every file, names joined by commas")
+	process.RegisterCommand("up", "let every process go on, and start those that were killed")
 }
 
 // file is what a machine's operator says of leases.
@@ -244,7 +244,7 @@
 		was = fmt.Sprintf("(before %s)", strings.Join(before, " "))
 	}
 	return fmt.Sprintf("(leases (longest %dms) (drift %g) %s (voters (number %d) (names %s) %s) (roll-call (every 5s)))\n(control (socket %q))",
-		leaseLength.Milliseconds(), leaseDrift*100, c.folder(i), number, strings.Join(voters, " "), was, c.s.Folder+"/"+process.Name(i)+".sock")
+		leaseLength.Milliseconds(), leaseDrift*100, c.folder(i), number, strings.Join(voters, " "), was, c.s.Folder+"/"+process.ProcessName(i)+".sock")
 }
 
 // folder is a machine's lasting place, where it has one.
@@ -252,7 +252,7 @@
 	if !c.p.Lasting {
 		return ""
 	}
-	return fmt.Sprintf("(folder %q)", c.s.Folder+"/keep-"+process.Name(i))
+	return fmt.Sprintf("(folder %q)", c.s.Folder+"/keep-"+process.ProcessName(i))
 }
 
 // voters brings another set of voters to every process.
@@ -262,7 +262,7 @@
 		return err
 	}
 	for i := range c.p.Voters + c.p.Others {
-		if err := c.r.File(i, c.file(strings.Split(args[1], ","), number, strings.Split(args[2], ","), i)); err != nil {
+		if err := c.r.WriteOperatorFile(i, c.file(strings.Split(args[1], ","), number, strings.Split(args[2], ","), i)); err != nil {
 			return err
 		}
 		c.r.Router(i).Signal(syscall.SIGHUP)
@@ -272,7 +272,7 @@
 
 // knows asks a router for what the voters know.
 func (c *tribunal) knows(i int) (o leaseservice.Overview, err error) {
-	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Command: "leases"}, &o)
+	err = adminsocket.Ask(c.r.AdminSocket(i), adminsocket.Request{Command: "leases"}, &o)
 	return o, err
 }
 
@@ -280,9 +280,9 @@
 func (p Leases) Draw() process.Script {
 	n := p.Voters + p.Others
 	step := func(at time.Duration, do string, args ...string) process.Step {
-		return process.Step{At: at, Do: do, Args: args}
+		return process.Step{At: at, Command: do, Args: args}
 	}
-	s := process.Draw(p.Seed, n, leaseLength/2, p.Span,
+	s := process.RandomScript(p.Seed, n, leaseLength/2, p.Span,
 		func(rng *rand.Rand, at time.Duration) []process.Step {
 			return []process.Step{step(at, "free", fmt.Sprint("task-", rng.IntN(tasks)))}
 		},
@@ -311,7 +311,7 @@
 	var errs []error
 	for i := range c.p.Voters + c.p.Others {
 		c.r.Router(i).Signal(syscall.SIGCONT)
-		errs = append(errs, c.r.Do(process.Step{Do: "start", Args: []string{strconv.Itoa(i)}}))
+		errs = append(errs, c.r.Execute(process.Step{Command: "start", Args: []string{strconv.Itoa(i)}}))
 	}
 	c.mu.Lock()
 	for _, one := range c.holds {
@@ -324,12 +324,12 @@
 // holder is who acted on a lease last, as the resource saw it; -1 for nobody.
 func (c *tribunal) holder(name string) int {
 	who, at := "", int64(0)
-	for _, a := range c.res.Acts() {
-		if a.Lease == name && a.Taken && a.At > at {
-			who, at = a.Holder, a.At
+	for _, a := range c.res.Operations() {
+		if a.Lease == name && a.Accepted && a.CheckedAt > at {
+			who, at = a.Holder, a.CheckedAt
 		}
 	}
-	for _, r := range c.res.Runs() {
+	for _, r := range c.res.Usages() {
 		if r.Lease == name && r.Begin > at {
 			who, at = r.Holder, r.Begin
 		}
@@ -342,8 +342,8 @@
 }
 
 func (c *tribunal) at(args []string, do string) error {
-	if n := c.holder(args[0]); n >= 0 && c.r.Up(n) {
-		return c.r.Do(process.Step{Do: do, Args: []string{strconv.Itoa(n)}})
+	if n := c.holder(args[0]); n >= 0 && c.r.IsRunning(n) {
+		return c.r.Execute(process.Step{Command: do, Args: []string{strconv.Itoa(n)}})
 	}
 	return nil
 }
@@ -365,8 +365,8 @@
 		if c.p.Unkept {
 			keep = "bad-keep"
 		}
-		cmd := exec.Command(self, "hold", "--socket", c.r.Socket(i), "--clock", c.r.Skew(i).String(), "--keeper", keep, "--length", leaseLength.String(),
-			"--acts", c.res.Address(), "--holder", process.Name(i), name)
+		cmd := exec.Command(self, "hold", "--socket", c.r.AdminSocket(i), "--clock", c.r.ClockSkew(i).String(), "--keeper", keep, "--length", leaseLength.String(),
+			"--acts", c.res.Address(), "--holder", process.ProcessName(i), name)
 		cmd.Stderr = c.p.Log
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		c.mu.Lock()
@@ -415,11 +415,11 @@
 // free asks through some router that is up.
 func (c *tribunal) free(name string) {
 	for i := range c.p.Voters + c.p.Others {
-		if !c.r.Up(i) {
+		if !c.r.IsRunning(i) {
 			continue
 		}
 		var n leaseservice.LeaseStatus
-		if adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Command: "lease-free", Name: name}, &n) == nil {
+		if adminsocket.Ask(c.r.AdminSocket(i), adminsocket.Request{Command: "lease-free", Name: name}, &n) == nil {
 			return
 		}
 	}
@@ -435,12 +435,12 @@
 		for n := range works {
 			missing[fmt.Sprint("work-", n)] = true
 		}
-		for _, r := range c.res.Runs() {
+		for _, r := range c.res.Usages() {
 			delete(missing, r.Lease)
 		}
-		since := process.True() - 500_000
-		for _, a := range c.res.Acts() {
-			if a.Taken && a.At > since {
+		since := process.TrueClock() - 500_000
+		for _, a := range c.res.Operations() {
+			if a.Accepted && a.CheckedAt > since {
 				delete(missing, a.Lease)
 			}
 		}
@@ -455,18 +455,18 @@
 
 // next is when a lease was first acted under with another term after a time; 0 for not yet.
 func (c *tribunal) next(name string, term uint64, after int64) (at int64) {
-	for _, a := range c.res.Acts() {
-		if a.Lease == name && a.Taken && a.Term > term && a.At > after && (at == 0 || a.At < at) {
-			at = a.At
+	for _, a := range c.res.Operations() {
+		if a.Lease == name && a.Accepted && a.Term > term && a.CheckedAt > after && (at == 0 || a.CheckedAt < at) {
+			at = a.CheckedAt
 		}
 	}
 	return at
 }
 
 // last is the newest act under a lease.
-func (c *tribunal) last(name string) (last resource.Act) {
-	for _, a := range c.res.Acts() {
-		if a.Lease == name && a.Taken && a.At > last.At {
+func (c *tribunal) last(name string) (last resource.Operation) {
+	for _, a := range c.res.Operations() {
+		if a.Lease == name && a.Accepted && a.CheckedAt > last.CheckedAt {
 			last = a
 		}
 	}
@@ -489,8 +489,8 @@
 		name := fmt.Sprint("task-", n%tasks)
 		was := c.last(name)
 		i := c.holder(name)
-		began := process.True()
-		if err := c.r.Do(process.Step{Do: "kill", Args: []string{strconv.Itoa(i)}}); err != nil {
+		began := process.TrueClock()
+		if err := c.r.Execute(process.Step{Command: "kill", Args: []string{strconv.Itoa(i)}}); err != nil {
 			return nil, nil, err
 		}
 		at, err := wait(name, was.Term, began)
@@ -498,7 +498,7 @@
 			return nil, nil, err
 		}
 		took = append(took, time.Duration(at-began)*time.Microsecond)
-		if err := c.r.Do(process.Step{Do: "start", Args: []string{strconv.Itoa(i)}}); err != nil {
+		if err := c.r.Execute(process.Step{Command: "start", Args: []string{strconv.Itoa(i)}}); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -507,14 +507,14 @@
 		name := fmt.Sprint("task-", n%tasks)
 		was := c.last(name)
 		c.free(name)
-		at, err := wait(name, was.Term, was.At)
+		at, err := wait(name, was.Term, was.CheckedAt)
 		if err != nil {
 			return nil, nil, err
 		}
-		gone := was.At
-		for _, a := range c.res.Acts() {
+		gone := was.CheckedAt
+		for _, a := range c.res.Operations() {
 			if a.Lease == name && a.Term == was.Term {
-				gone = max(gone, a.At)
+				gone = max(gone, a.CheckedAt)
 			}
 		}
 		handed = append(handed, time.Duration(at-gone)*time.Microsecond)
@@ -527,7 +527,7 @@
 func (c *tribunal) show() {
 	for i := range c.p.Voters + c.p.Others {
 		o, err := c.knows(i)
-		fmt.Fprintf(c.p.Writes, "%s knows: %+v %v\n", process.Name(i), o, err)
+		fmt.Fprintf(c.p.Writes, "%s knows: %+v %v\n", process.ProcessName(i), o, err)
 	}
 }
 
@@ -536,9 +536,9 @@
 	covered := int64(0)
 	for n := range tasks {
 		var at []int64
-		for _, a := range c.res.Acts() {
-			if a.Lease == fmt.Sprint("task-", n) && a.Taken && a.At >= from && a.At <= to {
-				at = append(at, a.At)
+		for _, a := range c.res.Operations() {
+			if a.Lease == fmt.Sprint("task-", n) && a.Accepted && a.CheckedAt >= from && a.CheckedAt <= to {
+				at = append(at, a.CheckedAt)
 			}
 		}
 		slices.Sort(at)
@@ -553,15 +553,15 @@
 
 // late counts the refused acts, and those among them that no stop of their process explains.
 func (c *tribunal) late() (refused, unexplained int) {
-	for _, a := range c.res.Acts() {
-		if a.Taken {
+	for _, a := range c.res.Operations() {
+		if a.Accepted {
 			continue
 		}
 		refused++
 		explained := false
-		for _, m := range c.r.Marks() {
-			does := m.Step.Do == "cont" && len(m.Step.Args) > 0 && "r"+m.Step.Args[0] == a.Holder || m.Step.Do == "up"
-			explained = explained || does && a.At >= m.At && a.At < m.At+afterStop
+		for _, m := range c.r.Played() {
+			does := m.Step.Command == "cont" && len(m.Step.Args) > 0 && "r"+m.Step.Args[0] == a.Holder || m.Step.Command == "up"
+			explained = explained || does && a.CheckedAt >= m.At && a.CheckedAt < m.At+afterStop
 		}
 		if !explained {
 			unexplained++
@@ -596,12 +596,12 @@
 	}
 	clients := map[string]int{}
 	byLease := map[string][]porcupine.Operation{}
-	for _, a := range c.res.Acts() {
+	for _, a := range c.res.Operations() {
 		if _, known := clients[a.Holder]; !known {
 			clients[a.Holder] = len(clients)
 		}
 		byLease[a.Lease] = append(byLease[a.Lease], porcupine.Operation{ClientId: clients[a.Holder], Input: in{a.Holder, a.Term},
-			Call: a.Call, Output: a.Taken, Return: a.Return})
+			Call: a.AnnouncedAt, Output: a.Accepted, Return: a.KnownAt})
 	}
 	for _, ops := range byLease {
 		if !porcupine.CheckOperations(model, ops) {
@@ -620,7 +620,7 @@
 }
 
 func (c *tribunal) judge(began, faults int64, took, handed []time.Duration) (line string, err error) {
-	runs := c.res.Runs()
+	runs := c.res.Usages()
 	pairs, longest := resource.Overlaps(runs)
 	refused, unexplained := c.late()
 	linear := c.linear()
@@ -637,7 +637,7 @@
 	if !linear {
 		wrong = append(wrong, errors.New("the acts are not linearizable"))
 	}
-	if len(runs) == 0 || len(c.res.Acts()) == 0 {
+	if len(runs) == 0 || len(c.res.Operations()) == 0 {
 		wrong = append(wrong, errors.New("nothing was done under a lease"))
 	}
 	if tookWorst > mostTakeover && !c.p.Rules {
@@ -647,10 +647,10 @@
 	if len(wrong) > 0 {
 		verdict = "FAILS"
 	}
-	packets, dropped := c.r.Relays.Counts()
+	packets, dropped := c.r.Relays.PacketCounts()
 	line = fmt.Sprintf("proof leases: %s; voters=%d processes=%d overlaps=%d (limit 0) acts=%d runs=%d acts_under_old_term=%d (refused %d, after a stop) "+
 		"linearizable=%v held_share=%.2f (under faults) takeover_s p50=%.2f worst=%.2f (limit %.1f) hand_over_ms p50=%d worst=%d (aim %d) "+
-		"packets=%d lost=%d lasting=%v seed=%d", verdict, c.p.Voters, c.p.Voters+c.p.Others, pairs, len(c.res.Acts()), len(runs), unexplained, refused,
+		"packets=%d lost=%d lasting=%v seed=%d", verdict, c.p.Voters, c.p.Voters+c.p.Others, pairs, len(c.res.Operations()), len(runs), unexplained, refused,
 		linear, share, tookHalf.Seconds(), tookWorst.Seconds(), mostTakeover.Seconds(), handHalf.Milliseconds(), handWorst.Milliseconds(),
 		aimHandOver.Milliseconds(), packets, dropped, c.p.Lasting, c.p.Seed)
 	return line, errors.Join(wrong...)
@@ -673,7 +673,7 @@
 
 // Keep is its keeper.
 func Keep(clock string, room time.Duration, command []string) (int, error) {
-	skew, err := process.ParseSkew(clock)
+	skew, err := process.ParseClockSkew(clock)
 	if err != nil {
 		return 1, err
 	}
--- a/internal/testcluster/proof/leases_test.go
+++ b/internal/testcluster/proof/leases_test.go
@@ -68,7 +68,7 @@
 
 func script(t *testing.T, text string) process.Script {
 	t.Helper()
-	s, err := process.Parse(text)
+	s, err := process.ParseScript(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,13 +185,13 @@
 			}
 		}
 	}
-	n := wait("all are held", func(n map[string]int) bool { return n[process.Name(3)]+n[process.Name(4)] == bulk })
+	n := wait("all are held", func(n map[string]int) bool { return n[process.ProcessName(3)]+n[process.ProcessName(4)] == bulk })
 	most, other := "3", 4
-	if n[process.Name(4)] > n[process.Name(3)] {
+	if n[process.ProcessName(4)] > n[process.ProcessName(3)] {
 		most, other = "4", 3
 	}
-	c.r.Do(process.Step{Do: "kill", Args: []string{most}})
+	c.r.Execute(process.Step{Command: "kill", Args: []string{most}})
 	began := time.Now()
-	wait("the other one has them", func(n map[string]int) bool { return n[process.Name(other)] == bulk })
+	wait("the other one has them", func(n map[string]int) bool { return n[process.ProcessName(other)] == bulk })
 	t.Logf("%v to a new holder of all", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/testcluster/proof/releases.go
+++ b/internal/testcluster/proof/releases.go
@@ -48,7 +48,7 @@
 type rollingOut struct {
 	p     Releases
 	s     *cluster.Cluster
-	r     *process.Rig
+	r     *process.Harness
 	over  chan struct{}
 	done  sync.WaitGroup
 	mu    sync.Mutex
@@ -81,7 +81,7 @@
 	}
 	var routers, nodes []string
 	for i := range p.Routers {
-		routers = append(routers, process.Name(i))
+		routers = append(routers, process.ProcessName(i))
 	}
 	for g := range p.Nodes {
 		nodes = append(nodes, fmt.Sprintf("s-%d%c", g%p.Groups, 'a'+(g/p.Groups+g)%3))
@@ -141,13 +141,13 @@
 func (c *rollingOut) open() (err error) {
 	var voters []string
 	for i := range c.p.Voters {
-		voters = append(voters, process.Name(i))
+		voters = append(voters, process.ProcessName(i))
 	}
 	var machines []process.Machine
 	for i := range c.p.Routers {
 		file := fmt.Sprintf("(duties (instances %d) (probe (every 500ms)))\n(leases (longest %dms) (voters (names %s)))\n(control (socket %q))\n(releases (zone %q))",
-			c.p.Routers, releaseLease.Milliseconds(), strings.Join(voters, " "), c.s.Folder+"/"+process.Name(i)+".sock", "abc"[i%3:i%3+1])
-		machines = append(machines, process.Machine{Skew: process.Skew{Rate: 1}, File: file})
+			c.p.Routers, releaseLease.Milliseconds(), strings.Join(voters, " "), c.s.Folder+"/"+process.ProcessName(i)+".sock", "abc"[i%3:i%3+1])
+		machines = append(machines, process.Machine{Skew: process.ClockSkew{Rate: 1}, File: file})
 	}
 	if c.r, err = process.New(c.p.Seed, c.s, machines, c.p.Log, c.p.Writes, "child-releases"); err != nil {
 		return err
@@ -171,7 +171,7 @@
 			return
 		case <-time.After(lookGap):
 		}
-		if code, ended := c.r.Router(i).ExitCode(); ended && code == 0 && c.r.Up(i) {
+		if code, ended := c.r.Router(i).ExitCode(); ended && code == 0 && c.r.IsRunning(i) {
 			c.out(i, true)
 			time.Sleep(200 * time.Millisecond)
 			select {
@@ -293,7 +293,7 @@
 }
 
 func (c *rollingOut) status(i int) (s rolloutservice.Status, err error) {
-	err = adminsocket.Ask(c.r.Socket(i), adminsocket.Request{Command: "fleet-status"}, &s)
+	err = adminsocket.Ask(c.r.AdminSocket(i), adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
@@ -339,7 +339,7 @@
 func (c *rollingOut) word(w rollout.Command) (err error) {
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range c.p.Routers {
-			if err = sayWord(c.r.Socket(i), w); err == nil {
+			if err = sayWord(c.r.AdminSocket(i), w); err == nil {
 				return nil
 			}
 		}
@@ -392,9 +392,9 @@
 			if err != nil || !s.Leads || len(s.Plans) == 0 || len(s.Plans[0].Holding) == 0 {
 				continue
 			}
-			c.r.Do(process.Step{Do: "kill", Args: []string{fmt.Sprint(i)}})
+			c.r.Execute(process.Step{Command: "kill", Args: []string{fmt.Sprint(i)}})
 			time.Sleep(time.Second)
-			if err := c.r.Do(process.Step{Do: "start", Args: []string{fmt.Sprint(i)}}); err != nil {
+			if err := c.r.Execute(process.Step{Command: "start", Args: []string{fmt.Sprint(i)}}); err != nil {
 				c.broken("%v", err)
 				return
 			}
@@ -406,7 +406,7 @@
 
 // faults kills and stops routers and spoils links while plans run; a killed one is started again by its supervisor.
 func (c *rollingOut) faults() {
-	script := process.Draw(c.p.Seed, c.p.Routers, 3*time.Second, 30*time.Second)
+	script := process.RandomScript(c.p.Seed, c.p.Routers, 3*time.Second, 30*time.Second)
 	if err := c.r.Play(script); err != nil {
 		c.broken("%v", err)
 	}
--- a/internal/testcluster/resource/resource.go
+++ b/internal/testcluster/resource/resource.go
@@ -14,15 +14,15 @@
 )
 
 // Act is one act that was taken or refused.
-type Act struct {
-	Lease, Holder    string
-	Term             uint64
-	Call, At, Return int64 // us: when it was announced, checked, and known to be over
-	Taken            bool
+type Operation struct {
+	Lease, Holder                   string
+	Term                            uint64
+	AnnouncedAt, CheckedAt, KnownAt int64 // us: when it was announced, checked, and known to be over
+	Accepted                        bool
 }
 
 // Run is a stretch of work that nothing checks.
-type Run struct {
+type Usage struct {
 	Lease, Holder string
 	Term          uint64
 	Begin, End    int64 // us; End 0 while it lasts
@@ -30,15 +30,15 @@
 
 // Server is the resource.
 type Server struct {
-	now  func() int64
-	ln   net.Listener
-	mu   sync.Mutex
-	acts []Act
-	runs []*Run
-	top  map[string]uint64
-	by   map[string]string
-	open map[net.Conn]bool
-	done sync.WaitGroup
+	now          func() int64
+	listener     net.Listener
+	mu           sync.Mutex
+	operations   []Operation
+	usages       []*Usage
+	highestTerm  map[string]uint64
+	holderOfTerm map[string]string
+	connections  map[net.Conn]bool
+	goroutines   sync.WaitGroup
 }
 
 // Start starts one on loopback; now is the world's clock.
@@ -47,20 +47,20 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{now: now, ln: ln, top: map[string]uint64{}, by: map[string]string{}, open: map[net.Conn]bool{}}
-	s.done.Go(func() {
+	s := &Server{now: now, listener: ln, highestTerm: map[string]uint64{}, holderOfTerm: map[string]string{}, connections: map[net.Conn]bool{}}
+	s.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			s.mu.Lock()
-			s.open[c] = true
+			s.connections[c] = true
 			s.mu.Unlock()
-			s.done.Go(func() {
+			s.goroutines.Go(func() {
 				s.serve(c)
 				s.mu.Lock()
-				delete(s.open, c)
+				delete(s.connections, c)
 				s.mu.Unlock()
 				c.Close()
 			})
@@ -70,31 +70,31 @@
 }
 
 // Address is where it listens.
-func (s *Server) Address() string { return s.ln.Addr().String() }
+func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Close ends it.
 func (s *Server) Close() {
-	s.ln.Close()
+	s.listener.Close()
 	s.mu.Lock()
-	for c := range s.open {
+	for c := range s.connections {
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.goroutines.Wait()
 }
 
 // Acts and Runs are what was written down so far.
-func (s *Server) Acts() []Act {
+func (s *Server) Operations() []Operation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.acts)
+	return slices.Clone(s.operations)
 }
 
 // Runs are the runs so far; one that lasts ends now.
-func (s *Server) Runs() (all []Run) {
+func (s *Server) Usages() (all []Usage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.runs {
+	for _, one := range s.usages {
 		r := *one
 		if r.End == 0 {
 			r.End = s.now()
@@ -107,29 +107,29 @@
 // serve takes lines: "begin LEASE HOLDER", then "act TERM", then "end", for an act; "run LEASE HOLDER TERM" for a run.
 func (s *Server) serve(c net.Conn) {
 	lines := bufio.NewScanner(c)
-	var act Act
+	var act Operation
 	for lines.Scan() {
 		f := strings.Fields(lines.Text())
 		now := s.now()
 		switch {
 		case len(f) == 3 && f[0] == "begin":
-			act = Act{Lease: f[1], Holder: f[2], Call: now}
+			act = Operation{Lease: f[1], Holder: f[2], AnnouncedAt: now}
 			fmt.Fprintln(c, "ok")
 		case len(f) == 2 && f[0] == "act" && act.Lease != "":
 			act.Term, _ = strconv.ParseUint(f[1], 10, 64)
-			if act.At = now; s.check(&act) {
+			if act.CheckedAt = now; s.accept(&act) {
 				fmt.Fprintln(c, "taken")
 			} else {
 				fmt.Fprintln(c, "refused")
 			}
-		case len(f) == 1 && f[0] == "end" && act.At > 0:
-			s.end(act, now)
-			act = Act{}
+		case len(f) == 1 && f[0] == "end" && act.CheckedAt > 0:
+			s.finish(act, now)
+			act = Operation{}
 		case len(f) == 4 && f[0] == "run":
-			r := &Run{Lease: f[1], Holder: f[2], Begin: now}
+			r := &Usage{Lease: f[1], Holder: f[2], Begin: now}
 			r.Term, _ = strconv.ParseUint(f[3], 10, 64)
 			s.mu.Lock()
-			s.runs = append(s.runs, r)
+			s.usages = append(s.usages, r)
 			s.mu.Unlock()
 			defer func() {
 				s.mu.Lock()
@@ -140,38 +140,38 @@
 			return
 		}
 	}
-	if act.At > 0 { // its process died before it knew
-		s.end(act, s.now())
+	if act.CheckedAt > 0 { // its process died before it knew
+		s.finish(act, s.now())
 	}
 }
 
 // check takes an act by its term: none under a lower one than was seen, and each term has one holder.
-func (s *Server) check(a *Act) bool {
+func (s *Server) accept(a *Operation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	top := s.top[a.Lease]
-	a.Taken = a.Term > top || a.Term == top && s.by[a.Lease] == a.Holder
-	if a.Taken {
-		s.top[a.Lease], s.by[a.Lease] = a.Term, a.Holder
+	top := s.highestTerm[a.Lease]
+	a.Accepted = a.Term > top || a.Term == top && s.holderOfTerm[a.Lease] == a.Holder
+	if a.Accepted {
+		s.highestTerm[a.Lease], s.holderOfTerm[a.Lease] = a.Term, a.Holder
 	}
-	return a.Taken
+	return a.Accepted
 }
 
-func (s *Server) end(a Act, now int64) {
-	a.Return = now
+func (s *Server) finish(a Operation, now int64) {
+	a.KnownAt = now
 	s.mu.Lock()
-	s.acts = append(s.acts, a)
+	s.operations = append(s.operations, a)
 	s.mu.Unlock()
 }
 
 // Overlaps counts the pairs of runs of one lease by different terms that lasted at one time, and the longest such time.
-func Overlaps(all []Run) (pairs int, longest int64) {
-	byLease := map[string][]Run{}
+func Overlaps(all []Usage) (pairs int, longest int64) {
+	byLease := map[string][]Usage{}
 	for _, r := range all {
 		byLease[r.Lease] = append(byLease[r.Lease], r)
 	}
 	for _, runs := range byLease {
-		slices.SortFunc(runs, func(a, b Run) int { return int(a.Begin - b.Begin) })
+		slices.SortFunc(runs, func(a, b Usage) int { return int(a.Begin - b.Begin) })
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if b.Begin >= a.End {
@@ -191,7 +191,7 @@
 type Client struct {
 	address, holder string
 	conn            net.Conn
-	in              *bufio.Reader
+	reader          *bufio.Reader
 }
 
 // NewClient makes one; holder is how the process is known.
@@ -205,13 +205,13 @@
 	}
 }
 
-func (c *Client) ask(line string) (string, error) {
+func (c *Client) send(line string) (string, error) {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.address)
 		if err != nil {
 			return "", err
 		}
-		c.conn, c.in = conn, bufio.NewReader(conn)
+		c.conn, c.reader = conn, bufio.NewReader(conn)
 	}
 	if _, err := fmt.Fprintln(c.conn, line); err != nil {
 		c.Close()
@@ -220,7 +220,7 @@
 	if line == "end" {
 		return "", nil
 	}
-	answer, err := c.in.ReadString('\n')
+	answer, err := c.reader.ReadString('\n')
 	if err != nil {
 		c.Close()
 	}
@@ -228,22 +228,22 @@
 }
 
 // Begin announces an act.
-func (c *Client) Begin(lease string) error {
-	_, err := c.ask("begin " + lease + " " + c.holder)
+func (c *Client) Announce(lease string) error {
+	_, err := c.send("begin " + lease + " " + c.holder)
 	return err
 }
 
 // Act acts under a term; it tells whether that was taken. Done follows.
-func (c *Client) Act(term uint64) (taken bool, err error) {
-	answer, err := c.ask("act " + strconv.FormatUint(term, 10))
+func (c *Client) Execute(term uint64) (taken bool, err error) {
+	answer, err := c.send("act " + strconv.FormatUint(term, 10))
 	return answer == "taken", err
 }
 
 // Done tells that the act's outcome is known.
-func (c *Client) Done() { c.ask("end") }
+func (c *Client) Finish() { c.send("end") }
 
 // Run begins a run, which lasts until the process ends.
-func (c *Client) Run(lease string, term uint64) error {
+func (c *Client) BeginUsage(lease string, term uint64) error {
 	conn, err := net.Dial("tcp", c.address)
 	if err != nil {
 		return err
