--- a/internal/testcluster/faultnet/badnet.go
+++ b/internal/testcluster/faultnet/network.go
@@ -1,5 +1,3 @@
-// Package faultnet stands between a member and the network and loses, doubles and delays what passes, or cuts it off
-// either way. It is for tests and proofs.
 package faultnet
 
 import (
@@ -12,25 +10,26 @@
 	"github.com/hashicorp/memberlist"
 )
 
+// ErrCut is what a connection attempt gets while the network is cut.
 var ErrCut = errors.New("the network is cut")
 
-// Net is one member's faulty network.
+// Network is one member's faulty network, within the member's process.
 type Network struct {
 	mu                      sync.Mutex
 	random                  *rand.Rand
-	inboundCut, outboundCut bool // cut that way
+	inboundCut, outboundCut bool // what comes in, or goes out, is dropped
 	loss, duplication       float64
 	maxDelay                time.Duration // up to which a packet is held
 	dropped, packets        int64
 	connections             map[net.Conn]bool
 }
 
-// New makes a network without faults.
+// New returns a network without faults.
 func New(seed uint64) *Network {
 	return &Network{random: rand.New(rand.NewPCG(seed, 1)), connections: map[net.Conn]bool{}}
 }
 
-// Cut cuts off what comes in, what goes out, or mends them; connections that are up end with it.
+// Cut drops what comes in, what goes out, both or neither. A cut ends the open connections.
 func (n *Network) Cut(in, out bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,21 +42,21 @@
 	}
 }
 
-// Packets sets how packets fare: the parts lost and doubled, and how long each is held at the most.
+// SetPacketFaults sets the shares of packets that are lost and duplicated, and how long each is held at most.
 func (n *Network) SetPacketFaults(loss, twice float64, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss, n.duplication, n.maxDelay = loss, twice, delay
 }
 
-// Dropped is how many packets were lost or cut off, of how many.
+// DroppedPackets returns how many packets were lost or cut off, of how many.
 func (n *Network) DroppedPackets() (dropped, of int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dropped, n.packets
 }
 
-// Wrap puts the network before a member's transport.
+// WrapTransport puts the network in front of a member's transport.
 func (n *Network) WrapTransport(t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 	w := &faultyTransport{NodeAwareTransport: t, network: n, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
 		closed: make(chan struct{})}
@@ -74,7 +73,7 @@
 	closeOnce sync.Once
 }
 
-// fate is how often a packet arrives and after what time each.
+// deliveryDelays returns one delay for each time that a packet arrives, none where it is lost.
 func (n *Network) deliveryDelays(cut bool) (after []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,7 +169,7 @@
 	return c, err
 }
 
-// Shutdown ends the transport first: it waits for its readers, which hand what they have to this one.
+// Shutdown ends the wrapped transport first: that one waits for its readers, which hand what they have to this one.
 func (w *faultyTransport) Shutdown() error {
 	err := w.NodeAwareTransport.Shutdown()
 	w.closeOnce.Do(func() { close(w.closed) })
--- a/internal/testcluster/faultnet/relay.go
+++ b/internal/testcluster/faultnet/relays.go
@@ -9,29 +9,28 @@
 	"time"
 )
 
-// Fate is how what goes over one link fares.
+// LinkFaults is what happens to the packets and streams of one link.
 type LinkFaults struct {
 	Cut          bool
-	Loss         float64       // part of the packets that never arrive
-	Duplication  float64       // part that arrives twice
-	Corruption   float64       // part, of packets or pieces of a stream, in which a bit flips
-	MaxDelay     time.Duration // up to which each packet is held, so that they pass one another
-	LateShare    float64       // part of the doubles that come up to LateBy later
+	Loss         float64       // share of the packets that never arrive
+	Duplication  float64       // share that arrives twice
+	Corruption   float64       // share, of packets or chunks of a stream, in which a bit flips
+	MaxDelay     time.Duration // up to which each packet is held, so that packets overtake one another
+	LateShare    float64       // share of the duplicates that come up to MaxLateDelay later
 	MaxLateDelay time.Duration
 }
 
-// Relays stand between processes, outside of them: each process has an address of its own from which it sends, and one
-// at which the others reach it, where a relay listens. So each ordered pair has a link, told apart by its ends, for
-// packets and for streams, and what is on its way outlives who sent it. They were chosen over a line into each process
-// that spoils what it sends itself, as Net does: there, what a process had sent dies with it, and a stopped one holds
-// up what is late.
+// Relays stand between processes, outside of them. Each process has an address of its own from which it sends, and one at
+// which the others reach it, where a relay listens. So each ordered pair of processes has a link of its own, for packets and
+// for streams. Unlike with Network, which lives in the sender's process, what a process has sent outlives it, and a stopped
+// process doesn't hold up its delayed packets.
 type Relays struct {
 	mu               sync.Mutex
 	random           *rand.Rand
 	endpoints        []endpoint
 	processByAddress map[string]int // process by the address that it sends from
 	links            map[[2]int]LinkFaults
-	changed          *sync.Cond // a link was mended
+	changed          *sync.Cond // signalled when a link changes
 	closed           bool
 	goroutines       sync.WaitGroup
 	connections      map[net.Conn]bool
@@ -40,7 +39,7 @@
 }
 
 type endpoint struct {
-	processAddress, relayAddress string // host:port each: where it listens, and where the relay does
+	processAddress, relayAddress string // host:port each: where the process listens, and where its relay does
 	udp                          *net.UDPConn
 	tcp                          net.Listener
 }
@@ -48,11 +47,11 @@
 const (
 	processNetwork = "127.77.%d.%d"
 	relayNetwork   = "127.78.%d.%d"
-	maxChunkBytes  = 16 << 10 // bytes of a stream passed on at once
+	maxChunkBytes  = 16 << 10 // of a stream, passed on at once
 	dialTimeout    = 2 * time.Second
 )
 
-// NewRelays makes relays before so many processes, all on one port.
+// NewRelays starts relays in front of that many processes, all on one port.
 func NewRelays(seed uint64, processes, port int) (r *Relays, err error) {
 	r = &Relays{random: rand.New(rand.NewPCG(seed, 5)), processByAddress: map[string]int{}, links: map[[2]int]LinkFaults{}, connections: map[net.Conn]bool{}}
 	r.changed = sync.NewCond(&r.mu)
@@ -75,13 +74,13 @@
 	return r, nil
 }
 
-// Own is where a process listens and sends from; Out is where the others reach it.
+// ProcessAddress returns where a process listens and from where it sends.
 func (r *Relays) ProcessAddress(i int) string { return r.endpoints[i].processAddress }
 
-// Out is where the others reach a process.
+// RelayAddress returns where the others reach a process.
 func (r *Relays) RelayAddress(i int) string { return r.endpoints[i].relayAddress }
 
-// Set sets how what goes from one process to another fares.
+// SetFaults sets the faults of the link from one process to another.
 func (r *Relays) SetFaults(from, to int, f LinkFaults) {
 	r.mu.Lock()
 	r.links[[2]int{from, to}] = f
@@ -89,21 +88,21 @@
 	r.changed.Broadcast()
 }
 
-// Get is how what goes from one process to another fares now.
+// Faults returns the faults of the link from one process to another.
 func (r *Relays) Faults(from, to int) LinkFaults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.links[[2]int{from, to}]
 }
 
-// Counts are the packets that came so far, and those of them that were lost.
+// PacketCounts returns the packets that came so far, and how many of them were dropped.
 func (r *Relays) PacketCounts() (packets, dropped int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.packets, r.dropped
 }
 
-// Close ends the relays.
+// Close stops the relays and ends their connections.
 func (r *Relays) Close() error {
 	r.mu.Lock()
 	r.closed = true
@@ -128,7 +127,7 @@
 	return i, known
 }
 
-// packets takes what is sent to one process.
+// relayPackets relays the packets sent to one process.
 func (r *Relays) relayPackets(to int) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -160,7 +159,7 @@
 	return r.closed
 }
 
-// fate is how often a packet arrives and after what time each; it may spoil it.
+// deliveryDelays returns one delay for each time that a packet arrives, none where it is lost. It may corrupt the packet.
 func (r *Relays) deliveryDelays(from, to int, p []byte) (after []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,7 +189,7 @@
 	return after
 }
 
-// pass sends a packet on, from where its sender is reached. What is late and meets a cut by then is lost.
+// deliver sends a packet on, from its sender's relay address. A delayed one that meets a cut by then is lost.
 func (r *Relays) deliver(from, to int, p []byte) {
 	if r.Faults(from, to).Cut {
 		return
@@ -200,7 +199,7 @@
 	}
 }
 
-// streams takes connections to one process.
+// acceptStreams accepts the connections to one process.
 func (r *Relays) acceptStreams(to int) {
 	for {
 		c, err := r.endpoints[to].tcp.Accept()
@@ -235,7 +234,7 @@
 	return true
 }
 
-// stream passes a connection on, each way as its link has it: where that is cut nothing passes until it is mended.
+// relayStream relays a connection, each way with its link's faults. Nothing passes a cut link until it is healed.
 func (r *Relays) relayStream(from, to int, c net.Conn) {
 	if !r.trackConnection(c, true) {
 		return
@@ -255,7 +254,7 @@
 	both.Wait()
 }
 
-// open waits until a link is not cut; false at the end.
+// waitUntilOpen waits until a link is not cut; it returns false where the relays are closed.
 func (r *Relays) waitUntilOpen(from, to int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testcluster/process/child.go
+++ b/internal/testcluster/process/child.go
@@ -13,16 +13,16 @@
 	"cairntiller/internal/serve"
 )
 
-// Self is what a child's command line says beside the operator's file.
+// ChildOptions is what the command line of a router process says.
 type ChildOptions struct {
 	OperatorFile  string
-	Clock         string // as Skew prints it
-	SourceAddress string // IP address from which it sends
+	Clock         string // as ClockSkew.String prints it
+	SourceAddress string // IP address from which it connects and sends
 }
 
-// Child runs a router as a process of the rig: it sends from the address it listens at, so that relays know it, has the
-// machine's clock, and ends with the one that started it. hear takes lines on standard input, nil for none; leases is
-// told of the router's part in leases, nil for nobody.
+// RunChild runs a router as a process of a harness and returns when it ends. It sends from the address at which it listens, so
+// that relays know it, has its machine's clock, and exits when its parent does. handleLine gets each line of standard input
+// and may be nil; onLeaseService gets the router's lease service and may be nil.
 func RunChild(options ChildOptions, handleLine func(line string), onLeaseService func(*leaseservice.Service)) error {
 	skew, err := ParseClockSkew(options.Clock)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return serve.Run(options.OperatorFile, serve.TestHooks{Wrap: wrapTransport, Clock: skew.Clock, Leases: onLeaseService})
 }
 
-// source lets connections go out from the address at which a member listens.
+// sourceBoundTransport opens connections from the address at which the member listens.
 type sourceBoundTransport struct {
 	memberlist.NodeAwareTransport
 	address net.IP
--- a/internal/testcluster/process/skew.go
+++ b/internal/testcluster/process/clock_skew.go
@@ -7,18 +7,18 @@
 	"cairntiller/internal/leaseservice"
 )
 
-// Skew is a machine's clock that is not right. All processes of one machine have the same.
+// ClockSkew is how a machine's clock differs from the true one. All processes of one machine have the same.
 type ClockSkew struct {
-	Rate   float64       // of its seconds in a true one
+	Rate   float64       // its seconds in a true second
 	Offset time.Duration // at the true clock's zero
 	JumpAt int64         // us of the true clock at which it jumps, 0 for never
 	Jump   time.Duration
 }
 
-// True is the clock of the world, which stand-ins write down.
+// TrueClock is the clock by which the test cluster records what happened, in us of Unix time.
 func TrueClock() int64 { return leaseservice.Clock() }
 
-// Clock is the machine's own.
+// Clock is the machine's own clock, in us of Unix time.
 func (k ClockSkew) Clock() int64 {
 	now := TrueClock()
 	own := int64(float64(now)*k.Rate) + k.Offset.Microseconds()
@@ -28,12 +28,12 @@
 	return own
 }
 
-// String prints it in a form that ParseSkew reads.
+// String prints the clock in the form that ParseClockSkew reads.
 func (k ClockSkew) String() string {
 	return fmt.Sprintf("%.6f,%d,%d,%d", k.Rate, k.Offset.Microseconds(), k.JumpAt, k.Jump.Microseconds())
 }
 
-// ParseSkew reads it; "" is the true clock.
+// ParseClockSkew reads what ClockSkew.String prints; "" is the true clock.
 func ParseClockSkew(text string) (k ClockSkew, err error) {
 	if text == "" {
 		return ClockSkew{Rate: 1}, nil
@@ -42,6 +42,7 @@
 	if _, err = fmt.Sscanf(text, "%f,%d,%d,%d", &k.Rate, &off, &k.JumpAt, &jump); err != nil {
 		return k, fmt.Errorf("clock %q: %w", text, err)
 	}
-	k.Offset, k.Jump = time.Duration(off)*time.Microsecond, time.Duration(jump)*time.Microsecond
+	k.Offset = time.Duration(off) * time.Microsecond
+	k.Jump = time.Duration(jump) * time.Microsecond
 	return k, nil
 }
--- a/internal/testcluster/process/rig.go
+++ b/internal/testcluster/process/harness.go
@@ -18,19 +18,19 @@
 	"cairntiller/internal/testcluster/faultnet"
 )
 
-// LateBy is how late a packet may be that is very late.
+// MaxPacketDelay bounds the delay of a duplicate that comes very late: over any timeout of the protocols under test.
 const MaxPacketDelay = time.Minute
 
-// Rig is router processes in front of one site.
+// Harness is router processes in front of one test cluster, and the faulty links between them.
 type Harness struct {
 	Cluster         *cluster.Cluster
 	Relays          *faultnet.Relays
 	Folder          string
 	Log             io.Writer
-	Progress        io.Writer // what is done, as it is done
+	Progress        io.Writer // gets a line for each step as it is played, nil for none
 	clocks          []ClockSkew
 	routers         []*cluster.Router
-	membershipParts []string // each process's part fleet of the operator's file
+	membershipParts []string // each process's part (fleet ...) of the operator's file
 	handlers        map[string]func(args []string) error
 
 	mu     sync.Mutex
@@ -38,21 +38,21 @@
 	ended  []bool
 }
 
-// Mark is a step that was played, at the world's time.
+// PlayedStep is a step that was played, and when by the true clock, in us.
 type PlayedStep struct {
 	At   int64
 	Step Step
 }
 
-// Machine is one process's place: its clock and what its operator's file says beside the fleet's part.
+// Machine is where one process runs: its clock, and what its operator's file says beside the part (fleet ...).
 type Machine struct {
 	Skew ClockSkew
 	File string   // parts of the operator's file beside fleet
-	Args []string // of the child beside the rig's own
+	Args []string // of the child beside the harness's own
 }
 
-// New starts a site's routers, one on each machine, all members of one fleet by relays. child begins the arguments with
-// which this program is a router, as Child reads them.
+// New starts a router on each machine, all of them members of one fleet that talk through relays. child is the beginning of
+// the arguments with which this program runs a router, as RunChild reads them.
 func New(seed uint64, testCluster *cluster.Cluster, machines []Machine, log, progress io.Writer, child ...string) (h *Harness, err error) {
 	h = &Harness{Cluster: testCluster, Folder: testCluster.Folder, Log: log, Progress: progress, handlers: map[string]func([]string) error{}, ended: make([]bool, len(machines))}
 	address, err := cluster.FreeAddress()
@@ -93,37 +93,37 @@
 	return h, nil
 }
 
-// Name is a process's name.
+// ProcessName returns a process's name.
 func ProcessName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// Keep is a folder that lasts through a process's starts.
+// StateFolder returns a folder that outlives the process's restarts.
 func (r *Harness) StateFolder(i int) string { return filepath.Join(r.Folder, "keep-"+ProcessName(i)) }
 
-// Socket is where a process listens for operators, if its file says so.
+// AdminSocket returns where a process listens for operators, if its file says so.
 func (r *Harness) AdminSocket(i int) string { return filepath.Join(r.Folder, ProcessName(i)+".sock") }
 
-// File replaces a process's operator's file beside the fleet's part; SIGHUP or its next start reads it.
+// WriteOperatorFile replaces a process's operator's file but for the part (fleet ...). SIGHUP or its next start reads it.
 func (r *Harness) WriteOperatorFile(i int, text string) error {
 	return r.routers[i].WriteOperatorFile(r.membershipParts[i] + text)
 }
 
-// Router is a process.
+// Router returns a process.
 func (r *Harness) Router(i int) *cluster.Router { return r.routers[i] }
 
-// Skew is a machine's clock.
+// ClockSkew returns a machine's clock.
 func (r *Harness) ClockSkew(i int) ClockSkew { return r.clocks[i] }
 
-// On sets who does a verb that the rig does not know.
+// HandleCommand sets who executes a command that the harness does not know.
 func (r *Harness) HandleCommand(verb string, do func(args []string) error) { r.handlers[verb] = do }
 
-// Marks are the steps that were played.
+// Played returns the steps that were played so far.
 func (r *Harness) Played() []PlayedStep {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]PlayedStep(nil), r.played...)
 }
 
-// Close ends all processes.
+// Close kills all processes and stops the relays.
 func (r *Harness) Close() error {
 	for _, one := range r.routers {
 		one.Kill()
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// Play plays a script; its times count from now.
+// Play plays a script, whose times count from now, and returns when all steps are over, with their errors joined.
 func (r *Harness) Play(s Script) error {
 	began := time.Now()
 	var wg sync.WaitGroup
@@ -164,7 +164,7 @@
 	r.mu.Unlock()
 }
 
-// Do does one step now.
+// Execute executes one step now.
 func (r *Harness) Execute(one Step) error {
 	if do := r.handlers[one.Command]; do != nil {
 		return do(one.Args)
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// down notes whether a process was ended; it tells what it was before.
+// setEnded notes whether a step has ended a process, and returns what it was before.
 func (r *Harness) setEnded(n int, to bool) (was bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -216,7 +216,7 @@
 	return was
 }
 
-// Up tells whether a process was not ended by a step.
+// IsRunning reports whether no step has ended the process.
 func (r *Harness) IsRunning(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testcluster/process/script.go
+++ b/internal/testcluster/process/script.go
@@ -1,7 +1,3 @@
-// Package process starts many router processes before stand-in nodes and plays faults between them from outside: links that
-// are cut one way or both, that lose, double, delay, spoil or bring very late what passes; processes that are killed,
-// stopped, continued and started anew, with or without what they kept; clocks that are off, drift and jump. What is
-// played is a script, a value that can be printed, read, replayed and shrunk. The truth is what stand-ins wrote down.
 package process
 
 import (
@@ -15,17 +11,17 @@
 	"time"
 )
 
-// Step is one thing done at a time.
+// Step is one command of a script and when it is executed.
 type Step struct {
 	At      time.Duration
 	Command string
 	Args    []string
 }
 
-// Script is what is played, in the order of its times.
+// Script is the steps to play, in the order of their times.
 type Script []Step
 
-// String prints a script, a step a line: the time in ms, what is done, and to whom.
+// String prints a script, one step a line: the time in ms, the command, its arguments.
 func (s Script) String() string {
 	var b strings.Builder
 	for _, one := range s {
@@ -34,7 +30,7 @@
 	return b.String()
 }
 
-// Parse reads what String prints; empty lines and those that begin with # are passed over.
+// ParseScript reads what Script.String prints. Empty lines and lines that begin with # are ignored.
 func ParseScript(text string) (s Script, err error) {
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
@@ -56,7 +52,7 @@
 	slices.SortStableFunc(s, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 }
 
-// verbs are what a step may do. Processes are named by number; whoever uses the rig may add verbs.
+// commands are what a step may do, each with its arguments. Processes are given by number.
 var commands = map[string]string{
 	"kill": "N: end it at once", "start": "N: start it again", "bare": "N: the same, without what it kept",
 	"stop": "N: hold it still", "cont": "N: let it go on", "term": "N: end it in order",
@@ -64,11 +60,11 @@
 	"heal": "mend all links", "fate": "LOSS TWICE CORRUPT DELAY_MS LATE: of all links",
 }
 
-// Verb adds one, with a line on its arguments.
+// RegisterCommand adds a command, with a line on its arguments. Harness.HandleCommand says who executes it.
 func RegisterCommand(name, help string) { commands[name] = help }
 
-// Shrink takes steps out of a script as long as it still fails, halves first and single steps last, and returns what is
-// left. fails plays a script; as processes in real time don't always fail alike, it may play it more than once.
+// Shrink removes steps from a script as long as it still fails, halves first and single steps last, and returns what is left.
+// fails plays a script; because processes in real time don't always fail alike, it may play it more than once.
 func Shrink(script Script, fails func(Script) bool) Script {
 	for size := max(1, len(script)/2); size > 0; {
 		shrunk := false
@@ -87,7 +83,8 @@
 	return script
 }
 
-// Draw makes a script of mixed faults from a seed: about one each gap, up to an end, all mended by then.
+// RandomScript returns a script of mixed faults drawn from a seed: about one each gap, up to an end at which all links are
+// healed. extraSteps draw further kinds of steps.
 func RandomScript(seed uint64, processes int, gap, end time.Duration, extraSteps ...func(random *rand.Rand, at time.Duration) []Step) (s Script) {
 	random := rand.New(rand.NewPCG(seed, 6))
 	add := func(at time.Duration, do string, args ...any) {
@@ -97,7 +94,7 @@
 		}
 		s = append(s, one)
 	}
-	busyUntil := make([]time.Duration, processes) // killed or stopped until then
+	busyUntil := make([]time.Duration, processes) // a process is killed or stopped until then
 	for at := time.Duration(0); at < end; {
 		at += time.Duration(random.Int64N(int64(2 * gap)))
 		n, span := random.IntN(processes), time.Duration(random.Int64N(int64(4*gap)))+gap/2
@@ -115,7 +112,7 @@
 				add(at, "stop", n)
 				add(at+span, "cont", n)
 			}
-		case 4: // heard by nobody, or hearing nobody
+		case 4: // the process hears everybody and is heard by nobody; then the other way round
 			add(at, "cut", n, "*")
 			add(at+span, "heal")
 		case 5:
--- a/internal/testcluster/resource/resource.go
+++ b/internal/testcluster/resource/resource.go
@@ -1,6 +1,6 @@
-// Package resource is a stand-in for what must be acted on by one process at a time. It writes down every act by the
-// world's clock: single acts, which it takes or refuses by the term that comes along, and runs, which last as long as
-// their connection and which it can't check.
+// Package resource simulates what a lease protects: something that only one process at a time may use. It records, by the
+// true clock, each single operation, which it accepts or refuses by its term (a fencing token), and each usage, which lasts as
+// long as its connection and isn't checked, so that overlaps show.
 package resource
 
 import (
@@ -13,7 +13,7 @@
 	"sync"
 )
 
-// Act is one act that was taken or refused.
+// Operation is one operation that was accepted or refused.
 type Operation struct {
 	Lease, Holder                   string
 	Term                            uint64
@@ -21,14 +21,14 @@
 	Accepted                        bool
 }
 
-// Run is a stretch of work that nothing checks.
+// Usage is a stretch of time in which a process used the resource, with no check.
 type Usage struct {
 	Lease, Holder string
 	Term          uint64
 	Begin, End    int64 // us; End 0 while it lasts
 }
 
-// Server is the resource.
+// Server is the resource. It listens on loopback.
 type Server struct {
 	now          func() int64
 	listener     net.Listener
@@ -41,7 +41,7 @@
 	goroutines   sync.WaitGroup
 }
 
-// Start starts one on loopback; now is the world's clock.
+// Start starts a resource; now is the true clock, in us.
 func Start(now func() int64) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,10 +69,10 @@
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns where it listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends it.
+// Close stops the resource and waits for its connections.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -83,14 +83,14 @@
 	s.goroutines.Wait()
 }
 
-// Acts and Runs are what was written down so far.
+// Operations returns the operations recorded so far.
 func (s *Server) Operations() []Operation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.operations)
 }
 
-// Runs are the runs so far; one that lasts ends now.
+// Usages returns the usages recorded so far; one that lasts ends now.
 func (s *Server) Usages() (all []Usage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	return all
 }
 
-// serve takes lines: "begin LEASE HOLDER", then "act TERM", then "end", for an act; "run LEASE HOLDER TERM" for a run.
+// serve reads lines: "begin LEASE HOLDER", then "act TERM", then "end", for an operation; "run LEASE HOLDER TERM" for a usage.
 func (s *Server) serve(c net.Conn) {
 	lines := bufio.NewScanner(c)
 	var act Operation
@@ -145,7 +145,7 @@
 	}
 }
 
-// check takes an act by its term: none under a lower one than was seen, and each term has one holder.
+// accept decides on an operation by its term: it refuses a lower one than it has seen, and a second holder of the same term.
 func (s *Server) accept(a *Operation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +164,8 @@
 	s.mu.Unlock()
 }
 
-// Overlaps counts the pairs of runs of one lease by different terms that lasted at one time, and the longest such time.
+// Overlaps counts the pairs of usages under one lease, by different terms or holders, that lasted at the same time, and returns
+// the longest overlap in us.
 func Overlaps(all []Usage) (pairs int, longest int64) {
 	byLease := map[string][]Usage{}
 	for _, r := range all {
@@ -187,17 +188,17 @@
 	return pairs, longest
 }
 
-// Client is a process's way to the resource.
+// Client is one process's connection to the resource.
 type Client struct {
 	address, holder string
 	conn            net.Conn
 	reader          *bufio.Reader
 }
 
-// NewClient makes one; holder is how the process is known.
+// NewClient returns a client that connects with its first call; holder names the process.
 func NewClient(address, holder string) *Client { return &Client{address: address, holder: holder} }
 
-// Close ends its connection.
+// Close closes the connection.
 func (c *Client) Close() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -227,22 +228,22 @@
 	return strings.TrimSpace(answer), err
 }
 
-// Begin announces an act.
+// Announce announces an operation; Execute and Finish follow.
 func (c *Client) Announce(lease string) error {
 	_, err := c.send("begin " + lease + " " + c.holder)
 	return err
 }
 
-// Act acts under a term; it tells whether that was taken. Done follows.
+// Execute executes the operation under a term and reports whether it was accepted. Finish follows.
 func (c *Client) Execute(term uint64) (taken bool, err error) {
 	answer, err := c.send("act " + strconv.FormatUint(term, 10))
 	return answer == "taken", err
 }
 
-// Done tells that the act's outcome is known.
+// Finish notes that the operation's outcome is known.
 func (c *Client) Finish() { c.send("end") }
 
-// Run begins a run, which lasts until the process ends.
+// BeginUsage begins a usage, which lasts until the process ends.
 func (c *Client) BeginUsage(lease string, term uint64) error {
 	conn, err := net.Dial("tcp", c.address)
 	if err != nil {
