--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -305,11 +305,11 @@
 	ask(c, "1", "look", "5000")
 	<-replica.Queries
 	r.front.BeginDrain()
-	before := counted("commands while leaving")
+	before := counted("commands while draining")
 	for i := range 3 {
 		ask(c, fmt.Sprint("late", i), "look", "5000")
 	}
-	for counted("commands while leaving") < before+3 {
+	for counted("commands while draining") < before+3 {
 		time.Sleep(time.Millisecond)
 	}
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
--- /dev/null
+++ b/internal/frontend/cancel.go
@@ -0,0 +1,32 @@
+package frontend
+
+import "cairntiller/internal/pgwire"
+
+// cancel ends the command that is next to be answered on a session, by the key that its client was given. cancelledAt is
+// when the cancel's own connection came.
+func (s *Server) cancel(number, secret uint32, cancelledAt int64) {
+	s.mu.Lock()
+	c := s.sessions[number]
+	s.mu.Unlock()
+	if c == nil || c.secret != secret || !c.cancelNext(cancelledAt) {
+		cancelsWithoutCommand.Add()
+	}
+}
+
+// cancelNext ends the command that is next to be answered, and returns whether there was one. A command that came behind
+// the cancel's connection is not meant: its client has had the answer that the cancel crossed.
+func (c *session) cancelNext(cancelledAt int64) bool {
+	c.mu.Lock()
+	if len(c.answers) == 0 || c.answers[0].request == nil || c.answers[0].arrivedAt >= cancelledAt {
+		c.mu.Unlock()
+		return false
+	}
+	next := c.answers[0]
+	next.bytes = pgwire.AppendError(nil, false, pgwire.CodeCanceled, "canceling statement due to user request", 0)
+	c.releaseCommand(next.request)
+	c.flush()
+	c.mu.Unlock()
+	cancelledCommands.Add()
+	c.server.intake.ClientGone(c.server.now(), next.request)
+	return true
+}
--- /dev/null
+++ b/internal/frontend/metrics.go
@@ -0,0 +1,20 @@
+package frontend
+
+import "cairntiller/internal/metrics"
+
+// The counters of this package, in the order in which they are printed.
+var (
+	acceptedConnections   = metrics.New("client connections")
+	evictedConnections    = metrics.New("client connections evicted")
+	connectionsOverLimit  = metrics.New("client connections over limit")
+	commandsOverLimits    = metrics.New("commands over in-flight limits")
+	idleClosedConnections = metrics.New("client connections closed idle")
+	timedOutConnections   = metrics.New("client connections timed out")
+	malformedStreams      = metrics.New("client streams malformed")
+	rejectedQueries       = metrics.New("queries rejected")
+	emptyQueries          = metrics.New("empty queries")
+	readsAfterClose       = metrics.New("reads after close")
+	cancelledCommands     = metrics.New("commands cancelled")
+	cancelsWithoutCommand = metrics.New("cancels without a command")
+	commandsWhileDraining = metrics.New("commands while draining")
+)
--- /dev/null
+++ b/internal/frontend/server.go
@@ -0,0 +1,113 @@
+package frontend
+
+import (
+	"context"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"cairntiller/internal/inflight"
+	"cairntiller/internal/pgwire"
+)
+
+// Server accepts clients' connections. Its methods may be called from any goroutine.
+type Server struct {
+	now           func() int64 // the router's clock, us
+	intake        inflight.Intake
+	groupNumbers  map[string]int // command groups by name
+	tenantNumbers map[string]int // tenants by name
+	limits        limits
+
+	ready    atomic.Bool
+	draining atomic.Bool // the router is about to end
+
+	inFlightBytes atomic.Int64 // of commands and answers on all connections
+	partialBytes  atomic.Int64 // of messages that have begun to arrive, on all connections
+
+	mu         sync.Mutex
+	sessions   map[uint32]*session // by number
+	lastNumber uint32
+}
+
+// New makes a server that knows command groups and tenants by name. It holds maxConnections connections at most, and
+// uses a part of memoryLimit bytes for what is in flight.
+func New(now func() int64, intake inflight.Intake, groupNumbers, tenantNumbers map[string]int, maxConnections int, memoryLimit int64) *Server {
+	return &Server{
+		now:           now,
+		intake:        intake,
+		groupNumbers:  groupNumbers,
+		tenantNumbers: tenantNumbers,
+		limits:        newLimits(maxConnections, memoryLimit),
+		sessions:      map[uint32]*session{},
+	}
+}
+
+// SetReady lets commands be taken from now on. Before, each is rejected as the router is starting up.
+func (s *Server) SetReady() { s.ready.Store(true) }
+
+// Serve accepts connections; it returns only when that fails.
+func (s *Server) Serve(ln net.Listener) error {
+	accept := func(c netpoll.Connection) context.Context {
+		s.accept(c)
+		return context.Background()
+	}
+	ignoreRequest := func(context.Context, netpoll.Connection) error { return nil } // sessions read for themselves
+	loop, err := netpoll.NewEventLoop(ignoreRequest, netpoll.WithOnPrepare(accept))
+	if err != nil {
+		return err
+	}
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	go func() {
+		for range ticker.C {
+			s.sweep()
+		}
+	}()
+	return loop.Serve(ln)
+}
+
+// accept takes a new connection. Where all places are taken it closes another session for it; where none may be closed
+// the newcomer is rejected.
+func (s *Server) accept(nc netpoll.Connection) {
+	acceptedConnections.Add()
+	newcomer := newSession(s, nc)
+	s.mu.Lock()
+	s.lastNumber++
+	newcomer.number = s.lastNumber
+	room := s.findRoom()
+	s.sessions[newcomer.number] = newcomer
+	s.mu.Unlock()
+	if room.closeEnded != nil {
+		room.closeEnded.stream.Close()
+	}
+	if room.evict != nil {
+		evictedConnections.Add()
+		room.evict.evict()
+	}
+	newcomer.start()
+	if room.none {
+		connectionsOverLimit.Add()
+		newcomer.sendFatalError(pgwire.CodeRejected, "too many connections")
+	}
+}
+
+// allSessions lists the sessions.
+func (s *Server) allSessions() []*session {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all := make([]*session, 0, len(s.sessions))
+	for _, c := range s.sessions {
+		all = append(all, c)
+	}
+	return all
+}
+
+// forget takes a session that has ended off the list.
+func (s *Server) forget(number uint32) {
+	s.mu.Lock()
+	delete(s.sessions, number)
+	s.mu.Unlock()
+}
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -11,10 +11,10 @@
 	"cairntiller/internal/pgwire"
 )
 
-// scriptedTaker gives each command the ending that its id names, at once.
-type scriptedTaker struct{}
+// scriptedIntake gives each command the ending that its id names, at once.
+type scriptedIntake struct{}
 
-func (scriptedTaker) Submit(_ int64, x *inflight.Request) {
+func (scriptedIntake) Submit(_ int64, x *inflight.Request) {
 	switch x.Command.ID {
 	case "answer":
 		x.Answer([]byte("T\x00\x00\x00\x1d\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00D\x00\x00\x00\x0d\x00\x01\x00\x00\x00\x03abcC\x00\x00\x00\x0dSELECT 1\x00"))
@@ -25,7 +25,7 @@
 	}
 }
 
-func (scriptedTaker) ClientGone(int64, *inflight.Request) {}
+func (scriptedIntake) ClientGone(int64, *inflight.Request) {}
 
 // wireBytes is what a client receives on one connection, recorded from the code as it was before its rewrite for
 // readability; the eight bytes of the cancel key are random and stand as zeros.
@@ -48,7 +48,7 @@
 func TestBytesThatAClientReceives(t *testing.T) {
 	start := time.Now()
 	now := func() int64 { return time.Since(start).Microseconds() + 1 }
-	f := New(now, scriptedTaker{}, map[string]int{"look": 0}, map[string]int{"acme": 0}, 32, 32<<20)
+	f := New(now, scriptedIntake{}, map[string]int{"look": 0}, map[string]int{"acme": 0}, 32, 32<<20)
 	f.SetReady()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
