--- /dev/null
+++ b/internal/supervisor/children.go
@@ -0,0 +1,58 @@
+package supervisor
+
+import (
+	"os"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+)
+
+const (
+	// childCheckInterval is the time between looks whether the command's children are gone.
+	childCheckInterval = 20 * time.Millisecond
+	// maxChildChecks bounds the looks to ten seconds: a process that the system can't end must not keep the supervisor.
+	maxChildChecks = 500
+)
+
+// killGroup kills the command's group, and whoever else has become this process's child, until there is none.
+func killGroup(group int) {
+	syscall.Kill(-group, syscall.SIGKILL)
+	for range maxChildChecks {
+		all := children()
+		for _, pid := range all {
+			syscall.Kill(pid, syscall.SIGKILL)
+		}
+		reapOthers(group)
+		if len(all) == 0 {
+			return
+		}
+		time.Sleep(childCheckInterval)
+	}
+}
+
+// reapOthers takes the ends of children that were left behind; the command itself is waited for elsewhere.
+func reapOthers(command int) {
+	for _, pid := range children() {
+		if pid != command {
+			syscall.Wait4(pid, nil, syscall.WNOHANG, nil)
+		}
+	}
+}
+
+// children are this process's children, as the system tells.
+func children() (pids []int) {
+	threads, _ := os.ReadDir("/proc/self/task")
+	for _, thread := range threads {
+		raw, err := os.ReadFile("/proc/self/task/" + thread.Name() + "/children")
+		if err != nil {
+			continue
+		}
+		for _, field := range strings.Fields(string(raw)) {
+			if pid, err := strconv.Atoi(field); err == nil {
+				pids = append(pids, pid)
+			}
+		}
+	}
+	return pids
+}
--- /dev/null
+++ b/internal/supervisor/doc.go
@@ -0,0 +1,15 @@
+// Package supervisor runs an operator's command under a lease and sees to it that the command is over before the lease
+// can pass on, whatever becomes of who asked for it.
+//
+// Three processes take part. The router holds the lease and tells until when. The asker (cairntiller lease hold,
+// RunWithLease) passes that on. The supervisor (Supervise) is a process between the asker and the command: it is told the
+// end of the command's time over its standard input, and ends the command and all that came of it before that time is
+// over. A timer within the asker would stop with the asker; this one ends the command though both others be stopped or
+// dead, and a command that was stopped is killed all the same.
+//
+// The command's states, as the supervisor sees them:
+//
+//	running ──the grace period begins, "end", or the asker is gone──▶ told to end (SIGTERM)
+//	told to end ──half of the grace period is over──────────────────▶ killed, with all that it left behind
+//	any ──it ends by itself─────────────────────────────────────────▶ what it left behind is killed
+package supervisor
--- /dev/null
+++ b/internal/supervisor/lease.go
@@ -0,0 +1,194 @@
+package supervisor
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"os/signal"
+	"strconv"
+	"syscall"
+	"time"
+
+	"cairntiller/internal/adminsocket"
+	"cairntiller/internal/leaseservice"
+)
+
+// defaultLeaseLength is that of a lease which a command holds, unless it is said.
+const defaultLeaseLength = 10 * time.Second
+
+// ErrRequestEnded tells that the router ended the request before the lease was held.
+var ErrRequestEnded = errors.New("the router ended the request")
+
+// Options are how a command's lease is wanted; zero values stand for the defaults.
+type Options struct {
+	Length     time.Duration
+	YieldAfter time.Duration // time held after which it yields to others who wait
+	Wait       time.Duration // for the lease, before giving up
+	Priority   int
+}
+
+// length is that of the lease.
+func (o Options) length() time.Duration {
+	if o.Length > 0 {
+		return o.Length
+	}
+	return defaultLeaseLength
+}
+
+// arguments are the options as the router reads them.
+func (o Options) arguments() map[string]string {
+	args := map[string]string{"priority": strconv.Itoa(o.Priority)}
+	if o.Length > 0 {
+		args["length_us"] = strconv.FormatInt(o.Length.Microseconds(), 10)
+	}
+	if o.YieldAfter > 0 {
+		args["turn_us"] = strconv.FormatInt(o.YieldAfter.Microseconds(), 10)
+	}
+	return args
+}
+
+// RunWithLease waits for a lease, runs a command while it is held, and returns the command's exit code or one of the Exit
+// codes. supervise is the program and arguments that start the supervisor's process, which calls Supervise.
+func RunWithLease(socket, lease string, options Options, supervise, command []string) (code int, err error) {
+	request, err := requestLease(socket, lease, options)
+	if err != nil {
+		return ExitNotStarted, err
+	}
+	defer request.close()
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
+	held, err := request.await(options.Wait, signals)
+	if err != nil {
+		return ExitNotStarted, err
+	}
+	if held == nil {
+		return ExitNotAcquired, nil
+	}
+	child, err := startSupervisor(lease, *held, GracePeriod(options.length()), supervise, command)
+	if err != nil {
+		return ExitNotStarted, err
+	}
+	return request.follow(child, held.Term, signals), nil
+}
+
+// leaseRequest is a request for a lease that a router carries out.
+type leaseRequest struct {
+	lease   string
+	call    *adminsocket.Call
+	updates chan leaseservice.HoldUpdate
+	ended   chan error // the router's side of the call, once
+	closed  chan struct{}
+}
+
+// requestLease asks a router for a lease and begins to read what it tells.
+func requestLease(socket, lease string, options Options) (*leaseRequest, error) {
+	call, err := adminsocket.Dial(socket, adminsocket.Request{Command: "lease-hold", Name: lease, Args: options.arguments()})
+	if err != nil {
+		return nil, err
+	}
+	r := &leaseRequest{
+		lease:   lease,
+		call:    call,
+		updates: make(chan leaseservice.HoldUpdate),
+		ended:   make(chan error, 1),
+		closed:  make(chan struct{}),
+	}
+	go r.read()
+	return r, nil
+}
+
+// read passes on what the router tells, until it or this side ends the call.
+func (r *leaseRequest) read() {
+	for {
+		var update leaseservice.HoldUpdate
+		more, err := r.call.ReadLine(&update)
+		if !more {
+			r.ended <- err
+			return
+		}
+		select {
+		case r.updates <- update:
+		case <-r.closed:
+			return
+		}
+	}
+}
+
+func (r *leaseRequest) close() {
+	close(r.closed)
+	r.call.Close()
+}
+
+// await waits until the lease is held. It returns nil where it was not in time, or a signal came first.
+func (r *leaseRequest) await(most time.Duration, signals <-chan os.Signal) (*leaseservice.HoldUpdate, error) {
+	var timeout <-chan time.Time
+	if most > 0 {
+		timeout = time.After(most)
+	}
+	for {
+		select {
+		case update := <-r.updates:
+			if update.Change == leaseservice.Acquired.String() {
+				return &update, nil
+			}
+		case err := <-r.ended:
+			return nil, errors.Join(ErrRequestEnded, err)
+		case <-timeout:
+			return nil, nil
+		case <-signals:
+			return nil, nil
+		}
+	}
+}
+
+// follow tells the supervisor what becomes of the lease until the command has ended, and returns its exit code. A router
+// that ends the call does not end the command: what it told last holds until then.
+func (r *leaseRequest) follow(child *supervisorProcess, term uint64, signals <-chan os.Signal) (code int) {
+	ended := r.ended
+	for {
+		select {
+		case update := <-r.updates:
+			r.passOn(child, term, update)
+		case <-ended:
+			ended = nil
+		case <-signals:
+			child.tell(endMessage)
+		case code := <-child.exitCode:
+			if ended != nil {
+				r.giveUp()
+			}
+			return code
+		}
+	}
+}
+
+// passOn tells the supervisor of one change. Only an extension gives the command more time; what else happens to a held
+// lease ends it.
+func (r *leaseRequest) passOn(child *supervisorProcess, term uint64, update leaseservice.HoldUpdate) {
+	switch update.Change {
+	case leaseservice.Acquired.String():
+		return
+	case leaseservice.Extended.String():
+		if update.Term >= term {
+			child.tell(untilMessage(update.Until))
+			return
+		}
+	}
+	fmt.Fprintf(os.Stderr, "lease %s is %s: %s\n", r.lease, update.Change, update.Reason)
+	child.tell(endMessage)
+}
+
+// giveUp tells the router that what ran under the lease has ended, and waits until it has taken that: it gives the lease
+// to others at once then, and not after a length.
+func (r *leaseRequest) giveUp() {
+	if r.call.Send(leaseservice.CommandEnded{Ended: true}) != nil {
+		return
+	}
+	for {
+		select {
+		case <-r.updates:
+		case <-r.ended:
+			return
+		}
+	}
+}
--- a/internal/supervisor/keeper_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -14,7 +14,7 @@
 	"cairntiller/internal/leaseservice"
 )
 
-// TestMain lets the test's program be the keeper.
+// TestMain lets the test's program be the supervisor's process.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 4 && os.Args[1] == "keep" {
 		room, err := time.ParseDuration(os.Args[3])
@@ -26,19 +26,20 @@
 	os.Exit(m.Run())
 }
 
-// keep starts a keeper and tells it a time from now.
-func keep(t *testing.T, left, room time.Duration, command ...string) (say io.WriteCloser, ended chan int, until time.Time) {
+// supervise starts a supervisor for a command, and tells it a time from now.
+func supervise(t *testing.T, left, grace time.Duration, command ...string) (stdin io.WriteCloser, exitCode chan int, until time.Time) {
 	t.Helper()
 	until = time.Now().Add(left)
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := start("task", leaseservice.HoldUpdate{Term: 7, Until: leaseservice.Clock() + left.Microseconds()}, room, []string{self, "keep"}, append([]string{}, command...))
+	held := leaseservice.HoldUpdate{Term: 7, Until: leaseservice.Clock() + left.Microseconds()}
+	p, err := startSupervisor("task", held, grace, []string{self, "keep"}, command)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k.in, k.ended, until
+	return p.stdin, p.exitCode, until
 }
 
 func ends(t *testing.T, ended chan int, want int, by time.Time) {
@@ -70,52 +71,53 @@
 	return err != nil || strings.Contains(string(stat), ") Z ")
 }
 
-// TestEndsInTime sees commands of all kinds over before their time is: one that ends by itself, one that heeds no signal
-// and leaves a child in a group of its own, one that is stopped, one whose asker is gone.
+// TestEndsInTime: a machine freezes for a minute while a command runs under a lease; the lease passes on, and two commands
+// do the same work at once. So a command must be over before its time is, whatever it does: end by itself, heed no signal
+// and leave a child in a group of its own, be stopped, or lose its asker.
 func TestEndsInTime(t *testing.T) {
-	const left, room = 3 * time.Second, time.Second
+	const left, grace = 3 * time.Second, time.Second
 	t.Run("by itself", func(t *testing.T) {
 		t.Parallel()
-		_, ended, until := keep(t, left, room, "sh", "-c", `test "$CAIRNTILLER_TERM" = 7 && exit 5`)
-		ends(t, ended, 5, until)
+		_, exitCode, until := supervise(t, left, grace, "sh", "-c", `test "$CAIRNTILLER_TERM" = 7 && exit 5`)
+		ends(t, exitCode, 5, until)
 	})
 	t.Run("heeds no signal", func(t *testing.T) {
 		t.Parallel()
 		child := filepath.Join(t.TempDir(), "child")
-		_, ended, until := keep(t, left, room, "sh", "-c", "trap '' TERM; setsid sh -c 'echo $$ > "+child+"; trap \"\" TERM; sleep 60' & sleep 60")
-		ends(t, ended, ExitTimeExpired, until)
+		_, exitCode, until := supervise(t, left, grace, "sh", "-c", "trap '' TERM; setsid sh -c 'echo $$ > "+child+"; trap \"\" TERM; sleep 60' & sleep 60")
+		ends(t, exitCode, ExitTimeExpired, until)
 		if !gone(child) {
 			t.Error("what it started lives on")
 		}
 	})
 	t.Run("stopped", func(t *testing.T) {
 		t.Parallel()
-		_, ended, until := keep(t, left, room, "sh", "-c", "kill -STOP $$")
-		ends(t, ended, ExitTimeExpired, until)
+		_, exitCode, until := supervise(t, left, grace, "sh", "-c", "kill -STOP $$")
+		ends(t, exitCode, ExitTimeExpired, until)
 	})
 	t.Run("extended", func(t *testing.T) {
 		t.Parallel()
-		say, ended, until := keep(t, left, room, "sh", "-c", "sleep 4; exit 6")
-		fmt.Fprintln(say, "until", leaseservice.Clock()+(4*left).Microseconds())
-		ends(t, ended, 6, until.Add(3*left))
+		stdin, exitCode, until := supervise(t, left, grace, "sh", "-c", "sleep 4; exit 6")
+		fmt.Fprintln(stdin, "until", leaseservice.Clock()+(4*left).Microseconds())
+		ends(t, exitCode, 6, until.Add(3*left))
 	})
 	t.Run("told to end", func(t *testing.T) {
 		t.Parallel()
-		say, ended, _ := keep(t, time.Minute, room, "sleep", "60")
-		fmt.Fprintln(say, "end")
-		ends(t, ended, ExitTimeExpired, time.Now().Add(room+time.Second))
+		stdin, exitCode, _ := supervise(t, time.Minute, grace, "sleep", "60")
+		fmt.Fprintln(stdin, "end")
+		ends(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
 	})
 	t.Run("asker gone", func(t *testing.T) {
 		t.Parallel()
-		say, ended, _ := keep(t, time.Minute, room, "sleep", "60")
-		say.Close()
-		ends(t, ended, ExitTimeExpired, time.Now().Add(room+time.Second))
+		stdin, exitCode, _ := supervise(t, time.Minute, grace, "sleep", "60")
+		stdin.Close()
+		ends(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
 	})
 	t.Run("its time was over", func(t *testing.T) {
 		t.Parallel()
 		mark := filepath.Join(t.TempDir(), "mark")
-		_, ended, _ := keep(t, room/2, room, "touch", mark)
-		ends(t, ended, ExitTimeExpired, time.Now().Add(5*time.Second))
+		_, exitCode, _ := supervise(t, grace/2, grace, "touch", mark)
+		ends(t, exitCode, ExitTimeExpired, time.Now().Add(5*time.Second))
 		if _, err := os.Stat(mark); err == nil {
 			t.Error("it began all the same")
 		}
