--- /dev/null
+++ b/internal/backend/connect.go
@@ -0,0 +1,136 @@
+package backend
+
+import (
+	"log/slog"
+	"time"
+
+	"cairntiller/internal/pgwire"
+	"cairntiller/internal/routing"
+	"cairntiller/internal/stream"
+)
+
+// maxReplyBytes bounds one message of a node: a value of 64 KiB, and room for one in text.
+const maxReplyBytes = 1 << 17
+
+// connectError is why a connection did not come up.
+type connectError string
+
+// Error implements error.
+func (e connectError) Error() string { return string(e) }
+
+const (
+	errRefused connectError = "the node refused the connection"
+	errTimeout connectError = "the node did not complete the connection in time"
+	errEnded   connectError = "the connection ended"
+)
+
+// needsConnection tells whether more queries wait than can expect a connection.
+func (n *node) needsConnection() bool { return len(n.waiting) > n.connecting+n.resting }
+
+// openForWaiting opens connections for the queries that can expect none. Where there is no descriptor for one, and no
+// idle connection to close for it, the query that came last ends.
+func (p *Pool) openForWaiting(n *node) {
+	for n.needsConnection() {
+		if p.descriptors.hasRoom() || p.closeOldestIdle() {
+			p.open(n)
+			continue
+		}
+		attemptsWithoutDescriptor.Add()
+		last := len(n.waiting) - 1
+		p.endLater(n.waiting[last], routing.ConnectFailed)
+		n.waiting = n.waiting[:last]
+	}
+}
+
+// open opens a connection on a goroutine of its own.
+func (p *Pool) open(n *node) {
+	n.connecting++
+	p.descriptors.open++
+	go func() {
+		c, code, err := connect(n, p)
+		p.post(p.now(), func(now int64) {
+			n.connecting--
+			if err != nil {
+				p.connectFailed(now, n, c, code, err)
+				return
+			}
+			openedConnections.Add()
+			if c.state == connecting {
+				c.state = ready
+			}
+			p.useOrKeep(now, c)
+		})
+	}()
+}
+
+// connectFailed ends the query that has waited longest, unless others of the connections being opened serve it. c is nil
+// where there is no connection to close; code is the node's own error, where it sent one.
+func (p *Pool) connectFailed(now int64, n *node, c *connection, code string, err error) {
+	if c == nil {
+		p.descriptors.open--
+	} else {
+		p.markDropped(c)
+	}
+	failedConnections.Add()
+	slog.Debug("no connection", "node", n.name, "err", err, "code", code)
+	if !n.needsConnection() {
+		return
+	}
+	outcome := routing.ConnectFailed
+	if code == pgwire.CodeRejected {
+		outcome = routing.Rejected
+	}
+	p.end(now, n.takeWaiting(), outcome, nil)
+}
+
+// useOrKeep gives a connection without a query its next one, or keeps it as idle.
+func (p *Pool) useOrKeep(now int64, c *connection) {
+	n := c.node
+	c.query = nil
+	c.idleSince = now
+	switch {
+	case !c.usable(now):
+		p.drop(c)
+	case len(n.waiting) > 0:
+		p.write(c, n.takeWaiting())
+	case p.nodes[n.name] != n: // the node has another address by now
+		p.drop(c)
+	default:
+		n.idle = append(n.idle, c)
+	}
+}
+
+// startup is how a connection's startup ended; code is the node's own error, "" where it took the connection.
+type startup struct {
+	code string
+	err  error
+}
+
+// connect opens a connection to a node and completes the startup, or fails within the connect timeout; it blocks.
+func connect(n *node, p *Pool) (c *connection, code string, err error) {
+	began := time.Now()
+	timeout := time.Duration(p.connectTimeout) * time.Microsecond
+	conn, err := stream.Dial(n.address, timeout)
+	if err != nil {
+		return nil, "", err
+	}
+	c = newConnection(n, p, stream.New(conn))
+	c.stream.Start(stream.Events{Received: c.receive, Closed: c.ended})
+	c.stream.Write(pgwire.AppendStartup(nil, pgwire.User, pgwire.Database), nil)
+	left := time.NewTimer(timeout - time.Since(began))
+	defer left.Stop()
+	select {
+	case result := <-c.startupEnded:
+		code = result.code
+		err = result.err
+		if err == nil && code != "" {
+			err = errRefused
+		}
+	case <-left.C:
+		err = errTimeout
+	}
+	if err != nil {
+		c.stream.Close()
+	}
+	return c, code, err
+}
--- /dev/null
+++ b/internal/backend/connection.go
@@ -0,0 +1,213 @@
+package backend
+
+import (
+	"sync/atomic"
+
+	"cairntiller/internal/pgwire"
+	"cairntiller/internal/stream"
+)
+
+const (
+	// replyRest, us, is how long a connection rests behind a reply: far over what lies between two writes of one process,
+	// far under any response time.
+	replyRest = 1_000
+	// replyPart is the part of the connect timeout, one in so many, in which a reply that has begun must be whole.
+	replyPart = 4
+)
+
+// connectionState is how far a connection has come.
+type connectionState int
+
+const (
+	connecting connectionState = iota
+	ready                      // idle, resting, or with a query
+	dropped                    // of no more use
+)
+
+// connection is one connection to a node.
+type connection struct {
+	node   *node
+	pool   *Pool
+	stream *stream.Stream
+
+	// The engine's goroutine alone uses these.
+	query             *query
+	state             connectionState
+	closed            bool  // it has given its descriptor back
+	idleSince         int64 // us
+	repliesHandled    int64
+	lostBeforeWritten bool          // it ended before it was known whether its query was written
+	lastReply         *pgwire.Reply // what had come by then
+
+	queriesWritten atomic.Int64
+	hasEnded       atomic.Bool
+	distrusted     atomic.Bool // nothing more of it can be believed
+
+	// The reader's goroutine alone uses these.
+	frames       *pgwire.Splitter
+	startup      *pgwire.StartupReply // nil once the startup has ended
+	reply        *pgwire.Reply        // that is being put together
+	repliesRead  int64
+	partialReply int64 // the last reply that was seen to have begun, by its number
+
+	startupEnded chan startup // holds how the startup ended
+}
+
+func newConnection(n *node, p *Pool, s *stream.Stream) *connection {
+	return &connection{
+		node:         n,
+		pool:         p,
+		stream:       s,
+		frames:       pgwire.NewSplitter(maxReplyBytes, false),
+		startup:      &pgwire.StartupReply{},
+		reply:        &pgwire.Reply{},
+		startupEnded: make(chan startup, 1),
+	}
+}
+
+// usable tells whether the connection may carry a query: it lives, has not been idle for too long, and has nothing to
+// say that nobody asked for.
+func (c *connection) usable(now int64) bool {
+	return c.state == ready && !c.hasEnded.Load() && !c.distrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Quiet()
+}
+
+// rest lets a connection rest behind a reply. Where the idle connections were closed meanwhile it is closed too.
+func (p *Pool) rest(c *connection) {
+	n := c.node
+	n.resting++
+	idleClosings := n.idleClosings
+	p.after(replyRest, func(now int64) {
+		n.resting--
+		if n.idleClosings == idleClosings {
+			p.useOrKeep(now, c)
+		} else {
+			p.drop(c)
+		}
+		p.openForWaiting(n)
+	})
+}
+
+// expectWhole gives up a reply that has begun and does not get whole, which would hold its query for ever, unless it is
+// this router that did not read.
+func (p *Pool) expectWhole(c *connection, number int64) {
+	p.after(p.connectTimeout/replyPart, func(int64) {
+		switch {
+		case c.repliesHandled >= number || c.state != ready:
+		case c.stream.Quiet():
+			distrustedConnections.Add()
+			c.distrusted.Store(true)
+			c.stream.Close() // its query ends with it
+		default:
+			p.expectWhole(c, number)
+		}
+	})
+}
+
+// receive puts together what arrives, and passes on whole replies.
+func (c *connection) receive(p []byte) {
+	if c.distrusted.Load() {
+		return
+	}
+	at := c.pool.now()
+	c.frames.Feed(p)
+	for !c.distrusted.Load() {
+		frame, complete, err := c.frames.Next()
+		if err == nil && !complete {
+			c.notePartialReply(at)
+			return
+		}
+		refused := false
+		switch {
+		case err != nil:
+		case c.startup != nil:
+			refused, err = c.receiveStartup(frame)
+		default:
+			err = c.receiveReply(at, frame)
+		}
+		if err != nil {
+			c.distrust(at, err)
+			return
+		}
+		if refused {
+			return
+		}
+	}
+}
+
+// notePartialReply has a reply that has begun watched, once.
+func (c *connection) notePartialReply(at int64) {
+	number := c.repliesRead + 1
+	begun := c.frames.Buffered() > 0 || c.reply.Begun()
+	if c.startup != nil || c.partialReply == number || !begun {
+		return
+	}
+	c.partialReply = number
+	c.pool.post(at, func(int64) { c.pool.expectWhole(c, number) })
+}
+
+// receiveStartup takes a message of the startup; refused tells that the node has ended it.
+func (c *connection) receiveStartup(frame pgwire.Frame) (refused bool, err error) {
+	done, err := c.startup.Add(frame)
+	if !done || err != nil {
+		return false, err
+	}
+	code := c.startup.Code
+	c.endStartup(startup{code: code})
+	c.startup = nil
+	if code != "" {
+		c.stream.Close()
+	}
+	return code != "", nil
+}
+
+// endStartup tells whoever waits in connect; only the first word counts.
+func (c *connection) endStartup(result startup) {
+	select {
+	case c.startupEnded <- result:
+	default:
+	}
+}
+
+// receiveReply takes a message of a reply, and passes on a whole one. A reply that nobody asked for is an error.
+func (c *connection) receiveReply(at int64, frame pgwire.Frame) error {
+	done, err := c.reply.Add(frame)
+	if err != nil {
+		return err
+	}
+	if c.repliesRead == c.queriesWritten.Load() && (done || c.reply.Begun()) {
+		return pgwire.ErrUnexpectedMessage
+	}
+	if !done {
+		return nil
+	}
+	c.repliesRead++
+	reply := c.reply
+	c.reply = &pgwire.Reply{}
+	if c.frames.Buffered() > 0 { // the reply is good, but what stands behind it must not meet the next query
+		repliesWithTrailingBytes.Add()
+		c.distrusted.Store(true)
+	}
+	c.pool.post(at, func(now int64) { c.pool.replied(now, c, reply) })
+	return nil
+}
+
+// distrust ends a connection of which nothing more can be believed; what it carries may have run.
+func (c *connection) distrust(at int64, err error) {
+	distrustedConnections.Add()
+	c.distrusted.Store(true)
+	c.endStartup(startup{err: err})
+	c.reply = &pgwire.Reply{}
+	c.stream.Close()
+	c.pool.post(at, func(now int64) { c.pool.lost(now, c, nil) })
+}
+
+// ended is told when the connection has ended. A row or an error that came whole before it counts.
+func (c *connection) ended() {
+	c.hasEnded.Store(true)
+	c.endStartup(startup{err: errEnded})
+	reply := c.reply
+	c.pool.post(c.pool.now(), func(now int64) {
+		c.pool.markClosed(c)
+		c.pool.lost(now, c, reply)
+	})
+}
