--- a/internal/engine/endpoint_list.go
+++ b/internal/engine/endpoint_list.go
@@ -25,7 +25,15 @@
 			e.connections.SetAddress(n.Name, n.Address)
 		}
 		state := e.services.noteEndpoint(n)
-		e.router.UpdateEndpoint(now, n.Name, n.Zone, n.Kind, n.Shard, state, n.Primary, n.StartedAt)
+		e.router.UpdateEndpoint(now, routing.Endpoint{
+			Name:        n.Name,
+			Zone:        n.Zone,
+			MachineKind: n.Kind,
+			Shard:       n.Shard,
+			State:       state,
+			Primary:     n.Primary,
+			StartedAt:   n.StartedAt,
+		})
 		if e.sharedProbes != nil {
 			e.sharedProbes.EndpointListed(now, n.Name, state, n.StartedAt)
 		}
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -39,7 +39,25 @@
 	if !plausiblePosition(now, position) {
 		position = 0
 	}
-	e.router.GossipReceived(now, node, at, position, role, silent, alive)
+	e.router.GossipReceived(now, routing.GossipUpdate{
+		Node:     node,
+		LearntAt: at,
+		Position: position,
+		Role:     gossipedRole(role),
+		Silent:   silent,
+		Alive:    alive,
+	})
+}
+
+// gossipedRole is the role that gossip tells: 1 for primary, -1 for replica, 0 for unknown.
+func gossipedRole(role int8) routing.Role {
+	switch {
+	case role > 0:
+		return routing.Primary
+	case role < 0:
+		return routing.Replica
+	}
+	return routing.RoleUnknown
 }
 
 // DelegateHealthChecks tells the routing module whether another router checks a node's health.
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -47,7 +47,15 @@
 	if command.LastCommit > 0 {
 		sinceCommit = max(1, now-command.LastCommit)
 	}
-	e.router.RequestArrived(now, command.ID, request.Group, request.Tenant, command.Session, request.Deadline-now, command.Shard, sinceCommit)
+	e.router.RequestArrived(now, routing.Request{
+		ID:         command.ID,
+		Group:      request.Group,
+		Tenant:     request.Tenant,
+		Session:    command.Session,
+		TimeLeft:   request.Deadline - now,
+		Shard:      command.Shard,
+		SinceWrite: sinceCommit,
+	})
 }
 
 // ClientGone implements inflight.Intake.
@@ -76,7 +84,13 @@
 	if reply != nil {
 		e.applyReplyStatus(now, attempt.Node, reply)
 	}
-	e.router.AttemptEnded(now, request.Command.ID, attempt.Number, outcome, elapsed, request.Concluded())
+	e.router.AttemptEnded(now, routing.AttemptResult{
+		RequestID:   request.Command.ID,
+		Attempt:     attempt.Number,
+		Outcome:     outcome,
+		Took:        elapsed,
+		RequestDone: request.Concluded(),
+	})
 	e.removeIfDone(request)
 }
 
--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -173,16 +174,16 @@
 		for tries := 1; ; tries++ {
 			s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready+behind, scriptedserver.Row+scriptedserver.Ready+"|"+behind, scriptedserver.Row+scriptedserver.Ready)
 			p, e := pool(t, 9, s)
-			ends := "" // 1 is Answered
+			var ends []routing.Outcome
 			for range 3 {
 				e.send(p, "n0", 0)
 				got := <-e.results
-				ends += fmt.Sprint(got.o)
+				ends = append(ends, got.o)
 				if got.o == routing.Answered && string(got.r.Value) != scriptedserver.Row {
 					t.Fatalf("%q behind: %q", behind, got.r.Value)
 				}
 			}
-			if n := len(s.Opened()); ends == "111" && n == 3 {
+			if n := len(s.Opened()); slices.Equal(ends, slices.Repeat([]routing.Outcome{routing.Answered}, 3)) && n == 3 {
 				break
 			} else if tries == 5 { // the node may stand still between its two writes, but not each time
 				t.Errorf("%q behind: %s, %d connections", behind, ends, n)
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -82,7 +82,7 @@
 // remember lets the module keep the session's token.
 func (w *world) remember() {
 	w.remembered = true
-	w.r.Tokens(false)
+	w.r.carried = false
 }
 
 // restart replaces the instance; what the old one held is no longer its duty.
@@ -90,20 +90,27 @@
 	w.cmds, w.open, w.probes, w.timers, w.token = map[string]*taken{}, nil, nil, nil, 0
 	w.pos, w.leads, w.cold = map[string]int64{}, map[string]bool{}, map[string][]int64{}
 	r := New(seed, w)
-	r.Place("here", 1, 5_000)
+	var groups []CommandGroupConfig
 	for _, g := range []struct {
 		e Idempotency
 		l Consistency
 		t int64
 	}{{Idempotent, Eventual, 1e6}, {Idempotent, BoundedStaleness, 1e6}, {Idempotent, ReadYourWrites, 1e6}, {Idempotent, Latest, 1e6},
 		{IdempotentWithKey, Write, 4e6}, {NotIdempotent, Write, 4e6}, {Idempotent, Eventual, 6e6}} {
-		r.Group(g.e, false, g.l, modelBound, modelWindow, g.t/4, g.t, 1, 0.5)
+		groups = append(groups, CommandGroupConfig{Idempotency: g.e, Consistency: g.l, MaxStaleness: modelBound,
+			IdempotencyWindow: modelWindow, LatencyObjective: g.t / 4, Timeout: g.t, Weight: 1, LateWeight: 0.5})
 	}
-	r.Dispatches(6, true, seed%2 == 0)
-	r.Probes(true, true, true)
-	r.Tokens(!w.remembered)
-	r.ColdStart(modelCold, modelFrom, 2, modelFall)
-	r.Drains(false)
+	r.Configure(Config{
+		Zone:               "here",
+		Routers:            1,
+		TimeResolution:     5_000,
+		CommandGroups:      groups,
+		Attempts:           AttemptConfig{Max: 6, Cancelable: true, Hedging: seed%2 == 0},
+		HealthChecks:       HealthCheckConfig{Enabled: true, ReportsPosition: true, ReportsRole: true},
+		ClientsCarryTokens: !w.remembered,
+		SlowStart: SlowStartConfig{Duration: modelCold, InitialCapacity: modelFrom, OverloadMultiple: 2,
+			OverloadWindow: modelFall},
+	})
 	w.r = r
 	r.Start(w.now)
 }
@@ -133,7 +140,7 @@
 	if w.drained[id] {
 		state = Draining
 	}
-	w.r.UpdateEndpoint(w.now, id, "here", "kind", w.shard[id], state, lead, w.started[id])
+	w.r.UpdateEndpoint(w.now, Endpoint{id, "here", "kind", w.shard[id], state, lead, w.started[id]})
 }
 
 // change tells one changed entry.
@@ -152,7 +159,8 @@
 		c.need = w.now - since
 	}
 	w.cmds[id] = c
-	w.r.RequestArrived(w.now, id, group, -1, "s", left, shard, since)
+	w.r.RequestArrived(w.now, Request{ID: id, Group: group, Tenant: -1, Session: "s", TimeLeft: left, Shard: shard,
+		SinceWrite: since})
 	return c
 }
 
@@ -177,7 +185,7 @@
 	if o != TimedOut && o != ConnectFailed && o != ConnectionLost && o != Canceled && o != NotSent {
 		w.seen(f.node, role, pos)
 	}
-	w.r.AttemptEnded(w.now, f.cmd, f.n, o, w.now-f.sent, final)
+	w.r.AttemptEnded(w.now, AttemptResult{f.cmd, f.n, o, w.now - f.sent, final})
 }
 
 // seen tells the model and the module what a node said of itself in an answer.
--- a/internal/routing/iface.go
+++ b/internal/routing/iface.go
@@ -1,74 +1,5 @@
 package routing
 
-// Actions is how the module acts. Every call takes effect at the time of the event being handled.
-// A protocol puts its own implementation behind it; the module knows no other way out.
-type Actions interface {
-	// StartAttempt starts the next dispatch of a command; timeout 0 means until the client gives up. It must not begin
-	// later than within, 0 for no such bound; one that does not begin ends as NotSent.
-	StartAttempt(cmd, node string, timeout, within int64)
-	// RejectWithRetry answers finally that the command had no effect and may be tried again after retryIn.
-	RejectWithRetry(cmd string, retryIn int64)
-	// Fail answers finally and promises nothing.
-	Fail(cmd string)
-	// CancelAttempt stops waiting for one dispatch, by its number within the command.
-	CancelAttempt(cmd string, dispatch int)
-	// SetTimer asks for a TimerFired event after a delay.
-	SetTimer(in int64)
-	// CheckHealth asks a node for its report.
-	CheckHealth(node string)
-	// CloseIdleConnections closes the idle connections to a node.
-	CloseIdleConnections(node string)
-	// StopNewAttempts tells that nothing more may begin at a node; what has not begun there ends as NotSent.
-	StopNewAttempts(node string)
-	// ForgetNode tells that a node is gone and will not be named again, unless the list names it anew.
-	ForgetNode(node string)
-	// WatchEndpoints asks for the node list and its changes from now on.
-	WatchEndpoints()
-}
-
-// Outcome is how a dispatch or a probe ended.
-type Outcome uint8
-
-// The outcomes; Rejected, ConnectFailed, NotSent and NotPrimary prove that the command never ran.
-const (
-	Errored Outcome = iota
-	Answered
-	Rejected
-	TimedOut
-	ConnectFailed
-	ConnectionLost
-	Canceled
-	NotSent
-	NotPrimary
-)
-
-// NotExecuted tells whether the outcome proves that nothing was executed.
-func (o Outcome) NotExecuted() bool {
-	return o == Rejected || o == ConnectFailed || o == NotSent || o == NotPrimary
-}
-
-// Idempotency tells how far a command may be repeated.
-type Idempotency uint8
-
-// The effects; an IdempotentWithKey command carries a mark by which its node group knows a repeat.
-const (
-	Idempotent Idempotency = iota
-	IdempotentWithKey
-	NotIdempotent
-)
-
-// Consistency is how new the data answering a command must be.
-type Consistency uint8
-
-// The read levels; Write commands run on the primary alone.
-const (
-	Eventual Consistency = iota
-	BoundedStaleness
-	ReadYourWrites
-	Latest
-	Write
-)
-
 // Role is what a node says it is.
 type Role uint8
 
@@ -79,7 +10,7 @@
 	Replica
 )
 
-// EndpointState is what the node list says of a node.
+// EndpointState is what the endpoint list says of a node.
 type EndpointState uint8
 
 // The list states.
@@ -88,3 +19,49 @@
 	Draining
 	Removed
 )
+
+// Endpoint is one entry of the endpoint list.
+type Endpoint struct {
+	Name        string
+	Zone        string
+	MachineKind string // nodes of one kind can do as much as each other
+	Shard       int
+	State       EndpointState
+	Primary     bool  // the list marks it as its shard's primary
+	StartedAt   int64 // when its process started, 0 for long ago
+}
+
+// GossipUpdate is what another router learnt of a node.
+type GossipUpdate struct {
+	Node     string
+	LearntAt int64
+	// Position is the node's position then, 0 for not told. The caller passes on no other process's of that node.
+	Position int64
+	Role     Role // Replica for a node that said it isn't the primary
+	Silent   bool // the other router had no answer of it
+	Alive    bool // the other router had an answer of it
+}
+
+// Request is a request as its client sent it.
+type Request struct {
+	ID      string
+	Group   int    // index in Config.CommandGroups
+	Tenant  int    // index in Config.Tenants; any other number for a tenant without quota
+	Session string // empty for none
+	// TimeLeft is how long, us, the client still waits.
+	TimeLeft int64
+	Shard    int // number of the shard that holds its data
+	// SinceWrite is how long ago, us, the session's last write was answered; 0 for none. Read only where
+	// Config.ClientsCarryTokens.
+	SinceWrite int64
+}
+
+// AttemptResult is the end of one attempt.
+type AttemptResult struct {
+	RequestID string
+	Attempt   int // its number, in the order of Actions.StartAttempt
+	Outcome   Outcome
+	Took      int64 // us from its start to its end
+	// RequestDone tells that the request has its final answer, or its client has left: nothing more may be started.
+	RequestDone bool
+}
--- /dev/null
+++ b/internal/routing/outcome.go
@@ -0,0 +1,58 @@
+package routing
+
+import "strconv"
+
+// Outcome is how an attempt or a health check ended.
+type Outcome uint8
+
+// The outcomes. Their numbers are those of the simulator's wire.
+const (
+	// Errored: the node answered with an error; the request may have been executed.
+	Errored Outcome = iota
+	// Answered: the node answered.
+	Answered
+	// Rejected: the node turned the request away unexecuted, because it is full or drains.
+	Rejected
+	// TimedOut: no answer came within the request's time; it may have been executed.
+	TimedOut
+	// ConnectFailed: no connection to the node came up; nothing was sent.
+	ConnectFailed
+	// ConnectionLost: the connection ended after the request was sent; it may have been executed.
+	ConnectionLost
+	// Canceled: the router or the client stopped waiting; it may have been executed.
+	Canceled
+	// NotSent: the attempt ended before anything was sent.
+	NotSent
+	// NotPrimary: the node refused a write unexecuted because it isn't the primary.
+	NotPrimary
+)
+
+// NotExecuted tells whether the outcome proves that the request was not executed.
+func (o Outcome) NotExecuted() bool {
+	return o == Rejected || o == ConnectFailed || o == NotSent || o == NotPrimary
+}
+
+// nodeReplied tells whether the outcome shows that the node's process works.
+func (o Outcome) nodeReplied() bool {
+	return o == Answered || o == Errored || o == NotPrimary || o == Rejected
+}
+
+var outcomeNames = [...]string{
+	Errored:        "errored",
+	Answered:       "answered",
+	Rejected:       "rejected",
+	TimedOut:       "timed out",
+	ConnectFailed:  "connect failed",
+	ConnectionLost: "connection lost",
+	Canceled:       "canceled",
+	NotSent:        "not sent",
+	NotPrimary:     "not primary",
+}
+
+// String names the outcome for logs and tests.
+func (o Outcome) String() string {
+	if int(o) < len(outcomeNames) {
+		return outcomeNames[o]
+	}
+	return "outcome " + strconv.Itoa(int(o))
+}
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -94,8 +94,9 @@
 	r.listNo++
 }
 
-func (r *Router) UpdateEndpoint(now int64, id, zone, kind string, wire int, state EndpointState, lead bool, started int64) {
-	s := &r.node
+// UpdateEndpoint takes one entry of a list.
+func (r *Router) UpdateEndpoint(now int64, e Endpoint) {
+	s, id, wire, state, lead, started := &r.node, e.Name, e.Shard, e.State, e.Primary, e.StartedAt
 	n, known := s.index[id]
 	if !known {
 		n = s.add(id, r.shard.of(wire, r.chance))
@@ -119,7 +120,7 @@
 		}
 	}
 	fresh, was := lead && !(known && s.lead[n]), known && r.listed(n)
-	s.zone[n], s.kind[n], s.state[n], s.listed[n], s.lead[n] = zone, kind, state, r.listNo, lead
+	s.zone[n], s.kind[n], s.state[n], s.listed[n], s.lead[n] = e.Zone, e.MachineKind, state, r.listNo, lead
 	r.bar(n, was)
 	if fresh { // the list's mark counts at the start and when it changes
 		r.hint(n, now)
@@ -174,9 +175,9 @@
 // whether it was silent or alive. A position stays true of the process that told it; the caller passes on no
 // other's. A role is a hint, and none where an answer spoke of it since. Silence only puts the node behind
 // others; what makes this router hold it silent, or trust it again, is what it sees itself.
-func (r *Router) GossipReceived(now int64, id string, at, pos int64, lead int8, silent, alive bool) {
-	s := &r.node
-	n, known := s.index[id]
+func (r *Router) GossipReceived(now int64, u GossipUpdate) {
+	s, at, pos := &r.node, u.LearntAt, u.Position
+	n, known := s.index[u.Node]
 	if !known {
 		return
 	}
@@ -185,15 +186,15 @@
 	} else {
 		s.pos[n] = max(s.pos[n], pos)
 	}
-	if p := &r.shard.primary[s.shard[n]]; at > s.roleAt[n] && lead > 0 {
+	if p := &r.shard.primary[s.shard[n]]; at > s.roleAt[n] && u.Role == Primary {
 		r.hint(n, now)
-	} else if at > s.roleAt[n] && lead < 0 && *p == n && now-s.roleAt[n] > listDoubt {
+	} else if at > s.roleAt[n] && u.Role == Replica && *p == n && now-s.roleAt[n] > listDoubt {
 		*p = -1
 	}
 	switch {
-	case silent:
+	case u.Silent:
 		s.quietAt[n] = max(s.quietAt[n], at)
-	case alive && at > s.quietAt[n]:
+	case u.Alive && at > s.quietAt[n]:
 		s.quietAt[n] = 0
 		if s.suspect[n] && now-s.probedAt[n] > rejoinGap { // a peer reaches it: this router may as well by now
 			r.probe(n, now, extraSpare)
@@ -268,10 +269,9 @@
 }
 
 // RequestArrived takes a command; the router owes it one final answer from here on.
-func (r *Router) RequestArrived(now int64, id string, group, tenant int, session string, left int64, wire int,
-	sinceWrite int64) {
-	g := &r.group
-	c := &cmd{id: id, group: group, tenant: tenant, shard: r.shard.of(wire, r.chance), session: session,
+func (r *Router) RequestArrived(now int64, q Request) {
+	g, group, left, sinceWrite := &r.group, q.Group, q.TimeLeft, q.SinceWrite
+	c := &cmd{id: q.ID, group: group, tenant: q.Tenant, shard: r.shard.of(q.Shard, r.chance), session: q.Session,
 		arrived: now, deadline: now + left}
 	if g.level[group] == ReadYourWrites && r.carried && sinceWrite > 0 {
 		c.need = now - sinceWrite
@@ -288,7 +288,7 @@
 		hold = min(c.prime-now, int64(holdShare*float64(g.timeout[group])))
 	}
 	c.holdUntil = min(c.holdUntil, now+hold, c.deadline-deadlineGuard)
-	r.cmds[id] = c
+	r.cmds[q.ID] = c
 	r.copiesLeft = min(extraStore, r.copiesLeft+extraShare)
 	r.probesLeft = min(extraStore, r.probesLeft+extraShare)
 	r.down(c, now)
@@ -806,12 +806,13 @@
 }
 
 // AttemptEnded tells how a dispatch ended; it runs through the chain upwards.
-func (r *Router) AttemptEnded(now int64, id string, n int, o Outcome, took int64, final bool) {
-	c := r.cmds[id]
+func (r *Router) AttemptEnded(now int64, result AttemptResult) {
+	n, o, took := result.Attempt, result.Outcome, result.Took
+	c := r.cmds[result.RequestID]
 	if c == nil || n < 0 || n >= len(c.tries) || c.tries[n].ended {
 		return
 	}
-	c.done = c.done || final
+	c.done = c.done || result.RequestDone
 	if r.stalled == now || now-r.beatAt > standstill { // the router stood still: how long it took is not known
 		took = min(took, int64(r.group.usual[c.group]))
 	}
--- a/internal/routing/route_test.go
+++ b/internal/routing/route_test.go
@@ -52,7 +52,7 @@
 				w.r.BeginEndpointList(w.now, true)
 				if rnd.Intn(2) == 0 {
 					w.node(any, false)
-					w.r.UpdateEndpoint(w.now, "ghost", "here", "kind", 9, Up, true, 0)
+					w.r.UpdateEndpoint(w.now, Endpoint{"ghost", "here", "kind", 9, Up, true, 0})
 				}
 				w.r.EndEndpointList(w.now)
 				w.list(shards, members)
@@ -66,7 +66,7 @@
 				}
 				silent := rnd.Intn(3) == 0
 				w.tell(any, RoleUnknown, pos)
-				w.r.GossipReceived(w.now, any, at, pos, int8(rnd.Intn(3)-1), silent, !silent)
+				w.r.GossipReceived(w.now, GossipUpdate{any, at, pos, []Role{Replica, RoleUnknown, Primary}[rnd.Intn(3)], silent, !silent})
 			case 9:
 				w.r.SetCheckedByPeer(any, rnd.Intn(2) == 0)
 			}
@@ -108,7 +108,7 @@
 			}
 			w.answer(i, o, role, pos)
 			if rnd.Intn(64) == 0 { // the same result once more, and the client leaves
-				w.r.AttemptEnded(w.now, fl.cmd, fl.n, o, 1, true)
+				w.r.AttemptEnded(w.now, AttemptResult{fl.cmd, fl.n, o, 1, true})
 				w.cmds[fl.cmd].given = true
 				w.r.ClientGone(w.now, fl.cmd)
 			}
@@ -164,11 +164,11 @@
 	w.seen("g0n0", Primary, 0)
 	w.arrive("c", gSession, 0, 1e6, 250_000)
 	w.tell("g0n1", Replica, w.cmds["c"].need)
-	w.r.GossipReceived(w.now, "g0n1", w.now-40_000, w.cmds["c"].need, -1, false, true)
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n1", w.now - 40_000, w.cmds["c"].need, Replica, false, true})
 	if sentTo(w) != "g0n1" {
 		t.Fatal("not sent to the proven replica but", sentTo(w))
 	}
-	w.r.GossipReceived(w.now, "nobody", w.now, 7, 1, false, true)
+	w.r.GossipReceived(w.now, GossipUpdate{"nobody", w.now, 7, Primary, false, true})
 }
 
 // A peer's word on a role moves no belief that an answer made within the last seconds or since the word, and it
@@ -176,18 +176,18 @@
 func TestPeersRoleIsAHint(t *testing.T) {
 	w := group(t, 1, 3)
 	w.seen("g0n0", Primary, 0)
-	w.r.GossipReceived(w.now, "g0n1", w.now, 0, 1, false, true)
-	w.r.GossipReceived(w.now, "g0n0", w.now+1, 0, -1, false, true)
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n1", w.now, 0, Primary, false, true})
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n0", w.now + 1, 0, Replica, false, true})
 	if p := w.r.shard.primary[0]; p != 0 {
 		t.Fatal("a peer's word stood over an answer:", p)
 	}
 	w.step(listDoubt + 1)
 	w.seen("g0n2", Replica, w.now)
-	w.r.GossipReceived(w.now, "g0n2", w.now-1_000_000, 0, 1, false, true)
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n2", w.now - 1_000_000, 0, Primary, false, true})
 	if p := w.r.shard.primary[0]; p != 0 {
 		t.Fatal("a word from before an answer counted:", p)
 	}
-	w.r.GossipReceived(w.now, "g0n1", w.now-1_000_000, 0, 1, false, true)
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n1", w.now - 1_000_000, 0, Primary, false, true})
 	if p := w.r.shard.primary[0]; p != 1 {
 		t.Fatal("nothing was heard for long, and the hint was passed over:", p)
 	}
@@ -195,7 +195,7 @@
 	if len(w.open) != 0 {
 		t.Fatal("fresh data was taken from a node that only a peer calls the primary")
 	}
-	w.r.GossipReceived(w.now, "g0n1", w.now, 0, -1, false, true)
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n1", w.now, 0, Replica, false, true})
 	if p := w.r.shard.primary[0]; p != -1 {
 		t.Fatal("a later word did not take the hint back:", p)
 	}
@@ -205,7 +205,7 @@
 func TestPeersSilenceOnlyComesLast(t *testing.T) {
 	w := group(t, 1, 3)
 	w.seen("g0n0", Primary, 0)
-	w.r.GossipReceived(w.now, "g0n1", w.now-100_000, 0, 0, true, false)
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n1", w.now - 100_000, 0, RoleUnknown, true, false})
 	for i := range 4 {
 		w.arrive(fmt.Sprint("c", i), gAny, 0, 1e6, 0)
 	}
@@ -239,7 +239,7 @@
 	if !w.r.node.suspect[0] || len(w.probes) != 0 {
 		t.Fatal("silent:", w.r.node.suspect[0], "probes:", w.probes)
 	}
-	w.r.GossipReceived(w.now, "g0n0", w.now-100_000, 0, 0, false, true)
+	w.r.GossipReceived(w.now, GossipUpdate{"g0n0", w.now - 100_000, 0, RoleUnknown, false, true})
 	if len(w.probes) != 1 || !w.r.node.suspect[0] {
 		t.Fatal("a peer's word alone ended the silence, or was not looked into:", w.probes)
 	}
@@ -352,9 +352,9 @@
 // A tenant over its share waits behind the others and takes only the spare half of a node.
 func TestShareIsTakenOnce(t *testing.T) {
 	w := newWorld(t, 1)
-	w.r.Place("here", 200, 5_000) // half a command a second is this router's part
-	w.r.Tenant(100)
-	w.r.Shares(0.05)
+	w.r.siblings = 200 // half a command a second is this router's part
+	w.r.addTenant(100)
+	w.r.tenant.overWorth = 0.05
 	w.list(1, 2)
 	w.step(1_000_000)
 	c := &cmd{id: "a", group: gAny, tenant: 0, deadline: w.now + 1e6}
@@ -451,11 +451,11 @@
 // A list that calls a node gone is not believed where the settings say so, unless the node drained before.
 func TestGoneAfterDrainStaysClosed(t *testing.T) {
 	w := newWorld(t, 1)
-	w.r.Drains(true)
+	w.r.droppedOpen = true
 	w.list(1, 3)
 	for _, state := range []EndpointState{Draining, Removed} {
 		w.r.BeginEndpointList(w.now, false)
-		w.r.UpdateEndpoint(w.now, "g0n1", "here", "kind", 0, state, false, 0)
+		w.r.UpdateEndpoint(w.now, Endpoint{"g0n1", "here", "kind", 0, state, false, 0})
 		w.r.EndEndpointList(w.now)
 	}
 	w.drained["g0n1"] = true
@@ -533,7 +533,7 @@
 		"still":  func(w *world) { w.step(600_000); serve(w, nil) },
 	} {
 		w := newWorld(t, 1)
-		w.r.Place("here", 200, 5_000)
+		w.r.siblings = 200
 		w.list(2, 3)
 		w.step(20_000)
 		w.r.shard.gate[1] = 0.5
@@ -629,7 +629,7 @@
 				state = Removed
 			}
 			if i%2 > 0 || state != Removed {
-				w.r.UpdateEndpoint(w.now, fmt.Sprint("n", j), "here", "kind", 0, state, false, 0)
+				w.r.UpdateEndpoint(w.now, Endpoint{fmt.Sprint("n", j), "here", "kind", 0, state, false, 0})
 			}
 		}
 		w.r.EndEndpointList(w.now)
@@ -808,7 +808,7 @@
 		"it drains": func(w *world) { w.drained["g0n1"] = true; w.change("g0n1"); w.change("g0n1") },
 		"it is gone": func(w *world) {
 			w.r.BeginEndpointList(w.now, false)
-			w.r.UpdateEndpoint(w.now, "g0n1", "here", "kind", 0, Removed, false, 0)
+			w.r.UpdateEndpoint(w.now, Endpoint{"g0n1", "here", "kind", 0, Removed, false, 0})
 			w.r.EndEndpointList(w.now)
 		},
 		"it is not named": func(w *world) { w.list(1, 1); w.list(1, 1) },
@@ -902,7 +902,7 @@
 // TestAWriteThatTellsNoPosition guards against a token from before the write: its answer was cut behind the row.
 func TestAWriteThatTellsNoPosition(t *testing.T) {
 	w := group(t, 1, 1)
-	w.r.Tokens(false)
+	w.r.carried = false
 	w.seen("g0n0", Primary, w.now-500_000)
 	w.step(10_000)
 	c := &cmd{group: gMutating, session: "s", tries: []try{{node: 0}}}
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -379,66 +379,49 @@
 	return int(crc32.ChecksumIEEE(b[:]) % uint32(n))
 }
 
-// Place tells where the instance stands, how many of its kind there are, and its tick.
-func (r *Router) Place(zone string, siblings int, tick int64) {
-	r.zone, r.siblings, r.tick = zone, max(siblings, 1), tick
+// Configure sets what the Router decides by. It is called once, before Start.
+func (r *Router) Configure(c Config) {
+	r.zone, r.siblings, r.tick = c.Zone, max(c.Routers, 1), c.TimeResolution
+	for _, g := range c.CommandGroups {
+		r.addGroup(g)
+	}
+	for _, t := range c.Tenants {
+		r.addTenant(t.Quota)
+	}
+	r.tenant.overWorth = c.OverQuotaWeight
+	r.maxDispatches, r.withdraws, r.copies = c.Attempts.Max, c.Attempts.Cancelable, c.Attempts.Hedging
+	r.probes = c.HealthChecks.Enabled
+	r.probePos, r.probeRole = c.HealthChecks.ReportsPosition, c.HealthChecks.ReportsRole
+	r.carried = c.ClientsCarryTokens
+	r.coldFor, r.coldFrom = c.SlowStart.Duration, c.SlowStart.InitialCapacity
+	r.fallMultiple, r.fallWindow = c.SlowStart.OverloadMultiple, float64(c.SlowStart.OverloadWindow)
+	r.droppedOpen = c.UseVanishedNodes
+	if c.PollEndpoints {
+		r.followAt = 1
+	}
 }
 
-// Group adds a command group; groups are numbered in this order.
-func (r *Router) Group(effect Idempotency, everywhere bool, level Consistency, bound, window, target, timeout int64,
-	benefit, lateWorth float64) {
+// addGroup adds a command group; groups are numbered in this order.
+func (r *Router) addGroup(c CommandGroupConfig) {
 	g := &r.group
-	g.effect = append(g.effect, effect)
-	g.everywhere = append(g.everywhere, everywhere)
-	g.level = append(g.level, level)
-	g.bound = append(g.bound, bound)
-	g.window = append(g.window, window)
-	g.targets = append(g.targets, target)
-	g.timeout = append(g.timeout, timeout)
+	g.effect = append(g.effect, c.Idempotency)
+	g.everywhere = append(g.everywhere, c.DeduplicatedEverywhere)
+	g.level = append(g.level, c.Consistency)
+	g.bound = append(g.bound, c.MaxStaleness)
+	g.window = append(g.window, c.IdempotencyWindow)
+	g.targets = append(g.targets, c.LatencyObjective)
+	g.timeout = append(g.timeout, c.Timeout)
 	g.firstLeft = append(g.firstLeft, 0)
 	g.firstLead = append(g.firstLead, 0)
-	g.benefit = append(g.benefit, benefit)
-	g.lateWorth = append(g.lateWorth, lateWorth)
+	g.benefit = append(g.benefit, c.Weight)
+	g.lateWorth = append(g.lateWorth, c.LateWeight)
 	g.usual = append(g.usual, 0)
 	g.samples = append(g.samples, 0)
 }
 
-// Tenant adds a tenant with its commands a second across all routers; numbered in this order.
-func (r *Router) Tenant(quota float64) {
+// addTenant adds a tenant with its commands a second across all routers; numbered in this order.
+func (r *Router) addTenant(quota float64) {
 	r.tenant.quota = append(r.tenant.quota, quota)
 	r.tenant.left = append(r.tenant.left, 0)
 	r.tenant.leftAt = append(r.tenant.leftAt, 0)
 }
-
-// Shares tells what a command over its tenant's share is worth.
-func (r *Router) Shares(overWorth float64) { r.tenant.overWorth = overWorth }
-
-// Dispatches tells how many dispatches a command may have, whether they can be withdrawn and whether two
-// may be out at once.
-func (r *Router) Dispatches(most int, withdraws, copies bool) {
-	r.maxDispatches, r.withdraws, r.copies = most, withdraws, copies
-}
-
-// Probes tells whether nodes may be probed and what a probe shows.
-func (r *Router) Probes(allowed, position, role bool) {
-	r.probes, r.probePos, r.probeRole = allowed, position, role
-}
-
-// Tokens tells whether clients carry their sessions' tokens; else the router remembers them.
-func (r *Router) Tokens(carried bool) { r.carried = carried }
-
-// ColdStart tells how cold a node starts, for how long, and the multiple of what it can do that pushes it over
-// within a window.
-func (r *Router) ColdStart(length int64, from, multiple float64, window int64) {
-	r.coldFor, r.coldFrom, r.fallMultiple, r.fallWindow = length, from, multiple, float64(window)
-}
-
-// Drains tells whether nodes that vanished without draining may still be used.
-func (r *Router) Drains(droppedOpen bool) { r.droppedOpen = droppedOpen }
-
-// Lists tells whether the node list comes only when asked for.
-func (r *Router) Lists(onRequest bool) {
-	if onRequest {
-		r.followAt = 1
-	}
-}
--- a/internal/settings/configure.go
+++ b/internal/settings/configure.go
@@ -21,7 +21,11 @@
 func (v Values) Configure(r *routing.Router, sendDelay int64) (Catalog, error) {
 	n := Reader{Values: v}
 	names := Catalog{GroupNumbers: map[string]int{}, TenantNumbers: map[string]int{}}
-	r.Place(v["az"], n.Int("siblings"), n.Time("round"))
+	config := routing.Config{
+		Zone:           v["az"],
+		Routers:        n.Int("siblings"),
+		TimeResolution: n.Time("round"),
+	}
 	levels, bounds := v.List("domain.readLevel"), v.List("domain.oldestData")
 	for i := range n.Int("classes.count") {
 		at := "classes." + strconv.Itoa(i) + "."
@@ -29,22 +33,44 @@
 		names.LatencyObjectives = append(names.LatencyObjectives, n.Time(at+"aim"))
 		names.LongestClientTimeout = max(names.LongestClientTimeout, n.Time(at+"hardLimit"))
 		bound := n.time("domain.oldestData", nth(bounds, i))
-		r.Group(effectOf(v[at+"effect"]), v[at+"group"] == "all", levelOf(nth(levels, i)), max(0, bound-sendDelay),
-			n.Time(at+"window"), n.Time(at+"aim"), n.Time(at+"hardLimit"), n.Float(at+"points"),
-			n.Float(at+"lateValue"))
+		config.CommandGroups = append(config.CommandGroups, routing.CommandGroupConfig{
+			Idempotency:            effectOf(v[at+"effect"]),
+			DeduplicatedEverywhere: v[at+"group"] == "all",
+			Consistency:            levelOf(nth(levels, i)),
+			MaxStaleness:           max(0, bound-sendDelay),
+			IdempotencyWindow:      n.Time(at + "window"),
+			LatencyObjective:       n.Time(at + "aim"),
+			Timeout:                n.Time(at + "hardLimit"),
+			Weight:                 n.Float(at + "points"),
+			LateWeight:             n.Float(at + "lateValue"),
+		})
 	}
 	for i := range n.Int("tenants.count") {
 		at := "tenants." + strconv.Itoa(i) + "."
 		names.TenantNumbers[v[at+"name"]] = i
-		r.Tenant(n.Float(at + "quotaPerS"))
+		config.Tenants = append(config.Tenants, routing.TenantConfig{Quota: n.Float(at + "quotaPerS")})
+	}
+	config.OverQuotaWeight = n.Float("overShareWorth")
+	config.Attempts = routing.AttemptConfig{
+		Max:        n.Int("limits.maxAttempts"),
+		Cancelable: v.enabled("limits.cancel"),
+		Hedging:    v.enabled("limits.secondCopies"),
+	}
+	config.HealthChecks = routing.HealthCheckConfig{
+		Enabled:         v.HealthChecksAllowed(),
+		ReportsPosition: v.reports(pgwire.LoadPosition),
+		ReportsRole:     v.reports(pgwire.LoadPrimary),
+	}
+	config.ClientsCarryTokens = v["domain.writeMarks"] == "carried"
+	config.SlowStart = routing.SlowStartConfig{
+		Duration:         n.Time("rules.cold"),
+		InitialCapacity:  n.Float("rules.coldFrom"),
+		OverloadMultiple: n.Float("rules.fallMultiple"),
+		OverloadWindow:   n.Time("rules.fall"),
 	}
-	r.Shares(n.Float("overShareWorth"))
-	r.Dispatches(n.Int("limits.maxAttempts"), v.enabled("limits.cancel"), v.enabled("limits.secondCopies"))
-	r.Probes(v.HealthChecksAllowed(), v.reports(pgwire.LoadPosition), v.reports(pgwire.LoadPrimary))
-	r.Tokens(v["domain.writeMarks"] == "carried")
-	r.ColdStart(n.Time("rules.cold"), n.Float("rules.coldFrom"), n.Float("rules.fallMultiple"), n.Time("rules.fall"))
-	r.Drains(v.enabled("rules.droppedStayOpen"))
-	r.Lists(v["registryMode"] == "on_request")
+	config.UseVanishedNodes = v.enabled("rules.droppedStayOpen")
+	config.PollEndpoints = v["registryMode"] == "on_request"
+	r.Configure(config)
 	return names, n.Err
 }
 
--- a/internal/simwire/endpoint_list.go
+++ b/internal/simwire/endpoint_list.go
@@ -88,7 +88,15 @@
 	if n.err != nil {
 		return nil
 	}
-	i.router.UpdateEndpoint(now, string(fields[1]), text(fields[2]), text(fields[4]), int(shard), state, primary >= 0.5, started)
+	i.router.UpdateEndpoint(now, routing.Endpoint{
+		Name:        string(fields[1]),
+		Zone:        text(fields[2]),
+		MachineKind: text(fields[4]),
+		Shard:       int(shard),
+		State:       state,
+		Primary:     primary >= 0.5,
+		StartedAt:   started,
+	})
 	return nil
 }
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -46,7 +46,15 @@
 	sinceCommit := n.time(fields[9], "sinceWriteMs")
 	n.int(fields[10], "marks")
 	if n.err == nil {
-		i.router.RequestArrived(now, string(fields[2]), group, tenant, text(fields[5]), left, int(shard), sinceCommit)
+		i.router.RequestArrived(now, routing.Request{
+			ID:         string(fields[2]),
+			Group:      group,
+			Tenant:     tenant,
+			Session:    text(fields[5]),
+			TimeLeft:   left,
+			Shard:      int(shard),
+			SinceWrite: sinceCommit,
+		})
 	}
 	return nil
 }
@@ -72,7 +80,13 @@
 		i.loadReport(now, node, fields[9], n)
 	}
 	if n.err == nil {
-		i.router.AttemptEnded(now, request, int(number), result, elapsed, final)
+		i.router.AttemptEnded(now, routing.AttemptResult{
+			RequestID:   request,
+			Attempt:     int(number),
+			Outcome:     result,
+			Took:        elapsed,
+			RequestDone: final,
+		})
 	}
 	return nil
 }
