--- /dev/null
+++ b/internal/membership/broadcast_test.go
@@ -0,0 +1,59 @@
+package membership
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestBroadcastQueue holds the queue to what it promises: every message has its rounds, none is sent twice in a round, a
+// round keeps to its bytes and takes what was sent least often first; a full queue drops the oldest.
+func TestBroadcastQueue(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		queue, members, budget := &broadcastQueue{}, rapid.IntRange(2, 2000).Draw(t, "members"), rapid.IntRange(300, 5000).Draw(t, "budget")
+		sentRounds := map[uint64]int{}
+		added := uint64(0)
+		for range rapid.IntRange(1, 60).Draw(t, "rounds") {
+			for range rapid.IntRange(0, 9).Draw(t, "messages") {
+				added++
+				queue.add(&queuedMessage{message: updateMessage{Number: added}, size: rapid.IntRange(10, 300).Draw(t, "size")})
+			}
+			size, least, seen := 0, 0, map[uint64]bool{}
+			for _, one := range queue.nextRound(members, budget) {
+				n := one.message.Number
+				if size += one.size; seen[n] || size > budget || sentRounds[n] < least {
+					t.Fatalf("message %d after %d bytes of %d, sent %d times, one with %d before", n, size, budget, sentRounds[n], least)
+				}
+				seen[n], least = true, sentRounds[n]
+				sentRounds[n]++
+			}
+		}
+		for range 4000 {
+			for _, one := range queue.nextRound(members, budget) {
+				sentRounds[one.message.Number]++
+			}
+		}
+		for n := uint64(1); n <= added; n++ {
+			if sentRounds[n] != roundsPerMessage(members) {
+				t.Fatalf("message %d was sent in %d rounds, want %d", n, sentRounds[n], roundsPerMessage(members))
+			}
+		}
+	})
+	queue := &broadcastQueue{}
+	for i := range maxQueued + 5 {
+		queue.add(&queuedMessage{message: updateMessage{Number: uint64(i)}, size: 1})
+	}
+	if len(queue.messages) != maxQueued || queue.dropped != 5 || queue.messages[0].message.Number != 5 {
+		t.Errorf("%d kept, %d dropped, the first %d", len(queue.messages), queue.dropped, queue.messages[0].message.Number)
+	}
+	if got := roundTargets(2, func(int) int { return 0 }); !slices.Equal(got, []int{0, 1}) {
+		t.Error(got)
+	}
+	if got := roundTargets(9, func(n int) int { return n - 1 }); len(got) != 3 || got[0] == got[1] || got[1] == got[2] || got[0] == got[2] {
+		t.Error(got)
+	}
+	if queue.nextRound(1, 1000) != nil || len(queue.messages) != 0 {
+		t.Error("messages for nobody are kept")
+	}
+}
--- /dev/null
+++ b/internal/membership/messages_test.go
@@ -0,0 +1,58 @@
+package membership
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"cairntiller/internal/assignment"
+)
+
+// TestPackedUpdatesFitDatagrams: of updates of all lengths no message is larger than a datagram takes, and none is left
+// out.
+func TestPackedUpdatesFitDatagrams(t *testing.T) {
+	var all []assignment.Update
+	for i := range 500 {
+		all = append(all, assignment.Update{Key: fmt.Sprintf("probe/%0100d", i), Owner: "a", LoadReport: strings.Repeat("x", i)})
+	}
+	count := 0
+	for _, one := range packUpdates("a", all) {
+		message := updateMessage{Version: version, Origin: "a", Incarnation: 1 << 60, Number: 1 << 60, Held: 1 << 40, Updates: one}
+		if size := len(encode(message)); size > maxUpdateMessage+100 {
+			t.Fatalf("%d bytes", size)
+		}
+		decoded, err := decodeUpdateMessage(encode(message))
+		if err != nil {
+			t.Fatal(err)
+		}
+		updates, err := unpackUpdates(&decoded)
+		if err != nil {
+			t.Fatal(err)
+		}
+		count += len(updates)
+	}
+	if count != 500 {
+		t.Errorf("%d updates of 500", count)
+	}
+}
+
+// FuzzMessages: whatever bytes come, what is read of them keeps to its bounds.
+func FuzzMessages(f *testing.F) {
+	f.Add(encode(updateMessage{Version: version, Origin: "a", Incarnation: 1, Number: 1, Updates: packUpdates("a", []assignment.Update{{Key: "k"}})[0]}))
+	f.Add(encode(joinState{Version: version, Members: []memberRecord{{Name: "a"}}, Updates: []wireUpdate{{Key: "k", Age: -1}}}))
+	f.Add(encode(metadata{Version: version, Cluster: "kandy", Weight: 1}))
+	f.Add([]byte{0x9f, 0xff})
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		if message, err := decodeUpdateMessage(raw); err == nil {
+			updates, err := unpackUpdates(&message)
+			for _, update := range updates {
+				if err != nil || update.Age < 0 || update.Position < 0 || update.Key == "" || update.Owner == "" {
+					t.Fatalf("%+v, %v", update, err)
+				}
+			}
+		}
+		if m, err := decodeMetadata(raw); err == nil && !(m.Weight > 0) {
+			t.Fatalf("%+v", m)
+		}
+	})
+}
--- a/internal/membership/trace_test.go
+++ b/internal/membership/trace_test.go
@@ -18,7 +18,7 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := int64(0)
-	g, s := newAdmission(0, "kandy", 40), newMissingMembers(0, []string{"s1", "s2", "s3", "s4", "s5"})
+	rules, missing := newAdmission(0, "kandy", 40), newMissingMembers(0, []string{"s1", "s2", "s3", "s4", "s5"})
 	queue := &broadcastQueue{}
 	for n := range 6000 {
 		now += rng.Int64N(400_000)
@@ -26,21 +26,21 @@
 			now += 3700e6
 		}
 		name := fmt.Sprint("m", rng.IntN(60))
-		err := g.admit(now, name, metadata{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
+		err := rules.admit(now, name, metadata{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
 		fmt.Fprint(sum, err)
 		for range rng.IntN(4) {
-			fmt.Fprint(sum, g.admitDirect(now, name), g.isNew(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
+			fmt.Fprint(sum, rules.admitDirect(now, name), rules.isNew(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
 		}
 		if rng.IntN(3) == 0 {
-			g.keepPlace(now, name)
+			rules.keepPlace(now, name)
 		}
 		switch rng.IntN(30) {
 		case 0:
-			s.memberLost(now, name)
+			missing.memberLost(now, name)
 		case 1:
-			s.memberFound(name)
+			missing.memberFound(name)
 		}
-		fmt.Fprint(sum, s.addressesToTry(now, rng.IntN(3) == 0))
+		fmt.Fprint(sum, missing.addressesToTry(now, rng.IntN(3) == 0))
 		for range rng.IntN(5) {
 			queue.add(&queuedMessage{message: updateMessage{Number: uint64(n)}, size: 10 + rng.IntN(300)})
 		}
@@ -85,7 +85,7 @@
 func TestTraceIsAsRecorded(t *testing.T) {
 	for seed, want := range recorded {
 		if got := play(uint64(seed)); got != want {
-			t.Errorf("RECORD\t%#x,", got)
+			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
 }
