--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -25,7 +25,7 @@
 			return err
 		}
 	}
-	k := sql.ReadKnowledge(file.Part("statements"))
+	k := sql.ReadSettings(file.Part("statements"))
 	if l.File != "" {
 		file.Part("fleet").AcceptAllNames()
 		file.Part("duties").AcceptAllNames()
@@ -42,15 +42,15 @@
 		defer f.Close()
 		in = f
 	}
-	cache, err := sql.NewCache(k.Catalogue, k.Strings, k.Room)
+	cache, err := sql.NewCache(k.Catalogue, k.StringSyntax, k.CacheBytes)
 	if err != nil {
 		return err
 	}
 	w := bufio.NewWriter(out)
 	defer w.Flush()
-	reader := cache.Reader()
+	reader := cache.NewReader()
 	return statements(in, l.Lines, func(text string) error {
-		e, _, err := reader.Read(text, nil)
+		e, _, err := reader.Classify(text, nil)
 		if err != nil {
 			_, err = fmt.Fprintf(w, "refused\t-\t-\t-\t%v\n", err)
 			return err
--- a/internal/serve/company.go
+++ b/internal/serve/company.go
@@ -48,7 +48,7 @@
 		if file, err = sexp.ReadFile(path); err != nil {
 			return w, err
 		}
-		sql.ReadKnowledge(file.Part("statements")) // its faults; for classify, no router uses it yet
+		sql.ReadSettings(file.Part("statements")) // its faults; for classify, no router uses it yet
 	}
 	own, duties, leases, releases := file.Part("fleet"), file.Part("duties"), file.Part("leases"), file.Part("releases")
 	w = wishes{membership.ReadSettings(own, name), sharedprobes.ReadSettings(duties), leaseservice.ReadSettings(leases), versionaudit.ReadSettings(leases.Part("roll-call")),
--- a/internal/sql/catalogue.go
+++ b/internal/sql/catalogue.go
@@ -7,51 +7,51 @@
 
 // The volatilities, from harmless on. What is not known writes.
 const (
-	Writes   Volatility = iota // it may write, or do what only one server may
-	Bound                      // it changes or reads the session it runs in
-	Harmless                   // it reads at the most
+	MayWrite     Volatility = iota // it may write, or do what only one server may
+	SessionBound                   // it changes or reads the session it runs in
+	ReadOnly                       // it reads at the most
 )
 
 // Catalogue knows functions, types and relations by name.
 type Catalogue struct {
-	functions map[string]Volatility // by the name as it is written, folded, with its schema where it has one
-	types     map[string]bool
-	writers   map[string]bool // relations that write when they are read: views over functions, foreign tables
+	functions        map[string]Volatility // by the name as it is written, folded, with its schema where it has one
+	types            map[string]bool
+	writingRelations map[string]bool // relations that write when they are read: views over functions, foreign tables
 }
 
 // NewCatalogue knows what comes with a server, and nothing else.
 func NewCatalogue() *Catalogue {
-	c := &Catalogue{functions: map[string]Volatility{}, types: map[string]bool{}, writers: map[string]bool{}}
-	for _, name := range strings.Fields(harmless) {
-		c.functions[name] = Harmless
+	c := &Catalogue{functions: map[string]Volatility{}, types: map[string]bool{}, writingRelations: map[string]bool{}}
+	for _, name := range strings.Fields(readOnlyFunctions) {
+		c.functions[name] = ReadOnly
 	}
-	for _, name := range strings.Fields(bound) {
-		c.functions[name] = Bound
+	for _, name := range strings.Fields(sessionFunctions) {
+		c.functions[name] = SessionBound
 	}
-	for _, name := range strings.Fields(types) {
+	for _, name := range strings.Fields(builtinTypes) {
 		c.types[name] = true
 	}
 	return c
 }
 
 // Function adds a function of the operator's, or stands over one that comes with the server.
-func (c *Catalogue) Function(name string, v Volatility) { c.functions[name] = v }
+func (c *Catalogue) SetFunction(name string, v Volatility) { c.functions[name] = v }
 
 // Type adds a type whose input does nothing but read.
-func (c *Catalogue) Type(name string) { c.types[name] = true }
+func (c *Catalogue) AddType(name string) { c.types[name] = true }
 
 // Writer marks a relation that writes when it is read.
-func (c *Catalogue) Writer(name string) { c.writers[name] = true }
+func (c *Catalogue) AddWritingRelation(name string) { c.writingRelations[name] = true }
 
 // call is what calling a function by a name may do. A schema other than the server's own is another function.
-func (c *Catalogue) call(name string) Volatility {
+func (c *Catalogue) functionVolatility(name string) Volatility {
 	if v, known := c.functions[name]; known {
 		return v
 	}
 	if own, ok := strings.CutPrefix(name, "pg_catalog."); ok {
 		return c.functions[own]
 	}
-	return Writes
+	return MayWrite
 }
 
 func (c *Catalogue) knownType(name string) bool {
@@ -62,7 +62,7 @@
 // stand here where running them on any server does no harm (random, clock_timestamp). Left out on purpose, beside all that
 // writes: what runs a query given as a text (query_to_xml, ts_stat, ts_rewrite), what reads files, what acts on other
 // sessions, what waits (pg_sleep), and what a standby refuses.
-const harmless = `
+const readOnlyFunctions = `
 abs cbrt ceil ceiling degrees div erf erfc exp factorial floor gamma gcd lcm lgamma ln log log10 min_scale mod pi power
 radians round scale sign sqrt trim_scale trunc width_bucket random random_normal acos acosd asin asind atan atand atan2
 atan2d cos cosd cot cotd sin sind tan tand sinh cosh tanh asinh acosh atanh
@@ -132,14 +132,14 @@
 `
 
 // bound are functions that change the session, or whose answer is the session's own.
-const bound = `
+const sessionFunctions = `
 set_config setseed currval lastval pg_advisory_lock pg_advisory_lock_shared pg_advisory_unlock pg_advisory_unlock_all
 pg_advisory_unlock_shared pg_advisory_xact_lock pg_advisory_xact_lock_shared pg_try_advisory_lock
 pg_try_advisory_lock_shared pg_try_advisory_xact_lock pg_try_advisory_xact_lock_shared pg_listening_channels
 `
 
 // types are types that come with the server: reading a text as one of them runs no function of a user's.
-const types = `
+const builtinTypes = `
 bigint bigserial bit bool boolean box bytea bpchar char character cidr circle date datemultirange daterange dec decimal
 double float float4 float8 inet int int2 int4 int4multirange int4range int8 int8multirange int8range integer interval json
 jsonb jsonpath line lseg macaddr macaddr8 money name national nchar numeric nummultirange numrange oid path pg_lsn
@@ -149,7 +149,7 @@
 `
 
 // operators are those that come with the server; any other may run a user's function.
-var operators = func() map[string]bool {
+var builtinOperators = func() map[string]bool {
 	all := map[string]bool{}
 	for _, one := range strings.Fields(`+ - * / % ^ |/ ||/ @ & | # ~ << >> < > = <= >= <> != || ~* !~ !~* ~~ ~~* !~~ !~~* ^@ ~<~ ~<=~ ~>=~ ~>~
 		:: := .. -> ->> #> #>> @> <@ ? ?| ?& #- @? @@ @@@ && &< &> -|- <<| |>> &<| |&> <^ >^ ?# ?- ?-| ?|| ~= ## <-> <=> @-@ !! <<= >>= *= !! <% %>`) {
--- a/internal/sql/class_test.go
+++ b/internal/sql/class_test.go
@@ -9,7 +9,7 @@
 
 func classed(t *testing.T, c *Catalogue, text string) Statement {
 	t.Helper()
-	s, err := c.Classify(text, Standard, func(name string) (Class, bool) {
+	s, err := c.Classify(text, StandardStrings, func(name string) (Class, bool) {
 		switch name {
 		case "reads":
 			return Read, true
@@ -26,10 +26,10 @@
 
 func catalogue() *Catalogue {
 	c := NewCatalogue()
-	c.Function("shop.price", Harmless)
-	c.Function("audit", Writes)
-	c.Type("shop.mood")
-	c.Writer("audit_view")
+	c.SetFunction("shop.price", ReadOnly)
+	c.SetFunction("audit", MayWrite)
+	c.AddType("shop.mood")
+	c.AddWritingRelation("audit_view")
 	return c
 }
 
@@ -99,7 +99,7 @@
 		"select by(1)", "select partition(1)", "with f(x) as (select 1) select f(1)", "select a from t a where exists (select f(1))",
 		"select from a select", "select 1 )) from", "garbage", "select 1 from a where b = c ; ; with x as (select 1)",
 	} {
-		s, err := c.Classify(text, Standard, func(name string) (Class, bool) { return Write, name == "writes" })
+		s, err := c.Classify(text, StandardStrings, func(name string) (Class, bool) { return Write, name == "writes" })
 		if err == nil && s.Class != Write {
 			t.Errorf("%q is called a %v", text, s.Class)
 		}
@@ -146,14 +146,14 @@
 	c := catalogue()
 	for _, text := range []string{"select 'a", "select 1 select 'a", "select (((" + strings.Repeat("(", 300), "explain analyze select 'a"} {
 		var e *Error
-		if _, err := c.Classify(text, Standard, nil); !errors.As(err, &e) {
+		if _, err := c.Classify(text, StandardStrings, nil); !errors.As(err, &e) {
 			t.Errorf("%.30q: %v", text, err)
 		}
 	}
-	if s, err := c.Classify(`select 'a\' from b`, Unknown, nil); err != nil || s.Class != Write {
+	if s, err := c.Classify(`select 'a\' from b`, UnknownStrings, nil); err != nil || s.Class != Write {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if s, err := c.Classify(`select 'a\' from b`, Standard, nil); err != nil || s.Class != Read {
+	if s, err := c.Classify(`select 'a\' from b`, StandardStrings, nil); err != nil || s.Class != Read {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -167,17 +167,17 @@
 	}
 	c := catalogue()
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := c.Classify(text, Standard, nil)
-		if err != nil || strings.HasPrefix(s.Reason, notUnderstood) || strings.Contains(text, ";") {
+		s, err := c.Classify(text, StandardStrings, nil)
+		if err != nil || strings.HasPrefix(s.Reason, reasonNotUnderstood) || strings.Contains(text, ";") {
 			return
 		}
-		l, _ := NewLexer(text, Standard)
+		l, _ := NewLexer(text, StandardStrings)
 		switch head, _ := l.Next(); fold(l.Text(head)) {
 		case "select", "with", "values", "table", "insert", "update", "delete", "merge":
 		default:
 			return // no query: it can stand in no bracket
 		}
-		l, _ = NewLexer(text, Standard)
+		l, _ = NewLexer(text, StandardStrings)
 		var wide strings.Builder
 		for {
 			tok, err := l.Next()
@@ -194,7 +194,7 @@
 			wide.WriteString(word + " /* ; */ ")
 		}
 		for _, again := range []string{wide.String(), "select * from (" + text + "\n) q", "with q as (" + text + "\n) select * from q"} {
-			w, err := c.Classify(again, Standard, nil)
+			w, err := c.Classify(again, StandardStrings, nil)
 			if err == nil && w.Class < s.Class && s.Class == Write {
 				t.Fatalf("%q is a %v (%s), %q a %v", text, s.Class, s.Reason, again, w.Class)
 			}
--- a/internal/sql/lex.go
+++ b/internal/sql/lex.go
@@ -11,9 +11,9 @@
 
 // Limits of one text; what lies over them is refused before more work is done on it.
 const (
-	MostBytes  = 1 << 20 // of a text: far over what a person or a program writes for one command
-	MostTokens = 1 << 16 // a list of some ten thousand values
-	MostDepth  = 256     // brackets within one another: deeper ones come from generators gone wrong
+	MaxBytes  = 1 << 20 // of a text: far over what a person or a program writes for one command
+	MaxTokens = 1 << 16 // a list of some ten thousand values
+	MaxDepth  = 256     // brackets within one another: deeper ones come from generators gone wrong
 )
 
 // Kind is what a token is.
@@ -21,15 +21,15 @@
 
 // The kinds of tokens.
 const (
-	End      Kind = iota
-	Word          // an identifier or a key word, folded to lower case
-	Quoted        // an identifier in double quotes, as it stands within them
-	Text          // a text, in whatever quotes
-	Bits          // B'...' or X'...'
-	Number        // any number
-	Param         // $1
-	Operator      // one or more of the operator characters
-	Mark          // one of ( ) [ ] , ; . : and :: := .. =>
+	End           Kind = iota
+	Word               // an identifier or a key word, folded to lower case
+	Quoted             // an identifier in double quotes, as it stands within them
+	StringLiteral      // a text, in whatever quotes
+	BitString          // B'...' or X'...'
+	Number             // any number
+	Parameter          // $1
+	Operator           // one or more of the operator characters
+	Punctuation        // one of ( ) [ ] , ; . : and :: := .. =>
 )
 
 // Token is one token: its kind and where it stands in the text.
@@ -40,47 +40,47 @@
 
 // Error is why a text is refused, and where.
 type Error struct {
-	At  int // byte of the text, from 0
-	Why string
+	Offset int // byte of the text, from 0
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("at byte %d: %s", e.At, e.Why) }
+func (e *Error) Error() string { return fmt.Sprintf("at byte %d: %s", e.Offset, e.Reason) }
 
 // Strings is how a server reads a backslash in plain quotes: its setting standard_conforming_strings.
-type Strings uint8
+type StringSyntax uint8
 
 // The ways to read it. Where it is not known, a text whose end depends on it can't be trusted.
 const (
-	Standard  Strings = iota // a backslash is an ordinary character
-	Backslash                // a backslash escapes what follows it
-	Unknown
+	StandardStrings  StringSyntax = iota // a backslash is an ordinary character
+	BackslashStrings                     // a backslash escapes what follows it
+	UnknownStrings
 )
 
 // Lexer cuts a text into tokens.
 type Lexer struct {
-	text    string
-	strings Strings
-	at      int
-	tokens  int
-	depth   int
-	opened  [MostDepth]byte // the brackets that are open
+	text     string
+	strings  StringSyntax
+	at       int
+	tokens   int
+	depth    int
+	brackets [MaxDepth]byte // the brackets that are open
 	// Doubtful tells that a plain text held a backslash while it is not known how the server reads it: another
 	// reading may end the text elsewhere.
-	Doubtful bool
+	AmbiguousString bool
 }
 
 // NewLexer begins a text; it is refused at once where it is too long or not UTF-8.
-func NewLexer(text string, how Strings) (*Lexer, error) {
+func NewLexer(text string, how StringSyntax) (*Lexer, error) {
 	l := &Lexer{}
-	if err := l.begin(text, how); err != nil {
+	if err := l.reset(text, how); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-func (l *Lexer) begin(text string, how Strings) error {
-	if len(text) > MostBytes {
-		return &Error{MostBytes, fmt.Sprintf("%d bytes, %d at most", len(text), MostBytes)}
+func (l *Lexer) reset(text string, how StringSyntax) error {
+	if len(text) > MaxBytes {
+		return &Error{MaxBytes, fmt.Sprintf("%d bytes, %d at most", len(text), MaxBytes)}
 	}
 	if !utf8.ValidString(text) {
 		at := 0
@@ -144,7 +144,7 @@
 	isSelf // stands alone
 )
 
-var class = func() (c [256]uint8) {
+var byteClass = func() (c [256]uint8) {
 	for _, b := range " \t\n\r\f\v" {
 		c[b] |= isSpace
 	}
@@ -181,34 +181,34 @@
 
 // Next is the next token; End behind the last.
 func (l *Lexer) Next() (Token, error) {
-	if err := l.skip(); err != nil {
-		return l.fail(err.At, err.Why)
+	if err := l.skipSpaceAndComments(); err != nil {
+		return l.fail(err.Offset, err.Reason)
 	}
 	if l.at >= len(l.text) {
 		return Token{Kind: End, From: int32(len(l.text)), To: int32(len(l.text))}, nil
 	}
-	if l.tokens++; l.tokens > MostTokens {
-		return l.fail(l.at, fmt.Sprintf("over %d tokens", MostTokens))
+	if l.tokens++; l.tokens > MaxTokens {
+		return l.fail(l.at, fmt.Sprintf("over %d tokens", MaxTokens))
 	}
 	from := l.at
-	kind, err := l.one()
+	kind, err := l.scanToken()
 	if err != nil {
-		return l.fail(err.At, err.Why)
+		return l.fail(err.Offset, err.Reason)
 	}
 	return Token{kind, int32(from), int32(l.at)}, nil
 }
 
 // skip passes white space and comments, which may be within one another.
-func (l *Lexer) skip() *Error {
+func (l *Lexer) skipSpaceAndComments() *Error {
 	for l.at < len(l.text) {
 		c := l.text[l.at]
 		switch {
-		case class[c]&isSpace != 0:
+		case byteClass[c]&isSpace != 0:
 			l.at++
 		case c == '-' && l.byteAt(l.at+1) == '-':
-			l.line()
+			l.skipLineComment()
 		case c == '/' && l.byteAt(l.at+1) == '*':
-			if err := l.comment(); err != nil {
+			if err := l.skipBlockComment(); err != nil {
 				return err
 			}
 		default:
@@ -218,7 +218,7 @@
 	return nil
 }
 
-func (l *Lexer) line() {
+func (l *Lexer) skipLineComment() {
 	if i := strings.IndexAny(l.text[l.at:], "\n\r"); i >= 0 {
 		l.at += i
 	} else {
@@ -226,7 +226,7 @@
 	}
 }
 
-func (l *Lexer) comment() *Error {
+func (l *Lexer) skipBlockComment() *Error {
 	from, depth := l.at, 0
 	for l.at < len(l.text) {
 		switch {
@@ -247,57 +247,57 @@
 }
 
 // one reads a token that begins here.
-func (l *Lexer) one() (Kind, *Error) {
+func (l *Lexer) scanToken() (Kind, *Error) {
 	c, next := l.text[l.at], l.byteAt(l.at+1)
 	switch {
 	case c == '\'':
-		return Text, l.quoted(l.at, l.strings == Backslash, l.strings == Unknown)
+		return StringLiteral, l.scanString(l.at, l.strings == BackslashStrings, l.strings == UnknownStrings)
 	case (c == 'e' || c == 'E') && next == '\'':
-		return Text, l.prefixed(1, true)
+		return StringLiteral, l.scanPrefixedString(1, true)
 	case (c == 'b' || c == 'B' || c == 'x' || c == 'X') && next == '\'':
-		return Bits, l.prefixed(1, false)
+		return BitString, l.scanPrefixedString(1, false)
 	case (c == 'n' || c == 'N') && next == '\'':
 		from := l.at
 		l.at++
-		return Text, l.quoted(from, l.strings == Backslash, l.strings == Unknown)
+		return StringLiteral, l.scanString(from, l.strings == BackslashStrings, l.strings == UnknownStrings)
 	case (c == 'u' || c == 'U') && next == '&' && l.byteAt(l.at+2) == '\'':
 		// Where the server reads backslashes as escapes it refuses this form, so only one reading is possible.
-		return Text, l.prefixed(2, false)
+		return StringLiteral, l.scanPrefixedString(2, false)
 	case (c == 'u' || c == 'U') && next == '&' && l.byteAt(l.at+2) == '"':
 		l.at += 2
-		return Quoted, l.identifier()
+		return Quoted, l.scanQuotedIdentifier()
 	case c == '"':
-		return Quoted, l.identifier()
-	case class[c]&isStart != 0:
-		for l.at < len(l.text) && class[l.text[l.at]]&isPart != 0 {
+		return Quoted, l.scanQuotedIdentifier()
+	case byteClass[c]&isStart != 0:
+		for l.at < len(l.text) && byteClass[l.text[l.at]]&isPart != 0 {
 			l.at++
 		}
 		return Word, nil
-	case class[c]&isDigit != 0 || c == '.' && class[next]&isDigit != 0:
-		return Number, l.number()
+	case byteClass[c]&isDigit != 0 || c == '.' && byteClass[next]&isDigit != 0:
+		return Number, l.scanNumber()
 	case c == '$':
-		return l.dollar()
-	case c == ':' || class[c]&isSelf != 0:
-		return Mark, l.mark(c, next)
-	case class[c]&isOperator != 0:
-		return l.operator()
+		return l.scanDollar()
+	case c == ':' || byteClass[c]&isSelf != 0:
+		return Punctuation, l.scanPunctuation(c, next)
+	case byteClass[c]&isOperator != 0:
+		return l.scanOperator()
 	}
 	return 0, &Error{l.at, fmt.Sprintf("the character %q", c)}
 }
 
-func (l *Lexer) prefixed(by int, escapes bool) *Error {
+func (l *Lexer) scanPrefixedString(by int, escapes bool) *Error {
 	from := l.at
 	l.at += by
-	return l.quoted(from, escapes, false)
+	return l.scanString(from, escapes, false)
 }
 
 // quoted reads a text in single quotes, with what continues it on a later line.
-func (l *Lexer) quoted(from int, escapes, doubtful bool) *Error {
+func (l *Lexer) scanString(from int, escapes, doubtful bool) *Error {
 	for l.at++; l.at < len(l.text); l.at++ {
 		switch l.text[l.at] {
 		case '\\':
 			if doubtful {
-				l.Doubtful = true
+				l.AmbiguousString = true
 			}
 			if escapes {
 				l.at++
@@ -308,7 +308,7 @@
 				continue
 			}
 			l.at++
-			if !l.continued() {
+			if !l.continuesOnNextLine() {
 				return nil
 			}
 		}
@@ -319,7 +319,7 @@
 
 // continued passes to the opening quote of a text's next part: only white space with a line's end may stand between,
 // and line comments within it.
-func (l *Lexer) continued() bool {
+func (l *Lexer) continuesOnNextLine() bool {
 	at, line := l.at, false
 	for at < len(l.text) {
 		c := l.text[at]
@@ -327,7 +327,7 @@
 		case c == '\n' || c == '\r':
 			line = true
 			at++
-		case class[c]&isSpace != 0:
+		case byteClass[c]&isSpace != 0:
 			at++
 		case line && c == '-' && l.byteAt(at+1) == '-':
 			i := strings.IndexAny(l.text[at:], "\n\r")
@@ -345,7 +345,7 @@
 	return false
 }
 
-func (l *Lexer) identifier() *Error {
+func (l *Lexer) scanQuotedIdentifier() *Error {
 	from := l.at
 	for l.at++; l.at < len(l.text); l.at++ {
 		if l.text[l.at] != '"' {
@@ -366,7 +366,7 @@
 
 // number reads digits of any base, with underscores between them, a fraction and an exponent; a letter right behind is
 // junk.
-func (l *Lexer) number() *Error {
+func (l *Lexer) scanNumber() *Error {
 	from := l.at
 	if l.text[l.at] == '0' {
 		base := ""
@@ -380,17 +380,17 @@
 		}
 		if base != "" {
 			l.at += 2
-			if !l.digits(base, true) {
+			if !l.scanDigits(base, true) {
 				return &Error{from, "a number without digits"}
 			}
-			return l.junk(from)
+			return l.rejectTrailingLetter(from)
 		}
 	}
 	const ten = "0123456789"
-	l.digits(ten, false)
+	l.scanDigits(ten, false)
 	if l.byteAt(l.at) == '.' && l.byteAt(l.at+1) != '.' { // "1..2" is a range
 		l.at++
-		l.digits(ten, false)
+		l.scanDigits(ten, false)
 	}
 	if c := l.byteAt(l.at); c == 'e' || c == 'E' {
 		at := l.at
@@ -398,15 +398,15 @@
 		if c := l.byteAt(l.at); c == '+' || c == '-' {
 			l.at++
 		}
-		if !l.digits(ten, false) {
+		if !l.scanDigits(ten, false) {
 			return &Error{at, "an exponent without digits"}
 		}
 	}
-	return l.junk(from)
+	return l.rejectTrailingLetter(from)
 }
 
 // digits passes digits, with single underscores between them, or before the first where that is allowed.
-func (l *Lexer) digits(of string, before bool) (any bool) {
+func (l *Lexer) scanDigits(of string, before bool) (any bool) {
 	for l.at < len(l.text) {
 		switch c := l.text[l.at]; {
 		case strings.IndexByte(of, c) >= 0:
@@ -421,24 +421,24 @@
 	return any
 }
 
-func (l *Lexer) junk(from int) *Error {
-	if class[l.byteAt(l.at)]&isStart != 0 {
+func (l *Lexer) rejectTrailingLetter(from int) *Error {
+	if byteClass[l.byteAt(l.at)]&isStart != 0 {
 		return &Error{from, "a number with a letter behind it"}
 	}
 	return nil
 }
 
 // dollar reads a parameter or a text in dollar quotes.
-func (l *Lexer) dollar() (Kind, *Error) {
+func (l *Lexer) scanDollar() (Kind, *Error) {
 	from := l.at
 	l.at++
-	if class[l.byteAt(l.at)]&isDigit != 0 {
-		for class[l.byteAt(l.at)]&isDigit != 0 {
+	if byteClass[l.byteAt(l.at)]&isDigit != 0 {
+		for byteClass[l.byteAt(l.at)]&isDigit != 0 {
 			l.at++
 		}
-		return Param, l.junk(from)
+		return Parameter, l.rejectTrailingLetter(from)
 	}
-	for l.at < len(l.text) && l.text[l.at] != '$' && class[l.text[l.at]]&isPart != 0 {
+	for l.at < len(l.text) && l.text[l.at] != '$' && byteClass[l.text[l.at]]&isPart != 0 {
 		l.at++
 	}
 	if l.byteAt(l.at) != '$' {
@@ -452,24 +452,24 @@
 		return 0, &Error{from, "a text that does not end"}
 	}
 	l.at += end + len(tag)
-	return Text, nil
+	return StringLiteral, nil
 }
 
 // mark reads a mark, and keeps count of brackets.
-func (l *Lexer) mark(c, next byte) *Error {
+func (l *Lexer) scanPunctuation(c, next byte) *Error {
 	from := l.at
 	l.at++
 	switch {
 	case c == ':' && (next == ':' || next == '='), c == '.' && next == '.':
 		l.at++
 	case c == '(' || c == '[':
-		if l.depth == MostDepth {
-			return &Error{from, fmt.Sprintf("brackets over %d deep", MostDepth)}
+		if l.depth == MaxDepth {
+			return &Error{from, fmt.Sprintf("brackets over %d deep", MaxDepth)}
 		}
-		l.opened[l.depth] = c
+		l.brackets[l.depth] = c
 		l.depth++
 	case c == ')' || c == ']':
-		if l.depth == 0 || (l.opened[l.depth-1] == '(') != (c == ')') {
+		if l.depth == 0 || (l.brackets[l.depth-1] == '(') != (c == ')') {
 			return &Error{from, "a closing bracket without its opening one"}
 		}
 		l.depth--
@@ -479,9 +479,9 @@
 
 // operator reads operator characters up to a comment. Of several it ends in + or - only where one of ~!@#%^&|`? is
 // among them.
-func (l *Lexer) operator() (Kind, *Error) {
+func (l *Lexer) scanOperator() (Kind, *Error) {
 	from, end := l.at, l.at
-	for end < len(l.text) && class[l.text[end]]&isOperator != 0 {
+	for end < len(l.text) && byteClass[l.text[end]]&isOperator != 0 {
 		if two := l.text[end:min(end+2, len(l.text))]; two == "--" || two == "/*" {
 			break
 		}
@@ -494,7 +494,7 @@
 	}
 	l.at = end
 	if l.text[from:end] == "=>" {
-		return Mark, nil
+		return Punctuation, nil
 	}
 	return Operator, nil
 }
--- a/internal/sql/lex_test.go
+++ b/internal/sql/lex_test.go
@@ -9,7 +9,7 @@
 )
 
 // tokens are a text's tokens in words, and its error.
-func tokens(text string, how Strings) (all []string, l *Lexer, err error) {
+func tokens(text string, how StringSyntax) (all []string, l *Lexer, err error) {
 	l, err = NewLexer(text, how)
 	if err != nil {
 		return nil, nil, err
@@ -56,7 +56,7 @@
 		"2*-1":                         "n:2 o:* o:- n:1",
 		"e 'a' b.x 'y' u & 'z'":        "w:e t:'a' w:b m:. w:x t:'y' w:u o:& t:'z'",
 	} {
-		got, l, err := tokens(text, Standard)
+		got, l, err := tokens(text, StandardStrings)
 		if s := strings.Join(got, " "); err != nil || s != want || !l.Balanced() {
 			t.Errorf("%q: %s, %v, want %s", text, s, err, want)
 		}
@@ -66,17 +66,17 @@
 // TestBackslashes: where a text ends depends on a setting of the server; where that is not known, it is said.
 func TestBackslashes(t *testing.T) {
 	const text = `SELECT 'a\' ; DELETE FROM x; --'`
-	got, l, err := tokens(text, Standard)
-	if err != nil || len(got) != 7 || l.Doubtful {
+	got, l, err := tokens(text, StandardStrings)
+	if err != nil || len(got) != 7 || l.AmbiguousString {
 		t.Errorf("standard: %q, %v", got, err)
 	}
-	if got, _, err = tokens(text, Backslash); err != nil || len(got) != 2 {
+	if got, _, err = tokens(text, BackslashStrings); err != nil || len(got) != 2 {
 		t.Errorf("backslash: %q, %v", got, err)
 	}
-	if _, l, err = tokens(text, Unknown); err != nil || !l.Doubtful {
+	if _, l, err = tokens(text, UnknownStrings); err != nil || !l.AmbiguousString {
 		t.Errorf("unknown: %v", err)
 	}
-	if _, l, err = tokens(`SELECT E'\'' , $$\$$, '/'`, Unknown); err != nil || l.Doubtful {
+	if _, l, err = tokens(`SELECT E'\'' , $$\$$, '/'`, UnknownStrings); err != nil || l.AmbiguousString {
 		t.Errorf("nothing in it depends on the setting: %v", err)
 	}
 }
@@ -101,16 +101,16 @@
 		"a\xffb":                             "1: no valid UTF-8",
 		"a\x00b":                             "1: a zero byte",
 		strings.Repeat("(", 100_000):         "256: brackets over 256 deep",
-		strings.Repeat("a ", MostTokens+1):   "131072: over 65536 tokens",
-		strings.Repeat("a", MostBytes+1):     "1048576: 1048577 bytes",
+		strings.Repeat("a ", MaxTokens+1):    "131072: over 65536 tokens",
+		strings.Repeat("a", MaxBytes+1):      "1048576: 1048577 bytes",
 		"'" + strings.Repeat("a", 1<<19):     "0: a text that does not end",
 		strings.Repeat("/*", 1<<19):          "0: a comment that does not end",
 		strings.Repeat("'a'\n", 1<<17) + "'": "0: a text that does not end",
 	} {
 		began := time.Now()
-		_, _, err := tokens(text, Standard)
+		_, _, err := tokens(text, StandardStrings)
 		var e *Error
-		if !errors.As(err, &e) || !strings.HasPrefix(fmt.Sprintf("%d: %s", e.At, e.Why), want) {
+		if !errors.As(err, &e) || !strings.HasPrefix(fmt.Sprintf("%d: %s", e.Offset, e.Reason), want) {
 			t.Errorf("%.20q: %v, want %s", text, err, want)
 		}
 		if took := time.Since(began); took > time.Second {
@@ -127,7 +127,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		l, err := NewLexer(text, Standard)
+		l, err := NewLexer(text, StandardStrings)
 		if err != nil {
 			return
 		}
@@ -155,7 +155,7 @@
 			}
 			wide.WriteString(s + " /* ' */ ")
 		}
-		again, err := NewLexer(wide.String(), Standard)
+		again, err := NewLexer(wide.String(), StandardStrings)
 		if err != nil {
 			return // too long by now
 		}
@@ -181,7 +181,7 @@
 	const text = `SELECT p.price, s.name FROM prices p JOIN stalls s ON s.id = p.stall WHERE p.day = $1 AND s.district = 'kandy' ORDER BY 1 LIMIT 20`
 	b.ReportAllocs()
 	for b.Loop() {
-		l, _ := NewLexer(text, Standard)
+		l, _ := NewLexer(text, StandardStrings)
 		for {
 			if t, err := l.Next(); err != nil || t.Kind == End {
 				break
--- a/internal/sql/parse.go
+++ b/internal/sql/parse.go
@@ -32,22 +32,22 @@
 
 // parse is the tree of one text, and what the generated parser reads its tokens from.
 type parse struct {
-	lex   *Lexer
-	nodes []node
-	all   list // the statements
-	prior [2]Token
-	err   error
+	lex      *Lexer
+	nodes    []node
+	all      list // the statements
+	previous [2]Token
+	err      error
 }
 
 // parsed cuts and parses a text; the error is of type *Error.
-func parsed(text string, how Strings) (*parse, error) {
+func parseText(text string, how StringSyntax) (*parse, error) {
 	l, err := NewLexer(text, how)
 	if err != nil {
 		return nil, err
 	}
 	p := &parse{lex: l, nodes: make([]node, 1, 64)}
 	if yyNewParser().Parse(p) != 0 && p.err == nil {
-		p.err = &Error{l.at, notUnderstood}
+		p.err = &Error{l.at, reasonNotUnderstood}
 	}
 	return p, p.err
 }
@@ -86,7 +86,7 @@
 
 // words are the key words that the grammar knows; all of them are reserved in PostgreSQL but those of the second row,
 // which may be names too: where one is, the statement is not understood, and so counts as a write.
-var words = map[string]int{
+var grammarKeywords = map[string]int{
 	"select": SELECT, "table": TABLE, "with": WITH, "into": INTO, "from": FROM, "where": WHERE, "group": GROUP,
 	"having": HAVING, "window": WINDOW, "order": ORDER, "limit": LIMIT, "offset": OFFSET, "fetch": FETCH, "for": FOR,
 	"union": SETOP, "intersect": SETOP, "except": SETOP,
@@ -94,31 +94,31 @@
 }
 
 // longestWord is the length of the longest of them.
-const longestWord = 9
+const longestKeyword = 9
 
 // Lex gives the generated parser its next token.
 func (p *parse) Lex(v *yySymType) int {
 	t, err := p.lex.Next()
-	if err == nil && p.keyword(p.prior[1]) == SETOP && p.prior[1].Kind == Word && (p.is(t, "all") || p.is(t, "distinct")) {
+	if err == nil && p.keyword(p.previous[1]) == SETOP && p.previous[1].Kind == Word && (p.is(t, "all") || p.is(t, "distinct")) {
 		t, err = p.lex.Next()
 	}
 	if err != nil {
 		p.err = err
 		return -1
 	}
-	before := p.prior
-	p.prior[0], p.prior[1] = p.prior[1], t
+	before := p.previous
+	p.previous[0], p.previous[1] = p.previous[1], t
 	v.tok = t
 	switch t.Kind {
 	case End:
 		return 0
 	case Word:
-		return p.word(t, before)
+		return p.classifyWord(t, before)
 	case Quoted:
 		return WORD
-	case Text, Bits, Number, Param:
+	case StringLiteral, BitString, Number, Parameter:
 		return LITERAL
-	case Mark:
+	case Punctuation:
 		if t.To-t.From == 1 {
 			return int(p.lex.text[t.From])
 		}
@@ -128,20 +128,20 @@
 
 // word tells a key word from a name: behind AS and behind a dot any word is a name, and FROM in IS DISTINCT FROM is part
 // of an operator.
-func (p *parse) word(t Token, before [2]Token) int {
+func (p *parse) classifyWord(t Token, before [2]Token) int {
 	kind := p.keyword(t)
 	if kind == WORD {
 		return WORD
 	}
 	last := before[1]
 	switch {
-	case last.Kind == Mark && p.lex.Text(last) == ".":
+	case last.Kind == Punctuation && p.lex.Text(last) == ".":
 		return WORD
 	case kind == FROM && p.is(last, "distinct") && (p.is(before[0], "is") || p.is(before[0], "not")):
 		return WORD
 	case kind == UPDATE && (p.is(last, "for") || p.is(last, "key")):
 		return WORD
-	case kind == WITH && p.plainWith():
+	case kind == WITH && p.isTrailingWith():
 		return WORD
 	case p.is(last, "as"):
 		return WORD
@@ -150,7 +150,7 @@
 }
 
 // plainWith tells whether the WITH just read belongs to what stands before it, by the word behind it.
-func (p *parse) plainWith() bool {
+func (p *parse) isTrailingWith() bool {
 	here := *p.lex
 	t, err := p.lex.Next()
 	*p.lex = here
@@ -158,17 +158,17 @@
 }
 
 func (p *parse) keyword(t Token) int {
-	if t.To-t.From > longestWord {
+	if t.To-t.From > longestKeyword {
 		return WORD
 	}
-	var low [longestWord]byte
+	var low [longestKeyword]byte
 	for i, c := range []byte(p.lex.Text(t)) {
 		if c >= 'A' && c <= 'Z' {
 			c += 'a' - 'A'
 		}
 		low[i] = c
 	}
-	if kind, ok := words[string(low[:t.To-t.From])]; ok {
+	if kind, ok := grammarKeywords[string(low[:t.To-t.From])]; ok {
 		return kind
 	}
 	return WORD
@@ -194,14 +194,14 @@
 // Error notes where the generated parser stopped; a fault of the lexer stands over it.
 func (p *parse) Error(string) {
 	if p.err == nil {
-		p.err = &Error{int(p.prior[1].From), notUnderstood}
+		p.err = &Error{int(p.previous[1].From), reasonNotUnderstood}
 	}
 }
 
-const notUnderstood = "not understood"
+const reasonNotUnderstood = "not understood"
 
 // rest cuts what the parser left.
-func (p *parse) rest() error {
+func (p *parse) scanRest() error {
 	for {
 		t, err := p.lex.Next()
 		if err != nil || t.Kind == End {
--- a/internal/sql/parse_test.go
+++ b/internal/sql/parse_test.go
@@ -22,7 +22,7 @@
 		"select ((a + b) * (select max(c) from d)) from e", "select case when a then b else c end from d",
 		"select * from generate_series(1, 3) with ordinality as t(a, b)",
 	} {
-		if _, err := parsed(text, Standard); err != nil {
+		if _, err := parseText(text, StandardStrings); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -31,7 +31,7 @@
 		"select 1 from a where b = (select": "at byte", "from a": "at byte 0", "select a from b union": "at byte 21",
 		"select 'a": "a text that does not end", "select (values": "at byte", "select (update) from t": "",
 	} {
-		_, err := parsed(text, Standard)
+		_, err := parseText(text, StandardStrings)
 		if at == "" {
 			continue
 		}
@@ -45,7 +45,7 @@
 	const text = `SELECT p.price, s.name FROM prices p JOIN stalls s ON s.id = p.stall WHERE p.day = $1 AND s.district = 'kandy' ORDER BY 1 LIMIT 20`
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := parsed(text, Standard); err != nil {
+		if _, err := parseText(text, StandardStrings); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/sql/read_test.go
+++ b/internal/sql/read_test.go
@@ -12,18 +12,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := ReadKnowledge(f.Part("statements"))
-	if err := f.Faults(); err != nil || k.Room != 1<<20 || k.Strings != Standard {
+	k := ReadSettings(f.Part("statements"))
+	if err := f.Faults(); err != nil || k.CacheBytes != 1<<20 || k.StringSyntax != StandardStrings {
 		t.Errorf("%+v, %v", k, err)
 	}
 	for text, want := range map[string]Class{"select shop.price(1), upper(x)": Read, "select enter()": Session, "select lower(x)": Write,
 		"select 'a'::mood": Read, "select * from v": Write, "select pg_catalog.lower(x)": Write} {
-		if s, err := k.Catalogue.Classify(text, k.Strings, nil); err != nil || s.Class != want {
+		if s, err := k.Catalogue.Classify(text, k.StringSyntax, nil); err != nil || s.Class != want {
 			t.Errorf("%q: %+v, %v", text, s, err)
 		}
 	}
 	f, _ = sexp.Parse("f", []byte(`(statements (harmless a) (writes a) (strings odd))`))
-	ReadKnowledge(f.Part("statements"))
+	ReadSettings(f.Part("statements"))
 	if err := f.Faults(); err == nil || !strings.Contains(err.Error(), "a second time") || !strings.Contains(err.Error(), "found odd") {
 		t.Error(err)
 	}
--- a/internal/sql/shape.go
+++ b/internal/sql/shape.go
@@ -15,30 +15,30 @@
 
 // Marks that stand for literals; no token looks like them, for a backslash begins none.
 const (
-	markText   = `\s`
-	markNumber = `\n`
-	markBits   = `\b`
-	markParam  = `\p`
-	markList   = `(\+)`
+	stringPlaceholder    = `\s`
+	numberPlaceholder    = `\n`
+	bitsPlaceholder      = `\b`
+	parameterPlaceholder = `\p`
+	listPlaceholder      = `(\+)`
 )
 
 // shaper builds shapes in room that it keeps.
-type shaper struct {
-	buf   []byte
-	opens []open // brackets that are open
-	row   int    // where a list of literals that has just ended began, -1 for none
+type shapeBuilder struct {
+	buf          []byte
+	openBrackets []openBracket // brackets that are open
+	listStart    int           // where a list of literals that has just ended began, -1 for none
 }
 
 // open is an open bracket.
-type open struct {
-	at      int  // where it stands in the shape
-	row     int  // where the list of literals before it began, -1 for none
-	literal bool // nothing but literals and commas since
+type openBracket struct {
+	start        int  // where it stands in the shape
+	previousList int  // where the list of literals before it began, -1 for none
+	literalsOnly bool // nothing but literals and commas since
 }
 
 // shape writes a text's shape to the shaper's room; the error is the lexer's.
-func (s *shaper) shape(l *Lexer) error {
-	s.buf, s.opens, s.row = s.buf[:0], s.opens[:0], -1
+func (s *shapeBuilder) build(l *Lexer) error {
+	s.buf, s.openBrackets, s.listStart = s.buf[:0], s.openBrackets[:0], -1
 	limit := false
 	for {
 		t, err := l.Next()
@@ -52,24 +52,24 @@
 			s.buf = append(s.buf, ' ')
 		}
 		text := l.Text(t)
-		if t.Kind == Mark && len(text) == 1 && s.bracket(text[0]) {
+		if t.Kind == Punctuation && len(text) == 1 && s.addBracket(text[0]) {
 			continue
 		}
-		if n := len(s.opens); n > 0 && t.Kind != Text && t.Kind != Number && t.Kind != Bits && t.Kind != Param && text != "," {
-			s.opens[n-1].literal = false
+		if n := len(s.openBrackets); n > 0 && t.Kind != StringLiteral && t.Kind != Number && t.Kind != BitString && t.Kind != Parameter && text != "," {
+			s.openBrackets[n-1].literalsOnly = false
 		}
 		switch t.Kind {
-		case Text:
-			s.buf = append(s.buf, markText...)
+		case StringLiteral:
+			s.buf = append(s.buf, stringPlaceholder...)
 		case Number:
-			s.buf = append(s.buf, markNumber...)
+			s.buf = append(s.buf, numberPlaceholder...)
 			if limit { // a limit's size tells on what the statement costs
 				s.buf = append(s.buf, '0'+byte(min(len(text), 9)))
 			}
-		case Bits:
-			s.buf = append(s.buf, markBits...)
-		case Param:
-			s.buf = append(s.buf, markParam...)
+		case BitString:
+			s.buf = append(s.buf, bitsPlaceholder...)
+		case Parameter:
+			s.buf = append(s.buf, parameterPlaceholder...)
 		case Word:
 			from := len(s.buf)
 			s.buf = append(s.buf, text...)
@@ -83,34 +83,34 @@
 		}
 		limit = t.Kind == Word && len(text) == 5 && strings.EqualFold(text, "limit")
 		if text != "," {
-			s.row = -1
+			s.listStart = -1
 		}
 	}
 }
 
 // bracket writes a bracket; at the end of a list of literals the list folds, and with one like it before it into one.
-func (s *shaper) bracket(c byte) bool {
+func (s *shapeBuilder) addBracket(c byte) bool {
 	switch c {
 	case '(':
-		if n := len(s.opens); n > 0 {
-			s.opens[n-1].literal = false
+		if n := len(s.openBrackets); n > 0 {
+			s.openBrackets[n-1].literalsOnly = false
 		}
-		s.opens = append(s.opens, open{len(s.buf), s.row, true})
-		s.row = -1
+		s.openBrackets = append(s.openBrackets, openBracket{len(s.buf), s.listStart, true})
+		s.listStart = -1
 		s.buf = append(s.buf, '(')
 		return true
 	case ')':
-		n := len(s.opens) - 1
-		o := s.opens[n]
-		s.opens = s.opens[:n]
-		if !o.literal || len(s.buf) == o.at+2 { // something else within, or nothing
+		n := len(s.openBrackets) - 1
+		o := s.openBrackets[n]
+		s.openBrackets = s.openBrackets[:n]
+		if !o.literalsOnly || len(s.buf) == o.start+2 { // something else within, or nothing
 			s.buf = append(s.buf, ')')
-			s.row = -1
+			s.listStart = -1
 			return true
 		}
-		s.buf = append(s.buf[:o.at], markList...)
-		if s.row = o.at; o.row >= 0 && o.at == o.row+len(markList)+len(" , ") { // one more such row
-			s.buf, s.row = s.buf[:o.row+len(markList)], o.row
+		s.buf = append(s.buf[:o.start], listPlaceholder...)
+		if s.listStart = o.start; o.previousList >= 0 && o.start == o.previousList+len(listPlaceholder)+len(" , ") { // one more such row
+			s.buf, s.listStart = s.buf[:o.previousList+len(listPlaceholder)], o.previousList
 		}
 		return true
 	}
@@ -129,7 +129,7 @@
 // Reader of its own.
 type Cache struct {
 	catalogue *Catalogue
-	how       Strings
+	syntax    StringSyntax
 	shapes    *otter.Cache[string, *Entry]
 }
 
@@ -137,7 +137,7 @@
 const entryBytes = 256
 
 // NewCache makes a cache for so many bytes. The catalogue must not change from here on.
-func NewCache(catalogue *Catalogue, how Strings, bytes uint64) (*Cache, error) {
+func NewCache(catalogue *Catalogue, how StringSyntax, bytes uint64) (*Cache, error) {
 	shapes, err := otter.New(&otter.Options[string, *Entry]{MaximumWeight: bytes,
 		Weigher: func(key string, e *Entry) uint32 {
 			n := entryBytes + len(key) + len(e.Reason)
@@ -152,56 +152,56 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Cache{catalogue: catalogue, how: how, shapes: shapes}, nil
+	return &Cache{catalogue: catalogue, syntax: how, shapes: shapes}, nil
 }
 
 // Size is how many shapes are kept, about.
-func (c *Cache) Size() int { return c.shapes.EstimatedSize() }
+func (c *Cache) ShapeCount() int { return c.shapes.EstimatedSize() }
 
 // Bytes is what they take, about.
-func (c *Cache) Bytes() uint64 { return c.shapes.WeightedSize() }
+func (c *Cache) WeightBytes() uint64 { return c.shapes.WeightedSize() }
 
 // Reader reads statements through a cache, one at a time.
-type Reader struct {
-	c *Cache
-	l Lexer
-	s shaper
+type Classifier struct {
+	cache *Cache
+	lexer Lexer
+	shape shapeBuilder
 }
 
 // Reader makes one.
-func (c *Cache) Reader() *Reader { return &Reader{c: c} }
+func (c *Cache) NewReader() *Classifier { return &Classifier{cache: c} }
 
 // mostShape is the length of a shape that is kept; longer ones come from generators, hardly twice.
-const mostShape = 16 << 10
+const maxShapeBytes = 16 << 10
 
 // Read classes a text; hit tells that its shape was known. prepared is asked anew each time.
-func (r *Reader) Read(text string, prepared Prepared) (e *Entry, hit bool, err error) {
-	l := &r.l
-	if err = l.begin(text, r.c.how); err != nil {
+func (r *Classifier) Classify(text string, prepared PreparedClass) (e *Entry, hit bool, err error) {
+	l := &r.lexer
+	if err = l.reset(text, r.cache.syntax); err != nil {
 		return nil, false, err
 	}
-	if err = r.s.shape(l); err != nil {
+	if err = r.shape.build(l); err != nil {
 		return nil, false, err
 	}
 	// The cache keeps no key that it is asked for, so it may stand in the reader's own room.
-	key := unsafe.String(unsafe.SliceData(r.s.buf), len(r.s.buf))
-	if !l.Doubtful {
-		if e, hit = r.c.shapes.GetIfPresent(key); hit {
+	key := unsafe.String(unsafe.SliceData(r.shape.buf), len(r.shape.buf))
+	if !l.AmbiguousString {
+		if e, hit = r.cache.shapes.GetIfPresent(key); hit {
 			return e, true, nil
 		}
 	}
 	e = &Entry{}
-	if e.Statement, err = r.c.catalogue.Classify(text, r.c.how, prepared); err != nil {
+	if e.Statement, err = r.cache.catalogue.Classify(text, r.cache.syntax, prepared); err != nil {
 		return nil, false, err
 	}
-	e.Shape = name(r.s.buf)
-	if !l.Doubtful && !e.Fleeting && len(r.s.buf) <= mostShape {
-		r.c.shapes.Set(string(r.s.buf), e)
+	e.Shape = shapeName(r.shape.buf)
+	if !l.AmbiguousString && !e.SessionDependent && len(r.shape.buf) <= maxShapeBytes {
+		r.cache.shapes.Set(string(r.shape.buf), e)
 	}
 	return e, false, nil
 }
 
-func name(shape []byte) string {
+func shapeName(shape []byte) string {
 	var b [8]byte
 	h := xxhash.Sum64(shape)
 	for i := range b {
--- a/internal/sql/shape_test.go
+++ b/internal/sql/shape_test.go
@@ -10,12 +10,12 @@
 
 func shapeOf(t testing.TB, text string) string {
 	t.Helper()
-	l, err := NewLexer(text, Standard)
+	l, err := NewLexer(text, StandardStrings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s shaper
-	if err := s.shape(l); err != nil {
+	var s shapeBuilder
+	if err := s.build(l); err != nil {
 		t.Fatal(err)
 	}
 	return string(s.buf)
@@ -48,14 +48,14 @@
 
 // TestHitsAndMisses: what is read through the cache is what is read without it, and what can't be kept is not.
 func TestHitsAndMisses(t *testing.T) {
-	c, err := NewCache(catalogue(), Unknown, 1<<20)
+	c, err := NewCache(catalogue(), UnknownStrings, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := c.Reader()
+	r := c.NewReader()
 	read := func(text string, class Class, hit bool) {
 		t.Helper()
-		e, got, err := r.Read(text, func(name string) (Class, bool) { return Read, name == "reads" })
+		e, got, err := r.Classify(text, func(name string) (Class, bool) { return Read, name == "reads" })
 		if err != nil || e.Class != class || got != hit {
 			t.Errorf("%q: %+v, hit %v, %v", text, e, got, err)
 		}
@@ -69,7 +69,7 @@
 	read(`select a from b where c = '\'`, Write, false)
 	read(`select a from b where c = 'x'`, Read, false)
 	read(`select a from b where c = '\'`, Write, false) // of a known shape, but where it ends is not known
-	if _, _, err := r.Read("select 'a", nil); err == nil {
+	if _, _, err := r.Classify("select 'a", nil); err == nil {
 		t.Error("no refusal")
 	}
 }
@@ -77,22 +77,22 @@
 // TestHostileShapes: a tenth of the traffic are shapes that come once; the usual ones stay, in bounded room.
 func TestHostileShapes(t *testing.T) {
 	const room = 256 << 10
-	c, err := NewCache(catalogue(), Standard, room)
+	c, err := NewCache(catalogue(), StandardStrings, room)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, rng := c.Reader(), rand.New(rand.NewPCG(1, 2))
+	r, rng := c.NewReader(), rand.New(rand.NewPCG(1, 2))
 	usual := rand.NewZipf(rng, 1.2, 2, 299)
 	hits, asked := 0, 0
 	for i := range 60_000 {
 		if rng.IntN(10) == 0 {
-			if _, _, err := r.Read(fmt.Sprintf("select h%d from %s", i, strings.Repeat("x, ", 40)+"y"), nil); err != nil {
+			if _, _, err := r.Classify(fmt.Sprintf("select h%d from %s", i, strings.Repeat("x, ", 40)+"y"), nil); err != nil {
 				t.Fatal(err)
 			}
 			continue
 		}
 		n := usual.Uint64()
-		_, hit, err := r.Read(fmt.Sprintf("select a%d, b from c%d where d = %d and e in (%d, 2)", n, n%7, i, i), nil)
+		_, hit, err := r.Classify(fmt.Sprintf("select a%d, b from c%d where d = %d and e in (%d, 2)", n, n%7, i, i), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,7 +103,7 @@
 	if share := float64(hits) / float64(asked); share < 0.95 {
 		t.Errorf("%.3f of the usual statements were hits", share)
 	}
-	if n := c.Bytes(); n > room+room/4 {
+	if n := c.WeightBytes(); n > room+room/4 {
 		t.Errorf("%d bytes kept, %d allowed", n, room)
 	}
 }
@@ -116,11 +116,11 @@
 	}
 	cat := catalogue()
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := cat.Classify(text, Standard, nil)
+		s, err := cat.Classify(text, StandardStrings, nil)
 		if err != nil {
 			return
 		}
-		l, _ := NewLexer(text, Standard)
+		l, _ := NewLexer(text, StandardStrings)
 		var other strings.Builder
 		for {
 			tok, err := l.Next()
@@ -128,7 +128,7 @@
 				break
 			}
 			switch tok.Kind {
-			case Text:
+			case StringLiteral:
 				other.WriteString(" 'delete from x' ")
 			case Number:
 				other.WriteString(" 77 ")
@@ -136,7 +136,7 @@
 				other.WriteString(" " + l.Text(tok) + " ")
 			}
 		}
-		again, err := cat.Classify(other.String(), Standard, nil)
+		again, err := cat.Classify(other.String(), StandardStrings, nil)
 		if err != nil || shapeOf(t, text) != shapeOf(t, other.String()) {
 			return
 		}
@@ -147,15 +147,15 @@
 }
 
 func BenchmarkHit(b *testing.B) {
-	c, err := NewCache(NewCatalogue(), Standard, 1<<20)
+	c, err := NewCache(NewCatalogue(), StandardStrings, 1<<20)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := c.Reader()
+	r := c.NewReader()
 	const text = `SELECT p.price, s.name FROM prices p JOIN stalls s ON s.id = p.stall WHERE p.day = $1 AND s.district = 'kandy' ORDER BY 1 LIMIT 20`
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, err := r.Read(text, nil); err != nil {
+		if _, _, err := r.Classify(text, nil); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -166,7 +166,7 @@
 	const text = `SELECT p.price, s.name FROM prices p JOIN stalls s ON s.id = p.stall WHERE p.day = $1 AND s.district = 'kandy' ORDER BY 1 LIMIT 20`
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := cat.Classify(text, Standard, nil); err != nil {
+		if _, err := cat.Classify(text, StandardStrings, nil); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -175,15 +175,15 @@
 // TestRefusalsAreCheap: a megabyte that can't be read costs bounded room, whatever is wrong with it. Time is a
 // benchmark's (BenchmarkRefusal).
 func TestRefusalsAreCheap(t *testing.T) {
-	c, err := NewCache(NewCatalogue(), Standard, 1<<20)
+	c, err := NewCache(NewCatalogue(), StandardStrings, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for what, text := range malformed() {
-		r := c.Reader()
+		r := c.NewReader()
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, _, err := r.Read(text, nil)
+		_, _, err := r.Classify(text, nil)
 		runtime.ReadMemStats(&after)
 		if err == nil {
 			t.Errorf("%s is read", what)
@@ -207,16 +207,16 @@
 }
 
 func BenchmarkRefusal(b *testing.B) {
-	c, err := NewCache(NewCatalogue(), Standard, 1<<20)
+	c, err := NewCache(NewCatalogue(), StandardStrings, 1<<20)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for what, text := range malformed() {
 		b.Run(what, func(b *testing.B) {
 			b.ReportAllocs()
-			r := c.Reader()
+			r := c.NewReader()
 			for b.Loop() {
-				if _, _, err := r.Read(text, nil); err == nil {
+				if _, _, err := r.Classify(text, nil); err == nil {
 					b.Fatal("read")
 				}
 			}
--- a/internal/testcluster/proof/statements.go
+++ b/internal/testcluster/proof/statements.go
@@ -32,14 +32,14 @@
 func (p Statements) Run() (line string, err error) {
 	c := sql.NewCatalogue()
 	if p.Blind {
-		c.Function("nextval", sql.Harmless)
+		c.SetFunction("nextval", sql.ReadOnly)
 	}
-	g := &maker{rng: rand.New(rand.NewPCG(p.Seed, 5))}
+	g := &statementGenerator{rng: rand.New(rand.NewPCG(p.Seed, 5))}
 	misread, falseWrites, reads, writes := 0, 0, 0, 0
 	began := time.Now()
 	for i := range p.Size {
 		text, write := g.statement(i%2 == 1)
-		s, err := c.Classify(text, sql.Standard, nil)
+		s, err := c.Classify(text, sql.StandardStrings, nil)
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", text, err)
 		}
@@ -89,22 +89,22 @@
 // morning replays a skewed mix of shapes, into which new ones come all the time, and returns the share of hits among
 // the usual statements.
 func (p Statements) morning(c *sql.Catalogue, hostile float64) (hits float64, err error) {
-	cache, err := sql.NewCache(c, sql.Standard, shapeRoom)
+	cache, err := sql.NewCache(c, sql.StandardStrings, shapeRoom)
 	if err != nil {
 		return 0, err
 	}
-	g := &maker{rng: rand.New(rand.NewPCG(p.Seed, 6))}
+	g := &statementGenerator{rng: rand.New(rand.NewPCG(p.Seed, 6))}
 	var shapes []string
 	for range 400 {
 		text, _ := g.statement(false)
 		shapes = append(shapes, text)
 	}
 	skew := rand.NewZipf(g.rng, 1.3, 4, uint64(len(shapes)-1))
-	r := cache.Reader()
+	r := cache.NewReader()
 	usual, hit := 0, 0
 	for i := range p.Morning {
 		if hostile > 0 && g.rng.Float64() < hostile {
-			if _, _, err := r.Read(fmt.Sprintf("select h%d, %s from x%d", i, strings.Repeat("y, ", 50)+"z", i), nil); err != nil {
+			if _, _, err := r.Classify(fmt.Sprintf("select h%d, %s from x%d", i, strings.Repeat("y, ", 50)+"z", i), nil); err != nil {
 				return 0, err
 			}
 			continue
@@ -113,7 +113,7 @@
 			shapes[g.rng.IntN(len(shapes))], _ = g.statement(false)
 		}
 		text := g.literals(shapes[skew.Uint64()])
-		_, known, err := r.Read(text, nil)
+		_, known, err := r.Classify(text, nil)
 		if err != nil {
 			return 0, err
 		}
@@ -126,16 +126,16 @@
 
 // maker makes statements. Where one is to write, the write is put at one place chosen by chance: truth is how it was
 // made, and nothing here reads a statement.
-type maker struct {
+type statementGenerator struct {
 	rng    *rand.Rand
 	poison bool // a write is still to be put somewhere
 	depth  int
 }
 
-func (g *maker) one(of ...string) string { return of[g.rng.IntN(len(of))] }
+func (g *statementGenerator) one(of ...string) string { return of[g.rng.IntN(len(of))] }
 
 // statement makes one, and tells whether it writes.
-func (g *maker) statement(write bool) (text string, writes bool) {
+func (g *statementGenerator) statement(write bool) (text string, writes bool) {
 	for {
 		g.poison, g.depth = write, 0
 		switch {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (g *maker) plainWrite() string {
+func (g *statementGenerator) plainWrite() string {
 	return g.one("insert into entries (a, b) values (1, 'x')", "update stalls set a = 1 where b = 2", "delete from entries where a = 3",
 		"merge into a using b on a.x = b.x when matched then update set y = 1", "truncate a", "create table a (b int)", "call p(1)",
 		"do $$ begin delete from a; end $$", "copy a from stdin", "insert into a "+g.query(), "lock table a", "notify n",
@@ -167,7 +167,7 @@
 }
 
 // now tells whether the write is to be put here.
-func (g *maker) now(often int) bool {
+func (g *statementGenerator) now(often int) bool {
 	if g.poison && g.rng.IntN(often) == 0 {
 		g.poison = false
 		return true
@@ -175,7 +175,7 @@
 	return false
 }
 
-func (g *maker) query() string {
+func (g *statementGenerator) query() string {
 	g.depth++
 	defer func() { g.depth-- }()
 	head := ""
@@ -202,7 +202,7 @@
 	return text
 }
 
-func (g *maker) sel() string {
+func (g *statementGenerator) sel() string {
 	text := "select " + g.one("", "", "distinct ") + g.expr()
 	for range g.rng.IntN(3) {
 		text += ", " + g.expr() + g.one("", " as n", " m")
@@ -229,7 +229,7 @@
 	return text
 }
 
-func (g *maker) table() string {
+func (g *statementGenerator) table() string {
 	if g.depth < 3 && g.rng.IntN(6) == 0 {
 		return "(" + g.query() + ") q"
 	}
@@ -239,7 +239,7 @@
 	return g.one("prices p", "stalls s", "shop.entries", "\"Boards\" b", "generate_series(1, 10) g", "unnest(array[1, 2]) as u(v)", "entries e")
 }
 
-func (g *maker) cond() string {
+func (g *statementGenerator) cond() string {
 	c := g.expr() + " " + g.one("=", "<", ">=", "<>") + " " + g.expr()
 	switch g.rng.IntN(8) {
 	case 0:
@@ -258,7 +258,7 @@
 	return c
 }
 
-func (g *maker) expr() string {
+func (g *statementGenerator) expr() string {
 	if g.now(12) {
 		return g.write()
 	}
@@ -290,7 +290,7 @@
 }
 
 // write is an expression that writes, or may.
-func (g *maker) write() string {
+func (g *statementGenerator) write() string {
 	return g.one("nextval('s')", "setval('s', 1)", "pg_catalog.nextval('s')", "pg_notify('a', 'b')", "lo_create(0)", "spend(1)",
 		"shop.spend(a)", "\"nextval\"('s')", "NextVal ( 's' )", "lower(nextval('s')::text)", "case when spend(1) then 1 end", "array[spend(1)]",
 		"(spend(1)).x", "a + spend(2)", "'x'::mood", "pg_terminate_backend(1)", "query_to_xml('delete from a', true, true, '')",
@@ -298,7 +298,7 @@
 }
 
 // dress changes what must not matter.
-func (g *maker) dress(text string) string {
+func (g *statementGenerator) dress(text string) string {
 	switch g.rng.IntN(4) {
 	case 0:
 		text = "/* board */ " + text
@@ -311,6 +311,6 @@
 }
 
 // literals puts other numbers into a statement.
-func (g *maker) literals(text string) string {
+func (g *statementGenerator) literals(text string) string {
 	return strings.ReplaceAll(text, "42", fmt.Sprint(10+g.rng.IntN(89)))
 }
