--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -20,6 +20,10 @@
 	Socket string `default:"/run/cairntiller/control.sock" env:"CAIRNTILLER_SOCKET" help:"The running router's socket, as (control (socket …)) of its file names it."`
 }
 
+// errHoldUsage tells how lease hold is called.
+var errHoldUsage = errors.New("want lease hold NAME -- COMMAND")
+
+// leaseLine is cairntiller lease and its sub-commands.
 type leaseLine struct {
 	List leaseListLine `cmd:"" help:"Who holds which lease, as the voters know it."`
 	Show leaseShowLine `cmd:"" help:"The same of one lease."`
@@ -28,62 +32,71 @@
 	Keep leaseKeepLine `cmd:"" hidden:""`
 }
 
+// leaseListLine is cairntiller lease list.
 type leaseListLine struct {
 	socketFlag
 	JSON bool `help:"Print JSON."`
 }
 
-func (l *leaseListLine) Run(out io.Writer) error { return leases(out, l.Socket, "", l.JSON) }
+// Run prints all leases and voters.
+func (l *leaseListLine) Run(out io.Writer) error { return printLeases(out, l.Socket, "", l.JSON) }
 
+// leaseShowLine is cairntiller lease show.
 type leaseShowLine struct {
 	socketFlag
 	JSON bool   `help:"Print JSON."`
 	Name string `arg:"" help:"The lease."`
 }
 
-func (l *leaseShowLine) Run(out io.Writer) error { return leases(out, l.Socket, l.Name, l.JSON) }
+// Run prints one lease and the voters.
+func (l *leaseShowLine) Run(out io.Writer) error { return printLeases(out, l.Socket, l.Name, l.JSON) }
 
-// leases prints what the voters know.
-func leases(out io.Writer, socket, name string, asJSON bool) error {
-	var o leaseservice.Overview
-	if err := adminsocket.Ask(socket, adminsocket.Request{Command: "leases", Name: name}, &o); err != nil {
+// printLeases prints what the voters know of all leases, or of the one that is named.
+func printLeases(out io.Writer, socket, name string, asJSON bool) error {
+	var overview leaseservice.Overview
+	if err := adminsocket.Ask(socket, adminsocket.Request{Command: "leases", Name: name}, &overview); err != nil {
 		return err
 	}
 	if asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		return e.Encode(o)
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(overview)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VOTER\tANSWERS\tSET\tABSTAINS\tWHY")
-	for _, v := range o.Voters {
+	for _, v := range overview.Voters {
 		fmt.Fprintf(w, "%s\t%v\t%d\t%v\t%s\n", v.Voter, v.Answers, v.SetNumber, time.Duration(v.AbstainsMS)*time.Millisecond, v.Reason)
 	}
 	fmt.Fprintln(w, "\nLEASE\tHOLDER\tTERM\tLEFT\tWAITING\tGRANTED BY")
-	for _, n := range o.Leases {
-		holder, left := n.Holder, time.Duration(n.RemainingMS)*time.Millisecond
+	for _, status := range overview.Leases {
+		holder := status.Holder
 		if holder == "" {
 			holder = "-"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%d\t%s of %d\n", n.Lease, holder, n.Term, left, n.Waiting, strings.Join(n.GrantedBy, ","), n.Answers)
+		remaining := time.Duration(status.RemainingMS) * time.Millisecond
+		fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%d\t%s of %d\n", status.Lease, holder, status.Term, remaining, status.Waiting,
+			strings.Join(status.GrantedBy, ","), status.Answers)
 	}
 	return w.Flush()
 }
 
+// leaseFreeLine is cairntiller lease free.
 type leaseFreeLine struct {
 	socketFlag
 	Name string `arg:"" help:"The lease."`
 }
 
+// Run asks a lease's holder to give it up, and prints whom.
 func (l *leaseFreeLine) Run(out io.Writer) error {
-	var n leaseservice.LeaseStatus
-	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &n); err != nil {
+	var status leaseservice.LeaseStatus
+	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &status); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s, which holds it under term %d, was asked to give it up\n", n.Holder, n.Term)
+	fmt.Fprintf(out, "%s, which holds it under term %d, was asked to give it up\n", status.Holder, status.Term)
 	return nil
 }
 
+// leaseHoldLine is cairntiller lease hold.
 type leaseHoldLine struct {
 	socketFlag
 	Length   time.Duration `help:"Length of the lease: how long nobody has it after this machine fails."`
@@ -96,25 +109,27 @@
 // Run holds the lease while the command runs.
 func (l *leaseHoldLine) Run(_ io.Writer) error {
 	if len(l.Args) < 3 || l.Args[1] != "--" {
-		return errors.New("want lease hold NAME -- COMMAND")
+		return errHoldUsage
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	code, err := supervisor.RunWithLease(l.Socket, l.Args[0], supervisor.Options{Length: l.Length, YieldAfter: l.Turn, Priority: l.Priority, Wait: l.Wait},
-		[]string{self, "lease", "keep"}, l.Args[2:])
+	options := supervisor.Options{Length: l.Length, YieldAfter: l.Turn, Priority: l.Priority, Wait: l.Wait}
+	code, err := supervisor.RunWithLease(l.Socket, l.Args[0], options, []string{self, "lease", "keep"}, l.Args[2:])
 	if err != nil {
 		return err
 	}
 	return supervisor.ExitCode(code)
 }
 
+// leaseKeepLine is the hidden cairntiller lease keep: the supervisor's process, which lease hold starts.
 type leaseKeepLine struct {
 	Room time.Duration `required:""`
 	Args []string      `arg:"" passthrough:""`
 }
 
+// Run runs the command until its time is over.
 func (l *leaseKeepLine) Run(_ io.Writer) error {
 	return supervisor.ExitCode(supervisor.Supervise(l.Args, os.Stdin, leaseservice.Clock, l.Room))
 }
