--- a/internal/sharedprobes/golden_test.go
+++ b/internal/sharedprobes/golden_test.go
@@ -10,47 +10,47 @@
 )
 
 // wire is a shared probe's update as docs/assignment.md gives its form.
-type wire struct {
-	_       struct{} `cbor:",toarray"`
-	Key     string
-	Holder  string
-	Term    uint64
-	Age     int64
-	Started int64
-	Silent  bool
-	Pos     int64
-	Lead    int8
-	Load    string
+type wireUpdate struct {
+	_            struct{} `cbor:",toarray"`
+	Key          string
+	Owner        string
+	Term         uint64
+	Age          int64
+	NodeStarted  int64
+	Unresponsive bool
+	Position     int64
+	PrimaryHint  int8
+	LoadReport   string
 }
 
-// TestGoldenProbes holds what a probe's end makes an instance say to the bytes of the version before: an answer with
-// position, role and load, and a silence, each on duty; a probe that nobody asked for says nothing.
-func TestGoldenProbes(t *testing.T) {
-	l := &loop{heard: map[string]int64{}, left: map[string]bool{}, dead: map[string]bool{}, hold: map[string]bool{}}
-	p := New(l)
-	p.table = assignment.New(0, assignment.Config{Self: "r1", Weight: 1, Incarnation: 5, Interval: 1_000_000, Instances: 1, MaxRunRate: 4, ClaimRate: 50})
-	p.EndpointListed(0, "s-1", routing.Up, 77)
-	p.EndpointListed(0, "s-2", routing.Up, 78)
-	p.ListApplied(0, true)
+// TestGoldenProbes holds what a health check's end makes an instance send to the bytes of the version before: an answer with
+// position, role and load, and a silence, each asked for by the table; a check that it did not ask for sends nothing.
+func TestGoldenUpdates(t *testing.T) {
+	engine := &testEngine{positions: map[string]int64{}, delegated: map[string]bool{}, unresponsive: map[string]bool{}, unending: map[string]bool{}}
+	service := New(engine)
+	service.table = assignment.New(0, assignment.Config{Self: "r1", Weight: 1, Incarnation: 5, Interval: 1_000_000, Instances: 1, MaxRunRate: 4, ClaimRate: 50})
+	service.EndpointListed(0, "s-1", routing.Up, 77)
+	service.EndpointListed(0, "s-2", routing.Up, 78)
+	service.ListApplied(0, true)
 	for now := int64(0); now < 3_000_000; now += 100_000 {
-		p.table.Tick(now, nil)
+		service.table.Tick(now, nil)
 	}
-	p.asked["s-1"], p.asked["s-2"] = false, false
-	p.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 123_456_789, -1, "x0=1")
-	p.HealthCheckEnded(3_000_000, "s-2", routing.TimedOut, 0, 0, "")
-	p.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 9, 1, "nobody asked")
+	service.checks["s-1"], service.checks["s-2"] = healthCheck{}, healthCheck{}
+	service.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 123_456_789, -1, "x0=1")
+	service.HealthCheckEnded(3_000_000, "s-2", routing.TimedOut, 0, 0, "")
+	service.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 9, 1, "nobody asked")
 	want := []string{
 		"896970726f62652f732d316272310100184df41a075bcd15206478303d31",
 		"896970726f62652f732d326272310100184ef5000060",
 	}
-	for i, w := range p.said {
-		raw := hex.EncodeToString(codec.Encode(wire{Key: w.Key, Holder: w.Owner, Term: w.Term, Age: w.Age, Started: w.NodeStarted, Silent: w.Unresponsive,
-			Pos: w.Position, Lead: w.PrimaryHint, Load: w.LoadReport}))
+	for i, update := range service.unsent {
+		raw := hex.EncodeToString(codec.Encode(wireUpdate{Key: update.Key, Owner: update.Owner, Term: update.Term, Age: update.Age, NodeStarted: update.NodeStarted, Unresponsive: update.Unresponsive,
+			Position: update.Position, PrimaryHint: update.PrimaryHint, LoadReport: update.LoadReport}))
 		if i >= len(want) || raw != want[i] {
-			t.Errorf("RECORD\t%q,", raw)
+			t.Errorf("update %d is sent as %s, want %s", i, raw, want)
 		}
 	}
-	if len(p.said) != 2 {
-		t.Errorf("%d updates of 2 probes", len(p.said))
+	if len(service.unsent) != 2 {
+		t.Errorf("%d updates of 2 probes", len(service.unsent))
 	}
 }
