--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -48,7 +48,7 @@
 	}
 	w := bufio.NewWriter(out)
 	defer w.Flush()
-	reader := cache.NewReader()
+	reader := cache.NewClassifier()
 	return statements(in, l.Lines, func(text string) error {
 		e, _, err := reader.Classify(text, nil)
 		if err != nil {
--- a/internal/sql/catalogue.go
+++ b/internal/sql/catalogue.go
@@ -34,16 +34,16 @@
 	return c
 }
 
-// Function adds a function of the operator's, or stands over one that comes with the server.
+// SetFunction adds a function of the operator's, or stands over one that comes with the server.
 func (c *Catalogue) SetFunction(name string, v Volatility) { c.functions[name] = v }
 
-// Type adds a type whose input does nothing but read.
+// AddType adds a type whose input does nothing but read.
 func (c *Catalogue) AddType(name string) { c.types[name] = true }
 
-// Writer marks a relation that writes when it is read.
+// AddWritingRelation marks a relation that writes when it is read.
 func (c *Catalogue) AddWritingRelation(name string) { c.writingRelations[name] = true }
 
-// call is what calling a function by a name may do. A schema other than the server's own is another function.
+// functionVolatility is what calling a function by a name may do. A schema other than the server's own is another function.
 func (c *Catalogue) functionVolatility(name string) Volatility {
 	if v, known := c.functions[name]; known {
 		return v
@@ -58,7 +58,7 @@
 	return c.types[name] || c.types[strings.TrimPrefix(name, "pg_catalog.")]
 }
 
-// harmless are functions that come with PostgreSQL and only compute or read, from chapter 9 of its manual. Volatile ones
+// readOnlyFunctions are functions that come with PostgreSQL and only compute or read, from chapter 9 of its manual. Volatile ones
 // stand here where running them on any server does no harm (random, clock_timestamp). Left out on purpose, beside all that
 // writes: what runs a query given as a text (query_to_xml, ts_stat, ts_rewrite), what reads files, what acts on other
 // sessions, what waits (pg_sleep), and what a standby refuses.
@@ -131,14 +131,14 @@
 pg_is_in_recovery pg_last_wal_receive_lsn pg_last_wal_replay_lsn pg_last_xact_replay_timestamp pg_wal_lsn_diff
 `
 
-// bound are functions that change the session, or whose answer is the session's own.
+// sessionFunctions are functions that change the session, or whose answer is the session's own.
 const sessionFunctions = `
 set_config setseed currval lastval pg_advisory_lock pg_advisory_lock_shared pg_advisory_unlock pg_advisory_unlock_all
 pg_advisory_unlock_shared pg_advisory_xact_lock pg_advisory_xact_lock_shared pg_try_advisory_lock
 pg_try_advisory_lock_shared pg_try_advisory_xact_lock pg_try_advisory_xact_lock_shared pg_listening_channels
 `
 
-// types are types that come with the server: reading a text as one of them runs no function of a user's.
+// builtinTypes are types that come with the server: reading a text as one of them runs no function of a user's.
 const builtinTypes = `
 bigint bigserial bit bool boolean box bytea bpchar char character cidr circle date datemultirange daterange dec decimal
 double float float4 float8 inet int int2 int4 int4multirange int4range int8 int8multirange int8range integer interval json
--- a/internal/sql/grammar.y
+++ b/internal/sql/grammar.y
@@ -1,6 +1,6 @@
 // The grammar of statements, as far as routing needs it. Clauses, brackets, queries within queries and the parts that
-// write are told apart; what stands within a clause is kept as a row of atoms, which facts.go reads. It takes more than
-// servers do: what a server refuses harms nobody. What it does not take is a write (class.go).
+// write are told apart; what stands within a clause is kept as a row of atoms, which classify.go reads. It takes more than
+// servers do: what a server refuses harms nobody. What it does not take is a write (classify.go).
 %{
 package sql
 %}
--- a/internal/sql/lex.go
+++ b/internal/sql/lex.go
@@ -1,6 +1,3 @@
-// Package sql reads statements as far as routing needs: into tokens by PostgreSQL's published lexical rules (manual,
-// chapter 4.1). It does no I/O and knows no command of the router's. What can't be read is refused with its place and
-// reason, in time and memory that grow with the text at most.
 package sql
 
 import (
@@ -9,7 +6,7 @@
 	"unicode/utf8"
 )
 
-// Limits of one text; what lies over them is refused before more work is done on it.
+// Limits of one text. A text over one of them is refused before more work is done on it.
 const (
 	MaxBytes  = 1 << 20 // of a text: far over what a person or a program writes for one command
 	MaxTokens = 1 << 16 // a list of some ten thousand values
@@ -38,18 +35,19 @@
 	From, To int32 // bytes
 }
 
-// Error is why a text is refused, and where.
+// Error says why a text is refused, and where.
 type Error struct {
 	Offset int // byte of the text, from 0
 	Reason string
 }
 
+// Error gives the place and the reason.
 func (e *Error) Error() string { return fmt.Sprintf("at byte %d: %s", e.Offset, e.Reason) }
 
-// Strings is how a server reads a backslash in plain quotes: its setting standard_conforming_strings.
+// StringSyntax is how a server reads a backslash within plain quotes: its setting standard_conforming_strings.
 type StringSyntax uint8
 
-// The ways to read it. Where it is not known, a text whose end depends on it can't be trusted.
+// The ways to read it. Where it is unknown, a statement in which the end of a string depends on it counts as a write.
 const (
 	StandardStrings  StringSyntax = iota // a backslash is an ordinary character
 	BackslashStrings                     // a backslash escapes what follows it
@@ -64,12 +62,12 @@
 	tokens   int
 	depth    int
 	brackets [MaxDepth]byte // the brackets that are open
-	// Doubtful tells that a plain text held a backslash while it is not known how the server reads it: another
-	// reading may end the text elsewhere.
+	// AmbiguousString is set where a plain string held a backslash while it is unknown how the server reads it: another
+	// reading may end the string elsewhere.
 	AmbiguousString bool
 }
 
-// NewLexer begins a text; it is refused at once where it is too long or not UTF-8.
+// NewLexer returns a lexer for a text. The error is an *Error where the text is too long or not UTF-8.
 func NewLexer(text string, how StringSyntax) (*Lexer, error) {
 	l := &Lexer{}
 	if err := l.reset(text, how); err != nil {
@@ -100,10 +98,10 @@
 	return nil
 }
 
-// Text is a token as it stands in the text.
+// Text returns a token as it stands in the text.
 func (l *Lexer) Text(t Token) string { return l.text[t.From:t.To] }
 
-// Name is an identifier's name as the server takes it: folded, or as it stands in its quotes.
+// Name returns an identifier as the server takes it: folded to lower case, or as it stands within its quotes.
 func (l *Lexer) Name(t Token) string {
 	s := l.Text(t)
 	switch t.Kind {
@@ -171,7 +169,7 @@
 	return Token{}, &Error{at, why}
 }
 
-// byteAt is a byte of the text, 0 behind its end.
+// byteAt returns a byte of the text, 0 behind its end.
 func (l *Lexer) byteAt(i int) byte {
 	if i < len(l.text) {
 		return l.text[i]
@@ -179,7 +177,7 @@
 	return 0
 }
 
-// Next is the next token; End behind the last.
+// Next returns the next token, End behind the last. The error is an *Error.
 func (l *Lexer) Next() (Token, error) {
 	if err := l.skipSpaceAndComments(); err != nil {
 		return l.fail(err.Offset, err.Reason)
@@ -198,7 +196,7 @@
 	return Token{kind, int32(from), int32(l.at)}, nil
 }
 
-// skip passes white space and comments, which may be within one another.
+// skipSpaceAndComments passes white space and comments, which may be within one another.
 func (l *Lexer) skipSpaceAndComments() *Error {
 	for l.at < len(l.text) {
 		c := l.text[l.at]
@@ -246,7 +244,7 @@
 	return &Error{from, "a comment that does not end"}
 }
 
-// one reads a token that begins here.
+// scanToken reads the token that begins here.
 func (l *Lexer) scanToken() (Kind, *Error) {
 	c, next := l.text[l.at], l.byteAt(l.at+1)
 	switch {
@@ -285,177 +283,7 @@
 	return 0, &Error{l.at, fmt.Sprintf("the character %q", c)}
 }
 
-func (l *Lexer) scanPrefixedString(by int, escapes bool) *Error {
-	from := l.at
-	l.at += by
-	return l.scanString(from, escapes, false)
-}
-
-// quoted reads a text in single quotes, with what continues it on a later line.
-func (l *Lexer) scanString(from int, escapes, doubtful bool) *Error {
-	for l.at++; l.at < len(l.text); l.at++ {
-		switch l.text[l.at] {
-		case '\\':
-			if doubtful {
-				l.AmbiguousString = true
-			}
-			if escapes {
-				l.at++
-			}
-		case '\'':
-			if l.byteAt(l.at+1) == '\'' {
-				l.at++
-				continue
-			}
-			l.at++
-			if !l.continuesOnNextLine() {
-				return nil
-			}
-		}
-	}
-	l.at = len(l.text)
-	return &Error{from, "a text that does not end"}
-}
-
-// continued passes to the opening quote of a text's next part: only white space with a line's end may stand between,
-// and line comments within it.
-func (l *Lexer) continuesOnNextLine() bool {
-	at, line := l.at, false
-	for at < len(l.text) {
-		c := l.text[at]
-		switch {
-		case c == '\n' || c == '\r':
-			line = true
-			at++
-		case byteClass[c]&isSpace != 0:
-			at++
-		case line && c == '-' && l.byteAt(at+1) == '-':
-			i := strings.IndexAny(l.text[at:], "\n\r")
-			if i < 0 {
-				return false
-			}
-			at += i
-		case line && c == '\'':
-			l.at = at
-			return true
-		default:
-			return false
-		}
-	}
-	return false
-}
-
-func (l *Lexer) scanQuotedIdentifier() *Error {
-	from := l.at
-	for l.at++; l.at < len(l.text); l.at++ {
-		if l.text[l.at] != '"' {
-			continue
-		}
-		if l.byteAt(l.at+1) == '"' {
-			l.at++
-			continue
-		}
-		l.at++
-		if l.at-from <= 2 {
-			return &Error{from, "a name without a letter"}
-		}
-		return nil
-	}
-	return &Error{from, "a name that does not end"}
-}
-
-// number reads digits of any base, with underscores between them, a fraction and an exponent; a letter right behind is
-// junk.
-func (l *Lexer) scanNumber() *Error {
-	from := l.at
-	if l.text[l.at] == '0' {
-		base := ""
-		switch l.byteAt(l.at + 1) {
-		case 'x', 'X':
-			base = "0123456789abcdefABCDEF"
-		case 'o', 'O':
-			base = "01234567"
-		case 'b', 'B':
-			base = "01"
-		}
-		if base != "" {
-			l.at += 2
-			if !l.scanDigits(base, true) {
-				return &Error{from, "a number without digits"}
-			}
-			return l.rejectTrailingLetter(from)
-		}
-	}
-	const ten = "0123456789"
-	l.scanDigits(ten, false)
-	if l.byteAt(l.at) == '.' && l.byteAt(l.at+1) != '.' { // "1..2" is a range
-		l.at++
-		l.scanDigits(ten, false)
-	}
-	if c := l.byteAt(l.at); c == 'e' || c == 'E' {
-		at := l.at
-		l.at++
-		if c := l.byteAt(l.at); c == '+' || c == '-' {
-			l.at++
-		}
-		if !l.scanDigits(ten, false) {
-			return &Error{at, "an exponent without digits"}
-		}
-	}
-	return l.rejectTrailingLetter(from)
-}
-
-// digits passes digits, with single underscores between them, or before the first where that is allowed.
-func (l *Lexer) scanDigits(of string, before bool) (any bool) {
-	for l.at < len(l.text) {
-		switch c := l.text[l.at]; {
-		case strings.IndexByte(of, c) >= 0:
-			any = true
-			l.at++
-		case c == '_' && (any || before) && strings.IndexByte(of, l.byteAt(l.at+1)) >= 0 && l.at+1 < len(l.text):
-			l.at++
-		default:
-			return any
-		}
-	}
-	return any
-}
-
-func (l *Lexer) rejectTrailingLetter(from int) *Error {
-	if byteClass[l.byteAt(l.at)]&isStart != 0 {
-		return &Error{from, "a number with a letter behind it"}
-	}
-	return nil
-}
-
-// dollar reads a parameter or a text in dollar quotes.
-func (l *Lexer) scanDollar() (Kind, *Error) {
-	from := l.at
-	l.at++
-	if byteClass[l.byteAt(l.at)]&isDigit != 0 {
-		for byteClass[l.byteAt(l.at)]&isDigit != 0 {
-			l.at++
-		}
-		return Parameter, l.rejectTrailingLetter(from)
-	}
-	for l.at < len(l.text) && l.text[l.at] != '$' && byteClass[l.text[l.at]]&isPart != 0 {
-		l.at++
-	}
-	if l.byteAt(l.at) != '$' {
-		return 0, &Error{from, "a dollar that begins nothing"}
-	}
-	l.at++
-	tag := l.text[from:l.at]
-	end := strings.Index(l.text[l.at:], tag)
-	if end < 0 {
-		l.at = len(l.text)
-		return 0, &Error{from, "a text that does not end"}
-	}
-	l.at += end + len(tag)
-	return StringLiteral, nil
-}
-
-// mark reads a mark, and keeps count of brackets.
+// scanPunctuation reads a punctuation mark and keeps track of brackets.
 func (l *Lexer) scanPunctuation(c, next byte) *Error {
 	from := l.at
 	l.at++
@@ -477,7 +305,7 @@
 	return nil
 }
 
-// operator reads operator characters up to a comment. Of several it ends in + or - only where one of ~!@#%^&|`? is
+// scanOperator reads operator characters up to a comment. Of several it ends in + or - only where one of ~!@#%^&|`? is
 // among them.
 func (l *Lexer) scanOperator() (Kind, *Error) {
 	from, end := l.at, l.at
@@ -499,5 +327,5 @@
 	return Operator, nil
 }
 
-// Balanced tells whether every bracket that was opened is closed.
+// Balanced reports whether every bracket that was opened is closed.
 func (l *Lexer) Balanced() bool { return l.depth == 0 }
--- a/internal/sql/parse.go
+++ b/internal/sql/parse.go
@@ -39,7 +39,7 @@
 	err      error
 }
 
-// parsed cuts and parses a text; the error is of type *Error.
+// parseText cuts and parses a text; the error is of type *Error.
 func parseText(text string, how StringSyntax) (*parse, error) {
 	l, err := NewLexer(text, how)
 	if err != nil {
@@ -93,7 +93,7 @@
 	"values": VALUES, "insert": INSERT, "update": UPDATE, "delete": DELETE, "merge": MERGE,
 }
 
-// longestWord is the length of the longest of them.
+// longestKeyword is the length of the longest of them.
 const longestKeyword = 9
 
 // Lex gives the generated parser its next token.
@@ -126,7 +126,7 @@
 	return OPERATOR
 }
 
-// word tells a key word from a name: behind AS and behind a dot any word is a name, and FROM in IS DISTINCT FROM is part
+// classifyWord tells a key word from a name: behind AS and behind a dot any word is a name, and FROM in IS DISTINCT FROM is part
 // of an operator.
 func (p *parse) classifyWord(t Token, before [2]Token) int {
 	kind := p.keyword(t)
@@ -149,7 +149,7 @@
 	return kind
 }
 
-// plainWith tells whether the WITH just read belongs to what stands before it, by the word behind it.
+// isTrailingWith tells whether the WITH just read belongs to what stands before it, by the word behind it.
 func (p *parse) isTrailingWith() bool {
 	here := *p.lex
 	t, err := p.lex.Next()
@@ -200,7 +200,7 @@
 
 const reasonNotUnderstood = "not understood"
 
-// rest cuts what the parser left.
+// scanRest cuts what the parser left.
 func (p *parse) scanRest() error {
 	for {
 		t, err := p.lex.Next()
--- a/internal/sql/read.go
+++ b/internal/sql/settings.go
@@ -2,14 +2,14 @@
 
 import "cairntiller/internal/sexp"
 
-// Knowledge is what the operator's file says of statements.
+// Settings is what the part (statements ...) of the operator's file says.
 type Settings struct {
 	Catalogue    *Catalogue
 	StringSyntax StringSyntax
-	CacheBytes   uint64 // bytes for shapes
+	CacheBytes   uint64 // of the shape cache
 }
 
-// ReadKnowledge takes it from the operator's file. A function named twice is a fault: its volatility would go by chance.
+// ReadSettings reads the part. A function that is named twice is a fault, because its volatility would depend on the order.
 func ReadSettings(p *sexp.Part) Settings {
 	k := Settings{Catalogue: NewCatalogue(), CacheBytes: uint64(p.Size("cache", 4<<20, 64<<10, 1<<30))}
 	seen := map[string]bool{}
--- a/internal/sql/shape.go
+++ b/internal/sql/shape.go
@@ -10,10 +10,10 @@
 )
 
 // A statement's shape is its tokens without what changes from one use to the next: literals give way to their kind, lists
-// of literals and rows of such lists to one, words to lower case, comments and white space to nothing. What class.go goes
+// of literals and rows of such lists to one, words to lower case, comments and white space to nothing. What classify.go goes
 // by is all kept, so statements of one shape have one class.
 
-// Marks that stand for literals; no token looks like them, for a backslash begins none.
+// Placeholders for literals. No token looks like them, because none begins with a backslash.
 const (
 	stringPlaceholder    = `\s`
 	numberPlaceholder    = `\n`
@@ -22,21 +22,21 @@
 	listPlaceholder      = `(\+)`
 )
 
-// shaper builds shapes in room that it keeps.
+// shapeBuilder builds shapes in a buffer that it reuses.
 type shapeBuilder struct {
 	buf          []byte
 	openBrackets []openBracket // brackets that are open
-	listStart    int           // where a list of literals that has just ended began, -1 for none
+	listStart    int           // where the list of literals that has just ended began, -1 for none
 }
 
-// open is an open bracket.
+// openBracket is a bracket that is not closed yet.
 type openBracket struct {
 	start        int  // where it stands in the shape
 	previousList int  // where the list of literals before it began, -1 for none
 	literalsOnly bool // nothing but literals and commas since
 }
 
-// shape writes a text's shape to the shaper's room; the error is the lexer's.
+// build writes a text's shape to the buffer; the error is the lexer's.
 func (s *shapeBuilder) build(l *Lexer) error {
 	s.buf, s.openBrackets, s.listStart = s.buf[:0], s.openBrackets[:0], -1
 	limit := false
@@ -88,7 +88,8 @@
 	}
 }
 
-// bracket writes a bracket; at the end of a list of literals the list folds, and with one like it before it into one.
+// addBracket writes a bracket and reports whether it was one. At its end a list of literals folds into a placeholder, and into
+// the same one as a list of literals right before it.
 func (s *shapeBuilder) addBracket(c byte) bool {
 	switch c {
 	case '(':
@@ -117,7 +118,7 @@
 	return false
 }
 
-// Entry is what is kept of a shape.
+// Entry is what the cache holds of a shape.
 type Entry struct {
 	Statement
 	Shape string // a short name for it, of its hash; for logs and routes, and never taken as proof
@@ -136,7 +137,7 @@
 // entryBytes is what an entry takes beside its shape and names.
 const entryBytes = 256
 
-// NewCache makes a cache for so many bytes. The catalogue must not change from here on.
+// NewCache returns a cache of at most that many bytes. The catalogue must not change from here on.
 func NewCache(catalogue *Catalogue, how StringSyntax, bytes uint64) (*Cache, error) {
 	shapes, err := otter.New(&otter.Options[string, *Entry]{MaximumWeight: bytes,
 		Weigher: func(key string, e *Entry) uint32 {
@@ -155,26 +156,26 @@
 	return &Cache{catalogue: catalogue, syntax: how, shapes: shapes}, nil
 }
 
-// Size is how many shapes are kept, about.
+// ShapeCount returns about how many shapes are cached.
 func (c *Cache) ShapeCount() int { return c.shapes.EstimatedSize() }
 
-// Bytes is what they take, about.
+// WeightBytes returns about how many bytes they take.
 func (c *Cache) WeightBytes() uint64 { return c.shapes.WeightedSize() }
 
-// Reader reads statements through a cache, one at a time.
+// Classifier classifies statements through a cache, one at a time.
 type Classifier struct {
 	cache *Cache
 	lexer Lexer
 	shape shapeBuilder
 }
 
-// Reader makes one.
-func (c *Cache) NewReader() *Classifier { return &Classifier{cache: c} }
+// NewClassifier returns a classifier that uses the cache's.
+func (c *Cache) NewClassifier() *Classifier { return &Classifier{cache: c} }
 
-// mostShape is the length of a shape that is kept; longer ones come from generators, hardly twice.
+// maxShapeBytes bounds a cached shape. Longer ones come from generators and hardly twice.
 const maxShapeBytes = 16 << 10
 
-// Read classes a text; hit tells that its shape was known. prepared is asked anew each time.
+// Classify classifies a text; hit reports whether its shape was cached. prepared gives the classes of prepared statements.
 func (r *Classifier) Classify(text string, prepared PreparedClass) (e *Entry, hit bool, err error) {
 	l := &r.lexer
 	if err = l.reset(text, r.cache.syntax); err != nil {
@@ -183,7 +184,7 @@
 	if err = r.shape.build(l); err != nil {
 		return nil, false, err
 	}
-	// The cache keeps no key that it is asked for, so it may stand in the reader's own room.
+	// The cache keeps no key that it is only asked for, so the key may stand in the reused buffer.
 	key := unsafe.String(unsafe.SliceData(r.shape.buf), len(r.shape.buf))
 	if !l.AmbiguousString {
 		if e, hit = r.cache.shapes.GetIfPresent(key); hit {
--- a/internal/sql/shape_test.go
+++ b/internal/sql/shape_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := c.NewReader()
+	r := c.NewClassifier()
 	read := func(text string, class Class, hit bool) {
 		t.Helper()
 		e, got, err := r.Classify(text, func(name string) (Class, bool) { return Read, name == "reads" })
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, rng := c.NewReader(), rand.New(rand.NewPCG(1, 2))
+	r, rng := c.NewClassifier(), rand.New(rand.NewPCG(1, 2))
 	usual := rand.NewZipf(rng, 1.2, 2, 299)
 	hits, asked := 0, 0
 	for i := range 60_000 {
@@ -151,7 +151,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := c.NewReader()
+	r := c.NewClassifier()
 	const text = `SELECT p.price, s.name FROM prices p JOIN stalls s ON s.id = p.stall WHERE p.day = $1 AND s.district = 'kandy' ORDER BY 1 LIMIT 20`
 	b.ReportAllocs()
 	for b.Loop() {
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	for what, text := range malformed() {
-		r := c.NewReader()
+		r := c.NewClassifier()
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		_, _, err := r.Classify(text, nil)
@@ -214,7 +214,7 @@
 	for what, text := range malformed() {
 		b.Run(what, func(b *testing.B) {
 			b.ReportAllocs()
-			r := c.NewReader()
+			r := c.NewClassifier()
 			for b.Loop() {
 				if _, _, err := r.Classify(text, nil); err == nil {
 					b.Fatal("read")
--- a/internal/testcluster/proof/statements.go
+++ b/internal/testcluster/proof/statements.go
@@ -100,7 +100,7 @@
 		shapes = append(shapes, text)
 	}
 	skew := rand.NewZipf(g.rng, 1.3, 4, uint64(len(shapes)-1))
-	r := cache.NewReader()
+	r := cache.NewClassifier()
 	usual, hit := 0, 0
 	for i := range p.Morning {
 		if hostile > 0 && g.rng.Float64() < hostile {
