--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -1,49 +1,65 @@
 // Package decimal reads decimal numbers exactly, as whole multiples of a small unit.
 package decimal
 
-import "errors"
+import (
+	"errors"
+	"math"
+)
 
-var errNone = errors.New("no decimal number")
+// ErrSyntax tells that a text is no decimal number, or one too large.
+var ErrSyntax = errors.New("no decimal number")
+
+// maxBeforeDigit is the largest number that takes one more digit without overflow, with room to spare.
+const maxBeforeDigit = (math.MaxInt64/2 + 1) / 10
 
 // Micros reads decimal milliseconds as whole microseconds.
-func Micros[T ~string | ~[]byte](f T) (int64, error) { return Scaled(f, 3) }
+func Micros[T ~string | ~[]byte](text T) (int64, error) { return Scaled(text, 3) }
 
-// Scaled reads a decimal number scaled by ten to the given power, rounded down; "-" is 0.
-func Scaled[T ~string | ~[]byte](f T, power int) (int64, error) {
-	if len(f) == 1 && f[0] == '-' {
+// Scaled reads a decimal number times ten to the given power; what is smaller than one is cut off. "-" alone is 0. The
+// error is ErrSyntax.
+func Scaled[T ~string | ~[]byte](text T, power int) (int64, error) {
+	if len(text) == 1 && text[0] == '-' {
 		return 0, nil
 	}
-	sign, v, digits, after := int64(1), int64(0), 0, -1
-	for i := range len(f) {
-		switch c := f[i]; {
+	negative := false
+	hasDigits := false
+	pastPoint := false
+	decimals := 0 // digits behind the point that were taken
+	value := int64(0)
+	for i := range len(text) {
+		c := text[i]
+		switch {
 		case c == '-' && i == 0:
-			sign = -1
-		case c == '.' && after < 0:
-			after = 0
+			negative = true
+		case c == '.' && !pastPoint:
+			pastPoint = true
 		case c >= '0' && c <= '9':
-			digits++
-			if after >= power {
+			hasDigits = true
+			if decimals == power && pastPoint {
 				continue
 			}
-			if v > (1<<62)/10 {
-				return 0, errNone
+			if value > maxBeforeDigit {
+				return 0, ErrSyntax
 			}
-			v = v*10 + int64(c-'0')
-			if after >= 0 {
-				after++
+			value = value*10 + int64(c-'0')
+			if pastPoint {
+				decimals++
 			}
 		default:
-			return 0, errNone
+			return 0, ErrSyntax
 		}
 	}
-	if digits == 0 {
-		return 0, errNone
+	if !hasDigits {
+		return 0, ErrSyntax
 	}
-	for after = max(after, 0); after < power; after++ {
-		if v > (1<<62)/10 {
-			return 0, errNone
+	for ; decimals < power; decimals++ {
+		if value > maxBeforeDigit {
+			return 0, ErrSyntax
 		}
-		v *= 10
+		value *= 10
+	}
+	if negative {
+		return -value, nil
 	}
-	return sign * v, nil
+	return value, nil
 }
--- a/internal/decimal/decimal_test.go
+++ b/internal/decimal/decimal_test.go
@@ -22,7 +22,7 @@
 		{"1e3", 3, 0, false}, {" 1", 3, 0, false}, {"+1", 3, 0, false}, {"-.", 3, 0, false},
 	} {
 		got, err := Scaled(c.text, c.power)
-		if got != c.want || (err == nil) != c.ok || err != nil && !errors.Is(err, errNone) {
+		if got != c.want || (err == nil) != c.ok || err != nil && !errors.Is(err, ErrSyntax) {
 			t.Errorf("%q by %d: %d, %v; want %d, %v", c.text, c.power, got, err, c.want, c.ok)
 		}
 		if fromBytes, errBytes := Scaled([]byte(c.text), c.power); fromBytes != got || (errBytes == nil) != (err == nil) {
--- /dev/null
+++ b/internal/pgwire/codes.go
@@ -0,0 +1,34 @@
+package pgwire
+
+// SQLSTATEs that this router gives or is given.
+const (
+	CodeRejected    = "53300" // too_many_connections: nothing ran, come again
+	CodeNotReady    = "57P03" // cannot_connect_now
+	CodeIdle        = "57P05" // idle_session_timeout
+	CodeFailed      = "58000" // system_error
+	CodeProtocol    = "08P01" // protocol_violation
+	CodeValue       = "22023" // invalid_parameter_value
+	CodeUnsupported = "0A000" // feature_not_supported
+	CodeCanceled    = "57014" // query_canceled
+	CodeNoPrimary   = "25006" // read_only_sql_transaction
+	CodeTooOld      = "72000" // snapshot_too_old
+	codeSyntax      = "42601" // syntax_error
+)
+
+// User and Database are what the router signs on to nodes with.
+const User, Database = "portal", "crm"
+
+// The names under which a node reports its status beside an answer, and the values of its role.
+const (
+	statusPosition = "applied_ms"
+	statusRole     = "role"
+	statusLoad     = "load"
+	rolePrimary    = "primary"
+	roleReplica    = "replica"
+)
+
+// The figures of a node's load report: its replicated position, and a number that is highest at a primary.
+const (
+	LoadPosition = "x0"
+	LoadPrimary  = "x1"
+)
--- a/internal/pgwire/command.go
+++ b/internal/pgwire/command.go
@@ -7,112 +7,140 @@
 	"cairntiller/internal/decimal"
 )
 
-const mostTimeout = 24 * 3_600_000_000 // us; no client waits longer, and sums of times stay far from overflow
+// maxTimeout, us, is the longest client timeout that is taken: no client waits for longer than a day, and sums of times
+// stay far from overflow.
+const maxTimeout = 24 * 3_600_000_000
 
-// Command is a client's query, decoded once: what its leading comment says, and its text.
+// The fields of a command's leading comment.
+const (
+	fieldID      = "id"
+	fieldGroup   = "c"
+	fieldTenant  = "t"
+	fieldTimeout = "d"
+	fieldShard   = "cluster"
+	fieldCommit  = "after"
+)
+
+// Command is a client's query, decoded once: what its leading comment says, and its text. The comment holds name=value
+// pairs parted by commas; unknown names are passed over.
 type Command struct {
 	ID, Group, Tenant, Session string
 	Timeout                    int64 // us that the client waits
 	LastCommit                 int64 // us in Unix time of the session's last commit, 0 for none
 	Shard                      int
-	statement                  []byte
-	timeFrom, timeTo           int // where the statement holds the client's timeout
+
+	statement                []byte
+	timeoutStart, timeoutEnd int // where the statement holds the client's timeout
 }
 
 // FieldError names the part of a query that can't be read; the connection lives on.
 type FieldError struct{ Code, Field, Why string }
 
+// Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
 func invalid(field, why string) error { return &FieldError{CodeValue, field, why} }
 
-// DecodeCommand reads a statement with its comment; it keeps a copy of the bytes.
+// DecodeCommand reads a statement with its comment; it keeps a copy of the bytes. The error is a *FieldError.
 func DecodeCommand(statement []byte) (*Command, error) {
-	s := bytes.Clone(statement)
-	c := &Command{statement: s}
-	from := len(s) - len(bytes.TrimLeft(s, " \t\r\n"))
-	end := bytes.Index(s, []byte("*/"))
-	if !bytes.HasPrefix(s[from:], []byte("/*")) || end < from+2 {
+	c := &Command{statement: bytes.Clone(statement)}
+	text := c.statement
+	start := len(text) - len(bytes.TrimLeft(text, " \t\r\n"))
+	end := bytes.Index(text, []byte("*/"))
+	if !bytes.HasPrefix(text[start:], []byte("/*")) || end < start+2 {
 		return nil, invalid("comment", "the query does not begin with one")
 	}
+	if err := c.decodeComment(start+2, end); err != nil {
+		return nil, err
+	}
+	var err error
+	c.Session, err = firstLiteral(text[end+2:])
+	return c, err
+}
+
+// decodeComment reads the fields between two places of the statement.
+func (c *Command) decodeComment(start, end int) error {
 	seen := map[string]bool{}
-	for at := from + 2; at < end; {
-		stop := at + bytes.IndexByte(append(s[at:end:end], ','), ',')
-		name, value, ok := bytes.Cut(s[at:stop], []byte("="))
-		if word := string(bytes.TrimSpace(name)); ok || word != "" {
-			if seen[word] {
-				return nil, invalid(word, "stands twice")
+	for start < end {
+		pairEnd := end
+		if comma := bytes.IndexByte(c.statement[start:end], ','); comma >= 0 {
+			pairEnd = start + comma
+		}
+		name, value, hasValue := bytes.Cut(c.statement[start:pairEnd], []byte("="))
+		field := string(bytes.TrimSpace(name))
+		if hasValue || field != "" {
+			if seen[field] {
+				return invalid(field, "stands twice")
+			}
+			seen[field] = true
+			value = bytes.TrimSpace(value)
+			if len(value) == 0 {
+				return invalid(field, "no value")
 			}
-			seen[word] = true
-			valueAt := at + len(name) + 1
-			if err := c.field(word, bytes.TrimSpace(value), valueAt, ok); err != nil {
-				return nil, err
+			if err := c.setField(field, value, start+len(name)+1); err != nil {
+				return err
 			}
 		}
-		at = stop + 1
+		start = pairEnd + 1
 	}
 	switch {
 	case c.ID == "":
-		return nil, invalid("id", "missing")
-	case !seen["d"]:
-		return nil, invalid("d", "missing")
-	case !seen["cluster"]:
-		return nil, invalid("cluster", "missing")
+		return invalid(fieldID, "missing")
+	case !seen[fieldTimeout]:
+		return invalid(fieldTimeout, "missing")
+	case !seen[fieldShard]:
+		return invalid(fieldShard, "missing")
 	}
-	var err error
-	c.Session, err = literal(s[end+2:])
-	return c, err
+	return nil
 }
 
-func (c *Command) field(name string, value []byte, at int, ok bool) (err error) {
-	if !ok || len(value) == 0 {
-		return invalid(name, "no value")
-	}
-	switch name {
-	case "id":
+// setField takes one field; its value stands in the statement from a place on.
+func (c *Command) setField(field string, value []byte, from int) (err error) {
+	switch field {
+	case fieldID:
 		c.ID = string(value)
-	case "c":
+	case fieldGroup:
 		c.Group = string(value)
-	case "t":
+	case fieldTenant:
 		c.Tenant = string(value)
-	case "d":
+	case fieldTimeout:
 		c.Timeout, err = decimal.Micros(value)
-		c.timeFrom = at + bytes.Index(c.statement[at:], value)
-		c.timeTo = c.timeFrom + len(value)
-		if err == nil && (c.Timeout <= 0 || c.Timeout > mostTimeout) {
-			return invalid(name, "no time above zero and up to a day")
+		if err == nil && (c.Timeout <= 0 || c.Timeout > maxTimeout) {
+			return invalid(field, "no time above zero and up to a day")
 		}
-	case "cluster":
+		c.timeoutStart = from + bytes.Index(c.statement[from:], value)
+		c.timeoutEnd = c.timeoutStart + len(value)
+	case fieldShard:
 		c.Shard, err = strconv.Atoi(string(value))
-	case "after":
+	case fieldCommit:
 		c.LastCommit, err = decimal.Micros(value)
 		if err == nil && c.LastCommit < 0 {
-			return invalid(name, "before all time")
+			return invalid(field, "before all time")
 		}
 	}
 	if err != nil {
-		return invalid(name, "no number")
+		return invalid(field, "no number")
 	}
 	return nil
 }
 
-// literal is the first quoted text of a single statement.
-func literal(s []byte) (first string, err error) {
+// firstLiteral is the first quoted text of a statement, "" for none. The statement must be a single one.
+func firstLiteral(statement []byte) (first string, err error) {
 	found := false
-	for i := 0; i < len(s); i++ {
-		switch s[i] {
+	for i := 0; i < len(statement); i++ {
+		switch statement[i] {
 		case '\'':
-			from := i + 1
-			for i++; i < len(s) && s[i] != '\''; i++ {
-			}
-			if i >= len(s) {
-				return "", &FieldError{"42601", "statement", "a quoted text does not end"}
+			length := bytes.IndexByte(statement[i+1:], '\'')
+			if length < 0 {
+				return "", &FieldError{codeSyntax, "statement", "a quoted text does not end"}
 			}
 			if !found {
-				first, found = string(s[from:i]), true
+				first = string(statement[i+1 : i+1+length])
+				found = true
 			}
+			i += length + 1
 		case ';':
-			if len(bytes.TrimSpace(s[i+1:])) > 0 {
+			if len(bytes.TrimSpace(statement[i+1:])) > 0 {
 				return "", &FieldError{CodeUnsupported, "statement", "only one a query is supported"}
 			}
 		}
@@ -120,17 +148,16 @@
 	return first, nil
 }
 
-// AppendFor encodes the query for a node: as the client sent it, but for the time that is left, in us.
+// AppendQuery encodes the query for a node: as the client sent it, but for the client's timeout, in which the time that
+// is left stands instead, us rounded down to whole milliseconds and at least one.
 func (c *Command) AppendQuery(dst []byte, left int64) []byte {
 	body := make([]byte, 0, len(c.statement)+8)
-	body = append(body, c.statement[:c.timeFrom]...)
+	body = append(body, c.statement[:c.timeoutStart]...)
 	body = strconv.AppendInt(body, max(1, left/1000), 10)
-	body = append(append(body, c.statement[c.timeTo:]...), 0)
+	body = append(body, c.statement[c.timeoutEnd:]...)
+	body = append(body, 0)
 	return Frame{'Q', body}.Append(dst)
 }
 
 // Size is the bytes that the command holds.
 func (c *Command) Size() int { return len(c.statement) }
-
-// Blank tells whether a query holds nothing to do.
-func IsEmptyQuery(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -1,71 +1,86 @@
-// Package pgwire parses and encodes version 3 of PostgreSQL's wire protocol. It knows no sockets: bytes go
-// in, small typed values come out, and the other way round.
 package pgwire
 
 import (
+	"bytes"
 	"encoding/binary"
 	"errors"
 )
 
+const (
+	lengthBytes = 4 // the length counts itself, and not the type
+	typeBytes   = 1
+
+	// keptBuffer is the room that an empty Splitter keeps: one large value must not hold its own for ever.
+	keptBuffer = 1 << 14
+)
+
 // Frame is one message. Type 0 marks the untyped ones that open a connection. Body stands until the next Feed.
 type Frame struct {
 	Type byte
 	Body []byte
 }
 
-// ErrLength tells that a message claims a length that none can have here: the stream can't be trusted.
+// ErrMessageLength tells that a message claims a length that none can have here: the stream can't be trusted.
 var ErrMessageLength = errors.New("invalid message length")
 
 // Splitter cuts a stream into messages, however its bytes arrive. It never holds more than has arrived.
 type Splitter struct {
-	buf     []byte
-	from    int
-	most    int  // longest body taken
-	untyped bool // the next message has no type byte
+	buffer  []byte
+	next    int // where in it the next message begins
+	maxBody int // longest body taken
+	untyped bool
 }
 
-// NewSplitter makes one for bodies up to most bytes; a client's stream opens with untyped messages.
-func NewSplitter(most int, untyped bool) *Splitter { return &Splitter{most: most, untyped: untyped} }
+// NewSplitter makes one for bodies up to maxBody bytes. A client's stream opens with untyped messages.
+func NewSplitter(maxBody int, untyped bool) *Splitter {
+	return &Splitter{maxBody: maxBody, untyped: untyped}
+}
 
 // Feed adds what has arrived; bodies handed out before are void.
 func (s *Splitter) Feed(p []byte) {
-	if s.from > 0 {
-		s.buf = s.buf[:copy(s.buf, s.buf[s.from:])]
-		s.from = 0
+	if s.next > 0 {
+		left := copy(s.buffer, s.buffer[s.next:])
+		s.buffer = s.buffer[:left]
+		s.next = 0
 	}
-	if len(s.buf) == 0 && cap(s.buf) > 1<<14 { // one large value must not hold its room for ever
-		s.buf = nil
+	if len(s.buffer) == 0 && cap(s.buffer) > keptBuffer {
+		s.buffer = nil
 	}
-	s.buf = append(s.buf, p...)
+	s.buffer = append(s.buffer, p...)
 }
 
-// Typed tells that from now on messages have a type byte, and bodies up to most bytes.
-func (s *Splitter) ExpectTyped(most int) { s.untyped, s.most = false, most }
+// ExpectTyped tells that from now on messages have a type byte, and bodies up to maxBody bytes.
+func (s *Splitter) ExpectTyped(maxBody int) {
+	s.untyped = false
+	s.maxBody = maxBody
+}
 
-// Left is how many bytes have arrived of messages not taken yet.
-func (s *Splitter) Buffered() int { return len(s.buf) - s.from }
+// Buffered is how many bytes have arrived of messages not taken yet.
+func (s *Splitter) Buffered() int { return len(s.buffer) - s.next }
 
-// Next takes the next whole message; whole is false until more has arrived.
-func (s *Splitter) Next() (f Frame, whole bool, err error) {
-	b, head := s.buf[s.from:], 5
+// Next takes the next message; complete is false until all of it has arrived.
+func (s *Splitter) Next() (f Frame, complete bool, err error) {
+	rest := s.buffer[s.next:]
+	head := typeBytes + lengthBytes
 	if s.untyped {
-		head = 4
+		head = lengthBytes
 	}
-	if len(b) < head {
+	if len(rest) < head {
 		return f, false, nil
 	}
-	n := int64(binary.BigEndian.Uint32(b[head-4:])) - 4
-	if n < 0 || n > int64(s.most) {
+	body := int64(binary.BigEndian.Uint32(rest[head-lengthBytes:])) - lengthBytes
+	if body < 0 || body > int64(s.maxBody) {
 		return f, false, ErrMessageLength
 	}
-	if int64(len(b)-head) < n {
+	if int64(len(rest)-head) < body {
 		return f, false, nil
 	}
 	if !s.untyped {
-		f.Type = b[0]
+		f.Type = rest[0]
 	}
-	f.Body = b[head : head+int(n)]
-	s.from += head + int(n)
+	end := head + int(body)
+	f.Body = rest[head:end]
+	s.next += end
 	return f, true, nil
 }
 
@@ -74,16 +89,21 @@
 	if f.Type != 0 {
 		dst = append(dst, f.Type)
 	}
-	dst = binary.BigEndian.AppendUint32(dst, uint32(len(f.Body)+4))
+	dst = binary.BigEndian.AppendUint32(dst, uint32(len(f.Body)+lengthBytes))
 	return append(dst, f.Body...)
 }
 
-// text takes a string that ends in a zero byte off the front.
-func text(b []byte) (s string, rest []byte, ok bool) {
-	for i, c := range b {
-		if c == 0 {
-			return string(b[:i]), b[i+1:], true
-		}
+// cutText takes a string that ends in a zero byte off the front.
+func cutText(b []byte) (s string, rest []byte, ok bool) {
+	end := bytes.IndexByte(b, 0)
+	if end < 0 {
+		return "", nil, false
 	}
-	return "", nil, false
+	return string(b[:end]), b[end+1:], true
+}
+
+// appendText encodes a string, which holds no zero byte.
+func appendText(dst []byte, s string) []byte {
+	dst = append(dst, s...)
+	return append(dst, 0)
 }
--- /dev/null
+++ b/internal/pgwire/query.go
@@ -0,0 +1,74 @@
+package pgwire
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// DecodeQuery reads the statement of a simple query.
+func DecodeQuery(f Frame) (statement []byte, ok bool) {
+	last := len(f.Body) - 1
+	if bytes.IndexByte(f.Body, 0) != last || last < 0 { // one zero byte, at the end
+		return nil, false
+	}
+	return f.Body[:last], true
+}
+
+// IsEmptyQuery tells whether a query holds nothing to do.
+func IsEmptyQuery(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
+
+// AppendQuery encodes a simple query.
+func AppendQuery(dst []byte, statement string) []byte {
+	return Frame{'Q', appendText(nil, statement)}.Append(dst)
+}
+
+// AppendReady encodes ReadyForQuery.
+func AppendReady(dst []byte) []byte { return Frame{'Z', []byte{'I'}}.Append(dst) }
+
+// AppendEmpty encodes the answer to an empty query.
+func AppendEmpty(dst []byte) []byte { return AppendReady(Frame{'I', nil}.Append(dst)) }
+
+// AppendError encodes an ErrorResponse. Behind one that is not fatal the connection goes on, so ReadyForQuery follows. A
+// retryAfter above 0, in us, tells the client when to come again, in ms rounded up.
+func AppendError(dst []byte, fatal bool, code, message string, retryAfter int64) []byte {
+	severity := "ERROR"
+	if fatal {
+		severity = "FATAL"
+	}
+	var body []byte
+	for _, field := range [...]string{"S" + severity, "V" + severity, "C" + code, "M" + message} {
+		body = appendText(body, field)
+	}
+	if retryAfter > 0 {
+		body = append(body, 'D')
+		body = strconv.AppendInt(body, (retryAfter+999)/1000, 10)
+		body = append(body, 0)
+	}
+	dst = Frame{'E', append(body, 0)}.Append(dst)
+	if fatal {
+		return dst
+	}
+	return AppendReady(dst)
+}
+
+// decodeError reads an ErrorResponse, which must have a code.
+func decodeError(f Frame) (code string, fatal bool, err error) {
+	for rest := f.Body; len(rest) > 0 && rest[0] != 0; {
+		field := rest[0]
+		value, behind, ok := cutText(rest[1:])
+		if !ok {
+			return "", false, ErrUnexpectedMessage
+		}
+		switch field {
+		case 'C':
+			code = value
+		case 'S', 'V':
+			fatal = fatal || value == "FATAL" || value == "PANIC"
+		}
+		rest = behind
+	}
+	if code == "" {
+		return "", false, ErrUnexpectedMessage
+	}
+	return code, fatal, nil
+}
