--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -202,7 +202,9 @@
 	return ""
 }
 
-// TestVoterAgainstModel plays generated questions; most terms lie close together, so that they meet.
+// TestVoterAgainstModel: a voter grants a lease twice, but only after a late request, an expired trial and a release in an
+// order that nobody thought of. Generated requests are played against a plain model of what a voter owes; most terms lie
+// close together, so that they meet.
 func TestVoterAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one := rapid.Custom(func(t *rapid.T) played {
@@ -217,7 +219,7 @@
 	})
 }
 
-// FuzzVoter plays events out of bytes, twelve each.
+// FuzzVoter plays events out of bytes, twelve each, against the same model.
 func FuzzVoter(f *testing.F) {
 	f.Add(slices.Repeat([]byte{0, 1, 0, 0, 0, 20, 0, 60, 0, 0, 1, 0, 4, 1, 0, 0, 0, 5, 0, 60, 0, 0, 0, 0}, 4))
 	f.Add(slices.Repeat([]byte{0, 0, 0, 0, 0, 250, 0, 60, 0, 200, 1, 0, 0, 1, 0, 0, 0, 250, 0, 60, 0, 200, 1, 0, 6, 1, 0, 0, 0, 1, 0, 60, 0, 0, 0, 0}, 3))
@@ -233,7 +235,8 @@
 	})
 }
 
-// TestModelSeesFaults breaks a voter on purpose: the model must see it.
+// TestModelSeesFaults: the model agrees with anything, and the tests above pass whatever the voter does. Here a voter is
+// broken on purpose, and the model must see it.
 func TestModelSeesFaults(t *testing.T) {
 	ask := func(who uint8, term uint64, after int64) played {
 		return played{what: 0, who: who, term: term, after: after, length: 1_000_000, full: true}
@@ -264,91 +267,3 @@
 		t.Error(wrong)
 	}
 }
-
-// TestResterLosesNoTurn sees that one which rests is not called before others: each of its turns came to nothing, and cost
-// a hand-over 150 ms.
-func TestResterLosesNoTurn(t *testing.T) {
-	v := newModel().v
-	now := int64(modelStart + modelLongest)
-	say := func(kind MessageKind, who string, term, ticket uint64) (called string) {
-		v.Receive(now, &Message{Kind: kind, From: who, SetNumber: 1, Items: []Item{{Lease: "x", Term: term, Length: 1_000_000, Full: true, Ticket: ticket}}})
-		for _, o := range v.TakeActions() {
-			if sent, is := o.(Send); is && sent.Message.Kind == KindTurnNotice {
-				called = sent.To
-			}
-		}
-		return called
-	}
-	for term := range uint64(freeLapses + 2) { // a lets it run out, again and again, while b waits
-		now += 4_000_000 * int64(term)
-		say(KindGrantRequest, "a", 100+term, 1)
-		say(KindGrantRequest, "b", 100, 2)
-		now += 1_000_000
-		v.Tick(now)
-		v.TakeActions()
-		now += 2 * turnTime // b does not come
-		v.Tick(now)
-		v.TakeActions()
-	}
-	say(KindGrantRequest, "c", 200, 3)
-	say(KindGrantRequest, "a", 199, 1)
-	say(KindGrantRequest, "b", 199, 2)
-	if called := say(KindRelease, "c", 200, 0); called != "b" {
-		t.Errorf("%q is called, though a rests", called)
-	}
-}
-
-// TestTriesAtATime guards against a thousand first votes at once: their answers come after the trial is over where the
-// voters have little time, and all of it is asked for anew. The others' turn comes as tries end, won or lost.
-func TestTriesAtATime(t *testing.T) {
-	const many = 1000
-	voters := []string{"a", "b", "c"}
-	c := NewCandidate("x", 1, 10_000, 1, voters)
-	now := int64(1_000_000)
-	for n := range many {
-		c.RequestLease(now, Request{Lease: fmt.Sprint(n), Length: 2_000_000})
-	}
-	held := map[string]bool{}
-	for round := 0; len(held) < many && round < 200; round++ {
-		now += 5_000
-		c.Tick(now)
-		trials := map[string]map[string]bool{}
-		var answers []*Message
-		for _, o := range c.TakeActions() {
-			sent, is := o.(Send)
-			if !is || sent.Message.Kind != KindGrantRequest {
-				continue
-			}
-			a := &Message{Kind: KindGrantResponse, From: sent.To, Incarnation: 2, Requester: 1, SetNumber: 1, RequestID: sent.Message.RequestID, Generation: sent.Message.Generation, VoterClock: now}
-			for _, it := range sent.Message.Items {
-				if !it.Full {
-					if trials[sent.To] == nil {
-						trials[sent.To] = map[string]bool{}
-					}
-					trials[sent.To][it.Lease] = true
-				}
-				it.Verdict = Granted
-				a.Items = append(a.Items, it)
-			}
-			answers = append(answers, a)
-		}
-		for to, of := range trials {
-			if len(of) > maxConcurrentAttempts {
-				t.Fatalf("%d leases tried for at %s at once", len(of), to)
-			}
-		}
-		for _, a := range answers {
-			if round%7 != 0 { // what is not answered is lost
-				c.Receive(now, a)
-			}
-		}
-		for _, o := range c.TakeActions() {
-			if acquired, is := o.(Acquired); is {
-				held[acquired.Lease] = true
-			}
-		}
-	}
-	if len(held) < many {
-		t.Errorf("%d of %d came to be held", len(held), many)
-	}
-}
