--- /dev/null
+++ b/internal/routing/deadlines.go
@@ -0,0 +1,71 @@
+package routing
+
+// How long a request may wait in the queue, and when it is given up.
+
+const (
+	// responseAllowance is how many usual responses must fit between sending a request and a limit on its answer:
+	// nineteen in twenty are answered within so many.
+	responseAllowance = 3.0
+	// leastQueueTime is the share of the latency objective for which a request may always be queued. Without it slow
+	// responses would have every read rejected on arrival, and nothing would ever be learnt again.
+	leastQueueTime = 0.1
+	// readQueueTime is the share of its group's timeout for which a read may be queued: its client should hear soon
+	// that it may try elsewhere.
+	readQueueTime = 0.25
+	// writeQueueTime is the share of its time left for which a write may be queued, for a primary to be elected, say.
+	// It is under half, so that its client has time for one more attempt of its own.
+	writeQueueTime = 0.45
+	// deadlineMargin is the time, us, before its client's deadline at which a request gets its final answer at the
+	// latest, for the answer to reach the client in time: two sweeps.
+	deadlineMargin = 2 * sweepInterval
+)
+
+// setQueueTimes sets until when a new request may be queued, and when it must be sent for its answer to meet the
+// latency objective. A later attempt of a client shares the first one's objective.
+func (r *Router) setQueueTimes(req *request, timeLeft, now int64) {
+	group := req.group
+	objective := now + group.LatencyObjective
+	if !r.isFirstAttempt(group, timeLeft) {
+		objective -= max(0, group.Timeout-timeLeft)
+	}
+	allowance := int64(responseAllowance * group.usualResponse)
+	least := now + int64(leastQueueTime*float64(group.LatencyObjective))
+	req.sendBefore = max(least, objective-allowance)
+
+	queueTime := int64(writeQueueTime * float64(timeLeft))
+	if group.Consistency != Write {
+		queueTime = min(req.sendBefore-now, int64(readQueueTime*float64(group.Timeout)))
+	}
+	req.queueUntil = max(least, req.deadline-allowance)
+	req.queueUntil = min(req.queueUntil, now+queueTime, req.deadline-deadlineMargin)
+}
+
+// checkDeadline is the first stage. It gives up a request that can't be answered in time, has waited as long as it may,
+// has no attempt left, or whose idempotency window has passed. A request that is about to miss its latency objective
+// loses weight, so that it goes behind those that can still meet it.
+func (r *Router) checkDeadline(req *request, now int64) decision {
+	if now > req.sendBefore && !req.late {
+		req.late = true
+		req.weight *= req.group.LateWeight
+	}
+	if req.inFlight > 0 && !r.mayHedgeInTime(req, now) {
+		return stop
+	}
+	if r.mustGiveUp(req, now) {
+		r.giveUp(req)
+		return stop
+	}
+	return proceed
+}
+
+// mustGiveUp tells whether a request may not be sent (any more).
+func (r *Router) mustGiveUp(req *request, now int64) bool {
+	if now >= req.queueUntil && !req.mayHaveExecuted && req.inFlight == 0 {
+		return true
+	}
+	if now >= req.deadline-deadlineMargin || len(req.attempts) >= r.config.Attempts.Max {
+		return true
+	}
+	return req.group.Idempotency == IdempotentWithKey && req.mayHaveExecuted &&
+		now-req.firstExecutedAt >= r.usableWindow(req.group)
+}
--- /dev/null
+++ b/internal/routing/gossip.go
@@ -0,0 +1,53 @@
+package routing
+
+// GossipUpdate is what another router learnt of a node.
+type GossipUpdate struct {
+	Node     string
+	LearntAt int64
+	// Position is the node's position then, 0 for not told. The caller passes on no other process's of that node.
+	Position int64
+	Role     Role // Replica for a node that said it isn't the primary
+	Silent   bool // the other router had no answer of it
+	Alive    bool // the other router had an answer of it
+}
+
+// GossipReceived takes what another router learnt of a node. A position stays true of the process that told it, however
+// old it is. A role is a hint, and none where an answer told it since. Silence only puts the node behind the others
+// for reads: the other router may be the one that is cut off. For the same reason its answer ends no suspicion here;
+// this router then checks for itself.
+func (r *Router) GossipReceived(now int64, u GossipUpdate) {
+	n := r.nodeByName[u.Node]
+	if n == nil {
+		return
+	}
+	if u.LearntAt > n.positionAt {
+		r.observePosition(n, u.Position, u.LearntAt)
+	} else {
+		n.position = max(n.position, u.Position)
+	}
+	if u.LearntAt > n.roleAt {
+		switch u.Role {
+		case Primary:
+			r.hintPrimary(n, now)
+		case Replica:
+			r.hintNotPrimary(n, now)
+		}
+	}
+	switch {
+	case u.Silent:
+		n.peerSilentAt = max(n.peerSilentAt, u.LearntAt)
+	case u.Alive && u.LearntAt > n.peerSilentAt:
+		n.peerSilentAt = 0
+		if n.suspected && now-n.checkedAt > rejoinCheckInterval {
+			r.checkHealth(n, now, spareHealthChecks)
+		}
+	}
+	r.dispatchWaiting(n.shard, now)
+}
+
+// SetCheckedByPeer tells whether another router checks a node while it is silent or lags, so that this one need not.
+func (r *Router) SetCheckedByPeer(name string, checked bool) {
+	if n := r.nodeByName[name]; n != nil {
+		n.checkedByPeer = checked
+	}
+}
--- /dev/null
+++ b/internal/routing/hedging.go
@@ -0,0 +1,32 @@
+package routing
+
+const (
+	// hedgesPerRequest is what one request adds to the budget for hedged attempts: with more they cost nodes more than
+	// they bring.
+	hedgesPerRequest = 0.3
+	// hedgingBurst is how many may be saved up.
+	hedgingBurst = 10.0
+)
+
+// hedge sends a late request once more beside its first attempt. It holds against lost answers and silent nodes. It
+// would crowd a crowded shard, so it happens only while all reads are admitted there and none is queued, and for a part
+// of all requests.
+func (r *Router) hedge(req *request, now int64) {
+	if !r.config.Attempts.Hedging || r.hedgingBudget < 1 || req.group.Idempotency == NotIdempotent {
+		return
+	}
+	if req.inFlight != 1 || req.queued || req.done || now >= req.sendBefore {
+		return
+	}
+	if req.shard.admitProbability != 1 || len(req.shard.queue) > 0 {
+		return
+	}
+	r.hedgingBudget--
+	r.runStages(req, now)
+}
+
+// mayHedgeInTime tells whether a second attempt beside the first may still begin: in time for the latency objective,
+// and inside the window in which the first one's repeat is recognised.
+func (r *Router) mayHedgeInTime(req *request, now int64) bool {
+	return now < min(req.sendBefore, req.attempts[0].startedAt+r.usableWindow(req.group))
+}
--- /dev/null
+++ b/internal/routing/primary.go
@@ -0,0 +1,168 @@
+package routing
+
+import "slices"
+
+// Which node of a shard is believed to be its primary, and what goes there.
+//
+// Answers decide: a node that answers as the primary is believed at once, one that answers otherwise no longer is. What
+// comes late (marks of the endpoint list, load reports, other routers) is a hint, which counts only where no answer has
+// told lately. A hint never proves data: reads of the latest data wait for an answer.
+
+const (
+	// roleTrustedFor is the time, us, for which a role shown in an answer stands over any hint: lists and reports lag
+	// behind a failover by a few seconds. A true hint is passed over for as long.
+	roleTrustedFor = 5e6
+	// primaryQueryInterval is the time, us, between two questions to a shard's members for an unknown primary: one member
+	// at a time, and yet through the shard before a client loses patience.
+	primaryQueryInterval = 50_000
+	// primaryQueryDivisor leaves a write most of its attempts: one in so many may go to a member that may not be the
+	// primary.
+	primaryQueryDivisor = 2
+)
+
+// Role is what a node says that it is.
+type Role uint8
+
+// The roles.
+const (
+	RoleUnknown Role = iota
+	Primary
+	Replica
+)
+
+// String names the role for logs and tests.
+func (role Role) String() string {
+	return enumName([]string{"unknown", "primary", "replica"}, int(role))
+}
+
+// ObserveReply takes the role and the position that a node told in an answer; RoleUnknown for none told, and 0 for no
+// position. Answering as the primary doesn't prove that the data is the latest: a primary that hung may do so when it
+// goes on, with data that stood still meanwhile.
+func (r *Router) ObserveReply(now int64, name string, role Role, position int64) {
+	n := r.nodeByName[name]
+	if n == nil || role == RoleUnknown {
+		return
+	}
+	r.observeRole(n, role, now)
+	r.observePosition(n, position, now)
+}
+
+// observeRole moves the belief in a shard's primary by an answer. What a former primary was given to do, and may be
+// sent again, is canceled there.
+func (r *Router) observeRole(n *node, role Role, now int64) {
+	n.role = role
+	n.roleAt = now
+	s := n.shard
+	if role != Primary {
+		if s.primary == n {
+			s.primary = nil
+		}
+		return
+	}
+	s.primarySeenAt = now
+	former := s.primary
+	if former == n {
+		return
+	}
+	s.primary = n
+	n.lag = 0
+	if former != nil {
+		former.role = Replica
+		r.cancelRepeatable(former)
+	}
+}
+
+// ReportedRole takes the role in a load report: a hint, and the node's role only where no answer has told it.
+func (r *Router) ReportedRole(now int64, name string, primary bool) {
+	n := r.nodeByName[name]
+	if n == nil {
+		return
+	}
+	if !primary {
+		r.hintNotPrimary(n, now)
+		return
+	}
+	if n.role == RoleUnknown {
+		n.role = Primary
+	}
+	r.hintPrimary(n, now)
+}
+
+// hintPrimary takes an unconfirmed word that a node is the primary.
+func (r *Router) hintPrimary(n *node, now int64) {
+	if n.role == Replica && now-n.roleAt < roleTrustedFor {
+		return // it said otherwise itself
+	}
+	believed := n.shard.primary
+	if believed == nil || believed.roleAt == 0 || now-believed.roleAt > roleTrustedFor || believed.suspected {
+		n.shard.primary = n
+	}
+}
+
+// hintNotPrimary takes an unconfirmed word that a node isn't the primary.
+func (r *Router) hintNotPrimary(n *node, now int64) {
+	if n.shard.primary == n && now-n.roleAt > roleTrustedFor {
+		n.shard.primary = nil
+	}
+}
+
+// routeToPrimary is the stage that sends writes, and reads of the latest data, to the believed primary. They are queued
+// while there is none, or while it has no capacity. A read must find a node that answered as the primary.
+func (r *Router) routeToPrimary(req *request, now int64) decision {
+	group := req.group
+	if !group.needsPrimary() {
+		return proceed
+	}
+	req.chosen = req.shard.primary
+	if r.primaryMissing(req.shard, now) {
+		req.chosen = r.askForPrimary(req.shard, now)
+		if req.chosen == nil || !r.mayAskByWrite(req, req.chosen, now) {
+			return enqueue
+		}
+	}
+	if group.Consistency == Latest && req.chosen.role != Primary {
+		return enqueue
+	}
+	if !r.usable(req.chosen, now) || !r.hasCapacity(req.chosen, 1, group, now) {
+		return enqueue
+	}
+	return proceed
+}
+
+// primaryMissing tells whether a shard's primary must be looked for. One that only cools down between requests is known
+// all the same: to ask for it again would cost health checks and bring nothing.
+func (r *Router) primaryMissing(s *shard, now int64) bool {
+	p := s.primary
+	if p == nil {
+		return true
+	}
+	return !r.usable(p, now) && (!r.listAllows(p) || p.suspected || p.refusedSince > 0)
+}
+
+// mayAskByWrite tells whether a write may go to a member that may not be the primary, to find out: a node that isn't
+// refuses it unexecuted. Only one that showed itself alive lately is asked so.
+func (r *Router) mayAskByWrite(req *request, n *node, now int64) bool {
+	return req.group.Consistency == Write &&
+		primaryQueryDivisor*len(req.attempts) < r.config.Attempts.Max &&
+		r.usable(n, now) && now-n.answeredAt <= roleTrustedFor
+}
+
+// askForPrimary asks the next member of a shard whether it is the primary, by a health check where load reports tell
+// roles. Where they don't, it returns the member to be asked by a write; else nil.
+func (r *Router) askForPrimary(s *shard, now int64) *node {
+	if now-s.primaryAskedAt < primaryQueryInterval {
+		return nil
+	}
+	candidates := slices.DeleteFunc(slices.Clone(s.members), func(n *node) bool { return !r.listAllows(n) })
+	if len(candidates) == 0 {
+		return nil
+	}
+	s.primaryAskedAt = now
+	s.rotation++
+	n := candidates[s.rotation%len(candidates)]
+	if !r.config.HealthChecks.ReportsRole {
+		return n
+	}
+	r.checkHealth(n, now, 1)
+	return nil
+}
--- /dev/null
+++ b/internal/routing/slow_start.go
@@ -0,0 +1,86 @@
+package routing
+
+import "math"
+
+// Slow start: a node that started lately can do only a part of its work, and breaks when it is sent a multiple of that
+// within a window (SlowStartConfig). Routers share nothing, so each sends a node that warms up a part of what it alone
+// had answered by warm nodes of the kind; the sum of all routers then stays under the multiple, whatever their mix.
+
+const (
+	// slowStartShare is the share of the breaking multiple that is used as warming up begins: chance and the sizes of
+	// requests take the rest, and weigh most while the node can do little.
+	slowStartShare = 0.45
+	// slowStartShareGain is how much that share grows until the node is warm.
+	slowStartShareGain = 0.3
+	// slowStartBurst is how many usual requests one router may have saved up for a node.
+	slowStartBurst = 1.5
+	// unknownWarmRate is the work, us of usual response time a second, that all routers together send a node that warms
+	// up while no warm node of its kind has been seen: a twentieth of a core.
+	unknownWarmRate = 50_000
+)
+
+// warmth is the share of its full capacity that a node has at least.
+func (r *Router) warmth(n *node, now int64) float64 {
+	c := &r.config.SlowStart
+	if n.startedAt <= 0 || c.Duration <= 0 || now >= n.startedAt+c.Duration {
+		return 1
+	}
+	return c.InitialCapacity + (1-c.InitialCapacity)*float64(max(0, now-n.startedAt))/float64(c.Duration)
+}
+
+// beginSlowStart gives a node that started a chance part of one request as credit. If all routers began with none, they
+// would all save up for their first request and send it at the same late moment.
+func (r *Router) beginSlowStart(n *node, now int64) {
+	n.creditAt = now
+	n.credit = float64(r.random.below(max(1, int(r.shortestUsualResponse()))))
+}
+
+// slowStartAllows tells whether a node that warms up may be sent one more request of a group.
+func (r *Router) slowStartAllows(n *node, group *commandGroup, warmth float64, now int64) bool {
+	r.refillCredit(n, group, warmth, now)
+	return n.credit >= group.usualResponse
+}
+
+// refillCredit adds what a node that warms up may be sent since the last time: the share of what warm nodes of its kind
+// did for this router that its warmth allows. The rates of warm nodes are kept after they restart, because a whole
+// shard may start at once.
+//
+// Credit that isn't used lapses: else hundreds of routers that had each saved up one request could send them all at
+// once, on top of what flows. No more is kept than fits, with that flow, into one window; or, where that is less than one
+// request, the remainder of whole requests, so that routers do not come into step.
+func (r *Router) refillCredit(n *node, group *commandGroup, warmth float64, now int64) {
+	c := &r.config.SlowStart
+	usual := group.usualResponse
+	share := slowStartShare + slowStartShareGain*warmth
+	rates, count := r.warmRates(n.machineKind)
+	allowed := max(unknownWarmRate/float64(r.config.Routers), share*c.OverloadMultiple*warmth*rates/float64(max(count, 1)))
+	n.credit += allowed * float64(now-n.creditAt) / 1e6
+	n.creditAt = now
+	kept := allowed * float64(c.OverloadWindow) / 1e6 * (1/share - 1)
+	if kept >= usual || c.OverloadWindow == 0 {
+		n.credit = min(slowStartBurst*usual, n.credit)
+		return
+	}
+	if over := n.credit - usual - kept; over >= 0 {
+		n.credit = kept + math.Mod(over, usual)
+	}
+}
+
+// warmRates is the sum of the rates of work of the nodes of a kind that were seen warm, forgotten ones included, and
+// how many these are.
+func (r *Router) warmRates(machineKind string) (sum float64, count int) {
+	for _, n := range r.nodes {
+		if n.machineKind == machineKind && n.warmRate > 0 {
+			sum += n.warmRate
+			count++
+		}
+	}
+	return sum, count
+}
+
+// averageWarmRate follows the rate of work of a node that is up and warm; it is called in each sweep.
+func (r *Router) averageWarmRate(n *node, now int64) {
+	if n.state == Up && !n.suspected && r.warmth(n, now) == 1 {
+		n.warmRate += sweepInterval / rateSpan * (n.workRateNow(now) - n.warmRate)
+	}
+}
