--- a/internal/discovery/nodelist_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -14,7 +14,7 @@
 const entry = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"leaving","weight":1.0,` +
 	`"since_ms":17.5,"role":"primary","new":{}}`
 
-func TestDecode(t *testing.T) {
+func TestDecodeEndpointList(t *testing.T) {
 	l, err := DecodeEndpointList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entry + `],"more":1}`))
 	want := Endpoint{"s-1", "127.0.0.1:1", "a", "m", 3, routing.Draining, true, 17_500}
 	if err != nil || l.Version != 41 || !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0] != want {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -15,89 +14,95 @@
 	"cairntiller/internal/metrics"
 )
 
-// What discovery tells counts as told 6 s after it fell silent, or had a change and could be reached. The longest way
-// to a list in hand: a watch that falls silent is given up lifeWait later, its successor meets silence too for
-// answerWait, and the call that begins backMost later is answered at once: 4.25 s. A call that began just before
-// discovery could be reached, and is never answered, costs answerWait + backMost.
+// What discovery tells counts as told 6 s after it fell silent, or had a change and could be reached: from then on a
+// drain binds the router. The longest way to a list in hand: a watch that falls silent is given up signTimeout later,
+// its successor meets silence too for answerTimeout, and the call that begins maxBackoff later is answered at once:
+// 4.25 s. A call that began just before discovery could be reached, and is never answered, costs answerTimeout +
+// maxBackoff.
 const (
-	answerWait = time.Second            // for discovery to begin an answer: its agent is on this machine and does so at once
-	lifeWait   = 3 * time.Second        // of a watch without a sign of life: empty lines come every 2 s
-	backFirst  = 50 * time.Millisecond  // before a watch that ended is started anew
-	backMost   = 250 * time.Millisecond // the same, doubled while watches bring nothing
-	mostList   = 4 << 20                // bytes in one list: some ten thousand nodes
+	answerTimeout = time.Second            // for discovery to begin an answer: its agent is on this machine and does so at once
+	signTimeout   = 3 * time.Second        // of a watch without a sign of life: empty lines come every 2 s
+	minBackoff    = 50 * time.Millisecond  // before a watch that ended is started anew
+	maxBackoff    = 250 * time.Millisecond // the same, doubled while watches bring nothing
+	maxListBytes  = 4 << 20                // in one list: some ten thousand nodes
 )
 
 var (
-	watches = metrics.New("watches started")
-	broken  = metrics.New("lists refused")
+	startedWatches = metrics.New("watches started")
+	rejectedLists  = metrics.New("endpoint lists rejected")
 )
 
-// Unknown is no version: the whole list is asked for. Another discovery may count its versions anew.
+// Why a watch ended.
+var (
+	errListComplete = errors.New("the complete list came") // and can be followed
+	errListTooLong  = errors.New("a list is too long")
+	errSilent       = errors.New("the watch fell silent")
+)
+
+// UnknownVersion is no version: the complete list is asked for. Another discovery may count its versions anew.
 const UnknownVersion = -1
 
-// Follow watches discovery at an address, and from a move on at another, until the context ends. A watch that
-// was left is over before the next begins, so its lists never come after newer ones.
-func Follow(ctx context.Context, address string, index int64, moves <-chan string, on func(*EndpointList)) {
+// Follow watches discovery at an address, and from a move on at another, until the context ends. A watch that was left
+// is over before the next begins, so its lists never come after newer ones.
+func Follow(ctx context.Context, address string, version int64, moves <-chan string, onList func(*EndpointList)) {
 	for ctx.Err() == nil {
-		life, end := context.WithCancel(ctx)
-		over := make(chan struct{})
-		go func(address string, index int64) { // a move may come before it runs
-			Watch(life, address, index, on)
-			close(over)
-		}(address, index)
+		watchCtx, leave := context.WithCancel(ctx)
+		ended := make(chan struct{})
+		go func(address string, version int64) { // a move may come before it runs
+			Watch(watchCtx, address, version, onList)
+			close(ended)
+		}(address, version)
 		select {
 		case address = <-moves:
-			index = UnknownVersion
+			version = UnknownVersion
 		case <-ctx.Done():
 		}
-		end()
-		<-over
+		leave()
+		<-ended
 	}
 }
 
-// Watch keeps asking discovery at an address for what comes after a version and hands each list on, until
-// the context ends.
-func Watch(ctx context.Context, address string, index int64, on func(*EndpointList)) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: answerWait,
-		DialContext: (&net.Dialer{Timeout: answerWait}).DialContext}}
-	back := backFirst
+// Watch keeps asking discovery at an address for what comes after a version and hands each list on, until the context
+// ends.
+func Watch(ctx context.Context, address string, version int64, onList func(*EndpointList)) {
+	w := &watch{address: address, version: version, onList: onList}
+	w.client = &http.Client{Transport: &http.Transport{
+		DisableKeepAlives:     true,
+		ResponseHeaderTimeout: answerTimeout,
+		DialContext:           (&net.Dialer{Timeout: answerTimeout}).DialContext,
+	}}
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		watches.Add()
-		query := ""
-		if index != UnknownVersion {
-			query = fmt.Sprintf("?follow=1&since=%d", index)
-		}
-		brought, err := ask(ctx, client, address, query, &index, on)
-		slog.Debug("watch ended", "err", err, "index", index)
-		if errors.Is(err, errWhole) {
+		startedWatches.Add()
+		gotList, err := w.ask(ctx)
+		slog.Debug("watch ended", "err", err, "version", w.version)
+		if errors.Is(err, errListComplete) {
 			continue
 		}
-		if brought {
-			back = backFirst
+		if gotList {
+			backoff = minBackoff
 		}
 		select {
-		case <-time.After(back):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 		}
-		back = min(2*back, backMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-var (
-	errWhole = errors.New("the whole list came") // and can be followed
-	errLong  = errors.New("a list is too long")
-	errMute  = errors.New("the watch fell silent")
-)
+// watch is one address that is watched.
+type watch struct {
+	client  *http.Client
+	address string
+	version int64 // of the last list taken, or UnknownVersion
+	onList  func(*EndpointList)
+}
 
-// ask hands on the lists in one answer of discovery's; brought tells that there was one.
-func ask(ctx context.Context, client *http.Client, address, query string, index *int64, on func(*EndpointList)) (brought bool, err error) {
+// ask makes one call, and hands on the lists in its answer until that ends. gotList tells whether there was one.
+func (w *watch) ask(ctx context.Context) (gotList bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/targets"+query, nil)
-	if err != nil {
-		return false, err
-	}
-	answer, err := client.Do(request)
+	answer, err := w.call(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -105,66 +110,66 @@
 	if answer.StatusCode != http.StatusOK {
 		return false, errors.New(answer.Status)
 	}
-	life := time.AfterFunc(lifeWait, func() { cancel(errMute) })
-	defer life.Stop()
-	body := &alive{from: answer.Body, sign: func() { life.Reset(lifeWait) }}
-	for lists := json.NewDecoder(body); ; {
+	silence := time.AfterFunc(signTimeout, func() { cancel(errSilent) })
+	defer silence.Stop()
+	body := &watchedBody{from: answer.Body, onSign: func() { silence.Reset(signTimeout) }}
+	lists := json.NewDecoder(body)
+	for {
 		var raw json.RawMessage
 		if err := lists.Decode(&raw); err != nil {
-			if cause := context.Cause(ctx); cause != nil {
-				err = cause
-			} else if !errors.Is(err, io.EOF) {
-				broken.Add()
-			}
-			return brought, err
+			return gotList, endOf(ctx, err)
 		}
-		life.Reset(lifeWait)
-		body.between()
-		l, err := DecodeEndpointList(raw)
+		silence.Reset(signTimeout)
+		body.listEnded()
+		list, err := DecodeEndpointList(raw)
 		if err != nil {
-			broken.Add()
-			return brought, err
+			rejectedLists.Add()
+			return gotList, err
 		}
-		// A discovery that started anew counts from one again, and what it says first is whole: that stands, or no list
-		// would be taken ever after. An older list that is not whole, or comes behind a newer one, is no news.
-		if l.Version < *index && (brought || !l.Complete) {
-			broken.Add()
+		if w.outdated(list, gotList) {
+			rejectedLists.Add()
 			continue
 		}
 		if ctx.Err() != nil { // it was left meanwhile
-			return brought, context.Cause(ctx)
+			return gotList, context.Cause(ctx)
 		}
-		brought = true
-		first := *index == UnknownVersion
-		*index = l.Version
-		on(l)
-		if first {
-			return true, errWhole
+		gotList = true
+		wasUnknown := w.version == UnknownVersion
+		w.version = list.Version
+		w.onList(list)
+		if wasUnknown {
+			return true, errListComplete
 		}
 	}
 }
 
-// alive passes on a watch's bytes, and tells of its signs of life: all that comes between lists, empty lines among it,
-// and the beginning of a list. What comes within one is none: a list that does not get whole must not hold the watch
-// open. It bounds a list's bytes.
-type alive struct {
-	from io.Reader
-	sign func()
-	in   int // bytes since the last list was whole and something but white space came
+// call asks for the complete list where none is known, else for the changes behind the version that is.
+func (w *watch) call(ctx context.Context) (*http.Response, error) {
+	url := "http://" + w.address + "/api/targets"
+	if w.version != UnknownVersion {
+		url += fmt.Sprintf("?follow=1&since=%d", w.version)
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	return w.client.Do(request)
 }
 
-// between tells that a list is whole.
-func (a *alive) between() { a.in = 0 }
-
-func (a *alive) Read(p []byte) (int, error) {
-	n, err := a.from.Read(p)
-	if a.in == 0 {
-		a.sign()
+// endOf is why an answer ended: the watch was left or fell silent, or what came can't be read.
+func endOf(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
 	}
-	if a.in > 0 || len(bytes.TrimSpace(p[:n])) > 0 {
-		if a.in += n; a.in > mostList {
-			return 0, errLong
-		}
+	if !errors.Is(err, io.EOF) {
+		rejectedLists.Add()
 	}
-	return n, err
+	return err
+}
+
+// outdated tells whether a list is no news: older than the one in hand, and not complete or behind a newer one of the
+// same call. A complete one that a call begins with stands whatever its version: a discovery that started anew counts
+// from one again, and no list of its would be taken ever after.
+func (w *watch) outdated(list *EndpointList, gotList bool) bool {
+	return list.Version < w.version && (gotList || !list.Complete)
 }
--- a/internal/invariant/debug.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build debug
-
-package invariant
-
-func report(what string) { panic("assertion broken: " + what) }
--- /dev/null
+++ b/internal/invariant/report_debug.go
@@ -0,0 +1,5 @@
+//go:build debug
+
+package invariant
+
+func report(what string) { panic("invariant broken: " + what) }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,5 +1,10 @@
-// Package stream holds one connection of the network library: bytes out in order without ever blocking the
-// caller, bytes in as they come, and one end.
+// Package stream holds one connection of the network library: bytes out in order without ever blocking the caller, bytes
+// in as they come, and one end.
+//
+// A stream takes writes until its side is ending: after CloseGracefully, which lets all out that is queued, after
+// ShutdownNow or Close, or where the peer reads too little. Once our side has ended what the peer still sends is read
+// and thrown away for lingerTimeout, so that our last words arrive and are not taken away by a reset; then the
+// connection is closed. Events.Closed is called once, whoever ended the connection.
 package stream
 
 import (
@@ -16,17 +21,22 @@
 )
 
 const (
-	writeWait  = 5 * time.Second // for a peer that reads nothing; its connection ends then, and nothing else waits
-	lingerWait = time.Second     // for a peer to end its side after ours, so that it reads all we wrote
-	mostQueued = 1 << 20         // bytes that wait for such a peer: 16 answers with values of 64 KiB
-	readRoom   = 1 << 16         // bytes that the kernel keeps unread, doubled by it: the library reads all of
-	// them at once, into room that grows with what a peer sends at full speed
-	endedRoom = 1 << 12 // the same once our side has ended, for what is only thrown away
+	// writeTimeout is for a peer that reads nothing: its connection ends then, and nothing else waits for it.
+	writeTimeout = 5 * time.Second
+	// lingerTimeout is for a peer to end its side after ours, so that it reads all that we wrote.
+	lingerTimeout = time.Second
+	// maxQueuedBytes is what may wait for a peer that reads too little: 16 answers with values of 64 KiB.
+	maxQueuedBytes = 1 << 20
+	// receiveBuffer is the bytes that the kernel keeps unread, doubled by it: the library reads all of them at once, into
+	// room that grows with what a peer sends at full speed.
+	receiveBuffer = 1 << 16
+	// endedReceiveBuffer is the same once our side has ended, for what is only thrown away.
+	endedReceiveBuffer = 1 << 12
 )
 
 var (
-	stuck   = metrics.New("writes given up")
-	flooded = metrics.New("peers that read too little")
+	failedWrites = metrics.New("writes failed")
+	slowReaders  = metrics.New("peers that read too slowly")
 )
 
 // ErrUnwritten tells that the peer's machine was handed nothing of what was to be written.
@@ -38,156 +48,70 @@
 	Closed   func()         // once, whoever ended the connection
 }
 
-// Stream is one connection.
+// Stream is one connection. Its methods may be called from any goroutine.
 type Stream struct {
-	conn    netpoll.Connection
-	fd      int // -1 where the library tells none; the kernel refuses that
-	mu      sync.Mutex
-	out     []piece
-	queued  int // bytes in out and in what is being written
-	writing bool
-	ending  bool // nothing more is taken; our side ends once all is out
-	closed  bool // the connection's descriptor may be another's by now
-	peek    [1]byte
+	conn netpoll.Connection
+	fd   int // -1 where the library tells none; the kernel refuses that
+
+	mu          sync.Mutex
+	queue       []queuedWrite
+	queuedBytes int  // in queue and in what is being written
+	writing     bool // a goroutine writes
+	ending      bool // nothing more is taken; our side ends once all is out
+	closed      bool // the connection's descriptor may be another's by now
+	peeked      [1]byte
 }
 
-type piece struct {
+type queuedWrite struct {
 	bytes []byte
-	done  func(error)
+	done  func(error) // may be nil
 }
 
-// Setup gives the library one poller, which is enough for one core, and a place for its log.
+// ConfigureLibrary gives the library one poller, which is enough for one core, and a place for its log.
 func ConfigureLibrary(log io.Writer) error {
 	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log})
 }
 
 // Dial opens a connection, bounded in time; it blocks.
-func Dial(address string, wait time.Duration) (netpoll.Connection, error) {
-	return netpoll.DialConnection("tcp", address, wait)
+func Dial(address string, timeout time.Duration) (netpoll.Connection, error) {
+	return netpoll.DialConnection("tcp", address, timeout)
 }
 
 // New takes a connection over; nothing is read before Start.
 func New(conn netpoll.Connection) *Stream {
-	conn.SetWriteTimeout(writeWait)
+	conn.SetWriteTimeout(writeTimeout)
 	s := &Stream{conn: conn, fd: -1}
 	if c, ok := conn.(interface{ Fd() int }); ok {
 		s.fd = c.Fd()
 	}
-	s.room(readRoom)
+	s.setReceiveBuffer(receiveBuffer)
 	return s
 }
 
 // Start begins to read; events may come before it returns.
-func (s *Stream) Start(ev Events) {
-	conn := s.conn
-	conn.AddCloseCallback(func(netpoll.Connection) error {
+func (s *Stream) Start(events Events) {
+	s.conn.AddCloseCallback(func(netpoll.Connection) error {
 		s.mu.Lock()
-		s.closed, s.ending = true, true
+		s.closed = true
+		s.ending = true
 		s.mu.Unlock()
-		ev.Closed()
+		events.Closed()
 		return nil
 	})
-	conn.SetOnRequest(func(_ context.Context, c netpoll.Connection) error {
+	s.conn.SetOnRequest(func(_ context.Context, c netpoll.Connection) error {
 		r := c.Reader()
 		p, err := r.Next(r.Len())
-		if err == nil {
-			ev.Received(p)
-			err = r.Release()
+		if err != nil {
+			return err
 		}
-		return err
+		events.Received(p)
+		return r.Release()
 	})
-	if !conn.IsActive() { // it ended before anyone could be told
-		conn.Close()
-	}
-}
-
-// Write queues bytes, which are the stream's from here on; it never blocks. done, where given, is told once
-// whether the kernel has all of them: ErrUnwritten only where it surely has none.
-func (s *Stream) Write(p []byte, done func(error)) {
-	s.mu.Lock()
-	if s.ending {
-		s.mu.Unlock()
-		if done != nil {
-			done(ErrUnwritten)
-		}
-		return
-	}
-	s.out = append(s.out, piece{p, done})
-	s.queued += len(p)
-	start, flood := !s.writing, s.queued > max(mostQueued, len(p))
-	s.writing = true
-	s.ending = s.ending || flood
-	s.mu.Unlock()
-	if start {
-		go s.drain()
-	}
-	if flood {
-		flooded.Add()
-		go s.Close() // it calls the owner, who may be waiting for this to return
-	}
-}
-
-// drain writes what is queued; the library's flush blocks while the peer reads nothing, so it has its own goroutine.
-func (s *Stream) drain() {
-	var failed error
-	for {
-		s.mu.Lock()
-		todo := s.out
-		s.out = nil
-		if len(todo) == 0 {
-			s.writing = false
-			if s.ending && failed == nil {
-				s.finish()
-			}
-			s.mu.Unlock()
-			return
-		}
-		s.mu.Unlock()
-		for _, one := range todo {
-			err := failed
-			if err == nil {
-				if err = s.put(one.bytes); err != nil {
-					failed = ErrUnwritten // of those behind it nothing has left
-					stuck.Add()
-					s.Close()
-				}
-			}
-			s.mu.Lock()
-			s.queued -= len(one.bytes)
-			s.mu.Unlock()
-			if one.done != nil {
-				one.done(err)
-			}
-		}
-	}
-}
-
-func (s *Stream) put(p []byte) error {
-	if !s.conn.IsActive() {
-		return ErrUnwritten
-	}
-	_, err := s.conn.Write(p)
-	if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-		return ErrUnwritten // the first call to the kernel failed: it takes a part or fails, never both
+	if !s.conn.IsActive() { // it ended before anyone could be told
+		s.conn.Close()
 	}
-	return err
 }
 
-func (s *Stream) room(bytes int) {
-	syscall.SetsockoptInt(s.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, bytes)
-}
-
-// finish ends our side; the peer then ends its own, or is cut. Called under the lock.
-func (s *Stream) finish() {
-	if !s.closed {
-		s.half()
-		s.room(endedRoom)
-		time.AfterFunc(lingerWait, s.Close)
-	}
-}
-
-func (s *Stream) half() { syscall.Shutdown(s.fd, syscall.SHUT_WR) }
-
 // Quiet tells whether the connection lives and nothing has come that was not read: neither bytes nor its end.
 func (s *Stream) Quiet() bool {
 	s.mu.Lock()
@@ -195,11 +119,11 @@
 	if s.ending || s.conn.Reader().Len() > 0 {
 		return false
 	}
-	_, _, err := syscall.Recvfrom(s.fd, s.peek[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	_, err := s.peek()
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Present tells whether the peer has not gone, as the kernel knows it now: its end may have come and not been read.
+// PeerPresent tells whether the peer has not gone, as the kernel knows it now: its end may have come and not been read.
 // What it sent before its end hides that.
 func (s *Stream) PeerPresent() bool {
 	s.mu.Lock()
@@ -207,39 +131,17 @@
 	if s.closed {
 		return false
 	}
-	n, _, err := syscall.Recvfrom(s.fd, s.peek[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	n, err := s.peek()
 	return n > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET)
 }
 
-// Finished tells whether nothing more will leave: our side has ended, behind all that was queued.
-func (s *Stream) WriteSideClosed() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.closed || s.ending && !s.writing
-}
-
-// End closes the connection once all that is queued is out and read.
-func (s *Stream) CloseGracefully() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.ending {
-		s.ending = true
-		if !s.writing {
-			s.finish()
-		}
-	}
+// peek asks the kernel whether a byte has come, without taking it. 0 bytes without an error are the peer's end. Called
+// with the lock held.
+func (s *Stream) peek() (n int, err error) {
+	n, _, err = syscall.Recvfrom(s.fd, s.peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	return n, err
 }
 
-// Cut ends our side at once: the peer sees it before anything that is sent elsewhere after this returns.
-func (s *Stream) ShutdownNow() {
-	s.mu.Lock()
-	s.ending = true
-	if !s.closed {
-		s.half()
-	}
-	s.mu.Unlock()
-	go s.Close() // it may wait for whoever is reading
+func (s *Stream) setReceiveBuffer(bytes int) {
+	syscall.SetsockoptInt(s.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, bytes)
 }
-
-// Close ends the connection at once.
-func (s *Stream) Close() { s.conn.Close() }
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestEndLetsAllBytesOut(t *testing.T) {
+func TestCloseGracefullyLetsAllBytesOut(t *testing.T) {
 	s, peer, _, ended := pair(t)
 	s.Write(make([]byte, 4<<20), nil)
 	s.CloseGracefully()
@@ -81,7 +81,7 @@
 	<-ended
 }
 
-func TestCutIsSeenAtOnceAndEndsOnce(t *testing.T) {
+func TestShutdownNowIsSeenAtOnceAndEndsOnce(t *testing.T) {
 	s, peer, in, ended := pair(t)
 	peer.Write([]byte("x"))
 	if p := <-in; string(p) != "x" {
@@ -100,8 +100,8 @@
 	})
 }
 
-// TestPresent: a peer's end is known before anyone has read it, whichever way it went.
-func TestPresent(t *testing.T) {
+// TestPeerPresent: a peer's end is known before anyone has read it, whichever way it went.
+func TestPeerPresent(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
 		"half-closed": func(c *net.TCPConn) { c.CloseWrite() },
@@ -193,11 +193,11 @@
 	if string(all) != "the last words" {
 		t.Errorf("it read %q", all)
 	}
-	if after := <-met; after < lingerWait/5 || after > time.Hour {
+	if after := <-met; after < lingerTimeout/5 || after > time.Hour {
 		t.Errorf("it met a reset %v after our end", after)
 	}
 	<-ended
-	if took := time.Since(began); took > 4*lingerWait {
+	if took := time.Since(began); took > 4*lingerTimeout {
 		t.Errorf("it ended after %v", took)
 	}
 }
