--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -14,6 +14,7 @@
 	"cairntiller/internal/supervisor"
 )
 
+// fleetLine are the commands on rollout plans; the running router that each reaches by its socket hands it to whoever leads.
 type fleetLine struct {
 	Status fleetStatusLine `cmd:"" help:"Plans and how they stand."`
 	Plan   fleetPlanLine   `cmd:"" help:"Read a plan and print its waves and the greatest number out; nothing is begun."`
@@ -30,15 +31,16 @@
 // exitHalted tells that a plan that was waited for halted or went back.
 const exitHalted = 3
 
-type wordFlags struct {
+// commandFlags are the flags of everything that is a command to the leader.
+type commandFlags struct {
 	socketFlag
 	Token string `help:"Says that a word given again is the same word."`
 }
 
-// say says a word to whoever leads.
-func (f *wordFlags) say(out io.Writer, w rollout.Command) error {
-	w.Token = f.Token
-	text, err := rolloutservice.EncodeCommand(w)
+// send gives a command to whoever leads and returns when it was accepted.
+func (f *commandFlags) send(out io.Writer, c rollout.Command) error {
+	c.Token = f.Token
+	text, err := rolloutservice.EncodeCommand(c)
 	if err != nil {
 		return err
 	}
@@ -55,6 +57,7 @@
 	JSON bool `help:"Print JSON."`
 }
 
+// status asks one router how rollouts stand.
 func status(socket string) (s rolloutservice.Status, err error) {
 	err = adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
@@ -107,7 +110,7 @@
 }
 
 type fleetStartLine struct {
-	wordFlags
+	commandFlags
 	Wait bool   `help:"Wait for its end and print how it goes on; the exit code is 3 where it halts or goes back."`
 	File string `arg:"" type:"existingfile" help:"A file with one part (plan …)."`
 }
@@ -117,65 +120,77 @@
 	if err != nil {
 		return err
 	}
-	if err := l.say(out, rollout.Command{Type: rollout.CommandStart, Plan: p}); err != nil || !l.Wait {
+	if err := l.send(out, rollout.Command{Type: rollout.CommandStart, Plan: p}); err != nil {
 		return err
 	}
-	for last := ""; ; time.Sleep(time.Second) {
-		s, err := status(l.Socket)
+	if l.Wait {
+		return waitForPlan(out, l.Socket, p.ID)
+	}
+	return nil
+}
+
+// waitForPlan prints each change of a plan until nothing more happens to it by itself. Its error is an exit code where the plan is
+// not finished then.
+func waitForPlan(out io.Writer, socket, id string) error {
+	last := ""
+	for ; ; time.Sleep(time.Second) {
+		s, err := status(socket)
 		if err != nil {
 			continue // the router may be out itself
 		}
-		for _, one := range s.Plans {
-			if one.ID != p.ID {
+		for _, p := range s.Plans {
+			if p.ID != id {
 				continue
 			}
-			if line := fmt.Sprintf("%s, wave %d, %d of %d done, slots: %s (%s)", one.State, one.Wave, one.Phases[rollout.PhaseDone.String()], one.Units,
-				strings.Join(one.Holding, ", "), one.Reason); line != last {
+			line := fmt.Sprintf("%s, wave %d, %d of %d done, slots: %s (%s)", p.State, p.Wave, p.Phases[rollout.PhaseDone.String()], p.Units,
+				strings.Join(p.Holding, ", "), p.Reason)
+			if line != last {
 				fmt.Fprintln(out, line)
 				last = line
 			}
-			if one.State == rollout.StateFinished.String() {
+			if p.State == rollout.StateFinished.String() {
 				return nil
 			}
-			if one.Settled() {
+			if p.Settled() {
 				return supervisor.ExitCode(exitHalted)
 			}
 		}
 	}
 }
 
+// planArg is what a command on one plan takes.
 type planArg struct {
-	wordFlags
+	commandFlags
 	ID string `arg:"" help:"The plan."`
 }
 
 type fleetHaltLine struct{ planArg }
 
 func (l *fleetHaltLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Command{Type: rollout.CommandHalt, PlanID: l.ID})
+	return l.send(out, rollout.Command{Type: rollout.CommandHalt, PlanID: l.ID})
 }
 
 type fleetResumeLine struct{ planArg }
 
 func (l *fleetResumeLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Command{Type: rollout.CommandResume, PlanID: l.ID})
+	return l.send(out, rollout.Command{Type: rollout.CommandResume, PlanID: l.ID})
 }
 
 type fleetBackLine struct{ planArg }
 
 func (l *fleetBackLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Command{Type: rollout.CommandRollBack, PlanID: l.ID})
+	return l.send(out, rollout.Command{Type: rollout.CommandRollBack, PlanID: l.ID})
 }
 
 type fleetDrainLine struct {
-	wordFlags
+	commandFlags
 	Nodes []string `arg:"" help:"Nodes. Each is a plan of its own, by the name drain-NODE, out until it is returned."`
 }
 
 func (l *fleetDrainLine) Run(out io.Writer) error {
 	for _, name := range l.Nodes {
 		p := rollout.Plan{ID: "drain-" + name, Kind: rollout.KindNodes, Units: []string{name}, ProgressTimeout: 24 * 3600 * 1_000_000}
-		if err := l.say(out, rollout.Command{Type: rollout.CommandStart, Plan: p}); err != nil {
+		if err := l.send(out, rollout.Command{Type: rollout.CommandStart, Plan: p}); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
@@ -183,7 +198,7 @@
 }
 
 type fleetReturnLine struct {
-	wordFlags
+	commandFlags
 	ID   string `help:"The plan that drained it; drain-NODE unless it is said."`
 	Node string `arg:"" help:"The node."`
 }
@@ -193,21 +208,21 @@
 	if id == "" {
 		id = "drain-" + l.Node
 	}
-	return l.say(out, rollout.Command{Type: rollout.CommandReturn, PlanID: id, Unit: l.Node})
+	return l.send(out, rollout.Command{Type: rollout.CommandReturn, PlanID: id, Unit: l.Node})
 }
 
 type fleetForgetLine struct {
-	wordFlags
+	commandFlags
 	ID   string `help:"The plan, for a unit of one; without it a member that is missed."`
 	Unit string `arg:"" help:"The unit or member."`
 }
 
 func (l *fleetForgetLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Command{Type: rollout.CommandForget, PlanID: l.ID, Unit: l.Unit})
+	return l.send(out, rollout.Command{Type: rollout.CommandForget, PlanID: l.ID, Unit: l.Unit})
 }
 
-type fleetBeginLine struct{ wordFlags }
+type fleetBeginLine struct{ commandFlags }
 
 func (l *fleetBeginLine) Run(out io.Writer) error {
-	return l.say(out, rollout.Command{Type: rollout.CommandBegin})
+	return l.send(out, rollout.Command{Type: rollout.CommandBegin})
 }
