--- a/internal/testcluster/proof/rollout.go
+++ b/internal/testcluster/proof/rollout.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"slices"
 	"sync"
 	"text/tabwriter"
 	"time"
@@ -13,7 +12,7 @@
 	"cairntiller/internal/simulation/rolloutsim"
 )
 
-// Rollout is the part of the proof of releases that no sockets reach: the deciding module in simulated time.
+// Rollout is the part of the proof of releases that needs no sockets: internal/rollout in simulated time.
 type Rollout struct {
 	From   uint64 // first seed
 	Seeds  int    // runs of mixed faults
@@ -24,51 +23,71 @@
 	Writes io.Writer
 }
 
-// Run plays it and returns the closing line.
+// Run plays it and returns the closing line; the error says which limits do not hold.
 func (p Rollout) Run() (line string, err error) {
 	var errs []error
 	began := time.Now()
-	events, leaders, hashes, broken := p.mixed()
-	if broken != "" {
-		errs = append(errs, errors.New(broken))
+	mixed := p.playMixed()
+	if mixed.violation != "" {
+		errs = append(errs, errors.New(mixed.violation))
 	}
-	fmt.Fprintf(p.Writes, "%d seeds of mixed faults, %d events, %d leaders, %d run twice with equal hashes, %.0f s\n", p.Seeds, events, leaders, hashes,
-		time.Since(began).Seconds())
-	planted := 0
-	if p.Plant > 0 {
-		for m := rolloutsim.None + 1; m < rolloutsim.Mistakes; m++ {
-			if after := p.find(m); after >= 0 {
-				planted++
-				fmt.Fprintf(p.Writes, "planted %v: found after %d seeds\n", m, after+1)
-			} else {
-				errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.Plant))
-				fmt.Fprintf(p.Writes, "planted %v: not found in %d seeds\n", m, p.Plant)
-			}
-		}
+	fmt.Fprintf(p.Writes, "%d seeds of mixed faults, %d events, %d leaders, %d run twice with equal hashes, %.0f s\n", p.Seeds, mixed.events, mixed.leaders,
+		mixed.equalHashes, time.Since(began).Seconds())
+	found, err := p.findMistakes()
+	errs = append(errs, err)
+	versions := p.playVersions()
+	if versions.badFinished > 0 {
+		errs = append(errs, fmt.Errorf("%d of %d versions that fail 2%% more went through", versions.badFinished, p.Halts))
 	}
-	noise, missed, more := p.halts()
-	if missed > 0 {
-		errs = append(errs, fmt.Errorf("%d of %d versions that fail 2%% more went through", missed, p.Halts))
-	}
-	worst := p.sizes()
+	worst := p.playSizes()
+	err = errors.Join(errs...)
 	verdict := "holds"
-	if len(errs) > 0 {
+	if err != nil {
 		verdict = "FAILS"
 	}
 	return fmt.Sprintf("proof releases, simulated: %s; seeds=%d from=%d budget_breaks=%d (limit 0) planted_found=%d of %d false_halts=%d of %d plans "+
-		"bad_versions_through=%d of %d (more than two touched %d) time_to_least=%.2f (aim 1.3)", verdict, p.Seeds, p.From, min(len(broken), 1), planted,
-		int(rolloutsim.Mistakes)-1, noise, p.Halts, missed, p.Halts, more, worst), errors.Join(errs...)
+		"bad_versions_through=%d of %d (more than two touched %d) time_to_least=%.2f (aim 1.3)", verdict, p.Seeds, p.From, min(len(mixed.violation), 1), found,
+		int(rolloutsim.Mistakes)-1, versions.goodHalted, p.Halts, versions.badFinished, p.Halts, versions.manyTouched, worst), err
 }
 
-func (p Rollout) mixed() (events int64, leaders, hashes int, broken string) {
-	hashes, broken = search(p.From, p.Seeds, p.Twice, func(seed uint64) (f rolloutsim.Result, hash uint64, broken string) {
+// mixedResult sums runs of mixed faults up.
+type mixedResult struct {
+	events      int64
+	leaders     int
+	equalHashes int    // runs played twice
+	violation   string // the first one, "" for none
+}
+
+func (p Rollout) playMixed() (sum mixedResult) {
+	play := func(seed uint64) (result rolloutsim.Result, hash uint64, violation string) {
 		w := rolloutsim.New(rolloutsim.MixedFaults(seed))
-		f = w.Run()
-		return f, f.Hash, w.Violation
-	}, func(f rolloutsim.Result) {
-		events, leaders = events+f.Events, leaders+f.Leaders
+		result = w.Run()
+		return result, result.Hash, w.Violation
+	}
+	sum.equalHashes, sum.violation = search(p.From, p.Seeds, p.Twice, play, func(result rolloutsim.Result) {
+		sum.events += result.Events
+		sum.leaders += result.Leaders
 	})
-	return events, leaders, hashes, broken
+	return sum
+}
+
+// findMistakes plants each mistake, and counts those that are found.
+func (p Rollout) findMistakes() (found int, err error) {
+	if p.Plant == 0 {
+		return 0, nil
+	}
+	var errs []error
+	for m := rolloutsim.None + 1; m < rolloutsim.Mistakes; m++ {
+		after := p.find(m)
+		if after < 0 {
+			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.Plant))
+			fmt.Fprintf(p.Writes, "planted %v: not found in %d seeds\n", m, p.Plant)
+			continue
+		}
+		found++
+		fmt.Fprintf(p.Writes, "planted %v: found after %d seeds\n", m, after+1)
+	}
+	return found, errors.Join(errs...)
 }
 
 // find is the first seed that shows a planted mistake, -1 for none.
@@ -82,63 +101,84 @@
 	})
 }
 
-// halts plays versions that are as good as the one before, and versions that fail 2% more.
-func (p Rollout) halts() (noise, missed, more int) {
+// extraFailures is the share of commands that a bad version fails beside the usual, which must be found.
+const extraFailures = 0.02
+
+// versionsResult counts versions that went round a fleet.
+type versionsResult struct {
+	goodHalted  int // as good as the version before, and halted
+	badFinished int // bad, and not halted
+	manyTouched int // bad, and more than two routers had it before it halted
+}
+
+// playVersions plays versions that are as good as the one before, and bad ones.
+func (p Rollout) playVersions() (sum versionsResult) {
 	var mu sync.Mutex
 	each(p.Halts, func(i int) bool {
-		for _, bad := range []float64{0, 0.02} {
-			w := rolloutsim.New(rolloutsim.VersionRollout(uint64(i), bad))
-			f := w.Run()
+		for _, extra := range []float64{0, extraFailures} {
+			w := rolloutsim.New(rolloutsim.VersionRollout(uint64(i), extra))
+			halted := w.Run().HaltsByEvidence > 0
+			isBad := extra > 0
 			mu.Lock()
 			switch {
-			case bad == 0 && f.HaltsByEvidence > 0:
-				noise++
-			case bad > 0 && f.HaltsByEvidence == 0:
-				missed++
-			case bad > 0 && w.TouchedRouters() > 2:
-				more++
+			case !isBad && halted:
+				sum.goodHalted++
+			case isBad && !halted:
+				sum.badFinished++
+			case isBad && w.TouchedRouters() > 2:
+				sum.manyTouched++
 			}
 			mu.Unlock()
 		}
 		return true
 	})
-	return noise, missed, more
+	return sum
 }
 
-// sizes plays plans without faults and returns the worst ratio of their time to the least possible under the budget: each
-// wave is watched, and in between at least so many rounds of a router's way out and back fit.
-func (p Rollout) sizes() (worst float64) {
+// unfinishedRatio stands for the time of a plan that did not end.
+const unfinishedRatio = 99
+
+// playSizes plays plans without faults and returns the worst ratio of their time to the least possible under the budget.
+func (p Rollout) playSizes() (worst float64) {
 	out := tabwriter.NewWriter(p.Writes, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "routers\tmay be out\tmost out\ttook s\tleast s\tratio\t")
-	for _, n := range p.Sizes {
-		plan := rollout.Plan{ID: "all", Kind: rollout.KindRestart, WatchTime: 30_000_000, ProgressTimeout: 120_000_000, Budget: rollout.Budget{MaxShare: 0.1}}
-		for i := range n {
-			plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
-		}
-		w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: n, Voters: 3, Plans: []rollout.Plan{plan}, FaultTime: 1_800_000_000, QuietTime: 1_000_000})
-		f := w.Run()
-		if len(f.PlanDurations) == 0 {
-			fmt.Fprintf(out, "%d\t-\t-\t-\t-\t-\t\n", n)
-			worst = 99
-			continue
-		}
-		plan.SetDefaults()
-		most := plan.Budget.Limit(n)
-		least := 0.0
-		sizes := append(slices.Clone(plan.WaveSizes), n)
-		for left, k := n, 0; left > 0; k++ {
-			size := min(sizes[min(k, len(sizes)-1)], left)
-			least += float64((size+most-1)/most)*rolloutsim.MeanTimeOut.Seconds() + float64(plan.WatchTime)/1e6
-			left -= size
-		}
-		took := float64(f.PlanDurations[0]) / 1e6
-		worst = max(worst, took/least)
-		fmt.Fprintf(out, "%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t\n", n, most, f.MaxUnavailable, took, least, took/least)
+	for _, routers := range p.Sizes {
+		worst = max(worst, p.playSize(routers, out))
 	}
 	out.Flush()
 	return worst
 }
 
+func (p Rollout) playSize(routers int, out io.Writer) (ratio float64) {
+	plan := rollout.Plan{ID: "all", Kind: rollout.KindRestart, WatchTime: 30_000_000, ProgressTimeout: 120_000_000, Budget: rollout.Budget{MaxShare: 0.1}}
+	for i := range routers {
+		plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
+	}
+	w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: routers, Voters: 3, Plans: []rollout.Plan{plan}, FaultTime: 1_800_000_000, QuietTime: 1_000_000})
+	result := w.Run()
+	if len(result.PlanDurations) == 0 {
+		fmt.Fprintf(out, "%d\t-\t-\t-\t-\t-\t\n", routers)
+		return unfinishedRatio
+	}
+	plan.SetDefaults()
+	limit := plan.Budget.Limit(routers)
+	least := leastSeconds(&plan, limit)
+	took := float64(result.PlanDurations[0]) / 1e6
+	fmt.Fprintf(out, "%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t\n", routers, limit, result.MaxUnavailable, took, least, took/least)
+	return took / least
+}
+
+// leastSeconds is the least time that a plan can take: each wave is watched, and in between at least so many rounds of a
+// router's way out and back fit as the limit of unavailable routers allows.
+func leastSeconds(plan *rollout.Plan, limit int) (seconds float64) {
+	waves, _ := rollout.PreviewWaves(*plan, len(plan.Units))
+	for _, wave := range waves {
+		rounds := (len(wave) + limit - 1) / limit
+		seconds += float64(rounds)*rolloutsim.MeanTimeOut.Seconds() + float64(plan.WatchTime)/1e6
+	}
+	return seconds
+}
+
 // TraceRollout plays one seed and prints what happens.
 func TraceRollout(seed uint64, out io.Writer) error {
 	w := rolloutsim.New(rolloutsim.MixedFaults(seed))
