--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -19,23 +19,23 @@
 	t        *rapid.T
 	self     string
 	now      int64
-	tickAt   int64
+	tickedAt int64
 	members  map[string]*modelMember
-	duties   map[string]*modelDuty
+	tasks    map[string]*modelTask
 	interval int64
 }
 
 type modelMember struct {
-	weight float64
-	born   uint64
-	alive  bool
+	weight      float64
+	incarnation uint64
+	alive       bool
 }
 
-type modelDuty struct {
-	started, fresh int64
-	heard          bool
-	holder         string
-	term           uint64
+type modelTask struct {
+	nodeStarted, learnedAt int64
+	heard                  bool
+	owner                  string
+	term                   uint64
 }
 
 func (m *model) score(member, key string) float64 {
@@ -60,46 +60,46 @@
 
 // greater is the order of claims.
 func (m *model) greater(key string, term uint64, by string) bool {
-	d := m.duties[key]
+	task := m.tasks[key]
 	switch {
-	case term != d.term:
-		return term > d.term
-	case d.holder == "":
+	case term != task.term:
+		return term > task.term
+	case task.owner == "":
 		return true
-	case m.score(by, key) != m.score(d.holder, key):
-		return m.score(by, key) > m.score(d.holder, key)
+	case m.score(by, key) != m.score(task.owner, key):
+		return m.score(by, key) > m.score(task.owner, key)
 	}
-	return by < d.holder
+	return by < task.owner
 }
 
-func (m *model) hear(w Update) (want Evidence, any bool) {
-	d := m.duties[w.Key]
-	if d == nil || w.Age < 0 {
+func (m *model) handleUpdate(update Update) (want Evidence, any bool) {
+	task := m.tasks[update.Key]
+	if task == nil || update.Age < 0 {
 		return Evidence{}, false
 	}
-	if w.Owner == m.self {
-		d.term = max(d.term, w.Term)
+	if update.Owner == m.self {
+		task.term = max(task.term, update.Term)
 		return Evidence{}, false
 	}
-	at := m.now - w.Age
-	newest := !d.heard || at >= d.fresh
+	at := m.now - update.Age
+	newest := !task.heard || at >= task.learnedAt
 	if newest {
-		d.fresh, d.heard = at, true
+		task.learnedAt, task.heard = at, true
 	}
-	if one := m.members[w.Owner]; one == nil || !one.alive {
-		d.term = max(d.term, w.Term)
-	} else if w.Term > 0 && m.greater(w.Key, w.Term, w.Owner) {
-		d.term, d.holder = w.Term, w.Owner
+	if one := m.members[update.Owner]; one == nil || !one.alive {
+		task.term = max(task.term, update.Term)
+	} else if update.Term > 0 && m.greater(update.Key, update.Term, update.Owner) {
+		task.term, task.owner = update.Term, update.Owner
 	}
-	if w.NodeStarted != d.started {
+	if update.NodeStarted != task.nodeStarted {
 		return Evidence{}, false
 	}
-	want = Evidence{LearnedAt: at, Position: w.Position}
-	if newest && w.Age <= 2_000_000 {
-		want.PrimaryHint = w.PrimaryHint
+	want = Evidence{LearnedAt: at, Position: update.Position}
+	if newest && update.Age <= 2_000_000 {
+		want.PrimaryHint = update.PrimaryHint
 	}
-	if newest && w.Age <= m.interval*5/2 {
-		want.Unresponsive, want.Responsive = w.Unresponsive, !w.Unresponsive
+	if newest && update.Age <= m.interval*5/2 {
+		want.Unresponsive, want.Responsive = update.Unresponsive, !update.Unresponsive
 	}
 	return want, true
 }
@@ -110,21 +110,21 @@
 	for name, one := range tab.memberByName {
 		slow[name] = m.now < one.slowUntil
 	}
-	for key, d := range m.duties {
+	for key, task := range m.tasks {
 		holder, term, age := tab.Owner(m.now, key)
-		if holder != d.holder || term != d.term {
-			m.t.Fatalf("%s: held by %q at %d, want %q at %d", key, holder, term, d.holder, d.term)
+		if holder != task.owner || term != task.term {
+			m.t.Fatalf("%s: owned by %q at %d, want %q at %d", key, holder, term, task.owner, task.term)
 		}
-		if d.heard && age != m.now-d.fresh {
-			m.t.Fatalf("%s: its word is %d us old, want %d", key, age, m.now-d.fresh)
+		if task.heard && age != m.now-task.learnedAt {
+			m.t.Fatalf("%s: its newest update is %d us old, want %d", key, age, m.now-task.learnedAt)
 		}
 		if want := m.target(key, slow); !tab.targetsStale && tab.taskByKey[key].target.name != want {
-			m.t.Fatalf("%s: it falls to %s, want %s", key, tab.taskByKey[key].target.name, want)
+			m.t.Fatalf("%s: its target is %s, want %s", key, tab.taskByKey[key].target.name, want)
 		}
 	}
 	held := map[string]int{}
-	for _, d := range m.duties {
-		held[d.holder]++
+	for _, task := range m.tasks {
+		held[task.owner]++
 	}
 	for name, one := range tab.memberByName {
 		if one.owned != held[name] {
@@ -135,39 +135,39 @@
 
 // tick runs the table's beat and finds a reason for each claim that it made.
 func (m *model) tick(tab *Table) {
-	before := map[string]modelDuty{}
-	for key, d := range m.duties {
-		before[key] = *d
+	before := map[string]modelTask{}
+	for key, task := range m.tasks {
+		before[key] = *task
 	}
-	if m.now-m.tickAt > pauseThreshold {
-		m.still(tab)
+	if m.now-m.tickedAt > pauseThreshold {
+		m.pause(tab)
 	}
 	runs := tab.Tick(m.now, nil)
-	m.tickAt = m.now
+	m.tickedAt = m.now
 	slow := map[string]bool{}
 	for name, one := range tab.memberByName {
 		slow[name] = m.now < one.slowUntil
 	}
 	claims := 0
-	for key, d := range m.duties {
+	for key, task := range m.tasks {
 		holder, term, _ := tab.Owner(m.now, key)
-		if holder == d.holder && term == d.term {
+		if holder == task.owner && term == task.term {
 			continue
 		}
 		claims++
-		late := m.now-d.fresh >= int64(overdueIntervals*float64(tab.Interval()))
-		if holder != m.self || term != d.term+1 || !late && (m.target(key, slow) != m.self || !tab.ClaimsTasks()) {
-			m.t.Fatalf("%s: claimed by %q at %d after %+v, late %v", key, holder, term, d, late)
+		late := m.now-task.learnedAt >= int64(overdueIntervals*float64(tab.Interval()))
+		if holder != m.self || term != task.term+1 || !late && (m.target(key, slow) != m.self || !tab.ClaimsTasks()) {
+			m.t.Fatalf("%s: claimed by %q at %d after %+v, late %v", key, holder, term, task, late)
 		}
-		d.holder, d.term = holder, term
+		task.owner, task.term = holder, term
 	}
 	if claims > 5 {
-		m.t.Fatalf("%d duties taken over at once, 5 a second are allowed", claims)
+		m.t.Fatalf("%d tasks claimed at once, 5 a second are allowed", claims)
 	}
 	seen := map[string]bool{}
 	for _, r := range runs {
-		if seen[r.Key] || m.duties[r.Key] == nil || !r.SecondOpinion && m.duties[r.Key].holder != m.self {
-			m.t.Fatalf("%+v is run, held by %q", r, m.duties[r.Key].holder)
+		if seen[r.Key] || m.tasks[r.Key] == nil || !r.SecondOpinion && m.tasks[r.Key].owner != m.self {
+			m.t.Fatalf("%+v is run, owned by %q", r, m.tasks[r.Key].owner)
 		}
 		seen[r.Key] = true
 	}
@@ -175,14 +175,14 @@
 }
 
 // still is a standstill of the instance's own: after one as long as others wait, what it held is theirs.
-func (m *model) still(tab *Table) {
-	if m.now-m.tickAt < tab.overdueAfter() {
+func (m *model) pause(tab *Table) {
+	if m.now-m.tickedAt < tab.overdueAfter() {
 		return
 	}
-	for _, d := range m.duties {
-		d.fresh = max(d.fresh, m.now-tab.Interval()/2)
-		if d.holder == m.self {
-			d.holder = ""
+	for _, task := range m.tasks {
+		task.learnedAt = max(task.learnedAt, m.now-tab.Interval()/2)
+		if task.owner == m.self {
+			task.owner = ""
 		}
 	}
 }
@@ -190,8 +190,8 @@
 // property drives a table and the model with the same generated inputs.
 func property(t *rapid.T) {
 	const interval = 1_000_000
-	m := &model{t: t, self: "r0", now: 5_000_000, tickAt: 5_000_000, interval: interval,
-		members: map[string]*modelMember{"r0": {weight: 1, born: 1, alive: true}}, duties: map[string]*modelDuty{}}
+	m := &model{t: t, self: "r0", now: 5_000_000, tickedAt: 5_000_000, interval: interval,
+		members: map[string]*modelMember{"r0": {weight: 1, incarnation: 1, alive: true}}, tasks: map[string]*modelTask{}}
 	// A box load without bound keeps the interval as it is.
 	tab := New(m.now, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: interval, Instances: 1, MaxRunRate: 1e9, ClaimRate: 5})
 	member := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "member")) })
@@ -200,37 +200,37 @@
 		"up": func(t *rapid.T) {
 			name, weight, born := member.Draw(t, "name"), rapid.Float64Range(0.5, 2).Draw(t, "weight"), rapid.Uint64Range(1, 4).Draw(t, "born")
 			tab.MemberUp(m.now, name, weight, born)
-			if one := m.members[name]; name != m.self && (one == nil || born >= one.born) {
+			if one := m.members[name]; name != m.self && (one == nil || born >= one.incarnation) {
 				m.members[name] = &modelMember{weight, born, true}
 			}
 		},
 		"down": func(t *rapid.T) {
 			name, born := member.Draw(t, "name"), rapid.Uint64Range(1, 4).Draw(t, "born")
 			tab.MemberDown(m.now, name, born, rapid.Bool().Draw(t, "left"))
-			if one := m.members[name]; one != nil && name != m.self && born >= one.born {
+			if one := m.members[name]; one != nil && name != m.self && born >= one.incarnation {
 				one.alive = false
 			}
 		},
 		"add": func(t *rapid.T) {
 			k, started := key.Draw(t, "key"), rapid.Int64Range(0, 2).Draw(t, "started")
 			tab.AddTask(m.now, k, started)
-			if d := m.duties[k]; d != nil {
-				d.started = started
+			if d := m.tasks[k]; d != nil {
+				d.nodeStarted = started
 			} else {
-				m.duties[k] = &modelDuty{started: started, fresh: m.now}
+				m.tasks[k] = &modelTask{nodeStarted: started, learnedAt: m.now}
 			}
 		},
 		"drop": func(t *rapid.T) {
 			k := key.Draw(t, "key")
 			tab.RemoveTask(k)
-			delete(m.duties, k)
+			delete(m.tasks, k)
 		},
 		"hear": func(t *rapid.T) {
 			w := Update{Key: key.Draw(t, "key"), Owner: member.Draw(t, "holder"), Term: rapid.Uint64Range(0, 9).Draw(t, "term"),
 				Age: rapid.Int64Range(-1, 6_000_000).Draw(t, "age"), NodeStarted: rapid.Int64Range(0, 2).Draw(t, "started"),
 				Unresponsive: rapid.Bool().Draw(t, "silent"), Position: rapid.Int64Range(0, 9).Draw(t, "pos"),
 				PrimaryHint: rapid.SampledFrom([]int8{-1, 0, 1}).Draw(t, "lead")}
-			want, any := m.hear(w)
+			want, any := m.handleUpdate(w)
 			if got := tab.HandleUpdate(m.now, w); any && got != want || !any && (got.Position != 0 || got.PrimaryHint != 0 || got.Unresponsive || got.Responsive) {
 				t.Fatalf("%+v is taken for %+v, want %+v", w, got, want)
 			}
@@ -238,16 +238,16 @@
 		"done": func(t *rapid.T) {
 			k, silent, check := key.Draw(t, "key"), rapid.Bool().Draw(t, "silent"), rapid.Bool().Draw(t, "check")
 			w := tab.RecordRun(m.now, Update{Key: k, Unresponsive: silent}, check)
-			d := m.duties[k]
+			d := m.tasks[k]
 			if d == nil {
 				return
 			}
-			d.fresh, d.heard = m.now, true
-			if d.holder != m.self && check && !silent {
-				d.holder, d.term = m.self, d.term+1
+			d.learnedAt, d.heard = m.now, true
+			if d.owner != m.self && check && !silent {
+				d.owner, d.term = m.self, d.term+1
 			}
-			if want := d.term; w.Owner != m.self || w.NodeStarted != d.started || d.holder == m.self && w.Term != want ||
-				d.holder != m.self && w.Term != 0 {
+			if want := d.term; w.Owner != m.self || w.NodeStarted != d.nodeStarted || d.owner == m.self && w.Term != want ||
+				d.owner != m.self && w.Term != 0 {
 				t.Fatalf("%+v of %+v", w, d)
 			}
 		},
@@ -267,16 +267,19 @@
 	})
 }
 
+// TestModel holds the table to the model on generated inputs.
 func TestModel(t *testing.T) { rapid.Check(t, property) }
 
+// FuzzModel does the same on the inputs that a fuzzer finds.
 func FuzzModel(f *testing.F) {
 	f.Add([]byte("a table of duties, and whoever holds them"))
 	f.Add(make([]byte, 4096))
 	f.Fuzz(rapid.MakeFuzz(property))
 }
 
-// TestWhatLayUnread: what is read after a standstill is as old as it may be.
-func TestWhatLayUnread(t *testing.T) {
+// TestUpdateReadAfterPauseIsOld: an instance is paused for 10 s and then reads an update that has waited at its socket all
+// that time, with the age it had when it came. It is taken for as old as it may be: the position is used, the role is not.
+func TestUpdateReadAfterPauseIsOld(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 50})
 	tab.AddTask(0, "probe/a", 7)
 	tab.MemberUp(0, "r1", 1, 1)
@@ -287,8 +290,8 @@
 	}
 }
 
-// TestWeights: a member of twice the weight has twice the duties.
-func TestWeights(t *testing.T) {
+// TestWeightsDivideTasks: a member of twice the weight is the target of twice the tasks.
+func TestWeightsDivideTasks(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 1e9})
 	tab.MemberUp(0, "r1", 2, 1)
 	tab.MemberUp(0, "r2", 1, 1)
@@ -302,7 +305,7 @@
 	}
 }
 
-// TestBoundedMoves: a member's death moves its own duties and no others, its return the same ones back.
+// TestBoundedMoves: a member dies and comes back. Its own tasks move and no others, and the same ones come back.
 func TestBoundedMoves(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 1e9})
 	for i := 1; i < 10; i++ {
@@ -318,21 +321,22 @@
 			own++
 		}
 	}
-	was := tab.Stats(0).TargetChanges
+	before := tab.Stats(0).TargetChanges
 	tab.MemberDown(200_000, "r4", 1, false)
 	tab.Tick(200_000, nil)
-	if n := tab.Stats(0).TargetChanges; n-was != own || own == 0 {
-		t.Errorf("%d moves for %d duties of the dead", n-was, own)
+	if n := tab.Stats(0).TargetChanges; n-before != own || own == 0 {
+		t.Errorf("%d moves for %d tasks of the dead", n-before, own)
 	}
 	tab.MemberUp(300_000, "r4", 1, 2)
 	tab.Tick(300_000, nil)
-	if n := tab.Stats(0).TargetChanges; n-was != 2*own {
-		t.Errorf("%d moves there and back for %d duties", n-was, own)
+	if n := tab.Stats(0).TargetChanges; n-before != 2*own {
+		t.Errorf("%d moves there and back for %d tasks", n-before, own)
 	}
 }
 
-// TestFlood: hundreds of members that come and go between ticks move what must move once, and leave all as it was.
-func TestFlood(t *testing.T) {
+// TestMembersComeAndGoBetweenTicks: hundreds of members come and go between ticks, and over hours. That leaves every task
+// where it was, and names that are gone for long are forgotten.
+func TestMembersComeAndGoBetweenTicks(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 50})
 	for i := range 1000 {
 		tab.AddTask(0, fmt.Sprint("probe/", i), 0)
@@ -361,7 +365,7 @@
 	}
 	for key, one := range tab.taskByKey {
 		if one.target != was[key] {
-			t.Fatalf("task %s fell to another", key)
+			t.Fatalf("task %s has another target", key)
 		}
 	}
 	now += memberMemory
@@ -377,12 +381,12 @@
 		tab.Tick(now, nil)
 	}
 	if n := len(tab.members); n > 800 {
-		t.Errorf("%d members are kept in mind", n)
+		t.Errorf("%d members are remembered", n)
 	}
 }
 
-// TestBoxLoad: however the instances are parted, the parts together stay under a box's load.
-func TestBoxLoad(t *testing.T) {
+// TestPartsTogetherKeepRunRate: however the instances are parted, the parts together stay within a node's bound.
+func TestPartsTogetherKeepRunRate(t *testing.T) {
 	for _, parts := range [][]int{{3}, {2, 1}, {1, 1, 1}, {100, 200}, {1, 1, 298}, {150, 75, 75}} {
 		all, load := 0, 0.0
 		for _, k := range parts {
--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -110,7 +110,7 @@
 func TestTraceIsAsRecorded(t *testing.T) {
 	for seed, want := range recorded {
 		if got := play(uint64(seed)); got != want {
-			t.Errorf("RECORD\t%#x,", got)
+			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
 }
--- a/internal/testcluster/proof/sizes.go
+++ b/internal/testcluster/proof/sizes.go
@@ -37,21 +37,21 @@
 		began := time.Now()
 		n, boxes := size[0], size[1]
 		w := assignmentsim.New(p.Seed, n, boxes, second, 4, max(50, float64(boxes)/float64(n)))
-		w.Weigh = membership.EncodedSize
+		w.MessageSize = membership.EncodedSize
 		w.Run(settleSpan)
-		w.Mark()
+		w.ResetMeasurements()
 		w.Run(calmSpan)
-		busy, bytes := w.Busy(), float64(w.Bytes)/(calmSpan/second)*float64(membership.SendsPerMessage(n))
-		probes, peak := float64(w.Total)/float64(boxes)/(calmSpan/second), w.Peak
-		least, before := float64(w.Falls(0, n-1)), w.Moves(0)
+		busy, bytes := w.MeanTableTime(), float64(w.BytesSent)/(calmSpan/second)*float64(membership.SendsPerMessage(n))
+		probes, peak := float64(w.TotalProbes)/float64(boxes)/(calmSpan/second), w.PeakProbes
+		least, before := float64(w.TargetedTasks(0, n-1)), w.TargetChanges(0)
 		w.Kill(n - 1)
 		w.Run(6 * second)
-		moved := float64(w.Moves(0) - before)
+		moved := float64(w.TargetChanges(0) - before)
 		w.Start(n - 1)
 		w.Run(6 * second)
-		w.Mark()
+		w.ResetMeasurements()
 		churn(w, p.Seed, n)
-		longest, _ := w.Longest()
+		longest, _ := w.LongestUnprobed()
 		worst = max(worst, longest)
 		if least > 0 {
 			moves = max(moves, moved/least)
