--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	return closing(proof.Council{From: l.From, Seeds: l.Seeds, Twice: 100, Plant: l.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
+	return closing(proof.LeaseSimulation{From: l.From, Seeds: l.Seeds, RepeatEvery: 100, MistakeSeeds: l.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
 }
 
 type releasesLine struct {
--- a/internal/testcluster/proof/leases.go
+++ b/internal/testcluster/proof/leases.go
@@ -47,7 +47,7 @@
 	Span    time.Duration  // of mixed faults
 	Script  process.Script // played instead of them
 	Lasting bool
-	Unkept  bool    // a fault on purpose: commands run without a keeper
+	Unkept  bool    // a fault on purpose: commands run without a supervisor
 	Times   int     // takeovers and hand-overs measured
 	Rules   bool    // judge the rules alone, and no limit in real time
 	Rate    float64 // of the first machine's clock, 0 for one within the bound
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// BadKeep runs a command as a keeper that heeds no time; it is the fault on purpose.
+// BadKeep runs a command as a supervisor that heeds no time; it is the fault on purpose.
 func BadKeep(command []string) error {
 	if len(command) > 0 && command[0] == "--" {
 		command = command[1:]
@@ -589,7 +589,7 @@
 				return false, s
 			}
 			if fits {
-				return true, state{act.holder, act.term}
+				return true, state(act)
 			}
 			return true, s
 		},
@@ -671,7 +671,7 @@
 		[]string{self, "work", "--acts", address, "--holder", holder, "--span", span.String(), name})
 }
 
-// Keep is its keeper.
+// Keep is the supervisor of a command in the proof.
 func Keep(clock string, room time.Duration, command []string) (int, error) {
 	skew, err := process.ParseClockSkew(clock)
 	if err != nil {
