--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -17,11 +17,11 @@
 		routing.Answered:       metrics.New("attempts answered"),
 		routing.Rejected:       metrics.New("attempts rejected"),
 		routing.TimedOut:       metrics.New("attempts timed out"),
-		routing.ConnectFailed:  metrics.New("attempts unconnected"),
-		routing.ConnectionLost: metrics.New("attempts broken"),
+		routing.ConnectFailed:  metrics.New("attempts connect failed"),
+		routing.ConnectionLost: metrics.New("attempts connection lost"),
 		routing.Canceled:       metrics.New("attempts cancelled"),
-		routing.NotSent:        metrics.New("attempts unsent"),
-		routing.NotPrimary:     metrics.New("attempts missed"),
+		routing.NotSent:        metrics.New("attempts not sent"),
+		routing.NotPrimary:     metrics.New("attempts not primary"),
 	}
 )
 
