--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -1,18 +1,19 @@
 package routing
 
-// What is admitted: tenants' quotas, and the shedding of reads under an overload that no node shows to one router alone.
+// What is admitted: tenants' quotas, and load shedding of reads.
 
 const (
 	// quotaBurst is how many requests a tenant may save up at least: where routers are many, its part of the quota at one
 	// of them may be a fraction of a request a second.
 	quotaBurst = 3.0
-	// ownShardGain is what an answer in time adds to its shard's admission probability: closed ones open in seconds.
+	// ownShardGain is what an answer in time adds to its shard's admission probability: after an overload clients get all
+	// their reads through again within seconds.
 	ownShardGain = 0.06
-	// otherShardGain is what it adds to all other shards': what strikes one shard mostly strikes the fleet, and one
-	// shard alone shows itself to a router among hundreds too seldom.
+	// otherShardGain is what it adds to the other shards'. An overload mostly hits the whole fleet, and one shard alone
+	// gives a router among hundreds too few answers to go by.
 	otherShardGain = 0.02
-	// lateAnswerWeight is how many times as much a late answer takes, times the present probability: about one answer in
-	// five may be late before reads are shed.
+	// lateAnswerWeight is how many times the gain a late answer takes off, times the present probability: about one answer
+	// in five may be late before reads are shed.
 	lateAnswerWeight = 4.0
 	// leastAdmitProbability is the share of reads that is always admitted: only their answers show that the overload is
 	// over.
@@ -34,9 +35,13 @@
 	return r.tenants[number]
 }
 
-// admit is the stage that a request passes once. A request over its tenant's quota loses weight: it waits behind the
-// rest and may use only a part of a node. This holds against a tenant's flood; a tenant whose requests come unevenly by
-// router can meet it too. A read is then admitted with its shard's probability, or rejected at once.
+// admit is the stage that a request passes once.
+//
+// A request over its tenant's quota loses weight. This guards against a tenant whose flood makes all others wait: the
+// request then stands behind theirs in the queue, and may use only lowWeightShare of a node's limit. Each router holds
+// an equal part of the quota, so a tenant whose requests reach the routers unevenly can meet it early at one of them.
+//
+// A read is then admitted with its shard's admission probability, or rejected at once (adjustAdmission).
 func (r *Router) admit(req *request, now int64) decision {
 	if req.admitted {
 		return proceed
@@ -86,8 +91,11 @@
 }
 
 // adjustAdmission is the stage that moves the shards' admission probabilities by the outcome of a read: up by an answer
-// in time, down by one past its latency objective, or by a client that left while it waited. It does so only where this
-// router seldom uses the node; else the node's concurrency limit holds against overload, and more closely.
+// in time, down by one past its latency objective, or by a client that left while it waited.
+//
+// It guards against an overload by hundreds of routers, each of which sends a node too little for a concurrency limit to
+// tell on it: answers come late although hardly anything of this router's is in flight. So it counts only answers of
+// nodes that this router seldom uses; elsewhere the concurrency limit holds the load down, and node by node.
 func (r *Router) adjustAdmission(a *attempt, outcome Outcome, took, now int64) {
 	group := a.request.group
 	_, seldomUsed := r.limitInUse(a.node, group, now)
--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -11,7 +11,13 @@
 	w.r.config.OverQuotaWeight = 0.05
 	w.list(1, 2)
 	w.step(1_000_000)
-	c := &request{id: "a", group: w.r.groups[eventualRead], shard: w.r.shards[0], tenant: w.r.tenants[0], deadline: w.now + 1e6}
+	c := &request{
+		id:       "a",
+		group:    w.r.groups[eventualRead],
+		shard:    w.r.shards[0],
+		tenant:   w.r.tenants[0],
+		deadline: w.now + 1e6,
+	}
 	w.requests["a"] = &modelRequest{deadline: w.now + 1e6}
 	w.r.admit(c, w.now)
 	w.r.admit(c, w.now)
--- a/internal/routing/consistency.go
+++ b/internal/routing/consistency.go
@@ -2,14 +2,14 @@
 
 // Which data a read must see, and which node is known to hold it.
 //
-// A node's position is the time, us of Unix time, up to which it holds all commits. Only positions that a node told
+// A node's position is the time, us of Unix time, up to which it holds all commits. Only positions that nodes reported
 // count. The position of a session's last write is its token; a read of the session must go where that was reached.
 
 const (
 	// maxSessionTokens is how many sessions are remembered in each of two generations: some MiB at the most.
 	maxSessionTokens = 50_000
-	// answerTransit is the longest time, us, that an answer is on its way to its client. A write in flight for longer
-	// may have been answered without the router having seen it, as when the network swallows the answer's copy here.
+	// answerTransit is the longest time, us, that an answer is on its way. A write in flight for longer may have been
+	// answered, and its client told by other means, though the network lost the answer on its way here.
 	answerTransit = 100_000
 	// primarySilence is the time, us, without an answer of a primary from which positions are taken to stand still.
 	primarySilence = 250_000
@@ -70,8 +70,8 @@
 	return req.group.Consistency == Write && !r.config.ClientsCarryTokens && req.session != ""
 }
 
-// recordWritePosition is the stage that keeps a write's position as its session's token. Where none was told, because
-// the answer was cut off before it or never came, the present stands for it: no commit that was answered is later.
+// recordWritePosition is the stage that keeps a write's position as its session's token. Where the node reported none,
+// because the answer was cut off before it or never came, the present stands for it: no commit that was answered is later.
 func (r *Router) recordWritePosition(a *attempt, outcome Outcome, _, now int64) {
 	req := a.request
 	if !r.setsToken(req) {
--- a/internal/routing/gossip.go
+++ b/internal/routing/gossip.go
@@ -4,17 +4,21 @@
 type GossipUpdate struct {
 	Node     string
 	LearntAt int64
-	// Position is the node's position then, 0 for not told. The caller passes on no other process's of that node.
+	// Position is the node's position then, 0 for unknown. It must be of the process that the endpoint list names: one of
+	// an earlier process of that node proves nothing.
 	Position int64
 	Role     Role // Replica for a node that said it isn't the primary
 	Silent   bool // the other router had no answer of it
 	Alive    bool // the other router had an answer of it
 }
 
-// GossipReceived takes what another router learnt of a node. A position stays true of the process that told it, however
-// old it is. A role is a hint, and none where an answer told it since. Silence only puts the node behind the others
-// for reads: the other router may be the one that is cut off. For the same reason its answer ends no suspicion here;
-// this router then checks for itself.
+// GossipReceived takes what another router learnt of a node.
+//
+//   - A position stays true of the process that reported it, however old the gossip is.
+//   - A role is a hint, and counts only where no answer has shown the role since.
+//   - Silence only puts the node behind the others for reads (expectedCost), because the other router may be the one that
+//     is cut off.
+//   - An answer doesn't end a suspicion here, for the same reason; this router then checks the node for itself.
 func (r *Router) GossipReceived(now int64, u GossipUpdate) {
 	n := r.nodeByName[u.Node]
 	if n == nil {
--- a/internal/routing/gossip_test.go
+++ b/internal/routing/gossip_test.go
@@ -15,7 +15,8 @@
 	w.arrive("c", sessionRead, 0, 1e6, 250_000)
 	required := w.requests["c"].required
 	w.tell("g0n1", Replica, required)
-	w.r.GossipReceived(w.now, GossipUpdate{Node: "g0n1", LearntAt: w.now - 40_000, Position: required, Role: Replica, Alive: true})
+	w.r.GossipReceived(w.now, GossipUpdate{Node: "g0n1", LearntAt: w.now - 40_000, Position: required, Role: Replica,
+		Alive: true})
 	if w.sentTo() != "g0n1" {
 		t.Fatal("not sent to the proven replica but", w.sentTo())
 	}
--- a/internal/routing/health_check.go
+++ b/internal/routing/health_check.go
@@ -1,14 +1,16 @@
 package routing
 
-// Health checks ask a node for its load report. They cost the node work, so requests pay for them: each adds a part of a
-// check to a budget.
+// When a node is asked for its load report. Such health checks cost the node work, so there is a budget, to which each
+// request adds a part of a check.
 
 const (
-	// healthChecksPerRequest is what one request adds to the budget: with more the checks cost more than they bring.
+	// healthChecksPerRequest is what one request adds to the budget: checks then take nodes less than a third of the
+	// requests that they serve.
 	healthChecksPerRequest = 0.3
 	// healthCheckBurst is how many checks may be saved up, and are there at the start: a look at a small fleet.
 	healthCheckBurst = 10.0
-	// spareHealthChecks is what checks that no request in hand needs leave in the budget for those that one does.
+	// spareHealthChecks is what a check that no request waits for must find in the budget, so that half of it is left for
+	// checks that one does wait for.
 	spareHealthChecks = 5.0
 	// readCheckInterval is the time, us, between two checks of a replica for queued reads: several fit into the time for
 	// which a read is queued.
@@ -20,8 +22,8 @@
 	equalLag = 250_000
 )
 
-// checkHealth checks a node, unless a check is under way, the list doesn't let it be used, or the budget holds less than
-// needed.
+// checkHealth checks a node, unless a check of it is pending, the endpoint list doesn't let it be used, or the budget
+// holds less than needed.
 func (r *Router) checkHealth(n *node, now int64, needed float64) {
 	if !r.config.HealthChecks.Enabled || n.checkPending || !r.listAllows(n) || r.healthCheckBudget < needed {
 		return
@@ -61,10 +63,13 @@
 	}
 }
 
-// HealthChecked tells how a health check of a node ended; what its load report held was told before, by
-// ReportedPosition and ReportedRole. No answer from a node that took no connection makes it suspected: that it
-// answers later means only that it is back. An answer ends a suspicion: the node may have lost one answer, or be
-// crowded, so it gets as long again, and less.
+// HealthChecked takes the end of a node's health check; ReportedPosition and ReportedRole take its load report before.
+//
+//   - No answer: a node that also refused connections is suspected now. When it answers later it is merely back, and its
+//     refusals don't count as scarcity.
+//   - An answer, though connections failed again and again: the node lives and has no place for more (noteScarcity).
+//   - An answer of a suspected node ends the suspicion. It may have lost one answer, so what is in flight there gets as
+//     long again; or it may be overloaded, so a router that seldom uses it cuts its limit.
 func (r *Router) HealthChecked(now int64, name string, outcome Outcome) {
 	n := r.nodeByName[name]
 	if n == nil {
@@ -89,9 +94,10 @@
 	r.dispatchWaiting(n.shard, now)
 }
 
-// noteScarcity closes all idle connections, and keeps none for a while: a node that lives and yet took no connection
-// twice (one alone may be reset by chance) has no place for more, and routers that hold idle ones shut the others out.
-// It costs a handshake for each request.
+// noteScarcity closes all idle connections, and keeps none for a while. It guards against routers that hold idle
+// connections to a node with few places and so shut other routers out: those see connections fail at a node that answers
+// health checks. Two failures are needed, because one connection may be reset by chance, and without idle connections
+// each request costs a handshake.
 func (r *Router) noteScarcity(now int64) {
 	if now >= r.scarceUntil {
 		for _, n := range r.nodes {
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -8,9 +8,10 @@
 	hedgingBurst = 10.0
 )
 
-// hedge sends a late request once more beside its first attempt. It holds against lost answers and silent nodes. It
-// would crowd a crowded shard, so it happens only while all reads are admitted there and none is queued, and for a part
-// of all requests.
+// hedge sends a late request once more beside its first attempt. It guards against answers that are lost on the network
+// and nodes that stopped answering: without it their requests wait until the node is suspected, and miss their
+// objective. Under overload all requests are late and hedges would add to the load, so there are none while reads of
+// the shard are shed or requests are queued there, and at any time no more than the budget allows.
 func (r *Router) hedge(req *request, now int64) {
 	if !r.config.Attempts.Hedging || r.hedgingBudget < 1 || req.group.Idempotency == NotIdempotent {
 		return
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -5,7 +5,7 @@
 // Outcome is how an attempt or a health check ended.
 type Outcome uint8
 
-// The outcomes. Their numbers are those of the simulator's wire.
+// The outcomes.
 const (
 	// Errored: the node answered with an error; the request may have been executed.
 	Errored Outcome = iota
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -2,7 +2,9 @@
 
 import "cmp"
 
-// What is learnt of a node from how its attempts end, or don't.
+// What is learnt of a node from how its attempts end, and from those that don't: its pace and error rate, whether it is
+// suspected, and when it must cool down. Three things bring a node back: an answer or a health check ends a suspicion,
+// a cool-down ends by itself, and pace and errors fade.
 
 const (
 	// slowdownGain is the weight of one answer in a node's slowdown: an average over about 10.
@@ -12,8 +14,8 @@
 	// outlierFadeTime is the time, us, in which what is known of a node's pace and errors fades by two thirds: a node that
 	// is sent nothing for them gets another chance.
 	outlierFadeTime = 10e6
-	// silentAfter and lostAfter are waits as multiples of the usual response. Of requests whose sizes vary much
-	// (exponentially), 98 in 100 are answered within silentAfter, and all but one in 200 within lostAfter.
+	// silentAfter and lostAfter are waits, as multiples of the usual response. Even of requests that vary much in size, 98
+	// in 100 are answered within silentAfter, and all but one in 200 within lostAfter.
 	silentAfter = 4.0
 	lostAfter   = 8.0
 	// leastSilence is the least time, us, without an answer that counts: shorter ones are pauses, which end before other
@@ -62,8 +64,8 @@
 	n.coolDownUntil = max(n.coolDownUntil, now+int64(n.pause(group))) // other routers use the node meanwhile
 }
 
-// objectiveAtNode is the latency objective by which a node's answers to a group count as late. All short requests
-// stand in the same lines at a node, so the tightest objective rules them; long-running ones have their own.
+// objectiveAtNode is the latency objective by which a node's answers to a group count as late. Short requests of all
+// groups wait in one queue at a node, so the tightest objective counts for them; long-running ones have their own.
 func (r *Router) objectiveAtNode(group *commandGroup) int64 {
 	if r.longRunning(group) {
 		return group.LatencyObjective
@@ -96,8 +98,8 @@
 }
 
 // recordConnectFailure takes a connection that did not come up: the node is dead, cut off, or has no place for one. It
-// cools down, longer the longer it has refused, for a chance time so that routers don't all come back at once. A
-// health check tells which it is (HealthChecked).
+// cools down, longer the longer it has refused, by a chance time so that routers don't all come back at once. A health
+// check tells which it is (HealthChecked).
 func (r *Router) recordConnectFailure(n *node, now int64) {
 	n.refusedAgain = n.refusedSince > 0
 	n.refusedSince = cmp.Or(n.refusedSince, now)
@@ -111,12 +113,12 @@
 //   - A late attempt is hedged, where that is allowed (hedging.go).
 //   - The node is suspected when nothing has come back for several usual responses: it is dead, hung, cut off, or pauses.
 //     It gets nothing new, what may be repeated is canceled there, and health checks look for its return. A node that is
-//     merely slow loses its reads for nothing.
+//     merely slow is suspected too at times; its reads then go elsewhere in vain.
 //   - An attempt that outlives many usual responses at a node that answers others is taken to be lost, on the network or
 //     in a stuck worker: it counts as an error, no longer counts as in flight, and is canceled where it may be sent again.
-//     A rare giant request is cut off so, and starts anew.
+//     A rare giant request is cut off that way, and starts anew.
 //
-// The time for which this router stood still counts for none of it.
+// The time for which this router itself stood still counts for none of it.
 func (r *Router) checkResponsiveness(n *node, now int64) {
 	for i, a := range n.attempts {
 		usual := a.request.group.usualResponse * max(1, n.slowdown)
--- a/internal/routing/outlier_detection_test.go
+++ b/internal/routing/outlier_detection_test.go
@@ -84,6 +84,7 @@
 	w.step(300_000)
 	w.r.HealthChecked(w.now, "g0n0", Answered)
 	if w.known("g0n0").suspected || len(w.idleClosed) > 0 || len(w.inFlight) != 1 {
-		t.Fatal("suspected:", w.known("g0n0").suspected, "idle connections closed at:", w.idleClosed, "in flight:", len(w.inFlight))
+		t.Fatal("suspected:", w.known("g0n0").suspected, "idle connections closed at:", w.idleClosed,
+			"in flight:", len(w.inFlight))
 	}
 }
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -4,9 +4,9 @@
 
 // Which node of a shard is believed to be its primary, and what goes there.
 //
-// Answers decide: a node that answers as the primary is believed at once, one that answers otherwise no longer is. What
-// comes late (marks of the endpoint list, load reports, other routers) is a hint, which counts only where no answer has
-// told lately. A hint never proves data: reads of the latest data wait for an answer.
+// Answers decide: a node that answers as the primary is believed at once, and one that answers as a replica no longer
+// is. What comes late (marks of the endpoint list, load reports, gossip) is a hint, which counts only where no answer has
+// shown the role lately. A hint never proves data: reads of the latest data wait for an answer.
 
 const (
 	// roleTrustedFor is the time, us, for which a role shown in an answer stands over any hint: lists and reports lag
@@ -35,9 +35,9 @@
 	return enumName([]string{"unknown", "primary", "replica"}, int(role))
 }
 
-// ObserveReply takes the role and the position that a node told in an answer; RoleUnknown for none told, and 0 for no
-// position. Answering as the primary doesn't prove that the data is the latest: a primary that hung may do so when it
-// goes on, with data that stood still meanwhile.
+// ObserveReply takes the role and the position in a node's answer: RoleUnknown where it had no role, 0 where it had no
+// position. Answering as the primary raises no position: a primary that hung answers as one when it goes on, with data
+// that stood still meanwhile.
 func (r *Router) ObserveReply(now int64, name string, role Role, position int64) {
 	n := r.nodeByName[name]
 	if n == nil || role == RoleUnknown {
@@ -72,7 +72,7 @@
 	}
 }
 
-// ReportedRole takes the role in a load report: a hint, and the node's role only where no answer has told it.
+// ReportedRole takes the role in a load report: a hint, and the node's role only where no answer has shown one.
 func (r *Router) ReportedRole(now int64, name string, primary bool) {
 	n := r.nodeByName[name]
 	if n == nil {
@@ -88,7 +88,8 @@
 	r.hintPrimary(n, now)
 }
 
-// hintPrimary takes an unconfirmed word that a node is the primary.
+// hintPrimary takes an unconfirmed hint that a node is the primary. It guards against lists and reports that lag behind a
+// failover or stand still: they would send writes back to the former primary.
 func (r *Router) hintPrimary(n *node, now int64) {
 	if n.role == Replica && now-n.roleAt < roleTrustedFor {
 		return // it said otherwise itself
@@ -99,7 +100,7 @@
 	}
 }
 
-// hintNotPrimary takes an unconfirmed word that a node isn't the primary.
+// hintNotPrimary takes an unconfirmed hint that a node isn't the primary.
 func (r *Router) hintNotPrimary(n *node, now int64) {
 	if n.shard.primary == n && now-n.roleAt > roleTrustedFor {
 		n.shard.primary = nil
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -3,8 +3,8 @@
 const (
 	// maxRotationLag is the lag, us, past which a replica leaves the rotation: a client may notice data that old.
 	maxRotationLag = 2e6
-	// otherZoneCost is the factor on the expected response of a node in another zone: traffic between zones costs, and
-	// half as long again is what it may save.
+	// otherZoneCost is the factor on the expected response of a node in another zone: traffic between zones costs the
+	// operator, so a read leaves its zone only where that saves it a third of its time.
 	otherZoneCost = 1.5
 	// lastResortCost is the same for a replica that lags, or from which another router has no answer: behind any other.
 	lastResortCost = 1000.0
@@ -20,7 +20,7 @@
 
 // selectReplica is the stage that chooses the node of a read: a replica in rotation that is fresh enough, in this
 // router's zone first, taking turns among equals. Where none has capacity, or none can become fresh enough in time, the
-// primary takes the read. Else it is queued.
+// primary takes the read. Else it is queued, and a health check may prove a replica fresh enough.
 func (r *Router) selectReplica(req *request, now int64) decision {
 	group := req.group
 	if group.needsPrimary() {
@@ -30,21 +30,26 @@
 		r.recallSession(req, now)
 	}
 	req.shard.rotation++
-	var replica *node
-	var provenInRotation bool
 	if group.Consistency == Eventual && r.longRunning(group) {
-		replica, provenInRotation = r.replicaForLongRead(req, now)
+		replica, provenInRotation := r.replicaForLongRead(req, now)
 		if replica != nil && !r.hasCapacity(replica, 1, group, now) {
 			return enqueue
 		}
-	} else {
-		replica, provenInRotation = r.bestReplica(req, now)
+		return r.sendToReplicaOrPrimary(req, replica, provenInRotation, now)
 	}
-	req.chosen = replica
-	if replica == nil && r.primaryTakesRead(req, provenInRotation, now) {
-		req.chosen = req.shard.primary
+	replica, provenInRotation := r.bestReplica(req, now)
+	return r.sendToReplicaOrPrimary(req, replica, provenInRotation, now)
+}
+
+// sendToReplicaOrPrimary chooses the replica that was found for a read, nil for none, or else the primary.
+// provenInRotation tells whether any replica in rotation is fresh enough.
+func (r *Router) sendToReplicaOrPrimary(req *request, replica *node, provenInRotation bool, now int64) decision {
+	if replica != nil {
+		req.chosen = replica
+		return proceed
 	}
-	if req.chosen != nil {
+	if r.primaryTakesRead(req, provenInRotation, now) {
+		req.chosen = req.shard.primary
 		return proceed
 	}
 	if !provenInRotation && r.config.HealthChecks.ReportsPosition {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// enqueue puts a request into the shard's queue: the greatest weight first, among equals the latest arrival. Under
-// overload the oldest would all be answered just too late.
+// enqueue puts a request into the shard's queue: the greatest weight first, among equals the latest arrival. With the
+// oldest first, under overload every request would be sent just too late for its objective.
 func (s *shard) enqueue(req *request) {
 	req.queued = true
 	at, _ := slices.BinarySearchFunc(s.queue, req, compareQueued)
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Slow start: a node that started lately can do only a part of its work, and breaks when it is sent a multiple of that
-// within a window (SlowStartConfig). Routers share nothing, so each sends a node that warms up a part of what it alone
-// had answered by warm nodes of the kind; the sum of all routers then stays under the multiple, whatever their mix.
+// Slow start. A node that started lately can do only a part of its full work, and fails when it is sent a multiple of
+// that within a window (SlowStartConfig). Routers share nothing, so each sends it a part of what warm nodes of its kind
+// answered to this router alone: the sum over all routers then stays under the multiple, however traffic is spread.
 
 const (
-	// slowStartShare is the share of the breaking multiple that is used as warming up begins: chance and the sizes of
-	// requests take the rest, and weigh most while the node can do little.
+	// slowStartShare is the share of SlowStartConfig.OverloadMultiple that is used as warming up begins. The rest is left
+	// for requests that come or weigh unevenly; they matter most while the node can do little.
 	slowStartShare = 0.45
 	// slowStartShareGain is how much that share grows until the node is warm.
 	slowStartShareGain = 0.3
-	// slowStartBurst is how many usual requests one router may have saved up for a node.
+	// slowStartBurst is how many usual requests' worth of credit one router may save up for a node.
 	slowStartBurst = 1.5
 	// unknownWarmRate is the work, us of usual response time a second, that all routers together send a node that warms
 	// up while no warm node of its kind has been seen: a twentieth of a core.
@@ -45,9 +45,10 @@
 // did for this router that its warmth allows. The rates of warm nodes are kept after they restart, because a whole
 // shard may start at once.
 //
-// Credit that isn't used lapses: else hundreds of routers that had each saved up one request could send them all at
-// once, on top of what flows. No more is kept than fits, with that flow, into one window; or, where that is less than one
-// request, the remainder of whole requests, so that routers do not come into step.
+// Credit that isn't used lapses. This guards against hundreds of routers that have each saved up one request and send
+// them all at once, on top of the steady flow: the node fails as it warms up. No more is kept than fits, with that flow,
+// into one overload window. Where that is less than one request, whole requests lapse and the rest is kept, so that
+// routers don't come into step.
 func (r *Router) refillCredit(n *node, group *commandGroup, warmth float64, now int64) {
 	c := &r.config.SlowStart
 	usual := group.usualResponse
