--- a/internal/versionaudit/golden_test.go
+++ b/internal/versionaudit/golden_test.go
@@ -23,7 +23,7 @@
 	for _, m := range goldenMessages {
 		t.Run(m.name, func(t *testing.T) {
 			if got := hex.EncodeToString(codec.Encode(m.value)); got != m.hex {
-				t.Errorf("RECORD\t%s\t%s", m.name, got)
+				t.Errorf("written as %s, want %s", got, m.hex)
 			}
 			raw, err := hex.DecodeString(m.hex)
 			if err != nil {
