--- a/internal/adminsocket/control_test.go
+++ b/internal/adminsocket/server_test.go
@@ -21,8 +21,9 @@
 	return s, socket
 }
 
-// TestAsked plays requests: answered in lines, refused with a reason, followed by further lines.
-func TestAsked(t *testing.T) {
+// TestRequests: a request is answered in several lines and followed by a further one; others are refused, with the reason,
+// because the handler fails, because nobody handles the command, or because the line can't be read.
+func TestRequests(t *testing.T) {
 	s, socket := listen(t)
 	s.Handle("count", func(_ context.Context, x *Session) error {
 		for n := range 3 {
@@ -52,15 +53,16 @@
 		t.Error(text, more, err)
 	}
 	if more, err := c.ReadLine(&text); more || err != nil {
-		t.Error("behind the end", more, err)
+		t.Error("after the end", more, err)
 	}
-	for verb, want := range map[string]string{"refuse": "not today", "unknown": "does not know"} {
-		c, err := Dial(socket, Request{Command: verb})
+	for command, want := range map[string]string{"refuse": "not today", "unknown": "does not know"} {
+		c, err := Dial(socket, Request{Command: command})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if more, err := c.ReadLine(&text); more || err == nil || !strings.Contains(err.Error(), want) {
-			t.Error(verb, more, err)
+		var refused *RefusedError
+		if more, err := c.ReadLine(&text); more || !errors.As(err, &refused) || !strings.Contains(err.Error(), want) {
+			t.Error(command, more, err)
 		}
 		c.Close()
 	}
@@ -76,14 +78,15 @@
 	}
 }
 
-// TestOwnersOnly sees that nobody else may open the socket, that a live router's is left alone and a dead one's taken.
-func TestOwnersOnly(t *testing.T) {
+// TestSocketIsGuarded: nobody but the owner may open the socket. A second router does not take the socket of one that is
+// alive, it takes that of one that is dead, and it leaves a file that is no socket alone.
+func TestSocketIsGuarded(t *testing.T) {
 	s, socket := listen(t)
 	if st, err := os.Stat(socket); err != nil || st.Mode().Perm() != 0o600 {
 		t.Error(st.Mode(), err)
 	}
-	if _, err := Listen(s.at); err == nil {
-		t.Error("a second router took the socket")
+	if _, err := Listen(s.settings); !errors.Is(err, ErrSocketInUse) {
+		t.Error("a second router took the socket:", err)
 	}
 	s.Close()
 	left, err := net.ListenUnix("unix", &net.UnixAddr{Name: socket})
@@ -92,7 +95,7 @@
 	}
 	left.SetUnlinkOnClose(false)
 	left.Close()
-	again, err := Listen(s.at)
+	again, err := Listen(s.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +103,7 @@
 	if err := os.WriteFile(socket, []byte("a file"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(s.at); err == nil {
-		t.Error("a file was taken for a socket")
+	if _, err := Listen(s.settings); !errors.Is(err, ErrNotASocket) {
+		t.Error("a file was taken for a socket:", err)
 	}
 }
