--- a/internal/engine/sockets_test.go
+++ b/internal/engine/sockets_test.go
@@ -284,17 +284,18 @@
 	now := engine.NewClock()
 	e := engine.New(now)
 	r := routing.New(7, e.Actions())
-	names, err := settings.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
+	config, catalog, err := settings.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
 		"classes.0.effect": "safe", "classes.0.aim": "400", "classes.0.hardLimit": "1000", "classes.0.points": "1",
 		"classes.1.name": "put", "classes.1.effect": "unsafe", "classes.1.aim": "400", "classes.1.hardLimit": "1000",
 		"classes.1.points": "1", "domain.readLevel": "any,write", "limits.maxAttempts": "3", "limits.cancel": "true",
-		"tenants.count": "1", "tenants.0.name": "acme", "tenants.0.quotaPerS": "100"}.Configure(r, 0)
+		"tenants.count": "1", "tenants.0.name": "acme", "tenants.0.quotaPerS": "100"}.RoutingConfig(0)
 	if err != nil {
 		t.Fatal(err)
 	}
+	r.Configure(config)
 	pool := backend.New(now, e.Post, e.After, e, 250_000, 15_000_000, 99)
 	e.Attach(r, pool)
-	front := frontend.New(now, e, names.GroupNumbers, names.TenantNumbers, most, 32<<20)
+	front := frontend.New(now, e, catalog.GroupNumbers, catalog.TenantNumbers, most, 32<<20)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -91,10 +91,11 @@
 	reader := settings.Reader{Values: values}
 	connectTimeout := reader.Time("limits.connectTimeout")
 	idleLimit := reader.Time("limits.connIdle")
-	catalog, err := values.Configure(core, connectTimeout)
+	config, catalog, err := values.RoutingConfig(connectTimeout)
 	if err = errors.Join(reader.Err, err); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
+	core.Configure(config)
 	pool := backend.New(now, e.Post, e.After, e, connectTimeout, idleLimit, limits.nodeConnections)
 	e.Attach(core, pool)
 	rollouts := &rolloutRouter{now: now, engine: e, began: began, leave: make(chan struct{}, 1)}
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -39,13 +39,14 @@
 	n := settings.Reader{Values: values}
 	i.positionZero = n.Time("domain.countedFrom")
 	i.router = routing.New(seed, i)
-	names, err := values.Configure(i.router, 0) // an attempt goes out at the time of its event here
+	config, catalog, err := values.RoutingConfig(0) // an attempt goes out at the time of its event here
 	var unread *settings.FieldError
 	if errors.As(errors.Join(n.Err, err), &unread) {
 		return s.fault(unread.Field, unread.Why)
 	}
-	i.groupNumbers = names.GroupNumbers
-	i.tenantNumbers = names.TenantNumbers
+	i.router.Configure(config)
+	i.groupNumbers = catalog.GroupNumbers
+	i.tenantNumbers = catalog.TenantNumbers
 	s.instances[name] = i
 	i.router.Start(s.now)
 	return nil
