--- a/Makefile
+++ b/Makefile
@@ -4,48 +4,53 @@
 build:
 	eval "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)"
 
-# what KNOWN-RED.txt lists may fail, and is printed
+# tests that KNOWN-RED.txt lists may fail, and are printed
 test:
 	.ci/known-red KNOWN-RED.txt go test -count=1 -timeout 300s ./...
 
-# what must hold stops a debug build
+# with the race detector; a broken invariant stops a debug build
 race:
 	.ci/known-red KNOWN-RED.txt go test -race -tags debug -count=1 -timeout 300s ./...
 
+# staticcheck is pinned in go.mod; all of its checks are on
 lint:
-	test -z "$$(gofmt -l .)" && go vet ./... && go vet -tags debug ./...
+	@unformatted=$$(gofmt -l .); test -z "$$unformatted" || { echo "not gofmt-clean: $$unformatted"; exit 1; }
+	go vet ./...
+	go vet -tags debug ./...
+	go tool staticcheck -checks all ./...
+	go tool staticcheck -checks all -tags debug ./...
 
 # needs RELAY_CONFIG, see README
 run: build
 	exec bin/cairntiller
 
-# a first useful minute: a router at work before stand-in nodes
+# a router in front of a test cluster whose primary dies half-way
 demo: build
 	bin/cairntiller demo
 
-# three routers share probes while one is killed, one stopped and one cut off; then many in simulated time, four minutes
-# in all; SIZES=1000x10000 takes six more
+# three routers share health checks while one is killed, one stopped and one cut off; then many in simulated time, four
+# minutes in all; SIZES=1000x10000 takes six more
 SEED ?= 1
 SIZE ?= 10
 SIZES ?= 3x10,3x1000,30x1000,300x1000,1000x1000
 proof-duties: build
 	bin/proof duties --seed $(SEED) --size $(SIZE)
-	bin/proof sizes --seed $(SEED) --sizes $(SIZES)
+	bin/proof duties-simulation --seed $(SEED) --sizes $(SIZES)
 
-# router processes hold leases under mixed faults, three voters and then five with a lasting place; then the deciding
-# module in simulated time: 100,000 seeds, planted mistakes, sizes
+# router processes hold leases under mixed faults, three voters and then five that store their votes; then the deciding
+# package in simulated time: 100,000 seeds, planted mistakes, sizes
 proof-leases: build
 	bin/proof leases --seed $(SEED)
 	bin/proof leases --seed $(SEED) --voters 5 --others 3 --lasting
-	bin/proof council
+	bin/proof leases-simulation
 
-# router processes and nodes go through plans under load, calm and under faults, against operators who act by themselves;
-# then the deciding module in simulated time
+# router processes and nodes go through rollouts under load, calm and under faults, beside operators who act by themselves;
+# then the deciding package in simulated time
 proof-releases: build
 	bin/proof releases --seed $(SEED)
 	bin/proof releases --seed $(SEED) --faults
 	-bin/proof releases --seed $(SEED) --alone
-	bin/proof rollout
+	bin/proof releases-simulation
 
 # a corpus whose classes are known, and a morning's mix of shapes
 proof-statements: build
--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -1,5 +1,5 @@
-// Command proof plays the project's proofs on loopback and in simulated time. Each ends with one line and exits 0 only
-// where every limit holds.
+// Command proof runs the proofs of the project's subsystems, on loopback with real processes and in simulated time. Each ends
+// with one line and exits 0 only where every limit holds. The Makefile has the usual calls.
 package main
 
 import (
@@ -19,10 +19,10 @@
 )
 
 type line struct {
-	Duties     dutiesLine     `cmd:"" help:"Three routers share probes; one is killed, one stopped, one cut off."`
-	Sizes      sizesLine      `cmd:"" help:"Shared duties among many instances, in simulated time."`
+	Duties     dutiesLine     `cmd:"" help:"Three routers share health checks; one is killed, one stopped, one cut off."`
+	Sizes      sizesLine      `cmd:"" help:"Shared health checks among many instances, in simulated time."`
 	Statements statementsLine `cmd:"" help:"A corpus of statements whose classes are known, and a morning's mix."`
-	Leases     leasesLine     `cmd:"" help:"Router processes hold leases under mixed faults; commands and acts must never overlap."`
+	Leases     leasesLine     `cmd:"" help:"Router processes hold leases under mixed faults; commands and operations must never overlap."`
 	Council    councilLine    `cmd:"" help:"The deciding module of leases in simulated time, under mixed faults and with planted mistakes."`
 	Releases   releasesLine   `cmd:"" help:"Router processes and nodes go through plans under load; never too many are out."`
 	Rollout    rolloutLine    `cmd:"" help:"The deciding module of releases in simulated time, under mixed faults and with planted mistakes."`
@@ -30,7 +30,7 @@
 	proof.Hidden
 }
 
-// closing prints a proof's closing line, where it came to one.
+// printClosingLine prints a proof's closing line, where it got as far as one, and passes its error on.
 func closing(end string, err error) error {
 	if end != "" {
 		fmt.Println(end)
@@ -38,7 +38,7 @@
 	return err
 }
 
-// logs is where what routers log goes.
+// logWriter is where the routers' log goes.
 func logs(on bool) io.Writer {
 	if on {
 		return os.Stderr
@@ -48,7 +48,7 @@
 
 type dutiesLine struct {
 	Seed  uint64 `default:"1" help:"For the order of faults."`
-	Size  int    `default:"10" help:"Boxes."`
+	Size  int    `default:"10" help:"Nodes."`
 	Short bool   `help:"The short form."`
 	Log   bool   `help:"Print what the routers log."`
 }
@@ -156,7 +156,7 @@
 	return closing(proof.Rollout{From: l.From, Seeds: l.Seeds, Twice: 100, Plant: l.Plant, Halts: l.Halts, Sizes: l.Sizes, Writes: os.Stdout}.Run())
 }
 
-// sizesOf reads a list such as 3x10,30x1000.
+// parseSizes reads a list such as 3x10,30x1000.
 func sizesOf(text string) (all [][2]int, err error) {
 	if text == "" {
 		return nil, nil
