--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -18,20 +18,21 @@
 	"cairntiller/internal/testcluster/proof"
 )
 
-type line struct {
-	Duties     dutiesLine     `cmd:"" help:"Three routers share health checks; one is killed, one stopped, one cut off."`
-	Sizes      sizesLine      `cmd:"" help:"Shared health checks among many instances, in simulated time."`
-	Statements statementsLine `cmd:"" help:"A corpus of statements whose classes are known, and a morning's mix."`
-	Leases     leasesLine     `cmd:"" help:"Router processes hold leases under mixed faults; commands and operations must never overlap."`
-	Council    councilLine    `cmd:"" help:"The deciding module of leases in simulated time, under mixed faults and with planted mistakes."`
-	Releases   releasesLine   `cmd:"" help:"Router processes and nodes go through plans under load; never too many are out."`
-	Rollout    rolloutLine    `cmd:"" help:"The deciding module of releases in simulated time, under mixed faults and with planted mistakes."`
-	Child      childLine      `cmd:"" hidden:""`
+// commandLine is the command line: one sub-command a proof.
+type commandLine struct {
+	Duties             dutiesCommand            `cmd:"" help:"Three routers share health checks; one is killed, one stopped, one cut off."`
+	DutiesSimulation   dutiesSimulationCommand  `cmd:"" help:"Shared health checks among many instances, in simulated time."`
+	Statements         statementsCommand        `cmd:"" help:"A corpus of statements whose classes are known, and a morning's mix."`
+	Leases             leasesCommand            `cmd:"" help:"Router processes hold leases under mixed faults; commands and operations must never overlap."`
+	LeasesSimulation   leaseSimulationCommand   `cmd:"" help:"The deciding module of leases in simulated time, under mixed faults and with planted mistakes."`
+	Releases           releasesCommand          `cmd:"" help:"Router processes and nodes go through plans under load; never too many are out."`
+	ReleasesSimulation rolloutSimulationCommand `cmd:"" help:"The deciding module of releases in simulated time, under mixed faults and with planted mistakes."`
+	Child              childCommand             `cmd:"" hidden:""`
 	proof.Hidden
 }
 
 // printClosingLine prints a proof's closing line, where it got as far as one, and passes its error on.
-func closing(end string, err error) error {
+func printClosingLine(end string, err error) error {
 	if end != "" {
 		fmt.Println(end)
 	}
@@ -39,47 +40,54 @@
 }
 
 // logWriter is where the routers' log goes.
-func logs(on bool) io.Writer {
+func logWriter(on bool) io.Writer {
 	if on {
 		return os.Stderr
 	}
 	return io.Discard
 }
 
-type dutiesLine struct {
+// dutiesCommand plays shared health checks with processes.
+type dutiesCommand struct {
 	Seed  uint64 `default:"1" help:"For the order of faults."`
 	Size  int    `default:"10" help:"Nodes."`
 	Short bool   `help:"The short form."`
 	Log   bool   `help:"Print what the routers log."`
 }
 
-func (l *dutiesLine) Run() error {
-	return closing(proof.Duties{Seed: l.Seed, Boxes: l.Size, Short: l.Short, Every: time.Second, Log: logs(l.Log), Writes: os.Stdout}.Run())
+// Run runs it.
+func (c *dutiesCommand) Run() error {
+	return printClosingLine(proof.Duties{Seed: c.Seed, Boxes: c.Size, Short: c.Short, Every: time.Second, Log: logWriter(c.Log), Writes: os.Stdout}.Run())
 }
 
-type sizesLine struct {
+// dutiesSimulationCommand plays shared health checks in simulated time.
+type dutiesSimulationCommand struct {
 	Seed  uint64 `default:"1" help:"For delays, phases and churn."`
 	Sizes string `default:"3x10,3x1000,30x1000,300x1000,1000x1000" help:"Instances x boxes, each."`
 }
 
-func (l *sizesLine) Run() error {
-	sizes, err := sizesOf(l.Sizes)
+// Run runs it.
+func (c *dutiesSimulationCommand) Run() error {
+	sizes, err := parseSizes(c.Sizes)
 	if err != nil {
 		return err
 	}
-	return closing(proof.Sizes{Seed: l.Seed, Sizes: sizes, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.Sizes{Seed: c.Seed, Sizes: sizes, Writes: os.Stdout}.Run())
 }
 
-type statementsLine struct {
+// statementsCommand plays the classes of statements.
+type statementsCommand struct {
 	Seed uint64 `default:"1" help:"For the corpus and the mix."`
 	Size int    `default:"20000" help:"Statements of the corpus."`
 }
 
-func (l *statementsLine) Run() error {
-	return closing(proof.Statements{Seed: l.Seed, Size: l.Size, Morning: 200_000, Writes: os.Stdout}.Run())
+// Run runs it.
+func (c *statementsCommand) Run() error {
+	return printClosingLine(proof.Statements{Seed: c.Seed, Size: c.Size, Morning: 200_000, Writes: os.Stdout}.Run())
 }
 
-type leasesLine struct {
+// leasesCommand plays leases with processes.
+type leasesCommand struct {
 	Seed    uint64        `default:"1" help:"For faults, clocks and their order."`
 	Voters  int           `default:"3" help:"Voters."`
 	Others  int           `default:"2" help:"Processes that do not vote."`
@@ -90,40 +98,44 @@
 	Log     bool          `help:"Print what the routers log."`
 }
 
-func (l *leasesLine) Run() error {
-	p := proof.Leases{Seed: l.Seed, Voters: l.Voters, Others: l.Others, Span: l.Span, Lasting: l.Lasting, Times: 6, Log: logs(l.Log), Writes: os.Stdout}
-	if l.Script != "" {
-		raw, err := os.ReadFile(l.Script)
+// Run runs it.
+func (c *leasesCommand) Run() error {
+	leases := proof.Leases{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Times: 6, Log: logWriter(c.Log), Writes: os.Stdout}
+	if c.Script != "" {
+		raw, err := os.ReadFile(c.Script)
 		if err != nil {
 			return err
 		}
-		if p.Script, err = process.ParseScript(string(raw)); err != nil {
+		if leases.Script, err = process.ParseScript(string(raw)); err != nil {
 			return err
 		}
 	}
-	if l.Print {
-		fmt.Print(p.Draw())
+	if c.Print {
+		fmt.Print(leases.Draw())
 		return nil
 	}
-	return closing(p.Run())
+	return printClosingLine(leases.Run())
 }
 
-type councilLine struct {
+// leaseSimulationCommand plays the deciding package of leases in simulated time.
+type leaseSimulationCommand struct {
 	From  uint64 `default:"0" help:"First seed."`
 	Seeds int    `default:"100000" help:"Runs of mixed faults."`
 	Plant int    `default:"20000" help:"Seeds tried at most for each planted mistake, 0 for none."`
 	Sizes string `default:"3x1,3x1000,30x1000,300x1000,1000x1000,1000x10000" help:"Instances x leases, each; empty for none."`
 }
 
-func (l *councilLine) Run() error {
-	sizes, err := sizesOf(l.Sizes)
+// Run runs it.
+func (c *leaseSimulationCommand) Run() error {
+	sizes, err := parseSizes(c.Sizes)
 	if err != nil {
 		return err
 	}
-	return closing(proof.LeaseSimulation{From: l.From, Seeds: l.Seeds, RepeatEvery: 100, MistakeSeeds: l.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.LeaseSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
 }
 
-type releasesLine struct {
+// releasesCommand plays rollouts with processes.
+type releasesCommand struct {
 	Seed    uint64 `default:"1" help:"For faults and their order."`
 	Routers int    `default:"12" help:"Router processes."`
 	Voters  int    `default:"3" help:"Voters among them."`
@@ -135,12 +147,14 @@
 	Log     bool   `help:"Print what the routers log."`
 }
 
-func (l *releasesLine) Run() error {
-	p := proof.Releases{Seed: l.Seed, Routers: l.Routers, Voters: l.Voters, Groups: l.Groups, Nodes: l.Nodes, Faults: l.Faults, Alone: l.Alone, Lose: l.Lose, Log: logs(l.Log), Writes: os.Stdout}
-	return closing(p.Run())
+// Run runs it.
+func (c *releasesCommand) Run() error {
+	p := proof.Releases{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Writes: os.Stdout}
+	return printClosingLine(p.Run())
 }
 
-type rolloutLine struct {
+// rolloutSimulationCommand plays the deciding package of rollouts in simulated time.
+type rolloutSimulationCommand struct {
 	From  uint64 `default:"0" help:"First seed."`
 	Seeds int    `default:"50000" help:"Runs of mixed faults."`
 	Plant int    `default:"3000" help:"Seeds tried at most for each planted mistake, 0 for none."`
@@ -149,15 +163,16 @@
 	Trace bool   `help:"Play the first seed alone and print what happens."`
 }
 
-func (l *rolloutLine) Run() error {
-	if l.Trace {
-		return proof.TraceRollout(l.From, os.Stdout)
+// Run runs it.
+func (c *rolloutSimulationCommand) Run() error {
+	if c.Trace {
+		return proof.TraceRollout(c.From, os.Stdout)
 	}
-	return closing(proof.Rollout{From: l.From, Seeds: l.Seeds, Twice: 100, Plant: l.Plant, Halts: l.Halts, Sizes: l.Sizes, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.Rollout{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Writes: os.Stdout}.Run())
 }
 
 // parseSizes reads a list such as 3x10,30x1000.
-func sizesOf(text string) (all [][2]int, err error) {
+func parseSizes(text string) (all [][2]int, err error) {
 	if text == "" {
 		return nil, nil
 	}
@@ -171,18 +186,20 @@
 	return all, nil
 }
 
-type childLine struct {
+// childCommand is a router process of a proof.
+type childCommand struct {
 	File string
 }
 
-func (l *childLine) Run() error {
+// Run runs it.
+func (c *childCommand) Run() error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	return proof.Child(l.File)
+	return proof.Child(c.File)
 }
 
 func main() {
-	var l line
-	ctx := kong.Parse(&l, kong.Name("proof"), kong.Description("Proofs of the project's subsystems."), kong.UsageOnError())
+	var commands commandLine
+	ctx := kong.Parse(&commands, kong.Name("proof"), kong.Description("Proofs of the project's subsystems."), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
 		var code supervisor.ExitCode
 		if errors.As(err, &code) {
