--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -19,24 +19,24 @@
 
 // Each test here makes two events meet in their bad order; docs/crossings.md has the table.
 
-// leaver is a client that has gone without anyone having been told.
-type leaver struct{ patient }
+// goneClient is a client that has gone without anyone having been told.
+type goneClient struct{ stayingClient }
 
-func (leaver) Connected() bool { return false }
+func (goneClient) Connected() bool { return false }
 
-// held is a node whose connections come up only once they are let.
-type held struct {
-	addr    string
-	came    chan net.Conn
-	queries chan string
+// heldNode is a node whose connections come up only once they are let.
+type heldNode struct {
+	addr     string
+	startups chan net.Conn
+	queries  chan string
 }
 
-func hold(t *testing.T) *held {
+func startHeldNode(t *testing.T) *heldNode {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &held{ln.Addr().String(), make(chan net.Conn, 99), make(chan string, 99)}
+	h := &heldNode{ln.Addr().String(), make(chan net.Conn, 99), make(chan string, 99)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -46,15 +46,15 @@
 			}
 			t.Cleanup(func() { c.Close() })
 			if _, err := scriptedserver.ReadFrame(c, false); err == nil {
-				h.came <- c
+				h.startups <- c
 			}
 		}
 	}()
 	return h
 }
 
-// up lets a connection come up, and tells what it is asked.
-func (h *held) up(c net.Conn) {
+// complete lets a connection come up, and tells what it is asked.
+func (h *heldNode) complete(c net.Conn) {
 	io.WriteString(c, scriptedserver.Welcome)
 	go func() {
 		for {
@@ -68,7 +68,7 @@
 	}()
 }
 
-// TestLookedAtAgainAsItBegins: what was true as a dispatch was decided is looked at again as its connection comes up:
+// TestLookedAtAgainAsItBegins: what was true as an attempt was decided is looked at again as its connection comes up:
 // whether its client is there, its command owed an answer, its window of repeats open, its node in use. None is written.
 func TestLookedAtAgainAsItBegins(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -77,70 +77,70 @@
 		meanwhile func(p interface{ FailWaiting(string) }, x *inflight.Request)
 		want      string
 	}{
-		"nothing happened":      {patient{}, 400_000, nil, "written"},
-		"its client has gone":   {leaver{}, 0, nil, "unsent"},
-		"its command is over":   {patient{}, 0, func(_ interface{ FailWaiting(string) }, x *inflight.Request) { x.ClientGone() }, "unsent"},
-		"its window has passed": {patient{}, 1, nil, "unsent"},
-		"its node drains":       {patient{}, 0, func(p interface{ FailWaiting(string) }, _ *inflight.Request) { p.FailWaiting("n0") }, "unsent"},
+		"nothing happened":      {stayingClient{}, 400_000, nil, "written"},
+		"its client has gone":   {goneClient{}, 0, nil, "unsent"},
+		"its command is over":   {stayingClient{}, 0, func(_ interface{ FailWaiting(string) }, x *inflight.Request) { x.ClientGone() }, "unsent"},
+		"its window has passed": {stayingClient{}, 1, nil, "unsent"},
+		"its node drains":       {stayingClient{}, 0, func(p interface{ FailWaiting(string) }, _ *inflight.Request) { p.FailWaiting("n0") }, "unsent"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := hold(t)
-			p, e := pool(t, 9, &scriptedserver.Node{Addr: h.addr})
-			x := e.dispatch(p, "n0", c.client, 0, c.within).Request
-			conn := <-h.came // it waits for this one
-			e.mu.Lock()
+			node := startHeldNode(t)
+			p, harness := startPool(t, 9, &scriptedserver.Node{Addr: node.addr})
+			x := harness.dispatch(p, "n0", c.client, 0, c.within).Request
+			conn := <-node.startups // it waits for this one
+			harness.mu.Lock()
 			if c.meanwhile != nil {
 				c.meanwhile(p, x)
 			}
-			e.mu.Unlock()
-			h.up(conn)
-			got := <-e.results
-			if c.want == "unsent" && got.o != routing.NotSent || c.want == "written" && got.o != routing.Answered {
-				t.Errorf("%d, want it %s", got.o, c.want)
+			harness.mu.Unlock()
+			node.complete(conn)
+			got := <-harness.results
+			if c.want == "unsent" && got.outcome != routing.NotSent || c.want == "written" && got.outcome != routing.Answered {
+				t.Errorf("%d, want it %s", got.outcome, c.want)
 			}
-			e.send(p, "n0", 0) // the connection is as good as before; nothing else was ever written on it
+			harness.send(p, "n0", 0) // the connection is as good as before; nothing else was ever written on it
 			if c.want == "unsent" {
-				if got := <-e.results; got.o != routing.Answered || len(h.queries) != 1 {
-					t.Errorf("the next one: %d, %d queries", got.o, len(h.queries))
+				if got := <-harness.results; got.outcome != routing.Answered || len(node.queries) != 1 {
+					t.Errorf("the next one: %d, %d queries", got.outcome, len(node.queries))
 				}
 			}
 		})
 	}
 }
 
-// TestDescriptorsOfConnectionsThatClose count: dispatches that are stopped in a row never hold more connections to a
+// TestDescriptorsOfConnectionsThatClose count: attempts that are cancelled in a row never hold more connections to a
 // node than may be open and closing, and none is forgotten.
 func TestDescriptorsOfConnectionsThatClose(t *testing.T) {
-	h := hold(t)
-	p, e := pool(t, 4, &scriptedserver.Node{Addr: h.addr})
+	node := startHeldNode(t)
+	p, harness := startPool(t, 4, &scriptedserver.Node{Addr: node.addr})
 	for range 200 {
-		d := e.send(p, "n0", 0)
+		d := harness.send(p, "n0", 0)
 		select {
-		case c := <-h.came:
+		case c := <-node.startups:
 			io.WriteString(c, scriptedserver.Welcome)
 			if _, err := scriptedserver.ReadFrame(c, true); err != nil {
 				t.Fatal(err)
 			}
-			e.mu.Lock()
+			harness.mu.Lock()
 			p.Cancel(d)
-			e.mu.Unlock()
-		case got := <-e.results:
-			t.Fatalf("no room: %d", got.o)
+			harness.mu.Unlock()
+		case got := <-harness.results:
+			t.Fatalf("no room: %d", got.outcome)
 		}
 	}
 }
 
-// code is an error's.
-func code(p []byte) string {
+// errorCode is an error's.
+func errorCode(p []byte) string {
 	if _, rest, found := strings.Cut(string(p), "\x00VERROR\x00C"); found {
 		return rest[:5]
 	}
-	return brief(p)
+	return summary(p)
 }
 
-// key is what a welcome tells, to cancel a connection's commands by.
-func key(t *testing.T, r *router) (c net.Conn, key []byte) {
+// cancelKey is what a welcome tells, to cancel a connection's commands by.
+func cancelKey(t *testing.T, r *testRouter) (c net.Conn, key []byte) {
 	t.Helper()
 	r.dial(t).Close() // it is ready
 	c, err := net.Dial("tcp", r.addr)
@@ -150,7 +150,7 @@
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	c.Write(pgwire.AppendStartup(nil, "portal", "crm"))
-	all := string(until(t, c, 'Z'))
+	all := string(readUntil(t, c, 'Z'))
 	at := strings.Index(all, "K\x00\x00\x00\x0c")
 	if at < 0 {
 		t.Fatalf("no key in %q", all)
@@ -158,7 +158,7 @@
 	return c, []byte(all[at+5 : at+13])
 }
 
-func (r *router) cancel(t *testing.T, c net.Conn, key []byte) {
+func (r *testRouter) cancel(t *testing.T, c net.Conn, key []byte) {
 	t.Helper()
 	if c == nil {
 		var err error
@@ -178,15 +178,15 @@
 // nor does one whose connection has ended. The connection lives on.
 func TestCancel(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "", scriptedserver.Row+scriptedserver.Ready)
-	r := start(t, 9, primary, replica)
-	gone, old := key(t, r)
+	r := startRouter(t, 9, primary, replica)
+	gone, old := cancelKey(t, r)
 	gone.Close()
-	c, right := key(t, r)
-	other, others := key(t, r)
+	c, right := cancelKey(t, r)
+	other, others := cancelKey(t, r)
 	if binary.BigEndian.Uint32(right[4:]) == binary.BigEndian.Uint32(others[4:]) {
 		t.Errorf("two connections have one key: %x, %x", right, others)
 	}
-	ask(c, "1", "look", "15000")
+	sendCommand(c, "1", "look", "15000")
 	<-replica.Queries
 	wrong := append([]byte(nil), right...)
 	wrong[7]++
@@ -197,17 +197,17 @@
 		t.Fatalf("%d commands owed after cancels with wrong keys", n)
 	}
 	r.cancel(t, nil, right)
-	if got := code(until(t, c, 'Z')); got != "57014" {
+	if got := errorCode(readUntil(t, c, 'Z')); got != "57014" {
 		t.Errorf("cancelled: %q", got)
 	}
 	<-replica.Ended
-	ask(c, "2", "look", "900")
-	if got := brief(until(t, c, 'Z')); got != "row" {
+	sendCommand(c, "2", "look", "900")
+	if got := summary(readUntil(t, c, 'Z')); got != "row" {
 		t.Errorf("the next command: %q", got)
 	}
 	r.cancel(t, nil, right) // nothing is in hand
 	other.Write(pgwire.AppendQuery(nil, ""))
-	if got := until(t, other, 'Z'); got[0] != 'I' {
+	if got := readUntil(t, other, 'Z'); got[0] != 'I' {
 		t.Errorf("another connection: %q", got)
 	}
 }
@@ -216,29 +216,29 @@
 // what it says is read behind that.
 func TestACancelThatCrossesItsAnswer(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, "")
-	r := start(t, 9, primary, replica)
-	c, k := key(t, r)
-	ask(c, "1", "look", "900")
+	r := startRouter(t, 9, primary, replica)
+	c, k := cancelKey(t, r)
+	sendCommand(c, "1", "look", "900")
 	<-replica.Queries
-	before := counted("client connections ")
+	before := counterValue("client connections ")
 	late, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for counted("client connections ") == before {
+	for counterValue("client connections ") == before {
 		time.Sleep(time.Millisecond)
 	}
-	if got := brief(until(t, c, 'Z')); got != "row" {
+	if got := summary(readUntil(t, c, 'Z')); got != "row" {
 		t.Fatal(got)
 	}
-	ask(c, "2", "look", "15000")
+	sendCommand(c, "2", "look", "15000")
 	<-replica.Queries
 	r.cancel(t, late, k)
 	if n := r.engine.Unanswered(); n != 1 {
 		t.Fatal("the command that came behind the cancelled one was hit")
 	}
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
-	if got := brief(until(t, c, 'Z')); got != "row" {
+	if got := summary(readUntil(t, c, 'Z')); got != "row" {
 		t.Errorf("the later command: %q", got)
 	}
 }
@@ -246,22 +246,22 @@
 // TestACrowdThatLeaves guards against what is sent on for clients that have gone: hundreds wait for one connection that
 // comes up late, then leave in each way there is; nothing is written for them.
 func TestACrowdThatLeaves(t *testing.T) {
-	h := hold(t)
-	r := start(t, 999, &scriptedserver.Node{Addr: h.addr})
+	node := startHeldNode(t)
+	r := startRouter(t, 999, &scriptedserver.Node{Addr: node.addr})
 	const crowd = 200
-	over := func() int64 { // a few may have had their dispatches before their clients went
-		return counted("commands abandoned by clients") + counted("commands rejected")
+	over := func() int64 { // a few may have had their attempts before their clients went
+		return counterValue("commands abandoned by clients") + counterValue("commands rejected")
 	}
 	before := over()
 	var all []net.Conn
 	for range crowd {
-		c, _ := key(t, r)
+		c, _ := cancelKey(t, r)
 		all = append(all, c)
 	}
 	for i, c := range all {
-		ask(c, fmt.Sprint("x", i), "put", "15000")
+		sendCommand(c, fmt.Sprint("x", i), "put", "15000")
 	}
-	conn := <-h.came // the limit lets a few go out; the rest wait in the module
+	conn := <-node.startups // the limit lets a few go out; the rest wait in the module
 	for i, c := range all {
 		switch i % 4 {
 		case 0:
@@ -278,19 +278,19 @@
 	for r.engine.Unanswered() > 0 || over() < before+crowd {
 		time.Sleep(time.Millisecond)
 	}
-	h.up(conn)
+	node.complete(conn)
 	go func() {
-		for c := range h.came {
-			h.up(c)
+		for c := range node.startups {
+			node.complete(c)
 		}
 	}()
-	c, _ := key(t, r)
-	ask(c, "stays", "put", "5000")
-	if got := brief(until(t, c, 'Z')); got != "row" {
+	c, _ := cancelKey(t, r)
+	sendCommand(c, "stays", "put", "5000")
+	if got := summary(readUntil(t, c, 'Z')); got != "row" {
 		t.Errorf("who stays: %q", got)
 	}
-	for len(h.queries) > 0 {
-		if q := <-h.queries; !strings.Contains(q, "id=stays") {
+	for len(node.queries) > 0 {
+		if q := <-node.queries; !strings.Contains(q, "id=stays") {
 			t.Errorf("sent on for a client that has gone: %q", q)
 		}
 	}
@@ -300,21 +300,21 @@
 // in its turn and nothing is lost; the connection ends behind it.
 func TestACommandBehindTheLastAnswer(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
-	r := start(t, 9, primary, replica)
+	r := startRouter(t, 9, primary, replica)
 	c := r.dial(t)
-	ask(c, "1", "look", "5000")
+	sendCommand(c, "1", "look", "5000")
 	<-replica.Queries
 	r.front.BeginDrain()
-	before := counted("commands while draining")
+	before := counterValue("commands while draining")
 	for i := range 3 {
-		ask(c, fmt.Sprint("late", i), "look", "5000")
+		sendCommand(c, fmt.Sprint("late", i), "look", "5000")
 	}
-	for counted("commands while draining") < before+3 {
+	for counterValue("commands while draining") < before+3 {
 		time.Sleep(time.Millisecond)
 	}
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	for i, want := range []string{"row", "57P03", "57P03", "57P03", "end"} {
-		if got := code(until(t, c, 'Z')); got != want {
+		if got := errorCode(readUntil(t, c, 'Z')); got != want {
 			t.Errorf("%d: %q, want %q", i, got, want)
 		}
 	}
@@ -326,22 +326,22 @@
 // TestStoppedWhileNodesHang: what is owed when the router must be gone is answered then.
 func TestStoppedWhileNodesHang(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome, ""), scriptedserver.Start(t, scriptedserver.Welcome)
-	r := start(t, 9, primary, replica)
+	r := startRouter(t, 9, primary, replica)
 	write, waits := r.dial(t), r.dial(t)
-	ask(write, "1", "put", "60000")
+	sendCommand(write, "1", "put", "60000")
 	<-primary.Queries
 	for i := range 30 { // most wait unsent behind a limit
-		ask(waits, fmt.Sprint("w", i), "put", "60000")
+		sendCommand(waits, fmt.Sprint("w", i), "put", "60000")
 	}
 	for r.engine.Unanswered() < 31 {
 		time.Sleep(time.Millisecond)
 	}
 	r.engine.GiveUpAll()
-	if got := brief(until(t, write, 'Z')); got != "58000" {
+	if got := summary(readUntil(t, write, 'Z')); got != "58000" {
 		t.Errorf("a write that may have run: %q", got)
 	}
 	for i := range 30 {
-		if got := brief(until(t, waits, 'Z')); got != "58000" && got != "53300" {
+		if got := summary(readUntil(t, waits, 'Z')); got != "58000" && got != "53300" {
 			t.Errorf("%d: %q", i, got)
 		}
 	}
@@ -353,7 +353,7 @@
 // TestComeWhileLeaving: one that has just come brings its command with its startup, in one segment, and is served once.
 func TestComeWhileLeaving(t *testing.T) {
 	replica := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
-	r := start(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), replica)
+	r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), replica)
 	r.dial(t).Close()
 	r.front.BeginDrain()
 	c, err := net.Dial("tcp", r.addr)
@@ -363,9 +363,9 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), "/* id=1,c=look,t=acme,d=900,cluster=0 */ SELECT '1'"))
-	until(t, c, 'Z')
+	readUntil(t, c, 'Z')
 	for _, want := range []string{"row", "end"} {
-		if got := code(until(t, c, 'Z')); got != want {
+		if got := errorCode(readUntil(t, c, 'Z')); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
@@ -374,15 +374,15 @@
 // TestAShortIdleLimit: a node that closes idle connections soon has each used again all the same, for half of that time.
 func TestAShortIdleLimit(t *testing.T) {
 	s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready)
-	e := &ends{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
-	go e.run()
-	p := backend.New(e.now, e.post, e.after, e, 500_000, 900_000, 9)
+	harness := &poolHarness{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
+	go harness.run()
+	p := backend.New(harness.now, harness.post, harness.after, harness, 500_000, 900_000, 9)
 	p.SetAddress("n0", s.Addr)
 	for i, rest := range []time.Duration{0, 0, 700 * time.Millisecond} {
 		time.Sleep(rest) // past half of the limit, not past the limit
-		e.send(p, "n0", 0)
-		if got := <-e.results; got.o != routing.Answered {
-			t.Fatal(got.o)
+		harness.send(p, "n0", 0)
+		if got := <-harness.results; got.outcome != routing.Answered {
+			t.Fatal(got.outcome)
 		}
 		if n := len(s.Opened()); n != 1+i/2 {
 			t.Errorf("%d connections after %d queries", n, i+1)
@@ -390,19 +390,19 @@
 	}
 }
 
-// TestAnAddressMovesUnderAWait: a dispatch that waits for a connection goes to the node's new address, and the
+// TestAnAddressMovesUnderAWait: an attempt that waits for a connection goes to the node's new address, and the
 // connection that comes up late at the old one carries nothing.
 func TestAnAddressMovesUnderAWait(t *testing.T) {
-	before, after := hold(t), hold(t)
-	p, e := pool(t, 9, &scriptedserver.Node{Addr: before.addr})
-	e.send(p, "n0", 0)
-	old := <-before.came
-	e.mu.Lock()
+	before, after := startHeldNode(t), startHeldNode(t)
+	p, harness := startPool(t, 9, &scriptedserver.Node{Addr: before.addr})
+	harness.send(p, "n0", 0)
+	old := <-before.startups
+	harness.mu.Lock()
 	p.SetAddress("n0", after.addr)
-	e.mu.Unlock()
-	before.up(old)
-	after.up(<-after.came)
-	if got := <-e.results; got.o != routing.Answered || len(before.queries) != 0 || len(after.queries) != 1 {
-		t.Errorf("%d, %d queries at the old address, %d at the new one", got.o, len(before.queries), len(after.queries))
+	harness.mu.Unlock()
+	before.complete(old)
+	after.complete(<-after.startups)
+	if got := <-harness.results; got.outcome != routing.Answered || len(before.queries) != 0 || len(after.queries) != 1 {
+		t.Errorf("%d, %d queries at the old address, %d at the new one", got.outcome, len(before.queries), len(after.queries))
 	}
 }
--- /dev/null
+++ b/internal/engine/router_harness_test.go
@@ -0,0 +1,123 @@
+package engine_test
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"cairntiller/internal/backend"
+	"cairntiller/internal/discovery"
+	"cairntiller/internal/engine"
+	"cairntiller/internal/frontend"
+	"cairntiller/internal/metrics"
+	"cairntiller/internal/pgwire"
+	"cairntiller/internal/routing"
+	"cairntiller/internal/settings"
+	"cairntiller/internal/testcluster/scriptedserver"
+)
+
+// testRouter is the whole router but for discovery, in front of scripted nodes; the first is the primary.
+type testRouter struct {
+	addr   string
+	engine *engine.Engine
+	front  *frontend.Server
+}
+
+// startRouter runs a router that takes so many clients at most.
+func startRouter(t *testing.T, most int, placed ...*scriptedserver.Node) *testRouter {
+	t.Helper()
+	now := engine.NewClock()
+	e := engine.New(now)
+	r := routing.New(7, e.Actions())
+	config, catalog, err := settings.Values{"az": "a", "siblings": "1", "round": "5", "classes.count": "2", "classes.0.name": "look",
+		"classes.0.effect": "safe", "classes.0.aim": "400", "classes.0.hardLimit": "1000", "classes.0.points": "1",
+		"classes.1.name": "put", "classes.1.effect": "unsafe", "classes.1.aim": "400", "classes.1.hardLimit": "1000",
+		"classes.1.points": "1", "domain.readLevel": "any,write", "limits.maxAttempts": "3", "limits.cancel": "true",
+		"tenants.count": "1", "tenants.0.name": "acme", "tenants.0.quotaPerS": "100"}.RoutingConfig(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Configure(config)
+	pool := backend.New(now, e.Post, e.After, e, 250_000, 15_000_000, 99)
+	e.Attach(r, pool)
+	front := frontend.New(now, e, catalog.GroupNumbers, catalog.TenantNumbers, most, 32<<20)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := &discovery.EndpointList{Version: 1, Complete: true}
+	for i, s := range placed {
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: fmt.Sprint("n", i), Address: s.Addr, Zone: "a",
+			Kind: "m", Primary: i == 0})
+	}
+	e.Post(now(), r.Start)
+	e.Post(now(), func(now int64) {
+		e.ApplyEndpointList(now, list)
+		front.SetReady()
+	})
+	go e.Run()
+	go front.Serve(ln)
+	t.Cleanup(e.Stop)
+	return &testRouter{ln.Addr().String(), e, front}
+}
+
+// dial opens a client's connection and waits until the router is ready.
+func (r *testRouter) dial(t *testing.T) net.Conn {
+	t.Helper()
+	for {
+		c, err := net.Dial("tcp", r.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.SetDeadline(time.Now().Add(20 * time.Second))
+		c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), ""))
+		readUntil(t, c, 'Z')
+		if got := readUntil(t, c, 'Z'); got[0] == 'I' {
+			return c
+		}
+		c.Close() // still starting
+	}
+}
+
+// readUntil reads messages up to one of a type, or the end, and returns them in a row.
+func readUntil(t *testing.T, c net.Conn, last byte) (all []byte) {
+	t.Helper()
+	for {
+		f, err := scriptedserver.ReadFrame(c, true)
+		if err != nil {
+			return append(all, "end"...)
+		}
+		if all = append(all, f...); f[0] == last {
+			return all
+		}
+	}
+}
+
+// summary names an answer: the row, or the error's code.
+func summary(p []byte) string {
+	if i := bytes.Index(p, []byte("\x00C")); i >= 0 && p[0] == 'E' {
+		return string(p[i+2 : i+7])
+	}
+	if string(p) == scriptedserver.Row+scriptedserver.Ready {
+		return "row"
+	}
+	return string(p)
+}
+
+// sendCommand writes a command of a group with a client timeout in ms.
+func sendCommand(c net.Conn, id, group, d string) {
+	c.Write(pgwire.AppendQuery(nil, "/* id="+id+",c="+group+",t=acme,d="+d+",cluster=0 */ SELECT '"+id+"'"))
+}
+
+// counterValue is a counter's figure as it is printed.
+func counterValue(name string) (n int64) {
+	var all bytes.Buffer
+	metrics.Print(&all)
+	if _, rest, found := strings.Cut(all.String(), name); found {
+		fmt.Sscan(rest, &n)
+	}
+	return n
+}
