--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -2,6 +2,16 @@
 
 import "cmp"
 
+// How attempts are started, when a request is sent again, and which final answer it has when it is given up.
+
+const (
+	// untilDeadline is the timeout of every attempt: none of its own. What takes too long is found by sweeps, which know
+	// what is usual (outlier_detection.go), and ends at the client's deadline at the latest.
+	untilDeadline = 0
+	// retryAtOnce is the Retry-After of every rejection: clients space their attempts themselves.
+	retryAtOnce = 0
+)
+
 // startAttempt is the last stage: it sends a request to the chosen node.
 func (r *Router) startAttempt(req *request, now int64) decision {
 	n := req.chosen
@@ -13,7 +23,7 @@
 	if r.warmth(n, now) < 1 {
 		n.credit -= req.group.usualResponse
 	}
-	r.actions.StartAttempt(req.id, n.name, 0, startWithin)
+	r.actions.StartAttempt(req.id, n.name, untilDeadline, startWithin)
 	return proceed
 }
 
@@ -42,7 +52,7 @@
 func (r *Router) giveUp(req *request) {
 	req.refundQuota()
 	if req.repeatIsHarmless() {
-		r.actions.RejectWithRetry(req.id, 0)
+		r.actions.RejectWithRetry(req.id, retryAtOnce)
 	} else {
 		r.actions.Fail(req.id)
 	}
