--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -57,7 +57,7 @@
 
 // Run runs it.
 func (c *dutiesCommand) Run() error {
-	return printClosingLine(proof.Duties{Seed: c.Seed, Boxes: c.Size, Short: c.Short, Every: time.Second, Log: logWriter(c.Log), Writes: os.Stdout}.Run())
+	return printClosingLine(proof.Assignment{Seed: c.Seed, Nodes: c.Size, Short: c.Short, Interval: time.Second, Log: logWriter(c.Log), Output: os.Stdout}.Run())
 }
 
 // dutiesSimulationCommand plays shared health checks in simulated time.
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	return printClosingLine(proof.Sizes{Seed: c.Seed, Sizes: sizes, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.AssignmentSimulation{Seed: c.Seed, Sizes: sizes, Output: os.Stdout}.Run())
 }
 
 // statementsCommand plays the classes of statements.
@@ -194,7 +194,7 @@
 // Run runs it.
 func (c *childCommand) Run() error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	return proof.Child(c.File)
+	return proof.RunSharingRouter(c.File)
 }
 
 func main() {
--- a/internal/assignment/evidence.go
+++ b/internal/assignment/evidence.go
@@ -1,8 +1,8 @@
 package assignment
 
 const (
-	// primaryHintMaxAge is the age (us) up to which a peer's report of a node's role is passed on. After an election an
-	// older one is more likely wrong than right.
+	// primaryHintMaxAge is the age (us) up to which a peer's report of a node's role is passed on. It is well under the 5 s
+	// for which a role that a node reported outweighs the endpoint list in the routing module.
 	primaryHintMaxAge = 2_000_000
 	// responseMaxAgeIntervals is the age, in intervals, up to which a peer's report that a node responds or does not is
 	// passed on: after that the next one is overdue.
--- a/internal/testcluster/proof/duties_test.go
+++ b/internal/testcluster/proof/assignment_test.go
@@ -12,25 +12,26 @@
 func TestMain(m *testing.M) {
 	child()
 	if len(os.Args) == 4 && os.Args[1] == "child" {
-		Child(os.Args[3])
+		RunSharingRouter(os.Args[3])
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
 }
 
-// TestDuties plays the short form, and twice with a fault on purpose that it must see.
-func TestDuties(t *testing.T) {
+// TestAssignment plays the short form of the proof, and twice with a planted fault that it must see: instances that never
+// hear one another, and probes that are too rare.
+func TestAssignment(t *testing.T) {
 	for name, c := range map[string]struct {
-		p    Duties
+		p    Assignment
 		want string
 	}{
-		"as it is":                 {Duties{Every: time.Second}, ""},
-		"nobody hears the others":  {Duties{Every: time.Second, Apart: true}, "of the unshared probes"},
-		"probes that are too rare": {Duties{Every: 6 * time.Second}, "went unprobed"},
+		"as it is":                 {Assignment{Interval: time.Second}, ""},
+		"nobody hears the others":  {Assignment{Interval: time.Second, Isolated: true}, "of the unshared probes"},
+		"probes that are too rare": {Assignment{Interval: 6 * time.Second}, "went unprobed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c.p.Seed, c.p.Boxes, c.p.Short, c.p.Log, c.p.Writes = 1, 6, true, io.Discard, io.Discard
+			c.p.Seed, c.p.Nodes, c.p.Short, c.p.Log, c.p.Output = 1, 6, true, io.Discard, io.Discard
 			line, err := c.p.Run()
 			if c.want == "" && (err != nil || !strings.Contains(line, "holds")) {
 				t.Errorf("%v: %s", err, line)
@@ -42,9 +43,9 @@
 	}
 }
 
-// TestSizes is the simulated part at sizes that take seconds.
-func TestSizes(t *testing.T) {
-	line, err := Sizes{Seed: 1, Sizes: [][2]int{{3, 10}, {30, 200}}, Writes: io.Discard}.Run()
+// TestAssignmentSimulation is the simulated part at sizes that take seconds.
+func TestAssignmentSimulation(t *testing.T) {
+	line, err := AssignmentSimulation{Seed: 1, Sizes: [][2]int{{3, 10}, {30, 200}}, Output: io.Discard}.Run()
 	if err != nil || !strings.Contains(line, "holds") {
 		t.Errorf("%v: %s", err, line)
 	}
