--- a/internal/lease/action.go
+++ b/internal/lease/action.go
@@ -8,7 +8,7 @@
 // Send sends a message to a member, which may be this one.
 type Send struct {
 	To      string
-	Message *Message
+	Message Message
 }
 
 // StoreGrant stores a lease's last term and holder, where the voter has a file.
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -295,7 +295,7 @@
 		if !full {
 			length = r.trialLength()
 		}
-		c.voters[i].queue = append(c.voters[i].queue, Item{
+		c.voters[i].queue = append(c.voters[i].queue, WantedLease{
 			Lease:     r.Lease,
 			Term:      term,
 			CarryOver: r.carryOverTerm > 0,
@@ -314,15 +314,15 @@
 		if len(voter.queue) == 0 {
 			continue
 		}
-		parts := splitItems(voter.queue)
+		parts := splitBySize(voter.queue, func(wanted WantedLease) int { return len(wanted.Lease) })
 		voter.queue = nil
 		sent := min(len(parts), maxMessagesPerTick)
 		for _, part := range parts[:sent] {
-			c.send(now, i, &Message{Kind: KindGrantRequest, Items: part})
+			c.send(i, &GrantRequest{RequestHeader: c.newRequest(now, i), Leases: part})
 		}
 		for _, part := range parts[sent:] {
-			for _, item := range part {
-				if r := c.find(item.Lease); r != nil {
+			for _, wanted := range part {
+				if r := c.find(wanted.Lease); r != nil {
 					r.votes[i].askAgainAt = now
 				}
 			}
@@ -330,15 +330,18 @@
 	}
 }
 
-// send sends a voter a request under a new ID and under the number of the voter set that it goes by.
-func (c *Candidate) send(now int64, voter int, m *Message) {
+// newRequest is the header of a request to a voter, under a new ID and the number of the voter set that the voter goes by.
+func (c *Candidate) newRequest(now int64, voter int) RequestHeader {
 	c.lastRequestID++
 	c.requestSentAt[c.lastRequestID] = now
-	m.From = c.name
-	m.Incarnation = c.incarnation
-	m.SetNumber = c.voters[voter].setNumber
-	m.RequestID = c.lastRequestID
-	m.Generation = c.generation
+	return RequestHeader{
+		Header:     Header{From: c.name, Incarnation: c.incarnation, SetNumber: c.voters[voter].setNumber},
+		RequestID:  c.lastRequestID,
+		Generation: c.generation,
+	}
+}
+
+func (c *Candidate) send(voter int, m Message) {
 	c.act(Send{To: c.voters[voter].name, Message: m})
 }
 
@@ -376,46 +379,56 @@
 }
 
 // Receive takes a voter's message.
-func (c *Candidate) Receive(now int64, m *Message) {
-	i, known := c.voterIndex[m.From]
+func (c *Candidate) Receive(now int64, m Message) {
+	voter, known := c.voterIndex[m.Common().From]
 	if !known {
 		return
 	}
-	isResponse := m.Kind == KindGrantResponse || m.Kind == KindRenewResponse
-	if isResponse && m.Requester != c.incarnation {
-		return // an answer to a former process of this name
-	}
-	if len(m.SetNames) > 0 && m.Kind != KindVoterStatus {
-		c.SetVoters(m.SetNumber, m.SetNames)
-	}
-	c.voters[i].setNumber = m.SetNumber
-	if m.Kind == KindTurnNotice {
-		c.takeTurnNotice(now, i, m)
+	switch m := m.(type) {
+	case *TurnNotice:
+		c.voters[voter].setNumber = m.SetNumber
+		c.takeTurnNotice(now, voter, m)
+	case *GrantResponse:
+		sentAt, counts := c.takeResponse(now, voter, &m.ResponseHeader)
+		if !counts {
+			return
+		}
+		for _, answer := range m.Leases {
+			c.takeVerdict(now, voter, sentAt, m, answer)
+		}
+	case *RenewResponse:
+		sentAt, counts := c.takeResponse(now, voter, &m.ResponseHeader)
+		if !counts {
+			return
+		}
+		c.checkRenewedCount(now, voter, m)
+		c.takeRenewal(now, voter, sentAt, m)
 	}
-	if !isResponse {
-		return
+}
+
+// takeResponse takes what every response tells, and finds when its request went out; counts is false where the response is
+// to a former process of this name, or to a request that is too old.
+func (c *Candidate) takeResponse(now int64, voter int, m *ResponseHeader) (sentAt int64, counts bool) {
+	if m.Requester != c.incarnation {
+		return 0, false
 	}
-	sentAt, open := c.requestSentAt[m.RequestID]
-	if !open {
-		return
+	if len(m.SetNames) > 0 {
+		c.SetVoters(m.SetNumber, m.SetNames)
 	}
-	c.compareClocks(c.voters[i], clockReading{requestSentAt: sentAt, receivedAt: now, voterClock: m.VoterClock})
-	if m.Kind == KindGrantResponse {
-		for _, item := range m.Items {
-			c.takeVerdict(now, i, sentAt, m, item)
-		}
-		return
+	c.voters[voter].setNumber = m.SetNumber
+	sentAt, counts = c.requestSentAt[m.RequestID]
+	if counts {
+		c.compareClocks(c.voters[voter], clockReading{requestSentAt: sentAt, receivedAt: now, voterClock: m.VoterClock})
 	}
-	c.checkRenewedCount(now, i, m)
-	c.takeRenewal(now, i, sentAt, m)
+	return sentAt, counts
 }
 
 // takeTurnNotice requests leases of which a voter says that they are free for this process. One voter's notice is not
 // enough while others may still have the lease granted: one that has come back and knows of no holder calls in vain.
-func (c *Candidate) takeTurnNotice(now int64, voter int, m *Message) {
-	for _, item := range m.Items {
-		c.highestTerm = max(c.highestTerm, item.Term)
-		r := c.find(item.Lease)
+func (c *Candidate) takeTurnNotice(now int64, voter int, m *TurnNotice) {
+	for _, free := range m.Leases {
+		c.highestTerm = max(c.highestTerm, free.Term)
+		r := c.find(free.Lease)
 		if r == nil || r.phase != waiting {
 			continue
 		}
@@ -427,9 +440,9 @@
 }
 
 // takeVerdict takes a voter's verdict on one lease. sentAt is when the request went out.
-func (c *Candidate) takeVerdict(now int64, voter int, sentAt int64, m *Message, item Item) {
-	c.highestTerm = max(c.highestTerm, item.Term)
-	r := c.find(item.Lease)
+func (c *Candidate) takeVerdict(now int64, voter int, sentAt int64, m *GrantResponse, answer LeaseVerdict) {
+	c.highestTerm = max(c.highestTerm, answer.Term)
+	r := c.find(answer.Lease)
 	if r == nil || !r.active() {
 		return
 	}
@@ -437,21 +450,21 @@
 		r.ticket = c.highestTerm
 	}
 	v := &r.votes[voter]
-	switch item.Verdict {
+	switch answer.Verdict {
 	case Granted:
-		c.takeGrant(now, r, v, sentAt, m, item)
+		c.takeGrant(now, r, v, sentAt, m, answer)
 	case TermTooLow:
-		if r.phase == requesting && item.Term >= r.term { // what was granted under the present term is of no use
+		if r.phase == requesting && answer.Term >= r.term { // what was granted under the present term is of no use
 			c.announceRelease(now, r, "")
 			c.beginAttempt(now, r)
-		} else if r.phase == holding && item.Term >= max(r.term, r.carryOverTerm) && v.term != item.Term {
+		} else if r.phase == holding && answer.Term >= max(r.term, r.carryOverTerm) && v.term != answer.Term {
 			c.carryOver(now, r)
 		}
 	case HeldByOther, OtherGoesFirst:
-		v.heldByOtherUntil = now + item.Wait
-		v.askAgainAt = now + max(item.Wait, askAgainAfter)
+		v.heldByOtherUntil = now + answer.Wait
+		v.askAgainAt = now + max(answer.Wait, askAgainAfter)
 	case Abstaining, CoolingDown:
-		v.askAgainAt = now + max(item.Wait, askAgainAfter)
+		v.askAgainAt = now + max(answer.Wait, askAgainAfter)
 	case OtherVoterSet:
 		v.askAgainAt = now + askAgainAfter
 		if !c.inSet(m.SetNumber, m.From) {
@@ -462,21 +475,21 @@
 
 // takeGrant counts a vote from when it was asked for, never from its answer: the voter may have granted it at once, and
 // the answer may have come late.
-func (c *Candidate) takeGrant(now int64, r *request, v *vote, sentAt int64, m *Message, item Item) {
-	if !r.ownsTerm(item.Term) {
+func (c *Candidate) takeGrant(now int64, r *request, v *vote, sentAt int64, m *GrantResponse, answer LeaseVerdict) {
+	if !r.ownsTerm(answer.Term) {
 		return
 	}
-	validUntil := sentAt + UsableLength(item.Length, c.maxDrift)
+	validUntil := sentAt + UsableLength(answer.Length, c.maxDrift)
 	if r.ownsTerm(v.term) {
 		validUntil = max(validUntil, v.validUntil)
 	}
 	*v = vote{
-		term:             item.Term,
+		term:             answer.Term,
 		setNumber:        m.SetNumber,
 		voterIncarnation: m.Incarnation,
 		validUntil:       validUntil,
-		length:           item.Length,
-		full:             item.Full && m.Generation == c.generation,
+		length:           answer.Length,
+		full:             answer.Full && m.Generation == c.generation,
 		endedGrants:      m.EndedGrants,
 		generation:       m.Generation,
 		receivedAt:       now,
--- a/internal/lease/candidate_test.go
+++ b/internal/lease/candidate_test.go
@@ -21,37 +21,46 @@
 		now += 5_000
 		c.Tick(now)
 		trials := map[string]map[string]bool{}
-		var answers []*Message
-		for _, o := range c.TakeActions() {
-			sent, is := o.(Send)
-			if !is || sent.Message.Kind != KindGrantRequest {
+		var answers []*GrantResponse
+		for _, action := range c.TakeActions() {
+			sent, is := action.(Send)
+			if !is {
 				continue
 			}
-			a := &Message{Kind: KindGrantResponse, From: sent.To, Incarnation: 2, Requester: 1, SetNumber: 1, RequestID: sent.Message.RequestID, Generation: sent.Message.Generation, VoterClock: now}
-			for _, it := range sent.Message.Items {
-				if !it.Full {
+			request, is := sent.Message.(*GrantRequest)
+			if !is {
+				continue
+			}
+			answer := &GrantResponse{ResponseHeader: ResponseHeader{
+				Header:     Header{From: sent.To, Incarnation: 2, SetNumber: 1},
+				Requester:  1,
+				RequestID:  request.RequestID,
+				Generation: request.Generation,
+				VoterClock: now,
+			}}
+			for _, wanted := range request.Leases {
+				if !wanted.Full {
 					if trials[sent.To] == nil {
 						trials[sent.To] = map[string]bool{}
 					}
-					trials[sent.To][it.Lease] = true
+					trials[sent.To][wanted.Lease] = true
 				}
-				it.Verdict = Granted
-				a.Items = append(a.Items, it)
+				answer.Leases = append(answer.Leases, LeaseVerdict{WantedLease: wanted, Verdict: Granted})
 			}
-			answers = append(answers, a)
+			answers = append(answers, answer)
 		}
 		for to, of := range trials {
 			if len(of) > maxConcurrentAttempts {
 				t.Fatalf("%d leases tried for at %s at once", len(of), to)
 			}
 		}
-		for _, a := range answers {
+		for _, answer := range answers {
 			if round%7 != 0 { // what is not answered is lost
-				c.Receive(now, a)
+				c.Receive(now, answer)
 			}
 		}
-		for _, o := range c.TakeActions() {
-			if acquired, is := o.(Acquired); is {
+		for _, action := range c.TakeActions() {
+			if acquired, is := action.(Acquired); is {
 				held[acquired.Lease] = true
 			}
 		}
--- a/internal/lease/candidate_voters.go
+++ b/internal/lease/candidate_voters.go
@@ -8,11 +8,11 @@
 // votedBy is what a candidate knows of one voter. It keeps its place when the voter set changes.
 type votedBy struct {
 	name          string
-	setNumber     uint64       // of the voter set that it goes by, as far as is known
-	clock         clockReading // the first of the span over which the rates are compared
-	clockOff      bool         // its clock's rate was reported to be out of bound
-	excessRenewed int          // renewals in a row in which it extended more grants than are known
-	queue         []Item       // grant requests to go out with this tick
+	setNumber     uint64        // of the voter set that it goes by, as far as is known
+	clock         clockReading  // the first of the span over which the rates are compared
+	clockOff      bool          // its clock's rate was reported to be out of bound
+	excessRenewed int           // renewals in a row in which it extended more grants than are known
+	queue         []WantedLease //  grant requests to go out with this tick
 }
 
 // clockReading is one comparison of a voter's clock with the own one, in us.
@@ -151,7 +151,7 @@
 // checkRenewedCount finds that a voter extends more grants than are known, again and again: it did not hear that
 // something was given up. Such a grant would be extended for ever together with all others, and nobody could have the
 // lease; a new generation lets it run out.
-func (c *Candidate) checkRenewedCount(now int64, voter int, m *Message) {
+func (c *Candidate) checkRenewedCount(now int64, voter int, m *RenewResponse) {
 	known := 0
 	for _, r := range c.requests {
 		if r == nil || !r.active() {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -4,9 +4,9 @@
 
 // pendingRelease is a lease that was given up and of which the voters are still being told.
 type pendingRelease struct {
-	item   Item
-	sent   int // times
-	sendAt int64
+	released ReleasedLease
+	sent     int // times
+	sendAt   int64
 }
 
 const (
@@ -45,7 +45,7 @@
 	c.renewAt = now + shortest/renewalsPerLength
 	for i := range c.voters {
 		if c.inKnownSet(i) {
-			c.send(now, i, &Message{Kind: KindRenewRequest})
+			c.send(i, &RenewRequest{RequestHeader: c.newRequest(now, i)})
 		}
 	}
 }
@@ -56,7 +56,7 @@
 //   - the voter's count of ended grants is as it was, so that none of this process's ended meanwhile;
 //   - the generation is as it was, since others are not extended;
 //   - the answer to the grant had come before this request went out.
-func (c *Candidate) takeRenewal(now int64, voter int, sentAt int64, m *Message) {
+func (c *Candidate) takeRenewal(now int64, voter int, sentAt int64, m *RenewResponse) {
 	for _, r := range c.requests {
 		if r == nil || !r.active() {
 			continue
@@ -75,21 +75,21 @@
 			c.countVotes(now, r)
 		}
 	}
-	for _, item := range m.Items {
-		c.yieldIfDue(now, item)
+	for _, wanted := range m.Waiting {
+		c.yieldIfDue(now, wanted)
 	}
 }
 
 // yieldIfDue decides whether a holder yields to the first who waits, once a tenure: to a higher priority at once, to
 // others after Request.YieldAfter.
-func (c *Candidate) yieldIfDue(now int64, waiter Item) {
-	r := c.find(waiter.Lease)
-	if r == nil || r.phase != holding || r.term != waiter.Term || r.yieldRequested {
+func (c *Candidate) yieldIfDue(now int64, wanted WaitingLease) {
+	r := c.find(wanted.Lease)
+	if r == nil || r.phase != holding || r.term != wanted.Term || r.yieldRequested {
 		return
 	}
 	reason := ""
 	switch {
-	case waiter.Priority > r.Priority:
+	case wanted.Priority > r.Priority:
 		reason = reasonHigherPriority
 	case r.YieldAfter > 0 && now-r.heldSince >= r.YieldAfter:
 		reason = reasonTurnIsOver
@@ -97,7 +97,7 @@
 		return
 	}
 	r.yieldRequested = true
-	c.act(YieldRequested{Lease: waiter.Lease, Term: waiter.Term, Next: waiter.Holder, Reason: reason})
+	c.act(YieldRequested{Lease: wanted.Lease, Term: wanted.Term, Next: wanted.First, Reason: reason})
 }
 
 // carryOver asks all voters to go on under a later term. A voter that came back, or that granted a trial to another
@@ -195,16 +195,16 @@
 }
 
 func (c *Candidate) addRelease(now int64, lease string, term uint64, next string) {
-	c.releases = append(c.releases, pendingRelease{item: Item{Lease: lease, Term: term, Holder: next}, sendAt: now})
+	c.releases = append(c.releases, pendingRelease{released: ReleasedLease{Lease: lease, Term: term, Next: next}, sendAt: now})
 }
 
 // sendReleases sends the releases that are due, each several times.
 func (c *Candidate) sendReleases(now int64) {
-	var due []Item
+	var due []ReleasedLease
 	pending := c.releases[:0]
 	for _, release := range c.releases {
 		if now >= release.sendAt {
-			due = append(due, release.item)
+			due = append(due, release.released)
 			release.sent++
 			release.sendAt = now + releaseResendAfter
 		}
@@ -220,8 +220,8 @@
 		if !c.inKnownSet(i) {
 			continue
 		}
-		for _, part := range splitItems(due) {
-			c.send(now, i, &Message{Kind: KindRelease, Items: part})
+		for _, part := range splitBySize(due, func(released ReleasedLease) int { return len(released.Lease) + len(released.Next) }) {
+			c.send(i, &Release{RequestHeader: c.newRequest(now, i), Leases: part})
 		}
 	}
 }
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -1,32 +1,136 @@
 package lease
 
-// MessageKind is what a message is for.
-type MessageKind uint8
+// Message is one message between a candidate and a voter, or between two voters: a *GrantRequest, *RenewRequest or
+// *Release from a candidate to a voter, a *GrantResponse, *RenewResponse or *TurnNotice from a voter to a candidate, or a
+// *VoterStatus from a voter to a voter. It must not be changed once it was handed out by a Send action.
+type Message interface {
+	// Common returns what every message carries.
+	Common() *Header
+}
 
-// The kinds of messages. Their numbers go over the wire.
-const (
-	KindGrantRequest  MessageKind = iota + 1 // candidate to voter: grant or extend each of these leases
-	KindRenewRequest                         // candidate to voter: extend all that this process asked for in full under this generation
-	KindRelease                              // candidate to voter: these leases are given up; not answered
-	KindGrantResponse                        // voter to candidate: its verdict on each lease of a grant request
-	KindRenewResponse                        // voter to candidate: how many grants a renewal request extended
-	KindTurnNotice                           // voter to the first who waits: these leases are free for you
-	KindVoterStatus                          // voter to voter, each second: its voter set, term floor and longest lease
-	kindCount
-)
+// Header is what every message carries.
+type Header struct {
+	From        string
+	Incarnation uint64 // the sender's process, a number that no other process of its name has
+	SetNumber   uint64 // of the voter set that the sender goes by; in requests of the one that the receiver is believed to go by
+}
+
+// Common returns the header.
+func (h *Header) Common() *Header { return h }
+
+// RequestHeader is what a candidate's messages carry.
+type RequestHeader struct {
+	Header
+	RequestID  uint64 // counts up within a process
+	Generation uint64 // of the candidate's grants, see Candidate
+}
+
+// ResponseHeader is what a voter's answers carry.
+type ResponseHeader struct {
+	Header
+	Requester   uint64   // incarnation of the candidate that asked
+	RequestID   uint64   // of the request
+	Generation  uint64   // of the request
+	EndedGrants uint64   // the voter's count of ended grants when one of this candidate's last ended
+	VoterClock  int64    // us
+	SetNames    []string // of the voter's set where the candidate asked under another one, else none
+}
+
+// GrantRequest asks a voter to grant or extend each of some leases. It answers with a GrantResponse.
+type GrantRequest struct {
+	RequestHeader
+	Leases []WantedLease
+}
+
+// WantedLease is a lease that a voter is asked for.
+type WantedLease struct {
+	Lease     string
+	Term      uint64
+	Length    int64 // us
+	Full      bool  // for the whole length and not a trial, so that renewal requests extend it
+	CarryOver bool  // its holder carries the lease over to this later term
+	Priority  int8
+	Ticket    uint64 // place in line, the highest term known when the request was made; 0 for none known, behind all others
+}
+
+// RenewRequest asks a voter to extend all that this process asked for in full under this generation. It answers with a
+// RenewResponse.
+type RenewRequest struct{ RequestHeader }
+
+// Release tells a voter that leases are given up. It is not answered.
+type Release struct {
+	RequestHeader
+	Leases []ReleasedLease
+}
+
+// ReleasedLease is a lease that is given up.
+type ReleasedLease struct {
+	Lease string
+	Term  uint64
+	Next  string // member that is to have it next, "" for whoever waits first
+}
+
+// GrantResponse is a voter's answer to a GrantRequest.
+type GrantResponse struct {
+	ResponseHeader
+	Leases []LeaseVerdict
+}
+
+// LeaseVerdict is a voter's verdict on one lease. It repeats what was asked for; Term is the term in the way where it was
+// refused for another one, and Length what the grant was extended by.
+type LeaseVerdict struct {
+	WantedLease
+	Verdict Verdict
+	Holder  string // HeldByOther: who has it
+	Wait    int64  // us that a refused candidate should wait at the most
+}
+
+// RenewResponse is a voter's answer to a RenewRequest.
+type RenewResponse struct {
+	ResponseHeader
+	RenewedCount int // grants that were extended
+	Waiting      []WaitingLease
+}
+
+// WaitingLease is an extended lease that somebody else waits for.
+type WaitingLease struct {
+	Lease     string
+	Term      uint64
+	First     string // member that is first in line
+	Priority  int8   // the first's
+	WaitedFor int64  // us that the first has waited
+}
 
-var kindNames = [...]string{"unknown", "grant request", "renew request", "release", "grant response", "renew response",
-	"turn notice", "voter status"}
+// TurnNotice tells the first in line that leases are free for it.
+type TurnNotice struct {
+	Header
+	VoterClock int64 // us
+	Leases     []FreeLease
+}
 
-// Valid tells whether there is such a kind.
-func (k MessageKind) Valid() bool { return k >= KindGrantRequest && k < kindCount }
+// FreeLease is a lease that is free, and the highest term that was used for it.
+type FreeLease struct {
+	Lease string
+	Term  uint64
+}
+
+// VoterStatus tells another voter, each second, how its sender stands.
+type VoterStatus struct {
+	Header
+	VoterClock   int64    // us
+	SetNames     []string // of the sender's voter set
+	SetAge       int64    // us since it adopted that
+	TermFloor    uint64   // no term up to this is granted anew
+	LongestLease int64    // us
+}
 
-// String names the kind.
-func (k MessageKind) String() string {
-	if !k.Valid() {
-		return kindNames[0]
+// ForVoter tells whether a message is for the receiver's voter; the others are for its candidate.
+func ForVoter(m Message) bool {
+	switch m.(type) {
+	case *GrantRequest, *RenewRequest, *Release, *VoterStatus:
+		return true
 	}
-	return kindNames[k]
+	return false
 }
 
 // Verdict is a voter's answer on one lease.
@@ -35,10 +139,10 @@
 // The verdicts; all but Granted refuse. Their numbers go over the wire.
 const (
 	Granted        Verdict = iota + 1
-	HeldByOther            // another process has it, for Item.Wait at the most
-	TermTooLow             // the term must be above Item.Term
-	OtherGoesFirst         // it is reserved for the first in line, for Item.Wait at the most
-	CoolingDown            // the candidate let leases lapse too often, and gets none for Item.Wait
+	HeldByOther            // another process has it, for LeaseVerdict.Wait at the most
+	TermTooLow             // the term must be above LeaseVerdict.Term
+	OtherGoesFirst         // it is reserved for the first in line, for LeaseVerdict.Wait at the most
+	CoolingDown            // the candidate let leases lapse too often, and gets none for LeaseVerdict.Wait
 	Abstaining             // the voter has just started
 	OtherVoterSet          // candidate and voter go by different voter sets
 	OutOfBounds            // a length or a name out of bounds
@@ -57,61 +161,27 @@
 	return "unknown"
 }
 
-// Item is what a message says of one lease. Times are in microseconds.
-type Item struct {
-	Lease     string
-	Term      uint64
-	Length    int64 // grant request: the length asked for; grant response: what the grant was extended by
-	Full      bool  // grant request: for the whole length and not a trial, so that renewal requests extend it
-	CarryOver bool  // grant request: its holder carries the lease over to this later term
-	Priority  int8
-	Ticket    uint64 // grant request: place in line, the highest term known when the request was made; 0 for none known, behind all others
-	Verdict   Verdict
-	Holder    string // grant response: who has it; release: who is to have it next; renew response: who waits first
-	Wait      int64  // grant response: how long to wait; renew response: how long the first in line has waited
-}
-
-// Message is one message between a candidate and a voter, or between voters. As in etcd's raft it is one type for all
-// kinds; the comments name the kinds that use a field, and all use those without.
-type Message struct {
-	Kind         MessageKind
-	From         string
-	Incarnation  uint64   // the sender's process, a number that no other process of its name has
-	Requester    uint64   // responses: incarnation of the candidate that asked
-	SetNumber    uint64   // number of the voter set that the sender goes by; in requests, that the receiver is believed to go by
-	SetNames     []string // responses: names of the voter's set where the candidate's is another; voter status: always
-	RequestID    uint64   // requests: counts up within a process; responses carry that of their request
-	EndedGrants  uint64   // responses: the voter's count of ended grants when one of this candidate's last ended
-	Generation   uint64   // requests: generation of the candidate's grants; responses carry it back
-	RenewedCount int      // renew response: how many grants were extended
-	VoterClock   int64    // responses, turn notice, voter status: the voter's clock, in us
-	TermFloor    uint64   // voter status: no term up to this is granted anew
-	LongestLease int64    // voter status: longest lease that it grants, in us
-	SetAge       int64    // voter status: us since the voter adopted its set
-	Items        []Item   // grant and renew responses, grant requests, releases, turn notices
-}
-
 const (
 	// MaxNameLength is the longest name of a lease or a member, in bytes.
 	MaxNameLength = 128
 
-	maxItemsSize = 1_000 // bytes of items in a message, so that it fits a datagram with what is put around it
-	itemSize     = 45    // bytes of an encoded item beside its names, at most
+	maxLeasesSize = 1_000 // bytes of leases in a message, so that it fits a datagram with what is put around it
+	leaseSize     = 45    // bytes of an encoded lease beside the names in it, at most
 )
 
-// splitItems divides items over messages so that each fits a datagram: a larger one would be dropped by the network, and
-// with it the answers for all leases in it.
-func splitItems(items []Item) (parts [][]Item) {
+// splitBySize divides leases over messages so that each fits a datagram: a larger one would be dropped by the network, and
+// with it the answers for all leases in it. namesSize is the size of the names of one lease, in bytes.
+func splitBySize[L any](leases []L, namesSize func(L) int) (parts [][]L) {
 	start := 0
 	size := 0
-	for i, item := range items {
-		n := itemSize + len(item.Lease) + len(item.Holder)
-		if size+n > maxItemsSize && i > start {
-			parts = append(parts, items[start:i])
+	for i, one := range leases {
+		n := leaseSize + namesSize(one)
+		if size+n > maxLeasesSize && i > start {
+			parts = append(parts, leases[start:i])
 			start = i
 			size = 0
 		}
 		size += n
 	}
-	return append(parts, items[start:])
+	return append(parts, leases[start:])
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -53,37 +53,65 @@
 	return top, last
 }
 
-// ask gives the voter a question and checks each word of its answer.
-func (m *model) ask(now int64, q *Message) (wrong string) {
+// ask sends the voter a grant request and checks each verdict of its answer.
+func (m *model) ask(now int64, q *GrantRequest) (wrong string) {
 	m.v.Receive(now, q)
 	by := process{q.From, q.Incarnation}
-	for _, o := range m.v.TakeActions() {
-		sent, is := o.(Send)
-		if !is || sent.To != q.From || sent.Message.Kind != KindGrantResponse && sent.Message.Kind != KindRenewResponse {
+	for _, action := range m.v.TakeActions() {
+		answer, is := answerTo(action, &q.RequestHeader).(*GrantResponse)
+		if !is {
 			continue
 		}
-		a := sent.Message
-		if a.RequestID != q.RequestID || a.Requester != q.Incarnation || a.Generation != q.Generation {
-			return "the answer is to another question"
+		if !answers(&answer.ResponseHeader, &q.RequestHeader) {
+			return "the answer is to another request"
 		}
-		if a.Kind == KindRenewResponse {
-			return m.renewed(now, by, q, a)
-		}
-		for i, it := range a.Items {
-			if wrong = m.item(now, by, q, q.Items[i], it); wrong != "" {
+		for i, verdict := range answer.Leases {
+			if wrong = m.verdict(now, by, q, q.Leases[i], verdict); wrong != "" {
 				return wrong
 			}
 		}
+		return ""
 	}
-	return ""
+	return "no answer"
 }
 
-func (m *model) item(now int64, by process, q *Message, want, got Item) string {
+// renew sends the voter a renewal request and checks its answer.
+func (m *model) renew(now int64, q *RenewRequest) (wrong string) {
+	m.v.Receive(now, q)
+	for _, action := range m.v.TakeActions() {
+		answer, is := answerTo(action, &q.RequestHeader).(*RenewResponse)
+		if !is {
+			continue
+		}
+		if !answers(&answer.ResponseHeader, &q.RequestHeader) {
+			return "the answer is to another request"
+		}
+		return m.renewed(now, process{q.From, q.Incarnation}, q, answer)
+	}
+	return "no answer"
+}
+
+// answerTo is the message that an action sends to whoever asked, nil for none.
+func answerTo(action Action, q *RequestHeader) Message {
+	sent, is := action.(Send)
+	if !is || sent.To != q.From {
+		return nil
+	}
+	return sent.Message
+}
+
+// answers tells whether an answer is to a request.
+func answers(a *ResponseHeader, q *RequestHeader) bool {
+	return a.RequestID == q.RequestID && a.Requester == q.Incarnation && a.Generation == q.Generation
+}
+
+// verdict checks one verdict, and notes what was granted.
+func (m *model) verdict(now int64, by process, q *GrantRequest, want WantedLease, got LeaseVerdict) string {
 	live := m.live(now, want.Lease)
 	if got.Verdict != Granted {
 		free := live == nil && now >= m.from && q.SetNumber == 1
 		if top, _ := m.top(want.Lease); got.Verdict == TermTooLow && free && want.Term > max(top, m.floor) {
-			return "a term above all others is called old"
+			return "a term above all others is called too low"
 		}
 		if got.Verdict == HeldByOther && (live == nil || live.by == by && live.term == want.Term) {
 			return "held by nobody else"
@@ -123,7 +151,8 @@
 	return ""
 }
 
-func (m *model) renewed(now int64, by process, q, a *Message) string {
+// renewed checks how many grants a voter extended, and notes them.
+func (m *model) renewed(now int64, by process, q *RenewRequest, a *RenewResponse) string {
 	n := 0
 	for _, all := range m.promises {
 		for _, p := range all {
@@ -140,12 +169,12 @@
 }
 
 // free notes what its holder gave up.
-func (m *model) free(now int64, q *Message) {
+func (m *model) free(now int64, q *Release) {
 	m.v.Receive(now, q)
 	m.v.TakeActions()
-	for _, it := range q.Items {
-		for _, p := range m.promises[it.Lease] {
-			if p.by == (process{q.From, q.Incarnation}) && p.term == it.Term {
+	for _, released := range q.Leases {
+		for _, p := range m.promises[released.Lease] {
+			if p.by == (process{q.From, q.Incarnation}) && p.term == released.Term {
 				p.over = true
 			}
 		}
@@ -164,6 +193,11 @@
 	return &model{v: v, longest: modelLongest, from: modelStart + modelLongest, floor: modelFloor, promises: map[string][]*promise{}}
 }
 
+// askFor is a request for one lease under the model's voter set.
+func askFor(from string, wanted WantedLease) *GrantRequest {
+	return &GrantRequest{RequestHeader: RequestHeader{Header: Header{From: from, SetNumber: 1}}, Leases: []WantedLease{wanted}}
+}
+
 // played is one event, drawn from bytes by fuzzing and from a generator by the other test.
 type played struct {
 	what, who, lease, set, gen uint8
@@ -178,19 +212,18 @@
 	m, now := newModel(), int64(modelStart)
 	for i, e := range all {
 		now += e.after
-		q := &Message{From: string('a' + rune(e.who%4)), Incarnation: uint64(e.who / 4 % 2), SetNumber: uint64(1 + e.set/16%2*(e.set%2)), RequestID: uint64(i + 1), Generation: uint64(e.gen % 3)}
+		header := Header{From: string('a' + rune(e.who%4)), Incarnation: uint64(e.who / 4 % 2), SetNumber: uint64(1 + e.set/16%2*(e.set%2))}
+		request := RequestHeader{Header: header, RequestID: uint64(i + 1), Generation: uint64(e.gen % 3)}
 		name := string('x' + rune(e.lease%3))
 		wrong := ""
 		switch e.what % 8 {
 		case 0, 1, 2, 3:
-			q.Kind, q.Items = KindGrantRequest, []Item{{Lease: name, Term: e.term, Length: e.length, Full: e.full, Priority: int8(e.gen % 2), Ticket: uint64(e.who)}}
-			wrong = m.ask(now, q)
+			wanted := WantedLease{Lease: name, Term: e.term, Length: e.length, Full: e.full, Priority: int8(e.gen % 2), Ticket: uint64(e.who)}
+			wrong = m.ask(now, &GrantRequest{RequestHeader: request, Leases: []WantedLease{wanted}})
 		case 4, 5:
-			q.Kind = KindRenewRequest
-			wrong = m.ask(now, q)
+			wrong = m.renew(now, &RenewRequest{RequestHeader: request})
 		case 6:
-			q.Kind, q.Items = KindRelease, []Item{{Lease: name, Term: e.term}}
-			m.free(now, q)
+			m.free(now, &Release{RequestHeader: request, Leases: []ReleasedLease{{Lease: name, Term: e.term}}})
 		default:
 			m.v.Tick(now)
 			m.v.TakeActions()
@@ -257,13 +290,13 @@
 				c.harm(m.v)
 			}
 			now += e.after
-			wrong = m.ask(now, &Message{Kind: KindGrantRequest, From: string('a' + rune(e.who)), SetNumber: 1, Items: []Item{{Lease: "x", Term: e.term, Length: e.length, Full: true}}})
+			wrong = m.ask(now, askFor(string('a'+rune(e.who)), WantedLease{Lease: "x", Term: e.term, Length: e.length, Full: true}))
 		}
 		if wrong == "" {
 			t.Errorf("%s: unseen", name)
 		}
 	}
-	if wrong := m.ask(10_000_000, &Message{Kind: KindGrantRequest, From: "a", SetNumber: 1, Items: []Item{{Lease: "x", Term: 60, Length: 1_000_000}}}); wrong != "" {
+	if wrong := m.ask(10_000_000, askFor("a", WantedLease{Lease: "x", Term: 60, Length: 1_000_000})); wrong != "" {
 		t.Error(wrong)
 	}
 }
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -118,11 +118,11 @@
 
 func (v *Voter) act(a Action) { v.actions = append(v.actions, a) }
 
-func (v *Voter) send(to string, m *Message) {
-	m.From = v.name
-	m.Incarnation = v.incarnation
-	m.SetNumber = v.set.number
-	v.act(Send{To: to, Message: m})
+func (v *Voter) send(to string, m Message) { v.act(Send{To: to, Message: m}) }
+
+// header is that of a message of this voter.
+func (v *Voter) header() Header {
+	return Header{From: v.name, Incarnation: v.incarnation, SetNumber: v.set.number}
 }
 
 // AbstainsFor tells for how long it still abstains, in us.
@@ -215,19 +215,36 @@
 }
 
 // Receive takes a message.
-func (v *Voter) Receive(now int64, m *Message) {
-	switch m.Kind {
-	case KindGrantRequest:
+func (v *Voter) Receive(now int64, m Message) {
+	switch m := m.(type) {
+	case *GrantRequest:
 		v.answerGrantRequest(now, m)
-	case KindRenewRequest:
+	case *RenewRequest:
 		v.answerRenewRequest(now, m)
-	case KindRelease:
+	case *Release:
 		v.takeRelease(now, m)
-	case KindVoterStatus:
+	case *VoterStatus:
 		v.takeVoterStatus(now, m)
 	}
 }
 
+// response is the header of the answer to a request. sameSet tells whether the candidate asked under the voter set that
+// this voter goes by and belongs to; else nothing is granted, and the answer names the set.
+func (v *Voter) response(now int64, request *RequestHeader) (header ResponseHeader, sameSet bool) {
+	header = ResponseHeader{
+		Header:     v.header(),
+		Requester:  request.Incarnation,
+		RequestID:  request.RequestID,
+		Generation: request.Generation,
+		VoterClock: now,
+	}
+	sameSet = request.SetNumber == v.set.number && v.IsMember()
+	if !sameSet {
+		header.SetNames = v.set.names
+	}
+	return header, sameSet
+}
+
 // session returns that of a process; it is made where the process is new.
 func (v *Voter) session(now int64, by process) *session {
 	s := v.sessions[by]
@@ -241,20 +258,16 @@
 }
 
 // answerGrantRequest answers each lease that is asked for.
-func (v *Voter) answerGrantRequest(now int64, m *Message) {
+func (v *Voter) answerGrantRequest(now int64, m *GrantRequest) {
 	by := process{m.From, m.Incarnation}
-	answer := &Message{Kind: KindGrantResponse, Requester: m.Incarnation, RequestID: m.RequestID, Generation: m.Generation, VoterClock: now}
-	sameSet := m.SetNumber == v.set.number && v.IsMember()
-	if !sameSet {
-		answer.SetNames = v.set.names
-	}
-	for _, item := range m.Items {
+	header, sameSet := v.response(now, &m.RequestHeader)
+	answer := &GrantResponse{ResponseHeader: header}
+	for _, wanted := range m.Leases {
+		verdict := LeaseVerdict{WantedLease: wanted, Verdict: OtherVoterSet}
 		if sameSet {
-			item = v.decide(now, by, m.Generation, item)
-		} else {
-			item.Verdict = OtherVoterSet
+			verdict = v.decide(now, by, m.Generation, wanted)
 		}
-		answer.Items = append(answer.Items, item)
+		answer.Leases = append(answer.Leases, verdict)
 	}
 	if s := v.sessions[by]; s != nil {
 		answer.EndedGrants = s.endedGrants
@@ -265,69 +278,70 @@
 // decide grants, extends or refuses one lease; it is the only way to a grant. There are two ways to Granted: for the
 // process that has a live grant, under the same term or carried over to a later one; and where there is no live grant,
 // under a term that nobody else had here. Every way leads past each of the refusals.
-func (v *Voter) decide(now int64, by process, generation uint64, item Item) Item {
+func (v *Voter) decide(now int64, by process, generation uint64, wanted WantedLease) LeaseVerdict {
+	answer := LeaseVerdict{WantedLease: wanted}
 	switch {
 	case now < v.abstainUntil: // what a former process granted may still run
-		return refuse(item, Abstaining, v.abstainUntil-now)
+		return refuse(answer, Abstaining, v.abstainUntil-now)
 	case len(v.previousNames) > 0: // a majority that goes by the set before the former one may still grant
-		return refuse(item, Abstaining, statusInterval)
-	case item.Length <= 0 || item.Length > v.longestLease || item.Lease == "" || len(item.Lease) > MaxNameLength:
-		return refuse(item, OutOfBounds, 0)
+		return refuse(answer, Abstaining, statusInterval)
+	case answer.Length <= 0 || answer.Length > v.longestLease || answer.Lease == "" || len(answer.Lease) > MaxNameLength:
+		return refuse(answer, OutOfBounds, 0)
 	}
-	g := v.findOrAdd(now, item.Lease)
+	g := v.findOrAdd(now, answer.Lease)
 	if g == nil {
-		return refuse(item, NoCapacity, 0)
+		return refuse(answer, NoCapacity, 0)
 	}
 	v.expire(now, g)
 	if g.granted {
-		return v.decideGranted(now, g, by, generation, item)
+		return v.decideGranted(now, g, by, generation, answer)
 	}
-	sameTermAgain := item.Term == g.term && g.holder == by && !g.released
-	if !sameTermAgain && item.Term <= max(g.term, v.termFloor) {
-		item.Term = max(g.term, v.termFloor)
-		return refuse(item, TermTooLow, 0)
+	sameTermAgain := answer.Term == g.term && g.holder == by && !g.released
+	if !sameTermAgain && answer.Term <= max(g.term, v.termFloor) {
+		answer.Term = max(g.term, v.termFloor)
+		return refuse(answer, TermTooLow, 0)
 	}
 	if left := v.coolDownLeft(now, by.name); left > 0 {
-		return refuse(item, CoolingDown, left)
+		return refuse(answer, CoolingDown, left)
 	}
 	reserved := now < g.reservedUntil && len(g.line) > 0 && g.line[0].name != by.name
-	if reserved && !item.CarryOver {
-		v.enterLine(now, g, by, item)
-		return refuse(item, OtherGoesFirst, g.reservedUntil-now)
+	if reserved && !answer.CarryOver {
+		v.enterLine(now, g, by, answer.WantedLease)
+		return refuse(answer, OtherGoesFirst, g.reservedUntil-now)
 	}
-	return v.grant(now, g, by, generation, item)
+	return v.grant(now, g, by, generation, answer)
 }
 
 // decideGranted decides on a lease that is granted: only its holder may have more of it. Other attempts wait in line.
-func (v *Voter) decideGranted(now int64, g *leaseGrant, by process, generation uint64, item Item) Item {
-	if g.holder == by && item.Term == g.term {
-		return extend(now, g, generation, item)
-	}
-	if g.holder == by && item.CarryOver { // nobody else had it here in between
-		if highest := max(g.term, v.termFloor); item.Term <= highest {
-			item.Term = highest
-			return refuse(item, TermTooLow, 0)
+func (v *Voter) decideGranted(now int64, g *leaseGrant, by process, generation uint64, answer LeaseVerdict) LeaseVerdict {
+	if g.holder == by && answer.Term == g.term {
+		return extend(now, g, generation, answer)
+	}
+	if g.holder == by && answer.CarryOver { // nobody else had it here in between
+		if highest := max(g.term, v.termFloor); answer.Term <= highest {
+			answer.Term = highest
+			return refuse(answer, TermTooLow, 0)
 		}
-		v.setHolder(g, by, item.Term)
-		return extend(now, g, generation, item)
+		v.setHolder(g, by, answer.Term)
+		return extend(now, g, generation, answer)
 	}
-	item.Holder = g.holder.name
-	item.Term = g.term
-	v.enterLine(now, g, by, item)
-	return refuse(item, HeldByOther, g.until-now)
+	answer.Holder = g.holder.name
+	answer.Term = g.term
+	v.enterLine(now, g, by, answer.WantedLease)
+	return refuse(answer, HeldByOther, g.until-now)
 }
 
 // refuse answers that a lease is not granted; wait is in us.
-func refuse(item Item, why Verdict, wait int64) Item {
-	item.Verdict = why
-	item.Wait = max(0, wait)
-	return item
+func refuse(answer LeaseVerdict, why Verdict, wait int64) LeaseVerdict {
+	answer.Verdict = why
+	answer.Wait = max(0, wait)
+	return answer
 }
 
 // grant grants a lease that nobody has, under a term that nobody else had here.
-func (v *Voter) grant(now int64, g *leaseGrant, by process, generation uint64, item Item) Item {
+func (v *Voter) grant(now int64, g *leaseGrant, by process, generation uint64, answer LeaseVerdict) LeaseVerdict {
 	s := v.session(now, by)
-	v.setHolder(g, by, item.Term)
+	v.setHolder(g, by, answer.Term)
 	g.granted = true
 	g.released = false
 	g.until = 0
@@ -337,7 +351,7 @@
 	g.sessionPlace = len(s.leases)
 	s.leases = append(s.leases, g)
 	g.line = removeWaiter(g.line, by.name)
-	return extend(now, g, generation, item)
+	return extend(now, g, generation, answer)
 }
 
 // setHolder notes under which term who has a lease, and lets it be stored.
@@ -352,31 +366,28 @@
 // extend lets a grant last longer; its end never moves back. A grant's length is that of the first full request of the
 // tenure, since a renewal request names none. Its generation never falls: a request that comes late must not take a grant
 // out of what its holder believes to be renewed.
-func extend(now int64, g *leaseGrant, generation uint64, item Item) Item {
-	if item.Full {
+func extend(now int64, g *leaseGrant, generation uint64, answer LeaseVerdict) LeaseVerdict {
+	if answer.Full {
 		if !g.full {
 			g.full = true
-			g.length = item.Length
+			g.length = answer.Length
 		}
-		item.Length = g.length
+		answer.Length = g.length
 		g.generation = max(g.generation, generation)
 	}
-	g.until = max(g.until, now+item.Length)
-	item.Verdict = Granted
-	return item
+	g.until = max(g.until, now+answer.Length)
+	answer.Verdict = Granted
+	return answer
 }
 
 // answerRenewRequest extends all that a process has in full under the generation that it names. What it was granted
 // before and holds no more, because the release was lost, runs out.
-func (v *Voter) answerRenewRequest(now int64, m *Message) {
-	answer := &Message{Kind: KindRenewResponse, Requester: m.Incarnation, RequestID: m.RequestID, Generation: m.Generation, VoterClock: now,
-		EndedGrants: math.MaxUint64} // no count that the candidate may know
+func (v *Voter) answerRenewRequest(now int64, m *RenewRequest) {
+	header, sameSet := v.response(now, &m.RequestHeader)
+	answer := &RenewResponse{ResponseHeader: header}
+	answer.EndedGrants = math.MaxUint64 // no count that the candidate may know
 	s := v.sessions[process{m.From, m.Incarnation}]
-	if m.SetNumber != v.set.number || !v.IsMember() {
-		answer.SetNames = v.set.names
-		s = nil
-	}
-	if s != nil && now >= v.abstainUntil && len(v.previousNames) == 0 {
+	if s != nil && sameSet && now >= v.abstainUntil && len(v.previousNames) == 0 {
 		v.renewAll(now, s, m.Generation, answer)
 		s.lastRequest = now
 		answer.EndedGrants = s.endedGrants
@@ -385,7 +396,7 @@
 }
 
 // renewAll extends a process's full grants of a generation and notes in the answer how many there were, and who waits.
-func (v *Voter) renewAll(now int64, s *session, generation uint64, answer *Message) {
+func (v *Voter) renewAll(now int64, s *session, generation uint64, answer *RenewResponse) {
 	for i := len(s.leases) - 1; i >= 0; i-- { // from the end: one that has run out leaves the list
 		g := s.leases[i]
 		v.expire(now, g)
@@ -394,24 +405,24 @@
 		}
 		answer.RenewedCount++
 		g.until = max(g.until, now+g.length)
-		if len(g.line) > 0 && len(answer.Items) < maxWaitersTold {
+		if len(g.line) > 0 && len(answer.Waiting) < maxWaitersTold {
 			first := g.line[0]
-			answer.Items = append(answer.Items, Item{Lease: g.lease, Term: g.term, Holder: first.name, Priority: first.priority, Wait: now - first.since})
+			answer.Waiting = append(answer.Waiting, WaitingLease{Lease: g.lease, Term: g.term, First: first.name, Priority: first.priority, WaitedFor: now - first.since})
 		}
 	}
 }
 
 // takeRelease takes back what its holder gives up; whom the holder names goes first in line.
-func (v *Voter) takeRelease(now int64, m *Message) {
+func (v *Voter) takeRelease(now int64, m *Release) {
 	by := process{m.From, m.Incarnation}
-	for _, item := range m.Items {
-		g := v.find(item.Lease)
-		if g == nil || g.holder != by || g.term != item.Term {
+	for _, released := range m.Leases {
+		g := v.find(released.Lease)
+		if g == nil || g.holder != by || g.term != released.Term {
 			continue
 		}
 		g.released = true
-		if item.Holder != "" {
-			g.putFirst(now, item.Holder)
+		if released.Next != "" {
+			g.putFirst(now, released.Next)
 		}
 		if g.granted {
 			v.endGrant(now, g)
--- a/internal/lease/voter_set_change.go
+++ b/internal/lease/voter_set_change.go
@@ -92,7 +92,7 @@
 }
 
 // takeVoterStatus takes another voter's status.
-func (v *Voter) takeVoterStatus(now int64, m *Message) {
+func (v *Voter) takeVoterStatus(now int64, m *VoterStatus) {
 	peer, known := v.peers[m.From]
 	if m.From == v.name || !known && len(v.peers) >= maxPeers {
 		return
@@ -111,7 +111,7 @@
 // heard of, and how long leases may be that it may have granted before. It believes only voters whose grants may count
 // together with its own. A floor is above its teller's wall clock, and what was learned of any member might not be heard
 // again after the next start: a term would be granted twice.
-func (v *Voter) learnWhileAbstaining(now int64, m *Message) {
+func (v *Voter) learnWhileAbstaining(now int64, m *VoterStatus) {
 	if now >= v.abstainUntil || !v.set.has(m.From) && !slices.Contains(v.previousNames, m.From) {
 		return
 	}
@@ -138,6 +138,12 @@
 
 // sendStatus tells another voter how this one stands.
 func (v *Voter) sendStatus(now int64, to string) {
-	v.send(to, &Message{Kind: KindVoterStatus, VoterClock: now, TermFloor: v.TermFloor(), LongestLease: v.longestLease,
-		SetAge: now - v.set.adoptedAt, SetNames: v.set.names})
+	v.send(to, &VoterStatus{
+		Header:       v.header(),
+		VoterClock:   now,
+		SetNames:     v.set.names,
+		SetAge:       now - v.set.adoptedAt,
+		TermFloor:    v.TermFloor(),
+		LongestLease: v.longestLease,
+	})
 }
--- a/internal/lease/wait_line.go
+++ b/internal/lease/wait_line.go
@@ -32,14 +32,14 @@
 // enterLine puts a candidate into a lease's line: by priority, then by ticket, then by rendezvous score. Tickets and not
 // the times at which requests came decide, because they are the same at all voters: where each voter has a line of its
 // own, each calls another candidate first, and their votes split again and again.
-func (v *Voter) enterLine(now int64, g *leaseGrant, by process, item Item) {
+func (v *Voter) enterLine(now int64, g *leaseGrant, by process, wanted WantedLease) {
 	if g.granted && g.holder.name == by.name {
 		return // a former process of the holder, or the holder itself under another term
 	}
 	w := waiter{
 		name:     by.name,
-		priority: item.Priority,
-		ticket:   item.Ticket - 1, // 0 stands for no ticket and wraps around to the last place
+		priority: wanted.Priority,
+		ticket:   wanted.Ticket - 1, // 0 stands for no ticket and wraps around to the last place
 		since:    now,
 		lastSeen: now,
 	}
@@ -80,8 +80,8 @@
 	next := g.line[place]
 	g.line = slices.Insert(slices.Delete(g.line, place, place+1), 0, next)
 	g.reservedUntil = now + turnTime
-	notice := Item{Lease: g.lease, Term: max(g.term, v.termFloor)}
-	v.send(next.name, &Message{Kind: KindTurnNotice, VoterClock: now, Items: []Item{notice}})
+	free := FreeLease{Lease: g.lease, Term: max(g.term, v.termFloor)}
+	v.send(next.name, &TurnNotice{Header: v.header(), VoterClock: now, Leases: []FreeLease{free}})
 }
 
 // MemberGone tells that a member left or failed: it waits for nothing any more. What it holds runs out as if it lived.
--- a/internal/lease/wait_line_test.go
+++ b/internal/lease/wait_line_test.go
@@ -7,19 +7,26 @@
 func TestCoolingDownTakesNoTurn(t *testing.T) {
 	v := newModel().v
 	now := int64(modelStart + modelLongest)
-	say := func(kind MessageKind, who string, term, ticket uint64) (called string) {
-		v.Receive(now, &Message{Kind: kind, From: who, SetNumber: 1, Items: []Item{{Lease: "x", Term: term, Length: 1_000_000, Full: true, Ticket: ticket}}})
-		for _, o := range v.TakeActions() {
-			if sent, is := o.(Send); is && sent.Message.Kind == KindTurnNotice {
-				called = sent.To
+	called := func() (name string) {
+		for _, action := range v.TakeActions() {
+			sent, is := action.(Send)
+			if !is {
+				continue
+			}
+			if _, is := sent.Message.(*TurnNotice); is {
+				name = sent.To
 			}
 		}
-		return called
+		return name
+	}
+	ask := func(who string, term, ticket uint64) {
+		v.Receive(now, askFor(who, WantedLease{Lease: "x", Term: term, Length: 1_000_000, Full: true, Ticket: ticket}))
+		v.TakeActions()
 	}
 	for term := range uint64(freeLapses + 2) { // a lets it run out, again and again, while b waits
 		now += 4_000_000 * int64(term)
-		say(KindGrantRequest, "a", 100+term, 1)
-		say(KindGrantRequest, "b", 100, 2)
+		ask("a", 100+term, 1)
+		ask("b", 100, 2)
 		now += 1_000_000
 		v.Tick(now)
 		v.TakeActions()
@@ -27,10 +34,12 @@
 		v.Tick(now)
 		v.TakeActions()
 	}
-	say(KindGrantRequest, "c", 200, 3)
-	say(KindGrantRequest, "a", 199, 1)
-	say(KindGrantRequest, "b", 199, 2)
-	if called := say(KindRelease, "c", 200, 0); called != "b" {
-		t.Errorf("%q is called, though a rests", called)
+	ask("c", 200, 3)
+	ask("a", 199, 1)
+	ask("b", 199, 2)
+	request := RequestHeader{Header: Header{From: "c", SetNumber: 1}}
+	v.Receive(now, &Release{RequestHeader: request, Leases: []ReleasedLease{{Lease: "x", Term: 200}}})
+	if first := called(); first != "b" {
+		t.Errorf("%q is called, though a is cooling down", first)
 	}
 }
--- a/internal/leaseservice/codec.go
+++ b/internal/leaseservice/codec.go
@@ -13,21 +13,33 @@
 // another version, and who can't read a message drops it: to the sender it is as if it were lost.
 const (
 	messageVersion = 1
-	// maxItems is how many leases a message may name: far over what fits a datagram.
-	maxItems = 128
+	// maxLeases is how many leases a message may name: far over what fits a datagram.
+	maxLeases = 128
 	// maxTime bounds clocks and waits, in us, so that sums of them don't overflow.
 	maxTime = int64(1) << 60
 	// maxTerm bounds terms and tickets, so that there is always a later one.
 	maxTerm = uint64(1) << 62
 )
 
+// The kinds of messages on the wire.
+const (
+	kindGrantRequest uint8 = iota + 1
+	kindRenewRequest
+	kindRelease
+	kindGrantResponse
+	kindRenewResponse
+	kindTurnNotice
+	kindVoterStatus
+)
+
 // Why a member's message is dropped; one that is no message at all gives the decoder's error.
 var (
 	ErrOutOfBounds    = errors.New("a field out of bounds")
 	ErrUnknownVersion = errors.New("unknown version")
 )
 
-// wireMessage is lease.Message as it is sent; the order of the fields is that of the array.
+// wireMessage is every kind of lease.Message as it is sent; the order of the fields is that of the array. A kind leaves the
+// fields that it does not have at zero.
 type wireMessage struct {
 	_            struct{} `cbor:",toarray"`
 	Version      int
@@ -44,11 +56,11 @@
 	TermFloor    uint64
 	LongestLease int64
 	SetAge       int64
-	Items        []wireItem
+	Leases       []wireLease
 }
 
-// wireItem is lease.Item as it is sent.
-type wireItem struct {
+// wireLease is one lease of a message as it is sent.
+type wireLease struct {
 	_         struct{} `cbor:",toarray"`
 	Lease     string
 	Term      uint64
@@ -62,46 +74,15 @@
 	Wait      int64
 }
 
-var decoding = codec.StrictDecoder(6, maxItems, 16)
+var decoding = codec.StrictDecoder(6, maxLeases, 16)
 
 // Encode puts a message on the wire, without its sender, whom the membership names.
-func Encode(m *lease.Message) []byte {
-	w := wireMessage{
-		Version:      messageVersion,
-		Kind:         uint8(m.Kind),
-		Incarnation:  m.Incarnation,
-		Requester:    m.Requester,
-		SetNumber:    m.SetNumber,
-		SetNames:     m.SetNames,
-		RequestID:    m.RequestID,
-		EndedGrants:  m.EndedGrants,
-		Generation:   m.Generation,
-		RenewedCount: m.RenewedCount,
-		VoterClock:   m.VoterClock,
-		TermFloor:    m.TermFloor,
-		LongestLease: m.LongestLease,
-		SetAge:       m.SetAge,
-		Items:        make([]wireItem, 0, len(m.Items)),
-	}
-	for _, item := range m.Items {
-		w.Items = append(w.Items, wireItem{
-			Lease:     item.Lease,
-			Term:      item.Term,
-			Length:    item.Length,
-			Full:      item.Full,
-			CarryOver: item.CarryOver,
-			Priority:  item.Priority,
-			Ticket:    item.Ticket,
-			Verdict:   uint8(item.Verdict),
-			Holder:    item.Holder,
-			Wait:      item.Wait,
-		})
-	}
-	return codec.Encode(w)
+func Encode(m lease.Message) []byte {
+	return codec.Encode(toWire(m))
 }
 
 // Decode reads a member's message, all or nothing: one field out of bounds makes the whole message invalid.
-func Decode(from string, raw []byte) (*lease.Message, error) {
+func Decode(from string, raw []byte) (lease.Message, error) {
 	if err := checkVersion(raw); err != nil {
 		return nil, err
 	}
@@ -109,44 +90,157 @@
 	if err := decoding.Unmarshal(raw, &w); err != nil {
 		return nil, err
 	}
-	m := &lease.Message{
-		Kind:         lease.MessageKind(w.Kind),
-		From:         from,
-		Incarnation:  w.Incarnation,
-		Requester:    w.Requester,
-		SetNumber:    w.SetNumber,
-		SetNames:     w.SetNames,
-		RequestID:    w.RequestID,
-		EndedGrants:  w.EndedGrants,
-		Generation:   w.Generation,
-		RenewedCount: w.RenewedCount,
-		VoterClock:   w.VoterClock,
-		TermFloor:    w.TermFloor,
-		LongestLease: w.LongestLease,
-		SetAge:       w.SetAge,
-	}
-	if !messageInBounds(m) {
+	if !w.inBounds() {
 		return nil, ErrOutOfBounds
 	}
-	for _, one := range w.Items {
-		item := lease.Item{
-			Lease:     one.Lease,
-			Term:      one.Term,
-			Length:    one.Length,
-			Full:      one.Full,
-			CarryOver: one.CarryOver,
-			Priority:  one.Priority,
-			Ticket:    one.Ticket,
-			Verdict:   lease.Verdict(one.Verdict),
-			Holder:    one.Holder,
-			Wait:      one.Wait,
+	return fromWire(from, &w)
+}
+
+// toWire is a message as it is sent. Each kind sends its list of leases, an empty one included.
+func toWire(message lease.Message) wireMessage {
+	header := message.Common()
+	w := wireMessage{Version: messageVersion, Incarnation: header.Incarnation, SetNumber: header.SetNumber, Leases: []wireLease{}}
+	switch m := message.(type) {
+	case *lease.GrantRequest:
+		w.Kind = kindGrantRequest
+		w.setRequest(&m.RequestHeader)
+		for i := range m.Leases {
+			w.Leases = append(w.Leases, wantedToWire(&m.Leases[i]))
+		}
+	case *lease.RenewRequest:
+		w.Kind = kindRenewRequest
+		w.setRequest(&m.RequestHeader)
+	case *lease.Release:
+		w.Kind = kindRelease
+		w.setRequest(&m.RequestHeader)
+		for _, released := range m.Leases {
+			w.Leases = append(w.Leases, wireLease{Lease: released.Lease, Term: released.Term, Holder: released.Next})
 		}
-		if !itemInBounds(&item) {
-			return nil, ErrOutOfBounds
+	case *lease.GrantResponse:
+		w.Kind = kindGrantResponse
+		w.setResponse(&m.ResponseHeader)
+		for i := range m.Leases {
+			answer := &m.Leases[i]
+			one := wantedToWire(&answer.WantedLease)
+			one.Verdict = uint8(answer.Verdict)
+			one.Holder = answer.Holder
+			one.Wait = answer.Wait
+			w.Leases = append(w.Leases, one)
 		}
-		m.Items = append(m.Items, item)
+	case *lease.RenewResponse:
+		w.Kind = kindRenewResponse
+		w.setResponse(&m.ResponseHeader)
+		w.RenewedCount = m.RenewedCount
+		for _, waiting := range m.Waiting {
+			w.Leases = append(w.Leases, wireLease{Lease: waiting.Lease, Term: waiting.Term, Holder: waiting.First, Priority: waiting.Priority, Wait: waiting.WaitedFor})
+		}
+	case *lease.TurnNotice:
+		w.Kind = kindTurnNotice
+		w.VoterClock = m.VoterClock
+		for _, free := range m.Leases {
+			w.Leases = append(w.Leases, wireLease{Lease: free.Lease, Term: free.Term})
+		}
+	case *lease.VoterStatus:
+		w.Kind = kindVoterStatus
+		w.VoterClock = m.VoterClock
+		w.SetNames = m.SetNames
+		w.SetAge = m.SetAge
+		w.TermFloor = m.TermFloor
+		w.LongestLease = m.LongestLease
+	}
+	return w
+}
+
+func (w *wireMessage) setRequest(m *lease.RequestHeader) {
+	w.RequestID = m.RequestID
+	w.Generation = m.Generation
+}
+
+func (w *wireMessage) setResponse(m *lease.ResponseHeader) {
+	w.Requester = m.Requester
+	w.RequestID = m.RequestID
+	w.Generation = m.Generation
+	w.EndedGrants = m.EndedGrants
+	w.VoterClock = m.VoterClock
+	w.SetNames = m.SetNames
+}
+
+func wantedToWire(wanted *lease.WantedLease) wireLease {
+	return wireLease{
+		Lease:     wanted.Lease,
+		Term:      wanted.Term,
+		Length:    wanted.Length,
+		Full:      wanted.Full,
+		CarryOver: wanted.CarryOver,
+		Priority:  wanted.Priority,
+		Ticket:    wanted.Ticket,
+	}
+}
+
+// fromWire is the message that a member sent.
+func fromWire(from string, w *wireMessage) (lease.Message, error) {
+	header := lease.Header{From: from, Incarnation: w.Incarnation, SetNumber: w.SetNumber}
+	request := lease.RequestHeader{Header: header, RequestID: w.RequestID, Generation: w.Generation}
+	response := lease.ResponseHeader{
+		Header:      header,
+		Requester:   w.Requester,
+		RequestID:   w.RequestID,
+		Generation:  w.Generation,
+		EndedGrants: w.EndedGrants,
+		VoterClock:  w.VoterClock,
+		SetNames:    w.SetNames,
+	}
+	switch w.Kind {
+	case kindGrantRequest:
+		m := &lease.GrantRequest{RequestHeader: request}
+		for i := range w.Leases {
+			m.Leases = append(m.Leases, wantedFromWire(&w.Leases[i]))
+		}
+		return m, nil
+	case kindRenewRequest:
+		return &lease.RenewRequest{RequestHeader: request}, nil
+	case kindRelease:
+		m := &lease.Release{RequestHeader: request}
+		for _, one := range w.Leases {
+			m.Leases = append(m.Leases, lease.ReleasedLease{Lease: one.Lease, Term: one.Term, Next: one.Holder})
+		}
+		return m, nil
+	case kindGrantResponse:
+		m := &lease.GrantResponse{ResponseHeader: response}
+		for i := range w.Leases {
+			one := &w.Leases[i]
+			m.Leases = append(m.Leases, lease.LeaseVerdict{WantedLease: wantedFromWire(one), Verdict: lease.Verdict(one.Verdict), Holder: one.Holder, Wait: one.Wait})
+		}
+		return m, nil
+	case kindRenewResponse:
+		m := &lease.RenewResponse{ResponseHeader: response, RenewedCount: w.RenewedCount}
+		for _, one := range w.Leases {
+			m.Waiting = append(m.Waiting, lease.WaitingLease{Lease: one.Lease, Term: one.Term, First: one.Holder, Priority: one.Priority, WaitedFor: one.Wait})
+		}
+		return m, nil
+	case kindTurnNotice:
+		m := &lease.TurnNotice{Header: header, VoterClock: w.VoterClock}
+		for _, one := range w.Leases {
+			m.Leases = append(m.Leases, lease.FreeLease{Lease: one.Lease, Term: one.Term})
+		}
+		return m, nil
+	case kindVoterStatus:
+		return &lease.VoterStatus{Header: header, VoterClock: w.VoterClock, SetNames: w.SetNames, SetAge: w.SetAge, TermFloor: w.TermFloor,
+			LongestLease: w.LongestLease}, nil
+	}
+	return nil, ErrOutOfBounds
+}
+
+func wantedFromWire(one *wireLease) lease.WantedLease {
+	return lease.WantedLease{
+		Lease:     one.Lease,
+		Term:      one.Term,
+		Length:    one.Length,
+		Full:      one.Full,
+		CarryOver: one.CarryOver,
+		Priority:  one.Priority,
+		Ticket:    one.Ticket,
 	}
-	return m, nil
 }
 
 // checkVersion reads a message's version by itself, since one of a later version may have other fields.
@@ -162,28 +256,33 @@
 	return nil
 }
 
-// messageInBounds tells whether a message's own fields may be believed.
-func messageInBounds(m *lease.Message) bool {
-	if !m.Kind.Valid() || len(m.SetNames) > lease.MaxVoters || m.RenewedCount < 0 || m.TermFloor > maxTerm {
+// inBounds tells whether a message's fields may be believed, those included that its kind does not have.
+func (w *wireMessage) inBounds() bool {
+	if w.Kind < kindGrantRequest || w.Kind > kindVoterStatus || len(w.SetNames) > lease.MaxVoters || w.RenewedCount < 0 || w.TermFloor > maxTerm {
 		return false
 	}
-	for _, name := range m.SetNames {
+	for _, name := range w.SetNames {
 		if name == "" || len(name) > lease.MaxNameLength {
 			return false
 		}
 	}
-	return within(m.LongestLease, maxLeaseLength) && within(m.SetAge, maxTime) && within(m.VoterClock, maxTime)
+	for i := range w.Leases {
+		if !w.Leases[i].inBounds() {
+			return false
+		}
+	}
+	return within(w.LongestLease, maxLeaseLength) && within(w.SetAge, maxTime) && within(w.VoterClock, maxTime)
 }
 
-// itemInBounds tells whether what a message says of one lease may be believed.
-func itemInBounds(item *lease.Item) bool {
-	if item.Lease == "" || len(item.Lease) > lease.MaxNameLength || len(item.Holder) > lease.MaxNameLength {
+// inBounds tells whether what a message says of one lease may be believed.
+func (l *wireLease) inBounds() bool {
+	if l.Lease == "" || len(l.Lease) > lease.MaxNameLength || len(l.Holder) > lease.MaxNameLength {
 		return false
 	}
-	if item.Term > maxTerm || item.Ticket > maxTerm || item.Verdict > lease.NoCapacity {
+	if l.Term > maxTerm || l.Ticket > maxTerm || l.Verdict > uint8(lease.NoCapacity) {
 		return false
 	}
-	return within(item.Length, maxLeaseLength) && within(item.Wait, maxTime)
+	return within(l.Length, maxLeaseLength) && within(l.Wait, maxTime)
 }
 
 // within tells whether a time is from 0 to a bound.
--- a/internal/leaseservice/codec_test.go
+++ b/internal/leaseservice/codec_test.go
@@ -11,16 +11,18 @@
 // FuzzDecode: a member sends a message with a term or a time that overflows, and a voter's clock runs backwards. Whatever
 // bytes come, what is taken is within its bounds and goes out again as it came in.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(&lease.Message{Kind: lease.KindGrantRequest, Incarnation: 1, SetNumber: 1, RequestID: 9, Generation: 2, Items: []lease.Item{{Lease: "x", Term: 5, Length: 7, Full: true, Ticket: 4}}}))
-	f.Add(Encode(&lease.Message{Kind: lease.KindRenewResponse, Requester: 3, SetNames: []string{"a", "b"}, EndedGrants: 4, RenewedCount: 2, VoterClock: 8}))
-	f.Add(Encode(&lease.Message{Kind: lease.KindVoterStatus, TermFloor: 8, LongestLease: 9, SetAge: 10}))
+	request := lease.RequestHeader{Header: lease.Header{Incarnation: 1, SetNumber: 1}, RequestID: 9, Generation: 2}
+	f.Add(Encode(&lease.GrantRequest{RequestHeader: request, Leases: []lease.WantedLease{{Lease: "x", Term: 5, Length: 7, Full: true, Ticket: 4}}}))
+	f.Add(Encode(&lease.RenewResponse{ResponseHeader: lease.ResponseHeader{Requester: 3, SetNames: []string{"a", "b"}, EndedGrants: 4, VoterClock: 8}, RenewedCount: 2}))
+	f.Add(Encode(&lease.VoterStatus{TermFloor: 8, LongestLease: 9, SetAge: 10}))
 	f.Add([]byte{0x8f, 0x02})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, err := Decode("a", raw)
 		if err != nil {
 			return
 		}
-		if !m.Kind.Valid() || len(m.SetNames) > lease.MaxVoters || m.LongestLease < 0 || m.SetAge < 0 || m.RenewedCount < 0 {
+		w := toWire(m)
+		if w.Kind < kindGrantRequest || w.Kind > kindVoterStatus || len(w.SetNames) > lease.MaxVoters || w.LongestLease < 0 || w.SetAge < 0 || w.RenewedCount < 0 {
 			t.Fatalf("out of bounds: %+v", m)
 		}
 		again, err := Decode("a", Encode(m))
--- a/internal/leaseservice/golden_test.go
+++ b/internal/leaseservice/golden_test.go
@@ -16,26 +16,32 @@
 	"cairntiller/internal/lease"
 )
 
-// goldenMessages are one message of every kind, with every field that it may carry and some that it never does.
-func goldenMessages() map[string]*lease.Message {
-	return map[string]*lease.Message{
-		"ask": {Kind: lease.KindGrantRequest, From: "a", Incarnation: 11, SetNumber: 3, RequestID: 9, Generation: 2, Items: []lease.Item{
+// goldenMessages are one message of every kind, with every field that it may carry.
+func goldenMessages() map[string]lease.Message {
+	candidate := lease.Header{From: "a", Incarnation: 11, SetNumber: 3}
+	voter := lease.Header{From: "a", Incarnation: 5, SetNumber: 3}
+	return map[string]lease.Message{
+		"ask": &lease.GrantRequest{RequestHeader: lease.RequestHeader{Header: candidate, RequestID: 9, Generation: 2}, Leases: []lease.WantedLease{
 			{Lease: "nightly", Term: 1 << 50, Length: 10_000_000, Full: true, Priority: -3, Ticket: 77},
 			{Lease: "task", Term: 6, Length: 400_000, CarryOver: true, Priority: 100}}},
-		"renew": {Kind: lease.KindRenewRequest, From: "a", Incarnation: 11, SetNumber: 3, RequestID: 10, Generation: 2},
-		"free":  {Kind: lease.KindRelease, From: "a", Incarnation: 11, SetNumber: 3, RequestID: 12, Items: []lease.Item{{Lease: "task", Term: 6, Holder: "b"}}},
-		"answer": {Kind: lease.KindGrantResponse, From: "a", Incarnation: 5, Requester: 11, SetNumber: 3, SetNames: []string{"a", "b", "c"}, RequestID: 9, EndedGrants: 4, Generation: 2, VoterClock: 123_456_789,
-			Items: everyVerdict()},
-		"renewed": {Kind: lease.KindRenewResponse, From: "a", Incarnation: 5, Requester: 11, SetNumber: 3, RequestID: 10, EndedGrants: 1<<64 - 1, Generation: 2, RenewedCount: 300, VoterClock: 99,
-			Items: []lease.Item{{Lease: "task", Term: 6, Holder: "c", Priority: 1, Wait: 2_000_000}}},
-		"vacant":   {Kind: lease.KindTurnNotice, From: "a", Incarnation: 5, SetNumber: 3, VoterClock: 99, Items: []lease.Item{{Lease: "task", Term: 6}}},
-		"standing": {Kind: lease.KindVoterStatus, From: "a", Incarnation: 5, SetNumber: 3, SetNames: []string{"a", "b", "c"}, VoterClock: 99, TermFloor: 1 << 60, LongestLease: 10_000_000, SetAge: 5},
+		"renew": &lease.RenewRequest{RequestHeader: lease.RequestHeader{Header: candidate, RequestID: 10, Generation: 2}},
+		"free": &lease.Release{RequestHeader: lease.RequestHeader{Header: candidate, RequestID: 12},
+			Leases: []lease.ReleasedLease{{Lease: "task", Term: 6, Next: "b"}}},
+		"answer": &lease.GrantResponse{ResponseHeader: lease.ResponseHeader{Header: voter, Requester: 11, SetNames: []string{"a", "b", "c"}, RequestID: 9,
+			EndedGrants: 4, Generation: 2, VoterClock: 123_456_789}, Leases: everyVerdict()},
+		"renewed": &lease.RenewResponse{ResponseHeader: lease.ResponseHeader{Header: voter, Requester: 11, RequestID: 10, EndedGrants: 1<<64 - 1,
+			Generation: 2, VoterClock: 99}, RenewedCount: 300,
+			Waiting: []lease.WaitingLease{{Lease: "task", Term: 6, First: "c", Priority: 1, WaitedFor: 2_000_000}}},
+		"vacant": &lease.TurnNotice{Header: voter, VoterClock: 99, Leases: []lease.FreeLease{{Lease: "task", Term: 6}}},
+		"standing": &lease.VoterStatus{Header: voter, SetNames: []string{"a", "b", "c"}, VoterClock: 99, TermFloor: 1 << 60, LongestLease: 10_000_000,
+			SetAge: 5},
 	}
 }
 
-func everyVerdict() (all []lease.Item) {
+func everyVerdict() (all []lease.LeaseVerdict) {
 	for v := lease.Granted; v <= lease.NoCapacity; v++ {
-		all = append(all, lease.Item{Lease: "l" + fmt.Sprint(uint8(v)), Term: uint64(v), Length: 1_000_000, Full: v%2 == 0, Verdict: v, Holder: "b", Wait: int64(v) * 1000})
+		wanted := lease.WantedLease{Lease: "l" + fmt.Sprint(uint8(v)), Term: uint64(v), Length: 1_000_000, Full: v%2 == 0}
+		all = append(all, lease.LeaseVerdict{WantedLease: wanted, Verdict: v, Holder: "b", Wait: int64(v) * 1000})
 	}
 	return all
 }
--- a/internal/leaseservice/service.go
+++ b/internal/leaseservice/service.go
@@ -71,13 +71,13 @@
 	// The candidate's goroutine owns these.
 	candidate      *lease.Candidate
 	guards         map[string]*Guard
-	candidateInbox chan *lease.Message
+	candidateInbox chan lease.Message
 	candidateCalls chan func(now int64)
 
 	// The voter's goroutine owns these.
 	voter        *lease.Voter // nil where it is out of service
 	store        *store       // nil where all is in memory
-	voterInbox   chan *lease.Message
+	voterInbox   chan lease.Message
 	voterCalls   chan func(now int64)
 	listing      listing
 	voterFailure atomic.Pointer[error]
@@ -97,9 +97,9 @@
 		send:           send,
 		incarnation:    newIncarnation(),
 		guards:         map[string]*Guard{},
-		candidateInbox: make(chan *lease.Message, maxInbox),
+		candidateInbox: make(chan lease.Message, maxInbox),
 		candidateCalls: make(chan func(int64), maxCalls),
-		voterInbox:     make(chan *lease.Message, maxInbox),
+		voterInbox:     make(chan lease.Message, maxInbox),
 		voterCalls:     make(chan func(int64), maxCalls),
 		stopped:        make(chan struct{}),
 	}
@@ -183,10 +183,9 @@
 }
 
 // deliver hands a message to the candidate or the voter. Where too many wait it is dropped, as if the network had lost it.
-func (s *Service) deliver(m *lease.Message) {
+func (s *Service) deliver(m lease.Message) {
 	inbox := s.candidateInbox
-	switch m.Kind {
-	case lease.KindGrantRequest, lease.KindRenewRequest, lease.KindRelease, lease.KindVoterStatus:
+	if lease.ForVoter(m) {
 		inbox = s.voterInbox
 	}
 	select {
@@ -197,12 +196,10 @@
 }
 
 // sendMessage sends a message to a member, which may be this one.
-func (s *Service) sendMessage(to string, m *lease.Message) {
+func (s *Service) sendMessage(to string, m lease.Message) {
 	messagesSent.Add()
 	if to == s.self {
-		copied := *m
-		copied.Items = slices.Clone(m.Items) // the sender may still change its own
-		s.deliver(&copied)
+		s.deliver(m)
 		return
 	}
 	if err := s.send(to, membership.KindLease, Encode(m)); err != nil {
--- a/internal/leaseservice/voter_loop.go
+++ b/internal/leaseservice/voter_loop.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func (s *Service) voterReceive(m *lease.Message) {
+func (s *Service) voterReceive(m lease.Message) {
 	if s.voter != nil {
 		s.voter.Receive(s.clock(), m)
 	}
--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -70,7 +70,7 @@
 	until       int64
 	incarnation uint64
 	who, why    string
-	message     *lease.Message
+	message     lease.Message
 }
 
 func formOf(action lease.Action) recordedForm {
@@ -103,18 +103,83 @@
 func writeAction(to io.Writer, at int64, process string, action lease.Action) {
 	o := formOf(action)
 	fmt.Fprintf(to, "%d %s %d %q %q %d %d %d %q %q\n", at, process, o.kind, o.to, o.lease, o.term, o.until, o.incarnation, o.who, o.why)
-	m := o.message
-	if m == nil {
+	if o.message == nil {
 		return
 	}
-	fmt.Fprintf(to, " %d %q %d %d %d %q %d %d %d %d %d %d %d %d\n", m.Kind, m.From, m.Incarnation, m.Requester, m.SetNumber, m.SetNames,
-		m.RequestID, m.EndedGrants, m.Generation, m.RenewedCount, m.VoterClock, m.TermFloor, m.LongestLease, m.SetAge)
-	for _, it := range m.Items {
-		fmt.Fprintf(to, "  %q %d %d %v %v %d %d %d %q %d\n", it.Lease, it.Term, it.Length, it.Full, it.CarryOver, it.Priority, it.Ticket, it.Verdict,
-			it.Holder, it.Wait)
+	m := formOfMessage(o.message)
+	fmt.Fprintf(to, " %d %q %d %d %d %q %d %d %d %d %d %d %d %d\n", m.kind, m.from, m.incarnation, m.requester, m.setNumber, m.setNames,
+		m.requestID, m.endedGrants, m.generation, m.renewedCount, m.voterClock, m.termFloor, m.longestLease, m.setAge)
+	for _, l := range m.leases {
+		fmt.Fprintf(to, "  %q %d %d %v %v %d %d %d %q %d\n", l.Lease, l.Term, l.Length, l.Full, l.CarryOver, l.Priority, l.Ticket, l.Verdict,
+			l.Holder, l.Wait)
 	}
 }
 
+// recordedMessage is a message as it was recorded: one set of fields for all kinds.
+type recordedMessage struct {
+	kind                 int
+	from                 string
+	incarnation          uint64
+	requester            uint64
+	setNumber            uint64
+	setNames             []string
+	requestID            uint64
+	endedGrants          uint64
+	generation           uint64
+	renewedCount         int
+	voterClock           int64
+	termFloor            uint64
+	longestLease, setAge int64
+	leases               []lease.LeaseVerdict
+}
+
+func formOfMessage(message lease.Message) recordedMessage {
+	header := message.Common()
+	r := recordedMessage{from: header.From, incarnation: header.Incarnation, setNumber: header.SetNumber}
+	ofRequest := func(kind int, h *lease.RequestHeader) {
+		r.kind, r.requestID, r.generation = kind, h.RequestID, h.Generation
+	}
+	ofResponse := func(kind int, h *lease.ResponseHeader) {
+		r.kind, r.requestID, r.generation = kind, h.RequestID, h.Generation
+		r.requester, r.endedGrants, r.voterClock, r.setNames = h.Requester, h.EndedGrants, h.VoterClock, h.SetNames
+	}
+	add := func(l lease.LeaseVerdict) { r.leases = append(r.leases, l) }
+	switch m := message.(type) {
+	case *lease.GrantRequest:
+		ofRequest(1, &m.RequestHeader)
+		for _, wanted := range m.Leases {
+			add(lease.LeaseVerdict{WantedLease: wanted})
+		}
+	case *lease.RenewRequest:
+		ofRequest(2, &m.RequestHeader)
+	case *lease.Release:
+		ofRequest(3, &m.RequestHeader)
+		for _, l := range m.Leases {
+			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term}, Holder: l.Next})
+		}
+	case *lease.GrantResponse:
+		ofResponse(4, &m.ResponseHeader)
+		r.leases = m.Leases
+	case *lease.RenewResponse:
+		ofResponse(5, &m.ResponseHeader)
+		r.renewedCount = m.RenewedCount
+		for _, l := range m.Waiting {
+			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term, Priority: l.Priority}, Holder: l.First, Wait: l.WaitedFor})
+		}
+	case *lease.TurnNotice:
+		r.kind, r.voterClock = 6, m.VoterClock
+		for _, l := range m.Leases {
+			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term}})
+		}
+	case *lease.VoterStatus:
+		r.kind, r.voterClock, r.setNames = 7, m.VoterClock, m.SetNames
+		r.termFloor, r.longestLease, r.setAge = m.TermFloor, m.LongestLease, m.SetAge
+	default:
+		panic(fmt.Sprintf("a message of type %T has no recorded form", message))
+	}
+	return r
+}
+
 // TestActionsAsRecorded plays recorded runs again. Someone rewrote the voter or the candidate to read better, and one
 // lease in a thousand was granted a moment later than before: no rule is broken, no other test sees it. Here every
 // action of every process, with each field of each message, goes into a hash in the order in which it was taken; the
--- a/internal/simulation/leasesim/mistakes.go
+++ b/internal/simulation/leasesim/mistakes.go
@@ -9,74 +9,94 @@
 }
 
 // noteAskedUnder notes under which set a request went out, for the planted mistake OldSet.
-func (s *Simulation) noteAskedUnder(p *process, to string, m *Message) {
-	isRequest := m.Kind == lease.KindGrantRequest || m.Kind == lease.KindRenewRequest
-	if s.PlantedMistake == OldSet && isRequest {
+func (s *Simulation) noteAskedUnder(p *process, to string, message Message) {
+	if s.PlantedMistake != OldSet {
+		return
+	}
+	switch m := message.(type) {
+	case *lease.GrantRequest:
+		s.askedUnder[requestKey{p.name, to, m.RequestID}] = m.SetNumber
+	case *lease.RenewRequest:
 		s.askedUnder[requestKey{p.name, to, m.RequestID}] = m.SetNumber
 	}
 }
 
-// tamper plants a mistake in a message as it is read, where the scenario says so.
-func (s *Simulation) tamper(p *process, m *Message) {
-	isGrant := m.Kind == lease.KindGrantResponse
-	isRenewal := m.Kind == lease.KindRenewResponse
+// responseHeader is that of a voter's answer, nil for other messages.
+func responseHeader(message Message) *lease.ResponseHeader {
+	switch m := message.(type) {
+	case *lease.GrantResponse:
+		return &m.ResponseHeader
+	case *lease.RenewResponse:
+		return &m.ResponseHeader
+	}
+	return nil
+}
+
+// tamper plants a mistake in a message as it is read, where the scenario says so. The simulation alone may do this with a
+// message that was sent.
+func (s *Simulation) tamper(p *process, message Message) {
 	switch s.PlantedMistake {
 	case FromAnswer: // as if the request had gone out when the answer came: the newest request's ID
-		if isGrant || isRenewal {
-			m.RequestID = max(m.RequestID, p.candidate.LastRequestID())
+		if response := responseHeader(message); response != nil {
+			response.RequestID = max(response.RequestID, p.candidate.LastRequestID())
 		}
 	case FormerVoter:
-		s.tamperFormerVoter(p, m)
+		s.tamperFormerVoter(p, message)
 	case OldSet:
-		s.tamperOldSet(p, m)
+		s.tamperOldSet(p, message)
 	case ShortVotes:
-		if isGrant {
-			for i := range m.Items {
-				m.Items[i].Length += m.Items[i].Length / 10
+		if m, is := message.(*lease.GrantResponse); is {
+			for i := range m.Leases {
+				m.Leases[i].Length += m.Leases[i].Length / 10
 			}
 		}
 	case HalfMajority:
-		if isGrant && m.Requester == p.incarnation {
+		if m, is := message.(*lease.GrantResponse); is && m.Requester == p.incarnation {
 			s.countTwice(p, m)
 		}
 	case TermReused:
-		if m.Kind == lease.KindVoterStatus {
+		if m, is := message.(*lease.VoterStatus); is {
 			m.TermFloor = 0
 		}
 	}
 }
 
 // tamperFormerVoter lets every process of a voter speak as the first that was heard.
-func (s *Simulation) tamperFormerVoter(p *process, m *Message) {
-	pair := p.name + "<" + m.From
-	switch m.Kind {
-	case lease.KindGrantResponse:
+func (s *Simulation) tamperFormerVoter(p *process, message Message) {
+	pair := p.name + "<" + message.Common().From
+	switch m := message.(type) {
+	case *lease.GrantResponse:
 		if told := p.toldIncarnation[pair]; told != 0 {
 			m.Incarnation = told
 		}
 		p.toldEndedGrants[pair] = m.EndedGrants
 		p.toldIncarnation[pair] = m.Incarnation
-	case lease.KindRenewResponse:
+	case *lease.RenewResponse:
 		m.EndedGrants = p.toldEndedGrants[pair]
 		m.Incarnation = p.toldIncarnation[pair]
 	}
 }
 
 // tamperOldSet lets a voter take requests under any set, and its answer count under the set of the request.
-func (s *Simulation) tamperOldSet(p *process, m *Message) {
-	switch m.Kind {
-	case lease.KindGrantRequest, lease.KindRenewRequest:
+func (s *Simulation) tamperOldSet(p *process, message Message) {
+	switch m := message.(type) {
+	case *lease.GrantRequest:
 		m.SetNumber, _ = p.voter.CurrentSet()
-	case lease.KindGrantResponse, lease.KindRenewResponse:
-		number, known := s.askedUnder[requestKey{p.name, m.From, m.RequestID}]
-		if known && m.Requester == p.incarnation {
-			m.SetNumber = number
-		}
+	case *lease.RenewRequest:
+		m.SetNumber, _ = p.voter.CurrentSet()
+	}
+	response := responseHeader(message)
+	if response == nil {
+		return
+	}
+	number, known := s.askedUnder[requestKey{p.name, response.From, response.RequestID}]
+	if known && response.Requester == p.incarnation {
+		response.SetNumber = number
 	}
 }
 
 // countTwice lets one voter's answer count for two voters.
-func (s *Simulation) countTwice(p *process, m *Message) {
+func (s *Simulation) countTwice(p *process, m *lease.GrantResponse) {
 	for _, name := range s.voterSet(m.SetNumber).Names {
 		if name != m.From {
 			other := *m
--- a/internal/simulation/leasesim/network.go
+++ b/internal/simulation/leasesim/network.go
@@ -1,7 +1,6 @@
 package leasesim
 
 import (
-	"slices"
 	"time"
 
 	"cairntiller/internal/lease"
@@ -42,7 +41,7 @@
 }
 
 // send lets a message out, which may be lost, doubled, or late.
-func (s *Simulation) send(p *process, to string, m *Message) {
+func (s *Simulation) send(p *process, to string, m Message) {
 	i, known := s.processIndex[to]
 	if !known {
 		return
@@ -52,9 +51,7 @@
 		s.figures.Bytes += int64(s.MessageSize(m))
 	}
 	s.hash(hashedSend, p.index, int64(i), hashOf(m))
-	copied := *m // who gets it must not share what the sender still changes
-	copied.Items = slices.Clone(m.Items)
-	arrival := event{kind: arrivalEvent, process: i, message: &copied}
+	arrival := event{kind: arrivalEvent, process: i, message: m}
 	if i == p.index { // to itself it is no message
 		s.schedule(s.Now+1, arrival)
 		return
@@ -72,13 +69,39 @@
 		}
 		s.schedule(at, arrival)
 	}
-	if !s.Calm && m.Kind == lease.KindGrantResponse && s.rng.IntN(400) == 0 { // a voter killed between its vote and its answer's arrival
+	if _, is := m.(*lease.GrantResponse); is && !s.Calm && s.rng.IntN(400) == 0 { // a voter killed between its vote and its answer's arrival
 		s.Kill(p.index, s.rng.Int64N(2*s.Length))
 	}
 }
 
-// hashOf is what of a message goes into the hash of the run.
-func hashOf(m *Message) int64 { return int64(m.Kind)<<40 | int64(m.RequestID) }
+// hashOf is what of a message goes into the hash of the run: its kind, by a number that is part of recorded hashes, and the
+// ID of its request.
+func hashOf(message Message) int64 {
+	kind := 0
+	requestID := uint64(0)
+	switch m := message.(type) {
+	case *lease.GrantRequest:
+		kind = 1
+		requestID = m.RequestID
+	case *lease.RenewRequest:
+		kind = 2
+		requestID = m.RequestID
+	case *lease.Release:
+		kind = 3
+		requestID = m.RequestID
+	case *lease.GrantResponse:
+		kind = 4
+		requestID = m.RequestID
+	case *lease.RenewResponse:
+		kind = 5
+		requestID = m.RequestID
+	case *lease.TurnNotice:
+		kind = 6
+	case *lease.VoterStatus:
+		kind = 7
+	}
+	return int64(kind)<<40 | int64(requestID)
+}
 
 // drawDelay draws how long a message takes, in us.
 func (s *Simulation) drawDelay(way *link) int64 {
@@ -90,7 +113,7 @@
 }
 
 // arrive hands a message to the process that has the name now.
-func (s *Simulation) arrive(p *process, m *Message) {
+func (s *Simulation) arrive(p *process, m Message) {
 	if !p.up {
 		return
 	}
@@ -100,14 +123,13 @@
 		}
 		return
 	}
-	s.hash(hashedArrival, p.index, hashOf(m), int64(m.Incarnation))
+	s.hash(hashedArrival, p.index, hashOf(m), int64(m.Common().Incarnation))
 	s.tamper(p, m)
 	defer s.measure(p, time.Now())
 	own := p.clock(s.Now)
-	switch m.Kind {
-	case lease.KindGrantRequest, lease.KindRenewRequest, lease.KindRelease, lease.KindVoterStatus:
+	if lease.ForVoter(m) {
 		p.voter.Receive(own, m)
-	default:
+	} else {
 		p.candidate.Receive(own, m)
 		p.candidate.Tick(own)
 	}
--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -24,7 +24,7 @@
 	wallOffset  int64   // of its wall clock
 	setNumber   uint64  // of the voter set that its file names
 	cutUntil    int64   // until when faults keep its links cut
-	inbox       []*Message
+	inbox       []Message
 	tenures     []tenure // by lease
 
 	// What it stored, which outlives it.
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -38,7 +38,7 @@
 	Scenario
 	Now         int64  // true time, us
 	Violation   string // the first rule that was broken, "" for none
-	MessageSize func(*Message) int
+	MessageSize func(Message) int
 	Trace       func(at int64, what string)
 	Observe     func(at int64, process string, action lease.Action) // each action, before it is carried out
 	Measure     bool
@@ -82,7 +82,7 @@
 	kind    eventKind
 	process int
 	start   int // tickEvent: of the process, so that what was due for a former one comes to nothing
-	message *Message
+	message Message
 	set     uint64 // fileEvent: number of the voter set in it
 }
 
