--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// waitForPlan prints each change of a plan until nothing more happens to it by itself. Its error is an exit code where the plan is
-// not finished then.
+// waitForPlan prints each change of a plan until nothing more happens to it by itself. Its error is an exit code where
+// the plan is not finished then.
 func waitForPlan(out io.Writer, socket, id string) error {
 	last := ""
 	for ; ; time.Sleep(time.Second) {
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -16,8 +16,8 @@
 	holdsSlot   map[string]bool // by unit
 }
 
-// countUnavailable finds what is unavailable now: units that hold a slot of any plan, members that are out of sight or take no
-// commands, nodes that are not up.
+// countUnavailable finds what is unavailable now: units that hold a slot of any plan, members that are out of sight or
+// take no commands, nodes that are not up.
 func (l *Leader) countUnavailable(now int64, nodes bool) *unavailability {
 	u := &unavailability{byZone: map[string]int{}, byGroup: map[int]int{}, workByGroup: map[int]float64{}, holdsSlot: map[string]bool{}}
 	known := l.plannedUnits(nodes, u.holdsSlot)
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGroupKeepsItsPrimary drains a whole group at once: a primary may go only where a replica is near the log's end, and one node
-// of a group at a time. Else the group would have nobody to write to.
+// TestGroupKeepsItsPrimary drains a whole group at once: a primary may go only where a replica is near the log's end,
+// and one node of a group at a time. Else the group would have nobody to write to.
 func TestGroupKeepsItsPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
 		near        bool
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestUnplannedLossUsesBudget has one of eleven routers lost already: nobody leaves under a budget of one, the plan halts and
-// says why, and it goes on once an operator has answered for the lost one.
+// TestUnplannedLossUsesBudget has one of eleven routers lost already: nobody leaves under a budget of one, the plan
+// halts and says why, and it goes on once an operator has answered for the lost one.
 func TestUnplannedLossUsesBudget(t *testing.T) {
 	f := newTestFleet(t, 10)
 	f.leader.MemberUp("r10") // known, and never heard of
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -12,22 +12,33 @@
 //
 // # A plan's states
 //
-//	running ──all units done──────────────> finished
-//	   │ ▲                                     │
-//	   │ └──resume── halted <──halt, no progress, evidence (restart, nodes, or no rollback wished)
-//	   │               │                       │
-//	   └─evidence──────┴──back─────────────────┴──> going back ──all touched units are back──> back
-//
-// An operator's command gives halt, resume and back. "Evidence" is the canary analysis (canary.go): routers that the plan
-// has touched do worse than those that it has not. "No progress" is the plan's ProgressTimeout without a change of any unit.
+//	in             on                                                     it becomes
+//	running        all waves are done and watched                         finished
+//	running        evidence, where a version can go back                  going back
+//	running        evidence otherwise                                     halted
+//	running        no progress for the plan's ProgressTimeout             halted
+//	running        an operator's halt                                     halted
+//	halted         an operator's resume                                   running
+//	running, halted, finished   an operator's back                        going back
+//	going back     all touched units are back                             back
+//	going back     no progress: units that can't go back become stuck     going back
+//
+// Evidence is the canary analysis (canary.go): routers that the plan has touched do worse than those that it has not.
+// Progress is a change of any unit's phase; a wave that is watched is not held to it.
 //
 // # A unit's phases
 //
-//	waits ──slot granted──> going ──has left──> away ──new process or return──> returning ──proven healthy──> done
-//
-// A unit from going to returning holds a disruption budget slot. It becomes stuck, and keeps the slot, where it can't go
-// back by itself; an operator's forget takes it out of the plan from any phase. A slot is freed by proof or by an
-// operator, never by time.
+//	phase              operators see   it ends when
+//	PhaseWaiting       waits           the budget allows a slot (grantSlot)
+//	PhaseLeaving       going           it has left; a node: no router uses it any more
+//	PhaseUnavailable   away            a new process reports; a node: DrainTime is over, or an operator's return
+//	PhaseReturning     returning       it has proven its health (missingProof)
+//	PhaseDone          done            a rollback sends it again, back to the previous version
+//	PhaseStuck         stuck           it has proven its health after all
+//	PhaseForgotten     forgotten       never; an operator's forget leads here from any phase
+//
+// A unit from PhaseLeaving to PhaseReturning, and in PhaseStuck, holds a slot of the disruption budget. A slot is freed by
+// proof or by an operator, never by time.
 //
 // # Where to look
 //
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -69,8 +69,8 @@
 	l.addMember(member)
 }
 
-// MemberGone tells that a member is gone. It counts as unavailable until it is back or forgotten, also where it left in order:
-// an operator who restarts it by hand takes it out as much as a plan does.
+// MemberGone tells that a member is gone. It counts as unavailable until it is back or forgotten, also where it left in
+// order: an operator who restarts it by hand takes it out as much as a plan does.
 func (l *Leader) MemberGone(member string) {
 	if m := l.members[member]; m != nil {
 		m.reportedAt = 0
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -11,8 +11,8 @@
 // reports of each member come in that time.
 const settleTime = 5_000_000
 
-// statementInterval is the time between statements to each member, in us. One may be lost; a member that restarts hears within
-// that time what is drained.
+// statementInterval is the time between statements to each member, in us. One may be lost; a member that restarts hears
+// within that time what is drained.
 const statementInterval = 1_000_000
 
 // Leader is the part of whoever holds the lease. Its fields outlive a lead where they tell of members and nodes; all
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -79,8 +79,8 @@
 // Statement returns the newest statement, false for none.
 func (m *Member) Statement() (Statement, bool) { return m.newest, m.hasStatement }
 
-// HandleStatement takes a statement of a leader, or of a voter on drained nodes alone. Older ones than the newest are ignored: a
-// message that comes late must neither send anybody out nor bring a drained node back.
+// HandleStatement takes a statement of a leader, or of a voter on drained nodes alone. Older ones than the newest are
+// ignored: a message that comes late must neither send anybody out nor bring a drained node back.
 func (m *Member) HandleStatement(s *Statement) {
 	if m.hasStatement && !isNewer(s.Term, s.Seq, m.newest.Term, m.newest.Seq) {
 		return
--- a/internal/rollout/member_test.go
+++ b/internal/rollout/member_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestMemberHeedsItsOwnProcess sends a member statements that come late or are meant for its former process. It leaves once, by a
-// statement for the process that it is, and takes drained nodes from the newest statement. Heeding the others would send it
-// out a second time, without a slot.
+// TestMemberHeedsItsOwnProcess sends a member statements that come late or are meant for its former process. It leaves
+// once, by a statement for the process that it is, and takes drained nodes from the newest statement. Heeding the
+// others would send it out a second time, without a slot.
 func TestMemberHeedsItsOwnProcess(t *testing.T) {
 	m := NewMember(3)
 	for i, c := range []struct {
--- a/internal/rollout/operator_command_test.go
+++ b/internal/rollout/operator_command_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestCommandIsAppliedOnce has an operator repeat a command whose reply was lost, and two operators give commands of which one must
-// lose. Applied twice, a plan would be started twice, or a resumed plan halted again.
+// TestCommandIsAppliedOnce has an operator repeat a command whose reply was lost, and two operators give commands of
+// which one must lose. Applied twice, a plan would be started twice, or a resumed plan halted again.
 func TestCommandIsAppliedOnce(t *testing.T) {
 	f := newTestFleet(t, 5)
 	start := Command{Type: CommandStart, Token: "a", Plan: Plan{ID: "p", Kind: KindRestart, Units: []string{"r1"}}}
--- a/internal/rollout/replication.go
+++ b/internal/rollout/replication.go
@@ -21,7 +21,8 @@
 
 func (l *Leader) majority() int { return len(l.voters)/2 + 1 }
 
-// tickRecovery asks voters again that have not answered, and all members to report: a record may be recovered by what they say.
+// tickRecovery asks voters again that have not answered, and all members to report: a record may be recovered by what
+// they say.
 func (l *Leader) tickRecovery(now int64) {
 	if now < l.nextReadAt {
 		return
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// How a router that holds a slot goes from phase to phase, and what it has to prove for the slot to be freed. A slot that was
-// freed by time instead would let the next router leave while this one is down.
+// How a router that holds a slot goes from phase to phase, and what it has to prove for the slot to be freed. A slot
+// that was freed by time instead would let the next router leave while this one is down.
 
 const (
 	// minCommandsServed is how many commands a router answers after its return to prove that it serves: a second's work of a
--- a/internal/rollout/voter_test.go
+++ b/internal/rollout/voter_test.go
@@ -11,8 +11,8 @@
 // TestMain fixes the seed of generated tests.
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// TestVoterKeepsNewestRecord has a former leader's writes come late, and writes that were meant for the voter's former process.
-// Kept, they would undo what a later leader decided, and a slot would be granted twice.
+// TestVoterKeepsNewestRecord has a former leader's writes come late, and writes that were meant for the voter's former
+// process. Kept, they would undo what a later leader decided, and a slot would be granted twice.
 func TestVoterKeepsNewestRecord(t *testing.T) {
 	v := NewVoter(7, nil)
 	if state, accepted := v.Read(5); !accepted || !state.MayHaveForgotten || state.Incarnation != 7 || state.Record != nil {
--- a/internal/rolloutservice/codec.go
+++ b/internal/rolloutservice/codec.go
@@ -193,7 +193,8 @@
 	return wireMessage{Kind: kindCommandReply, Token: m.token, OK: m.accepted, Why: m.reason}
 }
 
-// EncodeCommand returns an operator's command as the admin socket's "fleet-word" takes it: JSON with the names of wireCommand.
+// EncodeCommand returns an operator's command as the admin socket's "fleet-word" takes it: JSON with the names of
+// wireCommand.
 func EncodeCommand(c rollout.Command) (string, error) {
 	text, err := json.Marshal(newWireCommand(&c))
 	return string(text), err
--- a/internal/rolloutservice/dispatch.go
+++ b/internal/rolloutservice/dispatch.go
@@ -11,8 +11,8 @@
 	"cairntiller/internal/rollout"
 )
 
-// maxCommandSenders is how many commands' senders are kept until their replies: operators are few, and one that was dropped gives
-// its command again.
+// maxCommandSenders is how many commands' senders are kept until their replies: operators are few, and one that was
+// dropped gives its command again.
 const maxCommandSenders = 256
 
 // sendMessage sends a message, to itself without the network.
--- a/internal/rolloutservice/doc.go
+++ b/internal/rolloutservice/doc.go
@@ -2,8 +2,8 @@
 // own engine which nodes are drained, lets the router leave for its supervisor to start it again, and takes operators'
 // commands. It decides nothing.
 //
-// A Service is one instance's part. Its leader, member and voter run on one goroutine of its own, which owns all their state;
-// other goroutines hand it events by post. A second goroutine stands for the lease.
+// A Service is one instance's part. Its leader, member and voter run on one goroutine of its own, which owns all their
+// state; other goroutines hand it events by post. A second goroutine stands for the lease.
 //
 //   - service.go: the service's life, its goroutines, and what is done each tick
 //   - dispatch.go: messages in, actions out
--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -23,8 +23,8 @@
 // recognized by the sender.
 const notLeadingReason = "that router does not lead any more"
 
-// ErrNoReply is a command that no leader has answered in time. It may have been accepted: given again with the same token it is
-// the same command.
+// ErrNoReply is a command that no leader has answered in time. It may have been accepted: given again with the same
+// token it is the same command.
 var ErrNoReply = errors.New("no reply of a leader")
 
 // CommandRefused is a leader's refusal of a command, in its words for operators.
--- a/internal/simulation/rolloutsim/checks.go
+++ b/internal/simulation/rolloutsim/checks.go
@@ -16,8 +16,8 @@
 	slotForgottenAge = 60_000_000 // us after a router's return in which its slot must have been freed
 )
 
-// checkCommitted checks a record that a leader knows to be kept by a majority of voters: nothing is forgotten, new slots are within
-// the budget, and freed ones were proven.
+// checkCommitted checks a record that a leader knows to be kept by a majority of voters: nothing is forgotten, new
+// slots are within the budget, and freed ones were proven.
 func (w *World) checkCommitted(record *rollout.Record) {
 	before := w.committed
 	w.committed = record
@@ -131,8 +131,8 @@
 	}
 }
 
-// checkNewSlots checks that the slots that are new in a record are within the budget. A former leader's are older than what is
-// missed now and are not held against it.
+// checkNewSlots checks that the slots that are new in a record are within the budget. A former leader's are older than
+// what is missed now and are not held against it.
 func (w *World) checkNewSlots(old, p *rollout.Progress, holders map[holder]bool) {
 	fresh := ""
 	for i, unit := range p.Units {
