--- a/internal/simulation/eventqueue/queue.go
+++ b/internal/simulation/eventqueue/queue.go
@@ -20,12 +20,21 @@
 // entries is a heap, the next due first.
 type entries[E any] []entry[E]
 
+// Len implements heap.Interface.
 func (e entries[E]) Len() int { return len(e) }
+
+// Less implements heap.Interface.
 func (e entries[E]) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
+
+// Swap implements heap.Interface.
 func (e entries[E]) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *entries[E]) Push(x any)   { *e = append(*e, x.(entry[E])) }
+
+// Push implements heap.Interface.
+func (e *entries[E]) Push(x any) { *e = append(*e, x.(entry[E])) }
+
+// Pop implements heap.Interface.
 func (e *entries[E]) Pop() any {
 	old := *e
 	last := old[len(old)-1]
--- a/internal/testcluster/proof/assignment_test.go
+++ b/internal/testcluster/proof/assignment_test.go
@@ -57,7 +57,7 @@
 	if line, err := p.Run(); err != nil || !strings.Contains(line, "holds") {
 		t.Errorf("%v: %s", err, line)
 	}
-	p.Blind = true
+	p.PlantFault = true
 	if line, err := p.Run(); err == nil || !strings.Contains(err.Error(), "misread") || !strings.Contains(line, "FAILS") {
 		t.Errorf("a write called harmless went unseen: %v: %s", err, line)
 	}
--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -11,83 +11,98 @@
 
 // Hidden are the commands by which a proof starts its own program again, as the processes it is made of.
 type Hidden struct {
-	ChildLeases   childLeases   `cmd:"" hidden:""`
-	ChildReleases childReleases `cmd:"" hidden:""`
-	Hold          holdLine      `cmd:"" hidden:""`
-	Keep          keepLine      `cmd:"" hidden:""`
-	BadKeep       badKeepLine   `cmd:"" hidden:""`
-	Work          workLine      `cmd:"" hidden:""`
+	ChildLeases   childLeasesCommand   `cmd:"" hidden:""`
+	ChildReleases childReleasesCommand `cmd:"" hidden:""`
+	Hold          holdCommand          `cmd:"" hidden:""`
+	Keep          keepCommand          `cmd:"" hidden:""`
+	BadKeep       badKeepCommand       `cmd:"" hidden:""`
+	Work          workCommand          `cmd:"" hidden:""`
 }
 
-func exit(code int, err error) error {
+// asExitCode ends the process with the code of the command that it ran.
+func asExitCode(code int, err error) error {
 	if err != nil {
 		return err
 	}
 	return supervisor.ExitCode(code)
 }
 
-type self struct {
+// childFlags is what the command line of a router process says.
+type childFlags struct {
 	Clock, Own, File string
 }
 
-func (s *self) at() process.ChildOptions {
+func (s *childFlags) options() process.ChildOptions {
 	return process.ChildOptions{OperatorFile: s.File, Clock: s.Clock, SourceAddress: s.Own}
 }
 
-func logAll() {
+// logEverything logs to standard error, from level info on.
+func logEverything() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})))
 }
 
-type childLeases struct {
-	self
+// childLeasesCommand runs a router process of the proof of leases.
+type childLeasesCommand struct {
+	childFlags
 	Acts, Name string
 	Bulk       int
 }
 
-func (l *childLeases) Run() error {
-	logAll()
-	return LeaseChild(l.at(), l.Acts, l.Name, l.Bulk)
+// Run runs it.
+func (l *childLeasesCommand) Run() error {
+	logEverything()
+	return LeaseChild(l.options(), l.Acts, l.Name, l.Bulk)
 }
 
-type childReleases struct{ self }
+// childReleasesCommand runs a router process of the proof of rollouts.
+type childReleasesCommand struct{ childFlags }
 
-func (l *childReleases) Run() error {
-	logAll()
-	return process.RunChild(l.at(), nil, nil)
+// Run runs it.
+func (l *childReleasesCommand) Run() error {
+	logEverything()
+	return process.RunChild(l.options(), nil, nil)
 }
 
-type holdLine struct {
+// holdCommand holds a lease and works under it.
+type holdCommand struct {
 	Socket, Clock, Keeper, Acts, Holder string
 	Length                              time.Duration
 	Lease                               string `arg:""`
 }
 
-func (l *holdLine) Run() error {
-	return exit(HoldWork(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
+// Run runs it.
+func (l *holdCommand) Run() error {
+	return asExitCode(HoldWork(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
 }
 
-type keepLine struct {
+// keepCommand supervises a command as the product does.
+type keepCommand struct {
 	Clock string
 	Room  time.Duration
 	Args  []string `arg:"" passthrough:""`
 }
 
-func (l *keepLine) Run() error {
-	return exit(Keep(l.Clock, l.Room, l.Args))
+// Run runs it.
+func (l *keepCommand) Run() error {
+	return asExitCode(Keep(l.Clock, l.Room, l.Args))
 }
 
-type badKeepLine struct {
+// badKeepCommand supervises a command without ending it in time: a planted mistake.
+type badKeepCommand struct {
 	Clock string
 	Room  time.Duration
 	Args  []string `arg:"" passthrough:""`
 }
 
-func (l *badKeepLine) Run() error { return BadKeep(l.Args) }
+// Run runs it.
+func (l *badKeepCommand) Run() error { return BadKeep(l.Args) }
 
-type workLine struct {
+// workCommand works under a lease, unchecked.
+type workCommand struct {
 	Acts, Holder string
 	Span         time.Duration
 	Lease        string `arg:""`
 }
 
-func (l *workLine) Run() error { return Work(l.Acts, l.Holder, l.Lease, l.Span) }
+// Run runs it.
+func (l *workCommand) Run() error { return Work(l.Acts, l.Holder, l.Lease, l.Span) }
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -66,7 +66,7 @@
 		figures = sim.Figures()
 		return figures, figures.Hash, sim.Violation
 	}
-	result.repeated, result.violation = search(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Figures) {
+	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Figures) {
 		result.events += figures.Events
 		result.holds += figures.Holds
 		heldShares += figures.HeldShare
@@ -82,7 +82,7 @@
 	}
 	seeds := make([]int, leasesim.MistakeCount)
 	for mistake := leasesim.None + 1; mistake < leasesim.MistakeCount; mistake++ {
-		seeds[mistake] = first(p.MistakeSeeds, func(seed uint64) bool {
+		seeds[mistake] = firstSeedThat(p.MistakeSeeds, func(seed uint64) bool {
 			sim := leasesim.New(leasesim.MixedFaults(seed).WithMistake(mistake))
 			sim.Run(sim.Span)
 			return sim.Violation != ""
--- a/internal/testcluster/proof/rollout.go
+++ b/internal/testcluster/proof/rollout.go
@@ -64,7 +64,7 @@
 		result = w.Run()
 		return result, result.Hash, w.Violation
 	}
-	sum.equalHashes, sum.violation = search(p.From, p.Seeds, p.Twice, play, func(result rolloutsim.Result) {
+	sum.equalHashes, sum.violation = searchSeeds(p.From, p.Seeds, p.Twice, play, func(result rolloutsim.Result) {
 		sum.events += result.Events
 		sum.leaders += result.Leaders
 	})
@@ -92,7 +92,7 @@
 
 // find is the first seed that shows a planted mistake, -1 for none.
 func (p Rollout) find(m rolloutsim.Mistake) int {
-	return first(p.Plant, func(seed uint64) bool {
+	return firstSeedThat(p.Plant, func(seed uint64) bool {
 		s := rolloutsim.MixedFaults(seed)
 		s.Planted = m
 		w := rolloutsim.New(s)
@@ -114,7 +114,7 @@
 // playVersions plays versions that are as good as the one before, and bad ones.
 func (p Rollout) playVersions() (sum versionsResult) {
 	var mu sync.Mutex
-	each(p.Halts, func(i int) bool {
+	forEachParallel(p.Halts, func(i int) bool {
 		for _, extra := range []float64{0, extraFailures} {
 			w := rolloutsim.New(rolloutsim.VersionRollout(uint64(i), extra))
 			halted := w.Run().HaltsByEvidence > 0
--- a/internal/testcluster/proof/search.go
+++ b/internal/testcluster/proof/search.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// each runs something for so many numbers on all cores, until it says to stop.
-func each(n int, do func(i int) bool) {
+// forEachParallel calls do for the numbers below n on all cores, until one call returns false.
+func forEachParallel(n int, do func(i int) bool) {
 	var next atomic.Int64
 	var stop atomic.Bool
 	var wg sync.WaitGroup
@@ -24,11 +24,12 @@
 	wg.Wait()
 }
 
-// search plays seeds on all cores until one breaks a rule, one in so many of them twice to compare the hashes over all
-// events; sum takes each run's figures, one at a time.
-func search[F any](from uint64, seeds, twice int, play func(seed uint64) (f F, hash uint64, broken string), sum func(F)) (hashes int, broken string) {
+// searchSeeds plays seeds on all cores until one breaks a rule. It plays one seed in twice a second time, to compare the
+// hashes over all events, and returns how many were compared and what was broken. sum gets each run's figures, one call at a
+// time.
+func searchSeeds[F any](from uint64, seeds, twice int, play func(seed uint64) (f F, hash uint64, broken string), sum func(F)) (hashes int, broken string) {
 	var mu sync.Mutex
-	each(seeds, func(i int) bool {
+	forEachParallel(seeds, func(i int) bool {
 		seed := from + uint64(i)
 		f, hash, why := play(seed)
 		again := twice > 0 && i%twice == 0
@@ -54,11 +55,11 @@
 	return hashes, broken
 }
 
-// first is the lowest of the seeds played that shows something, -1 for none of so many.
-func first(most int, shows func(seed uint64) bool) (seed int) {
+// firstSeedThat returns the lowest of the seeds played, from 0 up to most, that shows something, -1 for none.
+func firstSeedThat(most int, shows func(seed uint64) bool) (seed int) {
 	seed = -1
 	var mu sync.Mutex
-	each(most, func(i int) bool {
+	forEachParallel(most, func(i int) bool {
 		if !shows(uint64(i)) {
 			return true
 		}
