--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -11,14 +11,14 @@
 	"cairntiller/internal/sql"
 )
 
-type classifyLine struct {
+type classifyCommand struct {
 	Input string `arg:"" optional:"" name:"statements" help:"A file of statements; standard input without one."`
 	File  string `type:"existingfile" placeholder:"FILE" help:"The operator's file, whose part statements tells of functions, types and views."`
 	Lines bool   `help:"One statement a line. Otherwise a line that holds only ;; parts them."`
 }
 
 // Run prints class, cost, shape, route and reason of each statement, with tabs between; a dash for what is not known.
-func (l *classifyLine) Run(out io.Writer) error {
+func (l *classifyCommand) Run(out io.Writer) error {
 	file, err := sexp.EmptyFile(), error(nil)
 	if l.File != "" {
 		if file, err = sexp.ReadFile(l.File); err != nil {
@@ -49,7 +49,7 @@
 	w := bufio.NewWriter(out)
 	defer w.Flush()
 	reader := cache.NewClassifier()
-	return statements(in, l.Lines, func(text string) error {
+	return forEachStatement(in, l.Lines, func(text string) error {
 		e, _, err := reader.Classify(text, nil)
 		if err != nil {
 			_, err = fmt.Fprintf(w, "refused\t-\t-\t-\t%v\n", err)
@@ -59,18 +59,18 @@
 		if reason == "" {
 			reason = "-"
 		}
-		_, err = fmt.Fprintf(w, "%v\t-\t%s\t-\t%s\n", e.Class, e.Shape, oneLine(reason))
+		_, err = fmt.Fprintf(w, "%v\t-\t%s\t-\t%s\n", e.Class, e.Shape, singleLine(reason))
 		return err
 	})
 }
 
-// oneLine keeps a name with a tab or a line's end in it from being taken for more.
-func oneLine(s string) string {
+// singleLine keeps a name with a tab or a line's end in it from being taken for more.
+func singleLine(s string) string {
 	return strings.NewReplacer("\t", " ", "\n", " ", "\r", " ").Replace(s)
 }
 
-// statements gives each statement of an input to do, in turn.
-func statements(in io.Reader, lines bool, do func(string) error) error {
+// forEachStatement gives each statement of an input to do, in turn.
+func forEachStatement(in io.Reader, lines bool, do func(string) error) error {
 	r := bufio.NewReader(in)
 	var text strings.Builder
 	some := false // the statement under way has a line
--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -26,25 +26,25 @@
 	demoWaited   = 12 * time.Millisecond   // a read that took longer waited: a node needs two
 )
 
-type demoLine struct {
-	Groups  int           `default:"2" help:"Node groups, each of one primary and two replicas."`
-	Seconds time.Duration `name:"for" default:"8s" help:"How long to send commands; a primary dies half-way."`
-	Seed    uint64        `default:"1" help:"For the mix of commands."`
-	Stay    bool          `help:"Stay up afterwards, for a client of your own, until Ctrl-C."`
+type demoCommand struct {
+	Groups   int           `default:"2" help:"Node groups, each of one primary and two replicas."`
+	Duration time.Duration `name:"for" default:"8s" help:"How long to send commands; a primary dies half-way."`
+	Seed     uint64        `default:"1" help:"For the mix of commands."`
+	Stay     bool          `help:"Stay up afterwards, for a client of your own, until Ctrl-C."`
 }
 
-// tally is what the demo's clients saw.
-type tally struct {
+// observations are what the demo's clients saw.
+type observations struct {
 	sync.Mutex
-	answered, throttled, failed, dropped int
-	waited                               int
-	longest                              time.Duration
-	writes                               [][2]time.Time // of the group that loses its primary: sent, answered
-	broken                               []string
+	answered, rejected, failed, disconnected int
+	readsThatWaited                          int
+	longestWait                              time.Duration
+	writes                                   [][2]time.Time // of the group that loses its primary: sent, answered
+	violations                               []string
 }
 
-func (l *demoLine) Run(out io.Writer) error {
-	if l.Groups < 1 || l.Groups > 20 || l.Seconds < 4*time.Second {
+func (l *demoCommand) Run(out io.Writer) error {
+	if l.Groups < 1 || l.Groups > 20 || l.Duration < 4*time.Second {
 		return fmt.Errorf("from 1 to 20 groups, and 4 seconds at least")
 	}
 	s, err := cluster.New(l.Seed, l.Groups, 3)
@@ -62,17 +62,17 @@
 		return err
 	}
 	fmt.Fprintf(out, "%d nodes in %d groups, discovery at %s, a router at %s\n", 3*l.Groups, l.Groups, s.Discovery.Address(), r.Address)
-	fmt.Fprintf(out, "%d sessions write, read their own writes and read anything, for %v\n\n", demoSessions, l.Seconds)
+	fmt.Fprintf(out, "%d sessions write, read their own writes and read anything, for %v\n\n", demoSessions, l.Duration)
 
-	var seen tally
-	end := time.Now().Add(l.Seconds)
+	var seen observations
+	end := time.Now().Add(l.Duration)
 	var all sync.WaitGroup
 	for i := range demoSessions {
 		all.Go(func() { l.session(r, i, end, &seen) })
 	}
-	time.Sleep(l.Seconds / 2)
-	calm := seen.line()
-	counts := commands(s.Database)
+	time.Sleep(l.Duration / 2)
+	calm := seen.summary()
+	counts := commandCounts(s.Database)
 	victim, heir := s.Database.Nodes()[0], s.Database.Nodes()[1]
 	died := time.Now()
 	victim.Kill()
@@ -87,13 +87,13 @@
 	fmt.Fprintf(out, "%9v  discovery tells of it\n", time.Since(died).Round(time.Millisecond))
 	all.Wait()
 
-	first, gap := seen.changeOver(died)
+	first, gap := seen.failoverTimes(died)
 	fmt.Fprintf(out, "%9v  the first write of group 0 is answered again; none was for %v\n", first.Round(time.Millisecond), gap.Round(time.Millisecond))
-	fmt.Fprintf(out, "at the end %s\n\n", seen.line())
-	table(out, s.Database, counts)
+	fmt.Fprintf(out, "at the end %s\n\n", seen.summary())
+	printNodes(out, s.Database, counts)
 	fmt.Fprintf(out, "\n%d reads of a session's own row waited for a replica to reach its last write, %v at the longest\n",
-		seen.waited, seen.longest.Round(time.Millisecond))
-	if broken := append(seen.broken, s.Database.Violations()...); len(broken) > 0 {
+		seen.readsThatWaited, seen.longestWait.Round(time.Millisecond))
+	if broken := append(seen.violations, s.Database.Violations()...); len(broken) > 0 {
 		for _, one := range broken {
 			fmt.Fprintln(out, "broken:", one)
 		}
@@ -120,7 +120,7 @@
 }
 
 // session sends one client's mix until the end.
-func (l *demoLine) session(r *cluster.Router, i int, end time.Time, seen *tally) {
+func (l *demoCommand) session(r *cluster.Router, i int, end time.Time, seen *observations) {
 	rng := rand.New(rand.NewPCG(l.Seed, uint64(i)))
 	c := r.NewSession(fmt.Sprint("session", i))
 	defer c.Close()
@@ -140,16 +140,16 @@
 		seen.Lock()
 		switch {
 		case err != nil:
-			seen.dropped++
+			seen.disconnected++
 		case a.ErrorCode == "53300":
-			seen.throttled++
+			seen.rejected++
 		case a.ErrorCode != "":
 			seen.failed++
 		default:
 			seen.answered++
 			if kind >= 2 && kind < 6 && a.Took > demoWaited {
-				seen.waited++
-				seen.longest = max(seen.longest, a.Took)
+				seen.readsThatWaited++
+				seen.longestWait = max(seen.longestWait, a.Took)
 			}
 			if kind < 2 && group == 0 {
 				seen.writes = append(seen.writes, [2]time.Time{began, began.Add(a.Took)})
@@ -159,18 +159,18 @@
 		time.Sleep(time.Duration(rng.Int64N(int64(2 * demoPause))))
 	}
 	seen.Lock()
-	seen.broken = append(seen.broken, c.Violations...)
+	seen.violations = append(seen.violations, c.Violations...)
 	seen.Unlock()
 }
 
-func (t *tally) line() string {
+func (t *observations) summary() string {
 	t.Lock()
 	defer t.Unlock()
-	return fmt.Sprintf("%d answered, %d throttled, %d failed, %d connections ended", t.answered, t.throttled, t.failed, t.dropped)
+	return fmt.Sprintf("%d answered, %d throttled, %d failed, %d connections ended", t.answered, t.rejected, t.failed, t.disconnected)
 }
 
-// changeOver is when the first write after a death was answered, since it, and the longest time without one.
-func (t *tally) changeOver(died time.Time) (first, gap time.Duration) {
+// failoverTimes returns when the first write after a death was answered, since it, and the longest time without one.
+func (t *observations) failoverTimes(died time.Time) (first, gap time.Duration) {
 	t.Lock()
 	defer t.Unlock()
 	slices.SortFunc(t.writes, func(a, b [2]time.Time) int { return a[1].Compare(b[1]) })
@@ -185,7 +185,7 @@
 	return first, gap
 }
 
-func commands(c *database.Cluster) map[string]int {
+func commandCounts(c *database.Cluster) map[string]int {
 	counts := map[string]int{}
 	for _, n := range c.Nodes() {
 		counts[n.Name] = n.QueryCount()
@@ -193,8 +193,8 @@
 	return counts
 }
 
-// table prints what went where, before and after the death.
-func table(out io.Writer, c *database.Cluster, before map[string]int) {
+// printNodes prints what went where, before and after the death.
+func printNodes(out io.Writer, c *database.Cluster, before map[string]int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "node\trole\tcommands before\tafter\tprobes\t")
 	for _, n := range c.Nodes() {
--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -14,18 +14,18 @@
 	"cairntiller/internal/supervisor"
 )
 
-// fleetLine are the commands on rollout plans; the running router that each reaches by its socket hands it to whoever leads.
-type fleetLine struct {
-	Status fleetStatusLine `cmd:"" help:"Plans and how they stand."`
-	Plan   fleetPlanLine   `cmd:"" help:"Read a plan and print its waves and the greatest number out; nothing is begun."`
-	Start  fleetStartLine  `cmd:"" help:"Begin a plan."`
-	Halt   fleetHaltLine   `cmd:"" help:"Let nobody new go out by a plan; who is out may come back."`
-	Resume fleetResumeLine `cmd:"" help:"Go on with a halted plan."`
-	Back   fleetBackLine   `cmd:"" help:"Bring what a plan touched back."`
-	Drain  fleetDrainLine  `cmd:"" help:"Drain nodes until they are returned."`
-	Return fleetReturnLine `cmd:"" help:"Bring a drained node back."`
-	Forget fleetForgetLine `cmd:"" help:"Answer for a unit that is out, or a member that is missed for good."`
-	Begin  fleetBeginLine  `cmd:"" help:"Go on from what is left, where voters have forgotten what they kept."`
+// fleetCommands are the commands on rollout plans; the running router that each reaches by its socket hands it to whoever leads.
+type fleetCommands struct {
+	Status fleetStatusCommand `cmd:"" help:"Plans and how they stand."`
+	Plan   fleetPlanCommand   `cmd:"" help:"Read a plan and print its waves and the greatest number out; nothing is begun."`
+	Start  fleetStartCommand  `cmd:"" help:"Begin a plan."`
+	Halt   fleetHaltCommand   `cmd:"" help:"Let nobody new go out by a plan; who is out may come back."`
+	Resume fleetResumeCommand `cmd:"" help:"Go on with a halted plan."`
+	Back   fleetBackCommand   `cmd:"" help:"Bring what a plan touched back."`
+	Drain  fleetDrainCommand  `cmd:"" help:"Drain nodes until they are returned."`
+	Return fleetReturnCommand `cmd:"" help:"Bring a drained node back."`
+	Forget fleetForgetCommand `cmd:"" help:"Answer for a unit that is out, or a member that is missed for good."`
+	Begin  fleetBeginCommand  `cmd:"" help:"Go on from what is left, where voters have forgotten what they kept."`
 }
 
 // exitHalted tells that a plan that was waited for halted or went back.
@@ -52,7 +52,7 @@
 	return nil
 }
 
-type fleetStatusLine struct {
+type fleetStatusCommand struct {
 	socketFlag
 	JSON bool `help:"Print JSON."`
 }
@@ -63,7 +63,7 @@
 	return s, err
 }
 
-func (l *fleetStatusLine) Run(out io.Writer) error {
+func (l *fleetStatusCommand) Run(out io.Writer) error {
 	s, err := status(l.Socket)
 	if err != nil {
 		return err
@@ -92,11 +92,11 @@
 	return w.Flush()
 }
 
-type fleetPlanLine struct {
+type fleetPlanCommand struct {
 	File string `arg:"" type:"existingfile" help:"A file with one part (plan …)."`
 }
 
-func (l *fleetPlanLine) Run(out io.Writer) error {
+func (l *fleetPlanCommand) Run(out io.Writer) error {
 	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
 		return err
@@ -109,13 +109,13 @@
 	return nil
 }
 
-type fleetStartLine struct {
+type fleetStartCommand struct {
 	commandFlags
 	Wait bool   `help:"Wait for its end and print how it goes on; the exit code is 3 where it halts or goes back."`
 	File string `arg:"" type:"existingfile" help:"A file with one part (plan …)."`
 }
 
-func (l *fleetStartLine) Run(out io.Writer) error {
+func (l *fleetStartCommand) Run(out io.Writer) error {
 	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
 		return err
@@ -158,36 +158,36 @@
 	}
 }
 
-// planArg is what a command on one plan takes.
-type planArg struct {
+// planCommand is what a command on one plan takes.
+type planCommand struct {
 	commandFlags
 	ID string `arg:"" help:"The plan."`
 }
 
-type fleetHaltLine struct{ planArg }
+type fleetHaltCommand struct{ planCommand }
 
-func (l *fleetHaltLine) Run(out io.Writer) error {
+func (l *fleetHaltCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandHalt, PlanID: l.ID})
 }
 
-type fleetResumeLine struct{ planArg }
+type fleetResumeCommand struct{ planCommand }
 
-func (l *fleetResumeLine) Run(out io.Writer) error {
+func (l *fleetResumeCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandResume, PlanID: l.ID})
 }
 
-type fleetBackLine struct{ planArg }
+type fleetBackCommand struct{ planCommand }
 
-func (l *fleetBackLine) Run(out io.Writer) error {
+func (l *fleetBackCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandRollBack, PlanID: l.ID})
 }
 
-type fleetDrainLine struct {
+type fleetDrainCommand struct {
 	commandFlags
 	Nodes []string `arg:"" help:"Nodes. Each is a plan of its own, by the name drain-NODE, out until it is returned."`
 }
 
-func (l *fleetDrainLine) Run(out io.Writer) error {
+func (l *fleetDrainCommand) Run(out io.Writer) error {
 	for _, name := range l.Nodes {
 		p := rollout.Plan{ID: "drain-" + name, Kind: rollout.KindNodes, Units: []string{name}, ProgressTimeout: 24 * 3600 * 1_000_000}
 		if err := l.send(out, rollout.Command{Type: rollout.CommandStart, Plan: p}); err != nil {
@@ -197,13 +197,13 @@
 	return nil
 }
 
-type fleetReturnLine struct {
+type fleetReturnCommand struct {
 	commandFlags
 	ID   string `help:"The plan that drained it; drain-NODE unless it is said."`
 	Node string `arg:"" help:"The node."`
 }
 
-func (l *fleetReturnLine) Run(out io.Writer) error {
+func (l *fleetReturnCommand) Run(out io.Writer) error {
 	id := l.ID
 	if id == "" {
 		id = "drain-" + l.Node
@@ -211,18 +211,18 @@
 	return l.send(out, rollout.Command{Type: rollout.CommandReturn, PlanID: id, Unit: l.Node})
 }
 
-type fleetForgetLine struct {
+type fleetForgetCommand struct {
 	commandFlags
 	ID   string `help:"The plan, for a unit of one; without it a member that is missed."`
 	Unit string `arg:"" help:"The unit or member."`
 }
 
-func (l *fleetForgetLine) Run(out io.Writer) error {
+func (l *fleetForgetCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandForget, PlanID: l.ID, Unit: l.Unit})
 }
 
-type fleetBeginLine struct{ commandFlags }
+type fleetBeginCommand struct{ commandFlags }
 
-func (l *fleetBeginLine) Run(out io.Writer) error {
+func (l *fleetBeginCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandBegin})
 }
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -24,32 +24,34 @@
 var errHoldUsage = errors.New("want lease hold NAME -- COMMAND")
 
 // leaseLine is cairntiller lease and its sub-commands.
-type leaseLine struct {
-	List leaseListLine `cmd:"" help:"Who holds which lease, as the voters know it."`
-	Show leaseShowLine `cmd:"" help:"The same of one lease."`
-	Hold leaseHoldLine `cmd:"" help:"Hold a lease while a command runs: lease hold NAME -- COMMAND. It is ended before the lease can pass on."`
-	Free leaseFreeLine `cmd:"" help:"Ask a lease's holder to give it up."`
-	Keep leaseKeepLine `cmd:"" hidden:""`
+type leaseCommands struct {
+	List leaseListCommand `cmd:"" help:"Who holds which lease, as the voters know it."`
+	Show leaseShowCommand `cmd:"" help:"The same of one lease."`
+	Hold leaseHoldCommand `cmd:"" help:"Hold a lease while a command runs: lease hold NAME -- COMMAND. It is ended before the lease can pass on."`
+	Free leaseFreeCommand `cmd:"" help:"Ask a lease's holder to give it up."`
+	Keep leaseKeepCommand `cmd:"" hidden:""`
 }
 
 // leaseListLine is cairntiller lease list.
-type leaseListLine struct {
+type leaseListCommand struct {
 	socketFlag
 	JSON bool `help:"Print JSON."`
 }
 
 // Run prints all leases and voters.
-func (l *leaseListLine) Run(out io.Writer) error { return printLeases(out, l.Socket, "", l.JSON) }
+func (l *leaseListCommand) Run(out io.Writer) error { return printLeases(out, l.Socket, "", l.JSON) }
 
 // leaseShowLine is cairntiller lease show.
-type leaseShowLine struct {
+type leaseShowCommand struct {
 	socketFlag
 	JSON bool   `help:"Print JSON."`
 	Name string `arg:"" help:"The lease."`
 }
 
 // Run prints one lease and the voters.
-func (l *leaseShowLine) Run(out io.Writer) error { return printLeases(out, l.Socket, l.Name, l.JSON) }
+func (l *leaseShowCommand) Run(out io.Writer) error {
+	return printLeases(out, l.Socket, l.Name, l.JSON)
+}
 
 // printLeases prints what the voters know of all leases, or of the one that is named.
 func printLeases(out io.Writer, socket, name string, asJSON bool) error {
@@ -81,13 +83,13 @@
 }
 
 // leaseFreeLine is cairntiller lease free.
-type leaseFreeLine struct {
+type leaseFreeCommand struct {
 	socketFlag
 	Name string `arg:"" help:"The lease."`
 }
 
 // Run asks a lease's holder to give it up, and prints whom.
-func (l *leaseFreeLine) Run(out io.Writer) error {
+func (l *leaseFreeCommand) Run(out io.Writer) error {
 	var status leaseservice.LeaseStatus
 	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &status); err != nil {
 		return err
@@ -97,7 +99,7 @@
 }
 
 // leaseHoldLine is cairntiller lease hold.
-type leaseHoldLine struct {
+type leaseHoldCommand struct {
 	socketFlag
 	Length   time.Duration `help:"Length of the lease: how long nobody has it after this machine fails."`
 	Turn     time.Duration `help:"After this time others of the same priority who wait may have it."`
@@ -107,7 +109,7 @@
 }
 
 // Run holds the lease while the command runs.
-func (l *leaseHoldLine) Run(_ io.Writer) error {
+func (l *leaseHoldCommand) Run(_ io.Writer) error {
 	if len(l.Args) < 3 || l.Args[1] != "--" {
 		return errHoldUsage
 	}
@@ -124,12 +126,12 @@
 }
 
 // leaseKeepLine is the hidden cairntiller lease keep: the supervisor's process, which lease hold starts.
-type leaseKeepLine struct {
+type leaseKeepCommand struct {
 	Room time.Duration `required:""`
 	Args []string      `arg:"" passthrough:""`
 }
 
 // Run runs the command until its time is over.
-func (l *leaseKeepLine) Run(_ io.Writer) error {
+func (l *leaseKeepCommand) Run(_ io.Writer) error {
 	return supervisor.ExitCode(supervisor.Supervise(l.Args, os.Stdin, leaseservice.Clock, l.Room))
 }
--- a/cmd/cairntiller/main.go
+++ b/cmd/cairntiller/main.go
@@ -17,32 +17,32 @@
 
 // The exit codes.
 const (
-	exitFault = 1 // it could not run, or a file has faults
-	exitUsage = 2 // the command line can't be read
+	exitFailure = 1 // it could not run, or a file has faults
+	exitUsage   = 2 // the command line can't be read
 )
 
-// line is the command line.
-type line struct {
+// commandLine is the command line.
+type commandLine struct {
 	Log slog.Level `default:"info" placeholder:"LEVEL" help:"Least level of what is logged: debug, info, warn or error."`
 
-	Run      runLine      `cmd:"" default:"withargs" help:"Run a router. This is what happens without a command."`
-	Check    checkLine    `cmd:"" help:"Read an operator's file and name every fault in it with its place."`
-	Classify classifyLine `cmd:"" help:"Class statements, as a file or standard input gives them: class, cost, shape, route and reason of each."`
-	Lease    leaseLine    `cmd:"" help:"The fleet's leases: who holds them; hold one while a command runs."`
-	Fleet    fleetLine    `cmd:"" help:"Releases: who goes out and when, agreed across the fleet."`
-	Version  versionLine  `cmd:"" help:"Print the version."`
-	Demo     demoLine     `cmd:"" help:"Show a router at work before stand-in nodes on this machine, with a primary that dies half-way."`
+	Run      runCommand      `cmd:"" default:"withargs" help:"Run a router. This is what happens without a command."`
+	Check    checkCommand    `cmd:"" help:"Read an operator's file and name every fault in it with its place."`
+	Classify classifyCommand `cmd:"" help:"Class statements, as a file or standard input gives them: class, cost, shape, route and reason of each."`
+	Lease    leaseCommands   `cmd:"" help:"The fleet's leases: who holds them; hold one while a command runs."`
+	Fleet    fleetCommands   `cmd:"" help:"Releases: who goes out and when, agreed across the fleet."`
+	Version  versionCommand  `cmd:"" help:"Print the version."`
+	Demo     demoCommand     `cmd:"" help:"Show a router at work before stand-in nodes on this machine, with a primary that dies half-way."`
 }
 
-type runLine struct {
+type runCommand struct {
 	File string `type:"existingfile" placeholder:"FILE" help:"The operator's file, of S-expressions; see deploy/ and docs/operate/. Without one every part has its defaults."`
 }
 
-type checkLine struct {
+type checkCommand struct {
 	File string `arg:"" help:"The operator's file."`
 }
 
-func (l *checkLine) Run(out io.Writer) error {
+func (l *checkCommand) Run(out io.Writer) error {
 	if err := serve.CheckFile(l.File); err != nil {
 		return err
 	}
@@ -50,9 +50,9 @@
 	return nil
 }
 
-type versionLine struct{}
+type versionCommand struct{}
 
-func (versionLine) Run(out io.Writer) error {
+func (versionCommand) Run(out io.Writer) error {
 	version := "unversioned"
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, one := range b.Settings {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-const about = `One process is one router: it takes commands from clients in PostgreSQL's protocol and sends each to a node of its group, writes to the primary and reads to a replica that is proven new enough.
+const description = `One process is one router: it takes commands from clients in PostgreSQL's protocol and sends each to a node of its group, writes to the primary and reads to a replica that is proven new enough.
 
 A router is told by the file in RELAY_CONFIG, and by RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY, what it is, where it listens and what it balances. SIGHUP reads the files again, SIGUSR1 prints the counters, SIGTERM stops it in order.
 
@@ -77,11 +77,11 @@
 // run is the whole command; it returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	if len(args) == 0 { // as platforms start it: nothing of the command line need be in memory
-		return start(errs, &runLine{}, slog.LevelInfo)
+		return runRouter(errs, &runCommand{}, slog.LevelInfo)
 	}
-	var l line
+	var l commandLine
 	ended := -1
-	parser, err := kong.New(&l, kong.Name("cairntiller"), kong.Description(about), kong.UsageOnError(),
+	parser, err := kong.New(&l, kong.Name("cairntiller"), kong.Description(description), kong.UsageOnError(),
 		kong.Writers(out, errs), kong.Exit(func(code int) { ended = code }), kong.BindTo(out, (*io.Writer)(nil)))
 	if err != nil {
 		panic(err) // the line above can't be made: no run of it gets this far
@@ -96,36 +96,36 @@
 		return exitUsage
 	}
 	if ctx.Command() == "run" {
-		return start(errs, &l.Run, l.Log)
+		return runRouter(errs, &l.Run, l.Log)
 	}
-	logTo(errs, l.Log)
+	setLogger(errs, l.Log)
 	if err := ctx.Run(); err != nil {
 		var code supervisor.ExitCode
 		if errors.As(err, &code) {
 			return int(code)
 		}
-		report(errs, err)
-		return exitFault
+		printError(errs, err)
+		return exitFailure
 	}
 	return 0
 }
 
-func logTo(errs io.Writer, level slog.Level) {
+func setLogger(errs io.Writer, level slog.Level) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level})))
 }
 
-// start runs a router to its end.
-func start(errs io.Writer, l *runLine, level slog.Level) int {
-	logTo(errs, level)
+// runRouter runs a router to its end.
+func runRouter(errs io.Writer, l *runCommand, level slog.Level) int {
+	setLogger(errs, level)
 	if err := serve.Run(l.File, serve.TestHooks{}); err != nil {
 		slog.Error("cannot run", "err", err)
-		return exitFault
+		return exitFailure
 	}
 	return 0
 }
 
-// report prints an error, each of several on a line of its own.
-func report(errs io.Writer, err error) {
+// printError prints an error, each of several on a line of its own.
+func printError(errs io.Writer, err error) {
 	var many interface{ Unwrap() []error }
 	if errors.As(err, &many) {
 		for _, one := range many.Unwrap() {
--- a/cmd/cairntiller/main_test.go
+++ b/cmd/cairntiller/main_test.go
@@ -18,16 +18,16 @@
 
 // TestDemo: a primary dies, its group's writes go on, and no rule is broken.
 func TestDemo(t *testing.T) {
-	code, out, errs := called(t, "demo", "--groups", "1", "--for", "4s")
+	code, out, errs := runCommandLine(t, "demo", "--groups", "1", "--for", "4s")
 	if code != 0 || !strings.Contains(out, "is killed") || !strings.Contains(out, "none ran twice") {
 		t.Errorf("%d: %s%s", code, out, errs)
 	}
-	if code, _, _ := called(t, "demo", "--for", "1s"); code != exitFault {
+	if code, _, _ := runCommandLine(t, "demo", "--for", "1s"); code != exitFailure {
 		t.Errorf("%d", code)
 	}
 }
 
-func called(t *testing.T, args ...string) (code int, out, errs string) {
+func runCommandLine(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	code = run(args, &o, &e)
@@ -35,13 +35,13 @@
 }
 
 func TestHelpAndUsage(t *testing.T) {
-	if code, out, _ := called(t, "--help"); code != 0 || !strings.Contains(out, "check") || !strings.Contains(out, "Exit codes") {
+	if code, out, _ := runCommandLine(t, "--help"); code != 0 || !strings.Contains(out, "check") || !strings.Contains(out, "Exit codes") {
 		t.Errorf("%d: %s", code, out)
 	}
-	if code, out, errs := called(t, "--nonsense"); code != exitUsage || out != "" || !strings.Contains(errs, "nonsense") {
+	if code, out, errs := runCommandLine(t, "--nonsense"); code != exitUsage || out != "" || !strings.Contains(errs, "nonsense") {
 		t.Errorf("%d: %s, %s", code, out, errs)
 	}
-	if code, out, _ := called(t, "version"); code != 0 || !strings.HasPrefix(out, "cairntiller ") {
+	if code, out, _ := runCommandLine(t, "version"); code != 0 || !strings.HasPrefix(out, "cairntiller ") {
 		t.Errorf("%d: %s", code, out)
 	}
 }
@@ -58,15 +58,15 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		code, out, errs := called(t, "check", path)
+		code, out, errs := runCommandLine(t, "check", path)
 		if want == "" && (code != 0 || errs != "" || !strings.Contains(out, "no faults")) {
 			t.Errorf("%q: %d, %s%s", text, code, out, errs)
 		}
-		if want != "" && (code != exitFault || !strings.Contains(errs, want)) {
+		if want != "" && (code != exitFailure || !strings.Contains(errs, want)) {
 			t.Errorf("%q: %d, %s, want %s", text, code, errs, want)
 		}
 	}
-	if code, _, errs := called(t, "check", path+".none"); code != exitFault || errs == "" {
+	if code, _, errs := runCommandLine(t, "check", path+".none"); code != exitFailure || errs == "" {
 		t.Errorf("%d, %s", code, errs)
 	}
 }
@@ -74,7 +74,7 @@
 // TestRunWithoutConfiguration: without a command it runs a router, which says what it lacks.
 func TestRunWithoutConfiguration(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", "/nowhere")
-	if code, _, errs := called(t); code != exitFault || !strings.Contains(errs, "RELAY_CONFIG") {
+	if code, _, errs := runCommandLine(t); code != exitFailure || !strings.Contains(errs, "RELAY_CONFIG") {
 		t.Errorf("%d, %s", code, errs)
 	}
 }
@@ -101,7 +101,7 @@
 		{[]string{"classify", "--lines", write("lines", "select 1\n\nupdate a set b = 1\n;;\nbegin")}, "read read write read transaction"},
 		{[]string{"classify", write("none", "")}, ""},
 	} {
-		code, out, errs := called(t, c.args...)
+		code, out, errs := runCommandLine(t, c.args...)
 		var classes []string
 		for line := range strings.Lines(out) {
 			f := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
