--- a/internal/lease/candidate_voters.go
+++ b/internal/lease/candidate_voters.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	// requestLifetime is how long the answer to a request counts, in us: no lease is longer that a vote could still be
-	// good for.
+	// requestLifetime is how long the answer to a request counts, in us. A vote counts from its request, so that little of
+	// it would be left, and the request was repeated long since.
 	requestLifetime = 60_000_000
 	// clockCompareSpan is over which time the rates of two clocks are compared, in us: far over a round trip, whose
 	// length blurs the comparison.
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -49,7 +49,7 @@
 // vote earlier than the voter does, because it counts from before it asked (see UsableLength). With a majority lost
 // either way the holder gets Lost at the end of its counted time, and no other candidate can gather a majority before
 // the voters' longer time is over. A candidate that can send but not hear acquires nothing; its trial grants block
-// others for maxTrial at the most.
+// others for maxTrial at a time.
 //
 // # What survives a restart
 //
