--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -11,6 +11,7 @@
 	"cairntiller/internal/sql"
 )
 
+// classifyCommand prints the class of each statement.
 type classifyCommand struct {
 	Input string `arg:"" optional:"" name:"statements" help:"A file of statements; standard input without one."`
 	File  string `type:"existingfile" placeholder:"FILE" help:"The operator's file, whose part statements tells of functions, types and views."`
@@ -18,50 +19,62 @@
 }
 
 // Run prints class, cost, shape, route and reason of each statement, with tabs between; a dash for what is not known.
-func (l *classifyCommand) Run(out io.Writer) error {
-	file, err := sexp.EmptyFile(), error(nil)
-	if l.File != "" {
-		if file, err = sexp.ReadFile(l.File); err != nil {
-			return err
-		}
-	}
-	k := sql.ReadSettings(file.Part("statements"))
-	if l.File != "" {
-		file.Part("fleet").AcceptAllNames()
-		file.Part("duties").AcceptAllNames()
-		if err := file.Faults(); err != nil {
-			return err
-		}
+func (c *classifyCommand) Run(out io.Writer) error {
+	settings, err := c.readSettings()
+	if err != nil {
+		return err
 	}
-	in := io.Reader(os.Stdin)
-	if l.Input != "" {
-		f, err := os.Open(l.Input)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		in = f
+	input, err := c.openInput()
+	if err != nil {
+		return err
 	}
-	cache, err := sql.NewCache(k.Catalogue, k.StringSyntax, k.CacheBytes)
+	defer input.Close()
+	cache, err := sql.NewCache(settings.Catalogue, settings.StringSyntax, settings.CacheBytes)
 	if err != nil {
 		return err
 	}
 	w := bufio.NewWriter(out)
 	defer w.Flush()
-	reader := cache.NewClassifier()
-	return forEachStatement(in, l.Lines, func(text string) error {
-		e, _, err := reader.Classify(text, nil)
-		if err != nil {
-			_, err = fmt.Fprintf(w, "refused\t-\t-\t-\t%v\n", err)
-			return err
-		}
-		reason := e.Reason
-		if reason == "" {
-			reason = "-"
-		}
-		_, err = fmt.Fprintf(w, "%v\t-\t%s\t-\t%s\n", e.Class, e.Shape, singleLine(reason))
+	classifier := cache.NewClassifier()
+	return forEachStatement(input, c.Lines, func(text string) error { return printClass(w, classifier, text) })
+}
+
+// readSettings reads the statements part of the operator's file, and leaves the parts beside it to the router.
+func (c *classifyCommand) readSettings() (sql.Settings, error) {
+	if c.File == "" {
+		return sql.ReadSettings(sexp.EmptyFile().Part("statements")), nil
+	}
+	file, err := sexp.ReadFile(c.File)
+	if err != nil {
+		return sql.Settings{}, err
+	}
+	settings := sql.ReadSettings(file.Part("statements"))
+	file.Part("fleet").AcceptAllNames()
+	file.Part("duties").AcceptAllNames()
+	return settings, file.Faults()
+}
+
+// openInput opens the file of statements, or standard input.
+func (c *classifyCommand) openInput() (io.ReadCloser, error) {
+	if c.Input == "" {
+		return io.NopCloser(os.Stdin), nil
+	}
+	return os.Open(c.Input)
+}
+
+// printClass classifies one statement and prints a line.
+func printClass(out io.Writer, classifier *sql.Classifier, text string) error {
+	entry, _, err := classifier.Classify(text, nil)
+	if err != nil {
+		_, err = fmt.Fprintf(out, "refused\t-\t-\t-\t%v\n", err)
 		return err
-	})
+	}
+	reason := entry.Reason
+	if reason == "" {
+		reason = "-"
+	}
+	_, err = fmt.Fprintf(out, "%v\t-\t%s\t-\t%s\n", entry.Class, entry.Shape, singleLine(reason))
+	return err
 }
 
 // singleLine keeps a name with a tab or a line's end in it from being taken for more.
@@ -69,15 +82,16 @@
 	return strings.NewReplacer("\t", " ", "\n", " ", "\r", " ").Replace(s)
 }
 
-// forEachStatement gives each statement of an input to do, in turn.
-func forEachStatement(in io.Reader, lines bool, do func(string) error) error {
+// forEachStatement calls do for each statement of an input, in turn: each line is one if onePerLine is set, otherwise lines
+// of ;; part them. It ends at the first error.
+func forEachStatement(in io.Reader, onePerLine bool, do func(string) error) error {
 	r := bufio.NewReader(in)
 	var text strings.Builder
-	some := false // the statement under way has a line
+	begun := false // the statement under way has a line
 	flush := func() error {
 		one := strings.TrimRight(text.String(), "\r\n")
 		text.Reset()
-		some = false
+		begun = false
 		return do(one)
 	}
 	for {
@@ -86,21 +100,21 @@
 			return err
 		}
 		switch {
-		case lines && line != "":
+		case onePerLine && line != "":
 			text.WriteString(line)
 			if err := flush(); err != nil {
 				return err
 			}
-		case !lines && strings.TrimSpace(line) == ";;":
+		case !onePerLine && strings.TrimSpace(line) == ";;":
 			if err := flush(); err != nil {
 				return err
 			}
 		case line != "":
-			some = true
+			begun = true
 			text.WriteString(line)
 		}
 		if err == io.EOF {
-			if some {
+			if begun {
 				return flush()
 			}
 			return nil
--- a/cmd/cairntiller/main.go
+++ b/cmd/cairntiller/main.go
@@ -34,24 +34,29 @@
 	Demo     demoCommand     `cmd:"" help:"Show a router at work before stand-in nodes on this machine, with a primary that dies half-way."`
 }
 
+// runCommand runs a router.
 type runCommand struct {
 	File string `type:"existingfile" placeholder:"FILE" help:"The operator's file, of S-expressions; see deploy/ and docs/operate/. Without one every part has its defaults."`
 }
 
+// checkCommand reads an operator's file.
 type checkCommand struct {
 	File string `arg:"" help:"The operator's file."`
 }
 
-func (l *checkCommand) Run(out io.Writer) error {
-	if err := serve.CheckFile(l.File); err != nil {
+// Run prints that there are no faults; its error holds all that there are.
+func (c *checkCommand) Run(out io.Writer) error {
+	if err := serve.CheckFile(c.File); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: no faults\n", l.File)
+	fmt.Fprintf(out, "%s: no faults\n", c.File)
 	return nil
 }
 
+// versionCommand prints the version that the program was built from.
 type versionCommand struct{}
 
+// Run prints it.
 func (versionCommand) Run(out io.Writer) error {
 	version := "unversioned"
 	if b, ok := debug.ReadBuildInfo(); ok {
@@ -66,6 +71,7 @@
 	return nil
 }
 
+// description is the head of the help.
 const description = `One process is one router: it takes commands from clients in PostgreSQL's protocol and sends each to a node of its group, writes to the primary and reads to a replica that is proven new enough.
 
 A router is told by the file in RELAY_CONFIG, and by RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY, what it is, where it listens and what it balances. SIGHUP reads the files again, SIGUSR1 prints the counters, SIGTERM stops it in order.
@@ -79,12 +85,12 @@
 	if len(args) == 0 { // as platforms start it: nothing of the command line need be in memory
 		return runRouter(errs, &runCommand{}, slog.LevelInfo)
 	}
-	var l commandLine
+	var line commandLine
 	ended := -1
-	parser, err := kong.New(&l, kong.Name("cairntiller"), kong.Description(description), kong.UsageOnError(),
+	parser, err := kong.New(&line, kong.Name("cairntiller"), kong.Description(description), kong.UsageOnError(),
 		kong.Writers(out, errs), kong.Exit(func(code int) { ended = code }), kong.BindTo(out, (*io.Writer)(nil)))
 	if err != nil {
-		panic(err) // the line above can't be made: no run of it gets this far
+		panic(err) // a sub-command is declared wrongly: it shows at the first use of any
 	}
 	ctx, err := parser.Parse(args)
 	if ended >= 0 { // help was asked for
@@ -96,9 +102,9 @@
 		return exitUsage
 	}
 	if ctx.Command() == "run" {
-		return runRouter(errs, &l.Run, l.Log)
+		return runRouter(errs, &line.Run, line.Log)
 	}
-	setLogger(errs, l.Log)
+	setLogger(errs, line.Log)
 	if err := ctx.Run(); err != nil {
 		var code supervisor.ExitCode
 		if errors.As(err, &code) {
@@ -110,14 +116,15 @@
 	return 0
 }
 
+// setLogger sends the log of the whole program, from a level on, to a writer.
 func setLogger(errs io.Writer, level slog.Level) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level})))
 }
 
 // runRouter runs a router to its end.
-func runRouter(errs io.Writer, l *runCommand, level slog.Level) int {
+func runRouter(errs io.Writer, c *runCommand, level slog.Level) int {
 	setLogger(errs, level)
-	if err := serve.Run(l.File, serve.TestHooks{}); err != nil {
+	if err := serve.Run(c.File, serve.TestHooks{}); err != nil {
 		slog.Error("cannot run", "err", err)
 		return exitFailure
 	}
@@ -126,9 +133,9 @@
 
 // printError prints an error, each of several on a line of its own.
 func printError(errs io.Writer, err error) {
-	var many interface{ Unwrap() []error }
-	if errors.As(err, &many) {
-		for _, one := range many.Unwrap() {
+	var joined interface{ Unwrap() []error }
+	if errors.As(err, &joined) {
+		for _, one := range joined.Unwrap() {
 			fmt.Fprintln(errs, one)
 		}
 		return
