--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -124,8 +124,8 @@
 	p.begin(q, attempt.Node)
 }
 
-// HealthCheck implements inflight.NodeConnections.
-func (p *Pool) HealthCheck(name string) { p.begin(&query{startedAt: p.now()}, name) }
+// CheckHealth implements inflight.NodeConnections.
+func (p *Pool) CheckHealth(name string) { p.begin(&query{startedAt: p.now()}, name) }
 
 // Cancel implements inflight.NodeConnections.
 func (p *Pool) Cancel(attempt *inflight.Attempt) (mayHaveRun bool) {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,7 +15,7 @@
 )
 
 // What discovery tells counts as told 6 s after it fell silent, or had a change and could be reached: from then on a
-// drain binds the router. The longest way to a list in hand: a watch that falls silent is given up signTimeout later,
+// drain binds the router. The longest way to a list applied: a watch that falls silent is given up signTimeout later,
 // its successor meets silence too for answerTimeout, and the call that begins maxBackoff later is answered at once:
 // 4.25 s. A call that began just before discovery could be reached, and is never answered, costs answerTimeout +
 // maxBackoff.
@@ -167,7 +167,7 @@
 	return err
 }
 
-// outdated tells whether a list is no news: older than the one in hand, and not complete or behind a newer one of the
+// outdated tells whether a list is no news: older than the last one taken, and not complete or behind a newer one of the
 // same call. A complete one that a call begins with stands whatever its version: a discovery that started anew counts
 // from one again, and no list of its would be taken ever after.
 func (w *watch) outdated(list *EndpointList, gotList bool) bool {
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -7,10 +7,10 @@
 //
 // From a client's command to its answer:
 //
-//	frontend  --Submit-->             requests.go        --Arrive-->    routing
-//	routing   --Dispatch-->           router_actions.go  --Send-->      backend
-//	backend   --AttemptEnded-->       requests.go        --Result-->    routing
-//	routing   --Throttle or Fail-->   router_actions.go  --Reject-->    frontend
+//	frontend  --Submit-->                    requests.go        --RequestArrived-->  routing
+//	routing   --StartAttempt-->              router_actions.go  --Send-->            backend
+//	backend   --AttemptEnded-->              requests.go        --AttemptEnded-->    routing
+//	routing   --RejectWithRetry or Fail-->   router_actions.go  --Reject or Fail-->  frontend
 //
 // An answer goes to the client as soon as the first attempt brings one, before the routing module hears of it.
 package engine
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// HealthCheck asks a node for its load report; the outcome comes to HealthCheckEnded.
-func (e *Engine) HealthCheck(node string) { e.connections.HealthCheck(node) }
+// CheckHealth asks a node for its load report; the outcome comes to HealthCheckEnded.
+func (e *Engine) CheckHealth(node string) { e.connections.CheckHealth(node) }
 
 // ApplyGossip hands the routing module what another router learnt of a node at a time: its position, its role (1 for
 // primary, -1 for replica, 0 for unknown) and whether it answered. A position that can't be true is left out.
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -19,7 +19,7 @@
 		routing.TimedOut:       metrics.New("attempts timed out"),
 		routing.ConnectFailed:  metrics.New("attempts connect failed"),
 		routing.ConnectionLost: metrics.New("attempts connection lost"),
-		routing.Canceled:       metrics.New("attempts cancelled"),
+		routing.Canceled:       metrics.New("attempts canceled"),
 		routing.NotSent:        metrics.New("attempts not sent"),
 		routing.NotPrimary:     metrics.New("attempts not primary"),
 	}
--- a/internal/engine/router_actions.go
+++ b/internal/engine/router_actions.go
@@ -14,51 +14,51 @@
 func (e *Engine) Actions() routing.Actions { return routerActions{e} }
 
 // StartAttempt implements routing.Actions.
-func (a routerActions) StartAttempt(cmd, node string, timeout, within int64) {
+func (a routerActions) StartAttempt(requestID, node string, timeout, startWithin int64) {
 	e := a.engine
-	request := e.requests[cmd]
-	if !invariant.That(request != nil && !request.Concluded(), "a command is dispatched before its final answer") {
+	request := e.requests[requestID]
+	if !invariant.That(request != nil && !request.Concluded(), "an attempt starts before its request is concluded") {
 		return
 	}
-	attempt := request.StartAttempt(node, e.eventTime, timeout, within)
+	attempt := request.StartAttempt(node, e.eventTime, timeout, startWithin)
 	e.services.attemptStarted(node)
 	e.connections.Send(attempt)
 	e.After(attempt.Deadline-e.eventTime, func(int64) { e.abandonAttempt(attempt, routing.TimedOut) })
 }
 
 // RejectWithRetry implements routing.Actions.
-func (a routerActions) RejectWithRetry(cmd string, retryIn int64) {
-	request := a.engine.requests[cmd]
-	if invariant.That(request != nil, "a throttled command is in hand") {
-		request.Reject(retryIn)
+func (a routerActions) RejectWithRetry(requestID string, retryAfter int64) {
+	request := a.engine.requests[requestID]
+	if invariant.That(request != nil, "a rejected request is in flight") {
+		request.Reject(retryAfter)
 		a.engine.concluded(request)
 	}
 }
 
 // Fail implements routing.Actions.
-func (a routerActions) Fail(cmd string) {
-	request := a.engine.requests[cmd]
-	if invariant.That(request != nil, "a failed command is in hand") {
+func (a routerActions) Fail(requestID string) {
+	request := a.engine.requests[requestID]
+	if invariant.That(request != nil, "a failed request is in flight") {
 		request.Fail()
 		a.engine.concluded(request)
 	}
 }
 
 // CancelAttempt implements routing.Actions.
-func (a routerActions) CancelAttempt(cmd string, dispatch int) {
-	request := a.engine.requests[cmd]
-	if invariant.That(request != nil && dispatch < len(request.Attempts), "a withdrawn dispatch was made") {
-		a.engine.abandonAttempt(request.Attempts[dispatch], routing.Canceled)
+func (a routerActions) CancelAttempt(requestID string, attempt int) {
+	request := a.engine.requests[requestID]
+	if invariant.That(request != nil && attempt < len(request.Attempts), "a canceled attempt was started") {
+		a.engine.abandonAttempt(request.Attempts[attempt], routing.Canceled)
 	}
 }
 
 // SetTimer implements routing.Actions.
-func (a routerActions) SetTimer(in int64) {
-	a.engine.After(in, a.engine.router.TimerFired)
+func (a routerActions) SetTimer(delay int64) {
+	a.engine.After(delay, a.engine.router.TimerFired)
 }
 
 // CheckHealth implements routing.Actions.
-func (a routerActions) CheckHealth(node string) { a.engine.connections.HealthCheck(node) }
+func (a routerActions) CheckHealth(node string) { a.engine.connections.CheckHealth(node) }
 
 // CloseIdleConnections implements routing.Actions.
 func (a routerActions) CloseIdleConnections(node string) { a.engine.connections.CloseIdle(node) }
--- a/internal/inflight/interfaces.go
+++ b/internal/inflight/interfaces.go
@@ -34,8 +34,8 @@
 	// Cancel gives an attempt up: its connection is shut when this returns, and nothing more is told of it. It returns
 	// whether the node may have received it.
 	Cancel(attempt *Attempt) (mayHaveRun bool)
-	// HealthCheck asks a node for its load report, and tells the outcome to ResultHandler.HealthCheckEnded.
-	HealthCheck(node string)
+	// CheckHealth asks a node for its load report, and tells the outcome to ResultHandler.HealthCheckEnded.
+	CheckHealth(node string)
 	// CloseIdle closes the idle connections to a node.
 	CloseIdle(node string)
 	// FailWaiting ends the attempts that wait for a connection to a node, as unsent.
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -59,7 +59,7 @@
 
 // EndAttempt closes an attempt of the request. It returns false where the attempt had ended before.
 func (r *Request) EndAttempt(attempt *Attempt) bool {
-	if !invariant.That(!attempt.Ended, "a dispatch ends once") {
+	if !invariant.That(!attempt.Ended, "an attempt ends once") {
 		return false
 	}
 	attempt.Ended = true
@@ -85,7 +85,7 @@
 
 // Reject tells the client that nothing ran, and after how many us to try again.
 func (r *Request) Reject(retryAfter int64) {
-	if invariant.That(!r.concluded, "a command is throttled before its final answer") {
+	if invariant.That(!r.concluded, "a request is rejected before it is concluded") {
 		r.concluded = true
 		rejectedRequests.Add()
 		r.client.Reject(r, retryAfter)
@@ -94,7 +94,7 @@
 
 // Fail tells the client that the command failed, and nothing else.
 func (r *Request) Fail() {
-	if invariant.That(!r.concluded, "a command fails before its final answer") {
+	if invariant.That(!r.concluded, "a request fails before it is concluded") {
 		r.concluded = true
 		failedRequests.Add()
 		r.client.Fail(r)
--- a/internal/sharedprobes/service.go
+++ b/internal/sharedprobes/service.go
@@ -42,8 +42,8 @@
 	ApplyGossip(now int64, node string, at, pos int64, lead int8, silent, alive bool)
 	// DelegateHealthChecks tells whether a peer checks a node.
 	DelegateHealthChecks(node string, to bool)
-	// HealthCheck checks a node; HealthCheckEnded is called at its end.
-	HealthCheck(node string)
+	// CheckHealth checks a node; HealthCheckEnded is called at its end.
+	CheckHealth(node string)
 }
 
 // Service is one instance's part in the shared probes.
@@ -170,7 +170,7 @@
 		secondOpinions.Add()
 	}
 	s.checks[name] = healthCheck{secondOpinion: run.SecondOpinion}
-	s.engine.HealthCheck(name)
+	s.engine.CheckHealth(name)
 }
 
 // updateDelegated tells the engine which nodes other instances have begun or ceased to check.
--- a/internal/sharedprobes/service_test.go
+++ b/internal/sharedprobes/service_test.go
@@ -44,7 +44,7 @@
 	l.positions[node] = max(l.positions[node], pos)
 }
 func (l *testEngine) DelegateHealthChecks(node string, to bool) { l.delegated[node] = to }
-func (l *testEngine) HealthCheck(node string) {
+func (l *testEngine) CheckHealth(node string) {
 	l.checked = append(l.checked, node)
 	if l.unending[node] {
 		return
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -5,41 +5,41 @@
 )
 
 // StartAttempt implements routing.Actions. An attempt goes out at once here, so there is no bound to when it may begin.
-func (i *instance) StartAttempt(cmd, node string, timeout, _ int64) {
+func (i *instance) StartAttempt(requestID, node string, timeout, _ int64) {
 	i.beginAction("transmit")
-	i.writeText(cmd)
+	i.writeText(requestID)
 	i.writeText(node)
 	i.writeMillis(timeout)
 	i.endAction()
 }
 
 // RejectWithRetry implements routing.Actions.
-func (i *instance) RejectWithRetry(cmd string, retryIn int64) {
+func (i *instance) RejectWithRetry(requestID string, retryAfter int64) {
 	i.beginAction("not_now")
-	i.writeText(cmd)
-	i.writeMillis(retryIn)
+	i.writeText(requestID)
+	i.writeMillis(retryAfter)
 	i.endAction()
 }
 
 // Fail implements routing.Actions.
-func (i *instance) Fail(cmd string) {
+func (i *instance) Fail(requestID string) {
 	i.beginAction("report_failure")
-	i.writeText(cmd)
+	i.writeText(requestID)
 	i.endAction()
 }
 
 // CancelAttempt implements routing.Actions.
-func (i *instance) CancelAttempt(cmd string, dispatch int) {
+func (i *instance) CancelAttempt(requestID string, attempt int) {
 	i.beginAction("withdraw")
-	i.writeText(cmd)
-	i.writeInt(dispatch)
+	i.writeText(requestID)
+	i.writeInt(attempt)
 	i.endAction()
 }
 
 // SetTimer implements routing.Actions. The routing module has one kind of timer, so the wire's cookie is always 0.
-func (i *instance) SetTimer(in int64) {
+func (i *instance) SetTimer(delay int64) {
 	i.beginAction("timer")
-	i.writeMillis(in)
+	i.writeMillis(delay)
 	i.writeInt(0)
 	i.endAction()
 }
