--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -25,12 +25,14 @@
 	interval int64
 }
 
+// modelMember is what the model knows of a member.
 type modelMember struct {
 	weight      float64
 	incarnation uint64
 	alive       bool
 }
 
+// modelTask is what the model knows of a task.
 type modelTask struct {
 	nodeStarted, learnedAt int64
 	heard                  bool
@@ -58,7 +60,7 @@
 	return best
 }
 
-// greater is the order of claims.
+// greater tells whether a claim is greater than the one that the model believes in.
 func (m *model) greater(key string, term uint64, by string) bool {
 	task := m.tasks[key]
 	switch {
@@ -72,6 +74,7 @@
 	return by < task.owner
 }
 
+// handleUpdate returns what an update may be used for, and whether it may be used at all.
 func (m *model) handleUpdate(update Update) (want Evidence, any bool) {
 	task := m.tasks[update.Key]
 	if task == nil || update.Age < 0 {
@@ -111,9 +114,9 @@
 		slow[name] = m.now < one.slowUntil
 	}
 	for key, task := range m.tasks {
-		holder, term, age := tab.Owner(m.now, key)
-		if holder != task.owner || term != task.term {
-			m.t.Fatalf("%s: owned by %q at %d, want %q at %d", key, holder, term, task.owner, task.term)
+		owner, term, age := tab.Owner(m.now, key)
+		if owner != task.owner || term != task.term {
+			m.t.Fatalf("%s: owned by %q at %d, want %q at %d", key, owner, term, task.owner, task.term)
 		}
 		if task.heard && age != m.now-task.learnedAt {
 			m.t.Fatalf("%s: its newest update is %d us old, want %d", key, age, m.now-task.learnedAt)
@@ -122,23 +125,19 @@
 			m.t.Fatalf("%s: its target is %s, want %s", key, tab.taskByKey[key].target.name, want)
 		}
 	}
-	held := map[string]int{}
+	owned := map[string]int{}
 	for _, task := range m.tasks {
-		held[task.owner]++
+		owned[task.owner]++
 	}
 	for name, one := range tab.memberByName {
-		if one.owned != held[name] {
-			m.t.Fatalf("%s owns %d, want %d", name, one.owned, held[name])
+		if one.owned != owned[name] {
+			m.t.Fatalf("%s owns %d, want %d", name, one.owned, owned[name])
 		}
 	}
 }
 
-// tick runs the table's beat and finds a reason for each claim that it made.
+// tick lets the table tick and finds a reason for each claim that it made.
 func (m *model) tick(tab *Table) {
-	before := map[string]modelTask{}
-	for key, task := range m.tasks {
-		before[key] = *task
-	}
 	if m.now-m.tickedAt > pauseThreshold {
 		m.pause(tab)
 	}
@@ -150,16 +149,16 @@
 	}
 	claims := 0
 	for key, task := range m.tasks {
-		holder, term, _ := tab.Owner(m.now, key)
-		if holder == task.owner && term == task.term {
+		owner, term, _ := tab.Owner(m.now, key)
+		if owner == task.owner && term == task.term {
 			continue
 		}
 		claims++
 		late := m.now-task.learnedAt >= int64(overdueIntervals*float64(tab.Interval()))
-		if holder != m.self || term != task.term+1 || !late && (m.target(key, slow) != m.self || !tab.ClaimsTasks()) {
-			m.t.Fatalf("%s: claimed by %q at %d after %+v, late %v", key, holder, term, task, late)
+		if owner != m.self || term != task.term+1 || !late && (m.target(key, slow) != m.self || !tab.ClaimsTasks()) {
+			m.t.Fatalf("%s: claimed by %q at %d after %+v, late %v", key, owner, term, task, late)
 		}
-		task.owner, task.term = holder, term
+		task.owner, task.term = owner, term
 	}
 	if claims > 5 {
 		m.t.Fatalf("%d tasks claimed at once, 5 a second are allowed", claims)
@@ -174,7 +173,7 @@
 	m.agree(tab)
 }
 
-// still is a standstill of the instance's own: after one as long as others wait, what it held is theirs.
+// pause is a pause of the instance's own: after one as long as others wait, what it owned is theirs.
 func (m *model) pause(tab *Table) {
 	if m.now-m.tickedAt < tab.overdueAfter() {
 		return
--- a/internal/assignment/rendezvous.go
+++ b/internal/assignment/rendezvous.go
@@ -54,21 +54,7 @@
 func (t *Table) updateTargets(now int64) {
 	t.targetsStale = false
 	t.forgetMembers(now)
-	var came []*member
-	went := make([]bool, len(t.members)) // by slot
-	for _, m := range t.members {
-		if m == nil {
-			continue
-		}
-		eligible := m.state == memberAlive && now >= m.slowUntil
-		if eligible && !m.eligible {
-			came = append(came, m)
-		}
-		if !eligible && m.eligible {
-			went[m.slot] = true
-		}
-		m.eligible = eligible
-	}
+	came, went := t.updateEligible(now)
 	for _, task := range t.tasks {
 		if task == nil {
 			continue
@@ -86,6 +72,24 @@
 	}
 }
 
+// updateEligible finds the members that may be targets now: those that are alive and not slow. It returns those that
+// became eligible, and by slot whether a member ceased to be.
+func (t *Table) updateEligible(now int64) (came []*member, went []bool) {
+	went = make([]bool, len(t.members))
+	for slot, m := range t.members {
+		if m == nil {
+			continue
+		}
+		eligible := m.state == memberAlive && now >= m.slowUntil
+		if eligible && !m.eligible {
+			came = append(came, m)
+		}
+		went[slot] = !eligible && m.eligible
+		m.eligible = eligible
+	}
+	return came, went
+}
+
 // rank is how many eligible members other than the owner have a higher score for a task than this instance.
 func (t *Table) rank(task *task) int {
 	own := score(t.self, task)
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -24,8 +24,8 @@
 	// loneSuspicionMultiplier is how many times longer an instance waits if no other member confirms its suspicion: it may
 	// be cut off itself.
 	loneSuspicionMultiplier = 2
-	// nameReclaimDelay is how long after a member's loss its name may not come back from another address. It is as short as
-	// the library allows: a machine that is replaced must join at once.
+	// nameReclaimDelay is how long after a member's loss its name may not come back from another address. A machine that is
+	// replaced must join at once; 0 would forbid it for ever.
 	nameReclaimDelay = time.Millisecond
 	// membershipRetransmit is how often, times the logarithm of the members, the library sends on a change of membership.
 	membershipRetransmit = 3
