--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"strings"
 	"testing"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // TestCanaryAnalysis halts by evidence and not by noise.
@@ -58,3 +61,34 @@
 		})
 	}
 }
+
+// TestCanaryAnalysisAsRecorded compares a hash over the verdicts on generated cohorts with the one that was recorded. It is
+// recorded anew only by a commit that changes a decision and says so.
+func TestCanaryAnalysisAsRecorded(t *testing.T) {
+	const want = 0x960777d4dcfa966e
+	digest := xxhash.New()
+	rng := rand.New(rand.NewPCG(3, 4))
+	for range 30_000 {
+		a := newCanaryAnalysis()
+		share := 0.02 * rng.Float64() * float64(rng.IntN(2))
+		for _, side := range []*cohort{&a.touched, &a.untouched} {
+			for i := range 1 + rng.IntN(4) {
+				name := fmt.Sprint("r", i)
+				commands := uint64(rng.IntN(3_000))
+				bad := func() uint64 { return uint64(float64(commands) * share * 2 * rng.Float64()) }
+				side.counts[name] = CommandCounts{Commands: commands, Failed: bad(), Late: bad(), Throttled: bad()}
+				side.startupTimes[name] = rng.Int64N(9_000_000)
+				side.residentBytes[name] = rng.Int64N(80 << 20)
+			}
+			side.crashes = rng.IntN(6) * rng.IntN(2)
+			side.observedTime = 1_000_000 * rng.Int64N(600)
+			share += 0.005 * float64(rng.IntN(3)-1)
+			share = max(0, share)
+		}
+		inDoubt, evidence := a.evaluate()
+		fmt.Fprintln(digest, inDoubt, evidence)
+	}
+	if got := digest.Sum64(); got != want {
+		t.Errorf("%#016x, want %#016x", got, uint64(want))
+	}
+}
