--- a/internal/backend/connect.go
+++ b/internal/backend/connect.go
@@ -24,11 +24,11 @@
 	errEnded   connectError = "the connection ended"
 )
 
-// needsConnection tells whether more queries wait than can expect a connection.
+// needsConnection reports whether more queries wait than connections are being opened or are resting.
 func (n *node) needsConnection() bool { return len(n.waiting) > n.connecting+n.resting }
 
-// openForWaiting opens connections for the queries that can expect none. Where there is no descriptor for one, and no
-// idle connection to close for it, the query that came last ends.
+// openForWaiting opens connections until each waiting query can expect one. If there is no descriptor left, and no idle
+// connection to close for one, the query that came last is ended.
 func (p *Pool) openForWaiting(n *node) {
 	for n.needsConnection() {
 		if p.descriptors.hasRoom() || p.closeOldestIdle() {
@@ -63,8 +63,8 @@
 	}()
 }
 
-// connectFailed ends the query that has waited longest, unless others of the connections being opened serve it. c is nil
-// where there is no connection to close; code is the node's own error, where it sent one.
+// connectFailed ends the query that has waited longest, unless enough other connections are being opened. c is nil if
+// nothing was connected; code is the node's SQLSTATE if it sent one.
 func (p *Pool) connectFailed(now int64, n *node, c *connection, code string, err error) {
 	if c == nil {
 		p.descriptors.open--
@@ -93,7 +93,7 @@
 		p.drop(c)
 	case len(n.waiting) > 0:
 		p.write(c, n.takeWaiting())
-	case p.nodes[n.name] != n: // the node has another address by now
+	case p.nodes[n.name] != n: // the node has another address meanwhile
 		p.drop(c)
 	default:
 		n.idle = append(n.idle, c)
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// replyRest, us, is how long a connection rests behind a reply: far over what lies between two writes of one process,
-	// far under any response time.
+	// replyRest, us, is how long a connection rests after a reply before it carries the next query: much longer than the
+	// gap between two writes of one process, so that surplus bytes have arrived, and much shorter than any response time.
 	replyRest = 1_000
-	// replyPart is the part of the connect timeout, one in so many, in which a reply that has begun must be whole.
+	// replyPart is the part of the connect timeout, one in so many, in which a reply that has begun must be complete.
 	replyPart = 4
 )
 
@@ -41,7 +41,7 @@
 
 	queriesWritten atomic.Int64
 	hasEnded       atomic.Bool
-	distrusted     atomic.Bool // nothing more of it can be believed
+	distrusted     atomic.Bool // it broke the protocol: nothing more of it is used
 
 	// The reader's goroutine alone uses these.
 	frames       *pgwire.Splitter
@@ -65,13 +65,13 @@
 	}
 }
 
-// usable tells whether the connection may carry a query: it lives, has not been idle for too long, and has nothing to
-// say that nobody asked for.
+// usable reports whether the connection may carry a query: it is alive, has not been idle for too long, and holds no
+// unread bytes, which would be taken for the answer.
 func (c *connection) usable(now int64) bool {
 	return c.state == ready && !c.hasEnded.Load() && !c.distrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Quiet()
 }
 
-// rest lets a connection rest behind a reply. Where the idle connections were closed meanwhile it is closed too.
+// rest lets a connection rest after a reply. If its node's idle connections were closed meanwhile it is closed too.
 func (p *Pool) rest(c *connection) {
 	n := c.node
 	n.resting++
@@ -87,9 +87,9 @@
 	})
 }
 
-// expectWhole gives up a reply that has begun and does not get whole, which would hold its query for ever, unless it is
-// this router that did not read.
-func (p *Pool) expectWhole(c *connection, number int64) {
+// expectComplete closes the connection if a reply that has begun is not complete in time: it would hold its query until the
+// client's deadline. If unread bytes are waiting it was this router that did not read, and the reply gets more time.
+func (p *Pool) expectComplete(c *connection, number int64) {
 	p.after(p.connectTimeout/replyPart, func(int64) {
 		switch {
 		case c.repliesHandled >= number || c.state != ready:
@@ -98,12 +98,12 @@
 			c.distrusted.Store(true)
 			c.stream.Close() // its query ends with it
 		default:
-			p.expectWhole(c, number)
+			p.expectComplete(c, number)
 		}
 	})
 }
 
-// receive puts together what arrives, and passes on whole replies.
+// receive assembles replies from the bytes that arrive, and passes on complete ones.
 func (c *connection) receive(p []byte) {
 	if c.distrusted.Load() {
 		return
@@ -134,7 +134,7 @@
 	}
 }
 
-// notePartialReply has a reply that has begun watched, once.
+// notePartialReply starts the deadline of a reply that has begun, once per reply.
 func (c *connection) notePartialReply(at int64) {
 	number := c.repliesRead + 1
 	begun := c.frames.Buffered() > 0 || c.reply.Begun()
@@ -142,10 +142,10 @@
 		return
 	}
 	c.partialReply = number
-	c.pool.post(at, func(int64) { c.pool.expectWhole(c, number) })
+	c.pool.post(at, func(int64) { c.pool.expectComplete(c, number) })
 }
 
-// receiveStartup takes a message of the startup; refused tells that the node has ended it.
+// receiveStartup takes a message of the startup; refused reports that the node has ended it.
 func (c *connection) receiveStartup(frame pgwire.Frame) (refused bool, err error) {
 	done, err := c.startup.Add(frame)
 	if !done || err != nil {
@@ -160,7 +160,7 @@
 	return code != "", nil
 }
 
-// endStartup tells whoever waits in connect; only the first word counts.
+// endStartup reports the startup's result to connect; only the first one counts.
 func (c *connection) endStartup(result startup) {
 	select {
 	case c.startupEnded <- result:
@@ -168,7 +168,7 @@
 	}
 }
 
-// receiveReply takes a message of a reply, and passes on a whole one. A reply that nobody asked for is an error.
+// receiveReply takes a message of a reply, and passes on a complete one. A reply that nobody asked for is an error.
 func (c *connection) receiveReply(at int64, frame pgwire.Frame) error {
 	done, err := c.reply.Add(frame)
 	if err != nil {
@@ -183,7 +183,7 @@
 	c.repliesRead++
 	reply := c.reply
 	c.reply = &pgwire.Reply{}
-	if c.frames.Buffered() > 0 { // the reply is good, but what stands behind it must not meet the next query
+	if c.frames.Buffered() > 0 { // the reply is good, but the surplus must not be read as the next one
 		repliesWithTrailingBytes.Add()
 		c.distrusted.Store(true)
 	}
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// distrust ends a connection of which nothing more can be believed; what it carries may have run.
+// distrust closes a connection that broke the protocol. Its query may have run.
 func (c *connection) distrust(at int64, err error) {
 	distrustedConnections.Add()
 	c.distrusted.Store(true)
@@ -201,7 +201,7 @@
 	c.pool.post(at, func(now int64) { c.pool.lost(now, c, nil) })
 }
 
-// ended is told when the connection has ended. A row or an error that came whole before it counts.
+// ended is called once the connection has ended. A row or an error that arrived completely before that still counts.
 func (c *connection) ended() {
 	c.hasEnded.Store(true)
 	c.endStartup(startup{err: errEnded})
--- a/internal/backend/descriptors.go
+++ b/internal/backend/descriptors.go
@@ -20,7 +20,7 @@
 	return descriptorBudget{limit: connections - connections/closingPart, spared: max(minClosing, connections/closingPart)}
 }
 
-// hasRoom tells whether one more connection may be opened.
+// hasRoom reports whether one more connection may be opened.
 func (b *descriptorBudget) hasRoom() bool { return b.open+max(0, b.closing-b.spared) < b.limit }
 
 // closeOldestIdle drops the connection that has been idle longest, of all nodes; it returns false where none is idle.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -144,8 +144,8 @@
 	return true
 }
 
-// sweep closes the connections that have been idle for too long, before their nodes do: a query that crosses a node's
-// close may have run.
+// sweep closes the connections that have been idle for too long, before their nodes do: a query that is written while the
+// node closes the connection counts as one that may have run.
 func (p *Pool) sweep(now int64) {
 	for _, n := range p.nodes {
 		kept := n.idle[:0]
@@ -175,8 +175,8 @@
 	return first
 }
 
-// takeIdle removes the connection used last, or returns nil. The latest is taken so that those that are too many grow
-// old and are closed.
+// takeIdle removes and returns the connection used last, or returns nil. Taking the latest lets surplus connections grow
+// old and be closed by sweep.
 func (n *node) takeIdle() *connection {
 	last := len(n.idle) - 1
 	if last < 0 {
--- a/internal/backend/query.go
+++ b/internal/backend/query.go
@@ -12,13 +12,13 @@
 // loadStatement is what a health check asks.
 const loadStatement = "SHOW load"
 
-// query is what one connection is asked at a time: an attempt, or a health check where there is none.
+// query is what a connection carries, one at a time: an attempt, or a health check if attempt is nil.
 type query struct {
 	attempt      *inflight.Attempt
 	node         *node
 	startedAt    int64       // us
 	conn         *connection // that carries it, nil while it waits for one
-	writeSettled bool        // it is known whether the kernel took it whole
+	writeSettled bool        // it is known whether the kernel took all of it
 	ended        bool
 }
 
@@ -51,7 +51,8 @@
 	}
 }
 
-// write writes a query to a connection. Whether an attempt may still start is looked at here again.
+// write writes a query to a connection, unless it is an attempt that may not start any more: much may have changed while
+// it waited for the connection.
 func (p *Pool) write(c *connection, q *query) {
 	var message []byte
 	if q.attempt == nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// writeEnded learns whether the kernel took a query whole.
+// writeEnded learns whether the kernel took all of a query.
 func (p *Pool) writeEnded(now int64, c *connection, q *query, err error) {
 	q.writeSettled = true
 	switch {
@@ -100,8 +101,7 @@
 	}
 }
 
-// replied ends the query of a connection, which may have its next after a moment: what a node wrongly sends right behind
-// an answer has come by then.
+// replied ends the query of a connection and lets the connection rest before its next one.
 func (p *Pool) replied(now int64, c *connection, reply *pgwire.Reply) {
 	q := c.query
 	c.query = nil
@@ -116,7 +116,7 @@
 	}
 }
 
-// lost ends the query of a connection that has ended; reply is what had come, and counts where it is whole.
+// lost ends the query of a connection that has ended. reply is what had arrived; it counts if it is complete.
 func (p *Pool) lost(now int64, c *connection, reply *pgwire.Reply) {
 	p.drop(c)
 	q := c.query
@@ -154,13 +154,14 @@
 	p.results.HealthCheckEnded(now, q.node.name, now-q.startedAt, outcome, load)
 }
 
-// endLater ends a query behind the call that is under way: the routing module must not hear of an attempt's end while it
-// starts it.
+// endLater ends a query in an event of its own, after the current call has returned: the routing module must not hear of
+// an attempt's end while it is still starting it.
 func (p *Pool) endLater(q *query, outcome routing.Outcome) {
 	p.post(p.now(), func(now int64) { p.end(now, q, outcome, nil) })
 }
 
-// outcomeOf reads a reply's error code. An error that breaks off a row that has begun says nothing of never having run.
+// outcomeOf translates a reply's error code. After part of a row no code proves that nothing ran: the node had begun to
+// answer.
 func outcomeOf(reply *pgwire.Reply) routing.Outcome {
 	if reply.Code != "" && len(reply.Value) > 0 {
 		return routing.Errored
--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// ErrSyntax tells that a text is no decimal number, or one too large.
+// ErrSyntax is the error of a text that is no decimal number, or too large a one.
 var ErrSyntax = errors.New("no decimal number")
 
 // maxBeforeDigit is the largest number that takes one more digit without overflow, with room to spare.
@@ -24,7 +24,7 @@
 	negative := false
 	hasDigits := false
 	pastPoint := false
-	decimals := 0 // digits behind the point that were taken
+	decimals := 0 // digits after the point that were taken
 	value := int64(0)
 	for i := range len(text) {
 		c := text[i]
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,7 +14,7 @@
 	"cairntiller/internal/metrics"
 )
 
-// What discovery tells counts as told 6 s after it fell silent, or had a change and could be reached: from then on a
+// A change counts as known to the router 6 s after discovery had it and could be reached, or fell silent: from then on a
 // drain binds the router. The longest way to a list applied: a watch that falls silent is given up signTimeout later,
 // its successor meets silence too for answerTimeout, and the call that begins maxBackoff later is answered at once:
 // 4.25 s. A call that began just before discovery could be reached, and is never answered, costs answerTimeout +
@@ -42,8 +42,8 @@
 // UnknownVersion is no version: the complete list is asked for. Another discovery may count its versions anew.
 const UnknownVersion = -1
 
-// Follow watches discovery at an address, and from a move on at another, until the context ends. A watch that was left
-// is over before the next begins, so its lists never come after newer ones.
+// Follow watches discovery at an address until the context ends; each address received from moves replaces it. The old
+// watch has ended before the new one begins, so its lists never arrive after newer ones.
 func Follow(ctx context.Context, address string, version int64, moves <-chan string, onList func(*EndpointList)) {
 	for ctx.Err() == nil {
 		watchCtx, leave := context.WithCancel(ctx)
@@ -98,7 +98,7 @@
 	onList  func(*EndpointList)
 }
 
-// ask makes one call, and hands on the lists in its answer until that ends. gotList tells whether there was one.
+// ask makes one call, and hands on the lists in its answer until that ends. gotList reports whether there was one.
 func (w *watch) ask(ctx context.Context) (gotList bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -143,7 +143,7 @@
 	}
 }
 
-// call asks for the complete list where none is known, else for the changes behind the version that is.
+// call asks for the complete list where none is known, else for the changes after the version that is.
 func (w *watch) call(ctx context.Context) (*http.Response, error) {
 	url := "http://" + w.address + "/api/targets"
 	if w.version != UnknownVersion {
@@ -156,7 +156,7 @@
 	return w.client.Do(request)
 }
 
-// endOf is why an answer ended: the watch was left or fell silent, or what came can't be read.
+// endOf returns why an answer ended: the watch was left or fell silent, or what arrived can't be read.
 func endOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -167,9 +167,9 @@
 	return err
 }
 
-// outdated tells whether a list is no news: older than the last one taken, and not complete or behind a newer one of the
-// same call. A complete one that a call begins with stands whatever its version: a discovery that started anew counts
-// from one again, and no list of its would be taken ever after.
+// outdated reports whether a list is older than the last one applied. A complete list at the start of a call is never
+// outdated: a discovery that has restarted counts its versions from one again, and if its first list were dropped, none of
+// its lists would ever be applied.
 func (w *watch) outdated(list *EndpointList, gotList bool) bool {
 	return list.Version < w.version && (gotList || !list.Complete)
 }
--- a/internal/discovery/watched_body.go
+++ b/internal/discovery/watched_body.go
@@ -5,16 +5,16 @@
 	"io"
 )
 
-// watchedBody passes on the bytes of an answer, and tells of its signs of life: all that comes between lists, empty
-// lines among it, and the beginning of a list. What comes within a list is none: a list that does not get whole must not
-// hold the watch open. It bounds a list's bytes.
+// watchedBody passes on the bytes of an answer, bounds the bytes of one list, and calls onSign at each sign of life:
+// anything that arrives between lists, empty lines included, and the beginning of a list. Bytes within a list are no sign
+// of life: a list that never completes must not keep the watch open.
 type watchedBody struct {
 	from      io.Reader
 	onSign    func()
-	listBytes int // since something but white space came behind the last list, 0 between lists
+	listBytes int // since something but white space came after the last list, 0 between lists
 }
 
-// listEnded tells that a list has been read whole.
+// listEnded is called once a complete list has been read.
 func (b *watchedBody) listEnded() { b.listBytes = 0 }
 
 // Read implements io.Reader.
--- a/internal/engine/cluster_services.go
+++ b/internal/engine/cluster_services.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// noteEndpoint notes an endpoint of a list, and returns the state in which the routing module hears of it: what a
-// rollout drains is draining though the list calls it up.
+// noteEndpoint notes an endpoint of a list, and returns the state that the routing module is given: a node that a
+// rollout drains is draining even if the list calls it up.
 func (s *clusterServices) noteEndpoint(endpoint discovery.Endpoint) routing.EndpointState {
 	if s == nil {
 		return endpoint.State
@@ -133,8 +133,8 @@
 	return statuses
 }
 
-// isPrimary tells whether a node is its group's primary. The list's word counts where the routing module has not seen
-// the node's role: a router that sends nothing to a group knows the list alone.
+// isPrimary reports whether a node is its group's primary. The list counts if the routing module has not seen the
+// node's role: a router that sends nothing to a group knows only the list.
 func isPrimary(seen routing.Role, endpoint discovery.Endpoint) bool {
 	return seen == routing.Primary || seen == routing.RoleUnknown && endpoint.Primary
 }
--- a/internal/engine/endpoint_list.go
+++ b/internal/engine/endpoint_list.go
@@ -8,7 +8,7 @@
 
 var listsApplied = metrics.New("endpoint lists applied")
 
-// ApplyEndpointList hands discovery's list to all who go by it: a complete one, or the changed endpoints.
+// ApplyEndpointList applies a list from discovery: a complete one, or the changed endpoints.
 func (e *Engine) ApplyEndpointList(now int64, list *discovery.EndpointList) {
 	listsApplied.Add()
 	e.distribute(now, list)
--- a/internal/engine/event_queue.go
+++ b/internal/engine/event_queue.go
@@ -36,7 +36,7 @@
 	return events, q.stopped
 }
 
-// stop lets every later take say so.
+// stop makes every later take return stopped.
 func (q *eventQueue) stop() {
 	q.mu.Lock()
 	q.stopped = true
@@ -47,7 +47,7 @@
 func (q *eventQueue) wake() {
 	select {
 	case q.posted <- struct{}{}:
-	default: // it wakes already
+	default: // the engine is being woken already
 	}
 }
 
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -124,7 +124,7 @@
 	return 0
 }
 
-// plausiblePosition tells whether a position can be true: positions are times of commits, so none is later than the
+// plausiblePosition reports whether a position can be true: positions are times of commits, so none is later than the
 // clock that all machines read. One that is would make every replica look too old for a read.
 func plausiblePosition(now, position int64) bool {
 	if position > now+positionResolution {
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -94,7 +94,7 @@
 	e.removeIfDone(request)
 }
 
-// abandonAttempt stops waiting for an attempt. The routing module learns of it as an event of its own, behind the end
+// abandonAttempt stops waiting for an attempt. The routing module learns of it as an event of its own, after the end
 // of the attempt's connection, so that no second attempt can reach a node while the first is open.
 func (e *Engine) abandonAttempt(attempt *inflight.Attempt, outcome routing.Outcome) {
 	if attempt.Ended || attempt.Abandoned {
--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -5,12 +5,12 @@
 	"cairntiller/internal/pgwire"
 )
 
-// answer is one that is owed, or waits for those before it.
+// answer is one answer owed to the client: still unknown, or waiting for the ones before it.
 type answer struct {
 	request   *inflight.Request // nil for an answer of the router's own
 	arrivedAt int64             // us: when its command came
 	bytes     []byte            // nil until it is known
-	last      bool              // the session ends behind it
+	last      bool              // the session ends after it
 }
 
 // sendError answers with an error of the router's own; the session goes on.
@@ -18,12 +18,13 @@
 	c.queue(pgwire.AppendError(nil, false, code, message, 0))
 }
 
-// sendFatalError answers with an error of the router's own, behind which the session ends.
+// sendFatalError answers with an error of the router's own, after which the session ends.
 func (c *session) sendFatalError(code, message string) {
 	c.queueLast(pgwire.AppendError(nil, true, code, message, 0))
 }
 
-// queue answers without a node, behind the answers owed. Where too many are owed the session ends instead.
+// queue adds an answer of the router's own after the answers already owed. If too many are owed the session is ended
+// instead.
 func (c *session) queue(bytes []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +40,8 @@
 	c.flush()
 }
 
-// queueLast answers without a node, behind the answers owed, and ends the session behind that; nil says nothing.
+// queueLast adds an answer of the router's own after the answers already owed, and ends the session once it is written.
+// With nil nothing is written.
 func (c *session) queueLast(bytes []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,9 +60,9 @@
 	c.flush()
 }
 
-// flush writes the answers that are next in order. While the router ends, the last one owed is the session's last; a
-// welcome is none, for a session that has just come up may bring its command with its startup. Called with the lock
-// held.
+// flush writes the answers that are next in order. While the router drains, a session is closed once its last owed
+// answer is written. The welcome does not count as one: a client may send its first command in the same segment as its
+// startup. Called with the lock held.
 func (c *session) flush() {
 	wrote := false
 	for len(c.answers) > 0 && (c.answers[0].bytes != nil || c.answers[0].last) {
--- a/internal/frontend/cancel.go
+++ b/internal/frontend/cancel.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// cancelNext ends the command that is next to be answered, and returns whether there was one. A command that came behind
-// the cancel's connection is not meant: its client has had the answer that the cancel crossed.
+// cancelNext ends the command that is next to be answered, and returns whether there was one. A command that arrived after
+// the cancel's connection is not meant: the cancel was for an earlier command, whose answer it crossed on the way.
 func (c *session) cancelNext(cancelledAt int64) bool {
 	c.mu.Lock()
 	if len(c.answers) == 0 || c.answers[0].request == nil || c.answers[0].arrivedAt >= cancelledAt {
--- a/internal/frontend/commands.go
+++ b/internal/frontend/commands.go
@@ -8,7 +8,7 @@
 	"cairntiller/internal/pgwire"
 )
 
-// handleQuery takes a command, or answers it with an error of the router's own.
+// handleQuery submits a command, or answers it with an error of the router's own.
 func (c *session) handleQuery(at int64, statement []byte) {
 	if !c.server.ready.Load() {
 		c.sendError(pgwire.CodeNotReady, "the router is starting up")
@@ -77,11 +77,12 @@
 	overLimits
 )
 
-// admit queues the answer of a request that is taken.
+// admit decides whether a request is taken, and if so queues a place for its answer.
 //
-// A session may have been closed for another while its command was read: the answer could not be given any more, so the
-// command must not run. While the router ends, what comes behind other answers is not taken, or a client that goes on
-// would keep the router for ever; who has just come is served once.
+// Two guards stand here. A session may have been closed for another one while its command was being read: the answer
+// could no longer be delivered, so the command must not run; closing is set under the same lock. And while the router
+// drains, only the first command of a session is taken: a client that kept sending commands would otherwise keep the
+// router from ever ending.
 func (c *session) admit(at int64, request *inflight.Request) admission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -7,7 +7,7 @@
 //	phaseNew      no command has come yet; also while it starts up
 //	phaseBusy     a command is in flight
 //	phaseIdle     it has had commands, and all of them have their answers
-//	phaseClosing  the router's side has ended, or ends behind the answers that are queued
+//	phaseClosing  the router's side has ended, or ends after the answers that are queued
 //
 //	new -> busy -> idle -> busy -> ...   a command arrives; the last answer is written
 //	any -> closing                       a fatal error, a limit, the drain before the router ends, or the client's end
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -5,7 +5,7 @@
 // closePoll is the time between looks whether all sessions have ended.
 const closePoll = 5 * time.Millisecond
 
-// BeginDrain closes each session as soon as no answer is owed on it. Commands that come behind one in flight are
+// BeginDrain closes each session as soon as no answer is owed on it. Commands that come after one in flight are
 // rejected from now on.
 func (s *Server) BeginDrain() {
 	s.draining.Store(true)
@@ -14,7 +14,7 @@
 	}
 }
 
-// WaitClosed returns once clients have ended all connections, but grace behind the last answer's leave at the latest,
+// WaitClosed returns once clients have ended all connections, but grace after the last answer has left at the latest,
 // and never later than a deadline.
 func (s *Server) WaitClosed(grace time.Duration, deadline time.Time) {
 	graceEnd := time.Now().Add(grace)
@@ -33,7 +33,7 @@
 	}
 }
 
-// owesWrites tells whether something is still to be written. A client that never asked anything is owed nothing.
+// owesWrites reports whether something is still to be written. A client that never asked anything is owed nothing.
 func (c *session) owesWrites() bool {
 	return !c.stream.WriteSideClosed() && c.phase.Load() != phaseNew
 }
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -17,26 +17,28 @@
 	maxStartupBytes = 10_000
 	// maxPipelined bounds the commands in flight on one connection: some clients send many before they read.
 	maxPipelined = 64
-	// maxQueuedAnswers bounds the answers that are owed on one connection, errors of the router's own among them. A
-	// client that goes on behind them is cut off: else it could pile up errors behind one slow command.
+	// maxQueuedAnswers bounds the answers owed on one connection, including errors of the router's own. Without it a
+	// client could pile up errors in memory after one slow command; beyond it the connection is closed.
 	maxQueuedAnswers = 128
 
-	// Of the memory limit, one part in so many, for commands and answers in flight and for messages that have begun to
-	// arrive. Together they leave the rest to the nodes' answers and the collector.
+	// The parts of the memory limit, one in so many, for commands and answers in flight and for messages that have begun
+	// to arrive. The rest is left for the nodes' answers and the garbage collector.
 	inFlightMemoryPart = 8
 	partialMemoryPart  = 16
 
-	// firstCommandTimeout, us, is the time for a connection's first command, and for a message that has begun to arrive
-	// whole. Clients may be closed after 2 s without a command, and one that is of no use is owed an end within 3 s.
+	// firstCommandTimeout, us, is the time in which a connection must send its first command, and in which a message that
+	// has begun must arrive completely. The protocol allows closing a client after 2 s without a command, and asks that one
+	// which never sends any is closed within 3 s.
 	firstCommandTimeout = 2_200_000
-	// newcomerGrace, us, is the time in which a usual client's first command has come, also where this router had no
+	// newcomerGrace, us, is the time in which a normal client's first command has arrived, even if this router had no CPU
 	// core for a moment.
 	newcomerGrace = 100_000
 	// idleTimeout, us, is the time without a command after which a connection may be closed.
 	idleTimeout = 2_000_000
 
-	// idlePart is the part of the places, one in so many, that may stand idle for longer. Clients that ask once and keep
-	// their connection would else hold all places, and all connections that their own limits allow.
+	// idlePart is the part of the places, one in so many, that may stay idle for longer than idleTimeout. Without it
+	// clients that send one command and keep their connection would hold all places here, and all the connections that
+	// their own limits allow, while the router does nothing.
 	idlePart = 16
 	// endedPart is the part of the connections, one in so many, that is for those that have ended and are still read, so
 	// that what was last written to them arrives.
@@ -73,8 +75,9 @@
 	none       bool     // there is no place: the newcomer is rejected
 }
 
-// findRoom chooses who makes room for one more session: the oldest of the lowest eviction rank. Sessions that have ended
-// hold descriptors, not places; they are read on for as long as there is room. Called with the server's lock held.
+// findRoom chooses which session makes room for one more: the oldest of the lowest eviction rank. Sessions that have
+// ended hold a descriptor, not a place; they are still read for as long as there are descriptors, so that the last bytes
+// written to them arrive. Called with the server's lock held.
 func (s *Server) findRoom() room {
 	if len(s.sessions) < s.limits.sessions {
 		return room{}
@@ -106,7 +109,7 @@
 	return room{closeEnded: oldestEnded, evict: candidate, none: candidate == nil}
 }
 
-// olderThan tells whether a session has been in its phase for longer than another; nil is the youngest.
+// olderThan reports whether a session has been in its phase for longer than another; nil is the youngest.
 func (c *session) olderThan(other *session) bool {
 	return other == nil || c.phaseSince.Load() < other.phaseSince.Load()
 }
@@ -117,7 +120,7 @@
 const (
 	rankNoFirstCommand evictionRank = iota // it had its time for a first command
 	rankLongIdle
-	rankNewcomer // behind the long idle: else a crowd of those would leave newcomers one place, where each ends the one before
+	rankNewcomer // after the long idle ones, or newcomers would evict one another while idle sessions keep all other places
 	rankNever    // it has a command in flight, or had one a moment ago
 )
 
@@ -147,8 +150,8 @@
 	}
 }
 
-// sweep ends the sessions that are past their time: without a first command, with a message that does not arrive whole,
-// and the longest idle where too many are idle.
+// sweep ends the sessions that are past their time: those without a first command, those with a message that does not
+// arrive completely, and the longest idle ones if too many are idle.
 func (s *Server) sweep() {
 	now := s.now()
 	var idle []*session
@@ -169,7 +172,7 @@
 	}
 }
 
-// pastFirstCommandTimeout tells whether the session's first command, or the rest of a message, is overdue.
+// pastFirstCommandTimeout reports whether the session's first command, or the rest of a message, is overdue.
 func (c *session) pastFirstCommandTimeout(now int64) bool {
 	phase := c.phase.Load()
 	if phase == phaseNew && now-c.phaseSince.Load() > firstCommandTimeout {
@@ -179,8 +182,9 @@
 	return phase != phaseClosing && partialSince > 0 && now-partialSince > firstCommandTimeout
 }
 
-// notePartial notes how many bytes have come of a message that is not whole. Where all such together are too much,
-// whoever holds more than an even part of it is ended. Called on the reader's goroutine, and once that has ended.
+// notePartial notes how many bytes of an incomplete message have arrived. If such bytes are too many on all connections
+// together, a session that holds more than an equal part of the limit is ended. Called on the reader's goroutine, and once
+// more after that has ended.
 func (c *session) notePartial(at, bytes int64) {
 	s := c.server
 	all := s.partialBytes.Add(bytes - c.partialBytes)
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -31,17 +31,17 @@
 
 	phase        atomic.Int32
 	phaseSince   atomic.Int64 // us
-	partialSince atomic.Int64 // us: when a message began to arrive that is not whole yet, 0 for none
+	partialSince atomic.Int64 // us: when a message began to arrive that is still incomplete, 0 for none
 
 	// The reader's goroutine alone uses these.
 	frames          *pgwire.Splitter // nil once nothing more is taken
 	started         bool             // its startup message has come
 	encryptionAsked bool
-	partialBytes    int64 // bytes of a message that is not whole yet
+	partialBytes    int64 // bytes of a message that is still incomplete
 
 	mu      sync.Mutex
 	answers []*answer // owed, in the order of their commands
-	closing bool      // nothing more is taken, and the router's side ends behind the answers; never taken back
+	closing bool      // nothing more is taken, and the session ends after the queued answers; never reset
 }
 
 func newSession(s *Server, conn netpoll.Connection) *session {
@@ -64,15 +64,15 @@
 	c.phase.Store(p)
 }
 
-// isClosing tells whether nothing more is taken.
+// isClosing reports whether nothing more is taken.
 func (c *session) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-// receive takes the bytes that have arrived. Behind the router's end they are still read, so that what was written
-// arrives and our end is no reset, and thrown away.
+// receive takes the bytes that have arrived. After the router has closed its side they are still read and dropped:
+// closing a socket with unread bytes sends a reset, which would take the last answer away from the client.
 func (c *session) receive(p []byte) {
 	at := c.server.now()
 	if !c.isClosing() {
@@ -101,7 +101,7 @@
 	c.notePartial(at, 0)
 }
 
-// handleFirstMessage takes the messages before a session is up: a request for encryption, which is declined, and then a
+// handleFirstMessage handles the messages before a session is up: a request for encryption, which is declined, then a
 // startup or a cancel.
 func (c *session) handleFirstMessage(frame pgwire.Frame) {
 	opening := pgwire.DecodeOpening(frame)
@@ -113,7 +113,7 @@
 		if process, secret, ok := pgwire.DecodeCancel(frame); ok {
 			c.server.cancel(process, secret, c.phaseSince.Load())
 		}
-		c.queueLast(nil) // nothing is ever said to a cancel
+		c.queueLast(nil) // a cancel never gets an answer
 	case opening == pgwire.OpenStartup || opening == pgwire.OpenStartupNewer:
 		c.started = true
 		c.frames.ExpectTyped(maxQueryBytes)
@@ -124,7 +124,7 @@
 	}
 }
 
-// handleMessage takes one message of a session that is up.
+// handleMessage handles one message of a session that is up.
 func (c *session) handleMessage(at int64, frame pgwire.Frame) {
 	switch frame.Type {
 	case 'Q': // Query
@@ -151,7 +151,7 @@
 	}
 }
 
-// ended is told when the connection has ended, whoever ended it: the client of its requests has gone.
+// ended is called once the connection has ended, whichever side closed it: the client of its requests has gone.
 func (c *session) ended() {
 	at := c.server.now()
 	c.server.forget(c.number)
--- a/internal/inflight/attempt.go
+++ b/internal/inflight/attempt.go
@@ -12,10 +12,10 @@
 	Ended       bool
 }
 
-// MayStart tells, at the moment at which an attempt has its connection, whether it may still go out: in time, for a
-// request that is not concluded, and for a client that is still there. All three held when the attempt was decided, but
-// the wait for a connection may have outlasted them: a command sent then would run at a node for nobody, or a second
-// time outside of the window in which its repeat is safe.
+// MayStart reports whether an attempt that has got its connection may still be sent: it is not too late, its request is
+// not concluded, and its client is still connected. All three held when the attempt was decided, but may have changed while
+// it waited for the connection. A command sent anyway would run for nobody, or a second time after the window in which
+// repeating it is safe.
 func (a *Attempt) MayStart(now int64) bool {
 	return now <= a.LatestStart && !a.Request.concluded && a.Request.client.Connected()
 }
--- a/internal/inflight/interfaces.go
+++ b/internal/inflight/interfaces.go
@@ -13,7 +13,7 @@
 	Reject(request *Request, retryAfter int64)
 	// Fail tells the client that the command failed; it may have run.
 	Fail(request *Request)
-	// Connected tells whether the client is still there. Where it is not, Intake.ClientGone is called for all its
+	// Connected reports whether the client is still there. Where it is not, Intake.ClientGone is called for all its
 	// requests.
 	Connected() bool
 }
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -67,7 +67,7 @@
 	return true
 }
 
-// Concluded tells whether the client has had its final answer, or needs none any more.
+// Concluded reports whether the client has had its final answer, or needs none any more.
 func (r *Request) Concluded() bool { return r.concluded }
 
 // Answer gives the client a node's value, and returns whether the client still waited for one. A value that comes
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -10,7 +10,7 @@
 	lengthBytes = 4 // the length counts itself, and not the type
 	typeBytes   = 1
 
-	// keptBuffer is the room that an empty Splitter keeps: one large value must not hold its own for ever.
+	// keptBuffer is the room that an empty Splitter keeps: the room for one large value must not be kept forever.
 	keptBuffer = 1 << 14
 )
 
@@ -20,7 +20,7 @@
 	Body []byte
 }
 
-// ErrMessageLength tells that a message claims a length that none can have here: the stream can't be trusted.
+// ErrMessageLength is the error of a message with a length that none can have here: the stream can't be trusted.
 var ErrMessageLength = errors.New("invalid message length")
 
 // Splitter cuts a stream into messages, however its bytes arrive. It never holds more than has arrived.
@@ -49,7 +49,7 @@
 	s.buffer = append(s.buffer, p...)
 }
 
-// ExpectTyped tells that from now on messages have a type byte, and bodies up to maxBody bytes.
+// ExpectTyped makes the following messages ones with a type byte, and bodies up to maxBody bytes.
 func (s *Splitter) ExpectTyped(maxBody int) {
 	s.untyped = false
 	s.maxBody = maxBody
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -14,7 +14,7 @@
 	return f.Body[:last], true
 }
 
-// IsEmptyQuery tells whether a query holds nothing to do.
+// IsEmptyQuery reports whether a query holds nothing to do.
 func IsEmptyQuery(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
 
 // AppendQuery encodes a simple query.
@@ -28,7 +28,7 @@
 // AppendEmpty encodes the answer to an empty query.
 func AppendEmpty(dst []byte) []byte { return AppendReady(Frame{'I', nil}.Append(dst)) }
 
-// AppendError encodes an ErrorResponse. Behind one that is not fatal the connection goes on, so ReadyForQuery follows. A
+// AppendError encodes an ErrorResponse. After one that is not fatal the connection goes on, so ReadyForQuery follows. A
 // retryAfter above 0, in us, tells the client when to come again, in ms rounded up.
 func AppendError(dst []byte, fatal bool, code, message string, retryAfter int64) []byte {
 	severity := "ERROR"
--- a/internal/pgwire/reply.go
+++ b/internal/pgwire/reply.go
@@ -7,7 +7,7 @@
 	"cairntiller/internal/decimal"
 )
 
-// ErrUnexpectedMessage tells that a node said what does not follow: nothing more of its connection can be believed.
+// ErrUnexpectedMessage is the error of a message that may not follow those before it: the connection can't be trusted.
 var ErrUnexpectedMessage = errors.New("message out of turn")
 
 // NodeReport is what a node tells of itself beside an answer.
@@ -28,13 +28,13 @@
 	last  byte   // type of the last message of the row or error, 0 for none
 }
 
-// Complete tells whether the row is complete, though ReadyForQuery may be still to come.
+// Complete reports whether the row is complete, though ReadyForQuery may be still to come.
 func (r *Reply) Complete() bool { return r.last == 'C' }
 
-// Begun tells whether any part of an answer has come.
+// Begun reports whether any part of an answer has come.
 func (r *Reply) Begun() bool { return r.last != 0 }
 
-// Add adds one message; done tells that the node is ready for the next query. The error is ErrUnexpectedMessage.
+// Add adds one message; done reports that the node is ready for the next query. The error is ErrUnexpectedMessage.
 func (r *Reply) Add(f Frame) (done bool, err error) {
 	switch f.Type {
 	case 'S': // ParameterStatus
@@ -57,7 +57,7 @@
 		}
 		r.Value = f.Append(r.Value)
 	case 'E':
-		if r.last == 'C' || r.last == 'E' { // it may break off a row, not follow a whole one
+		if r.last == 'C' || r.last == 'E' { // it may break off a row, not follow a complete one
 			return false, ErrUnexpectedMessage
 		}
 		if r.Code, r.Fatal, err = decodeError(f); err != nil {
@@ -70,7 +70,7 @@
 	return false, nil
 }
 
-// follows tells whether a message of a row may come now.
+// follows reports whether a message of a row may come now.
 func (r *Reply) follows(messageType byte) bool {
 	switch messageType {
 	case 'T':
@@ -81,7 +81,7 @@
 	return r.last == 'D'
 }
 
-// wellFormed tells whether a message of a row is made as it must be, to its last byte: one column, one text.
+// wellFormed reports whether a message of a row is made as it must be, to its last byte: one column, one text.
 func wellFormed(f Frame) bool {
 	const (
 		countBytes       = 2
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -69,7 +69,7 @@
 }
 
 // AppendWelcome encodes the answer to a startup, with the key by which the connection's commands are cancelled. newer
-// tells that the client asked for a later minor version.
+// reports that the client asked for a later minor version.
 func AppendWelcome(dst []byte, newer bool, process, secret uint32) []byte {
 	if newer { // NegotiateProtocolVersion: minor 0, and no option is known
 		dst = Frame{'v', make([]byte, 8)}.Append(dst)
@@ -92,7 +92,7 @@
 	allowed bool   // AuthenticationOk has come
 }
 
-// Add adds one message; done tells that the node is ready, or has refused with Code. The error is
+// Add adds one message; done reports that the node is ready, or has refused with Code. The error is
 // ErrUnexpectedMessage.
 func (r *StartupReply) Add(f Frame) (done bool, err error) {
 	switch f.Type {
--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -38,7 +38,7 @@
 	settings  settings.Values
 }
 
-// loadConfig reads the platform's configuration whole or not at all.
+// loadConfig reads the platform's configuration completely or not at all.
 func loadConfig() (c loadedConfig, err error) {
 	path := os.Getenv("RELAY_CONFIG")
 	raw, err := os.ReadFile(path)
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -23,9 +23,9 @@
 	"cairntiller/internal/stream"
 )
 
-// knownListDelay, us, is how long discovery's own list is waited for before an older one from the configuration is
-// used. Discovery's agent is on this machine and answers at once where it can, and what it has counts as told from the
-// router's first moment on: a node that drains by now must not be used because an older list calls it up.
+// knownListDelay, us, is how long the router waits for discovery's list before it uses the older one of the configuration.
+// Discovery's agent runs on this machine and answers at once if it can, and what it has counts as known to the router from
+// its start: a node that has begun to drain must not be used because an older list calls it up.
 const knownListDelay = 1_000_000
 
 // router is one running router.
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -23,8 +23,9 @@
 	handoverWait = 2 * time.Second
 )
 
-// shutdown ends the router in order: others take its leases over while it answers what it owes, then it closes each
-// session and stops. It accepts connections to its end: who comes meanwhile must not wait at an engine that has stopped.
+// shutdown ends the router in order: other routers take over its leases while it answers the requests in flight, then it
+// closes each session and stops. It keeps accepting connections until the end, so that a client that connects meanwhile is
+// answered rather than left waiting.
 func (r *router) shutdown() {
 	killDelay := min(time.Duration(r.longestClientTimeout)*time.Microsecond, maxKillDelay)
 	deadline := time.Now().Add(killDelay + killGrace - answerMargin)
--- a/internal/settings/routing_config.go
+++ b/internal/settings/routing_config.go
@@ -94,7 +94,7 @@
 func groupPath(i int) string  { return "classes." + strconv.Itoa(i) + "." }
 func tenantPath(i int) string { return "tenants." + strconv.Itoa(i) + "." }
 
-// reports tells whether nodes' load reports hold a figure.
+// reports reports whether nodes' load reports hold a figure.
 func (v Values) reports(figure string) bool {
 	return v["report.how"] != "none" && slices.Contains(v.List("report.fields"), figure)
 }
@@ -125,7 +125,7 @@
 	return routing.Write
 }
 
-// nth is an entry of a list, "" behind its end.
+// nth is an entry of a list, "" past its end.
 func nth(list []string, i int) string {
 	if i < len(list) {
 		return list[i]
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -82,7 +82,7 @@
 // enabled reads a setting that is on or off; JSON has true, the simulator 1.
 func (v Values) enabled(path string) bool { return v[path] == "true" || v[path] == "1" }
 
-// HealthChecksAllowed tells whether nodes may be asked for their load reports.
+// HealthChecksAllowed reports whether nodes may be asked for their load reports.
 func (v Values) HealthChecksAllowed() bool { return v.enabled("limits.probes") }
 
 // List reads a list of plain values; absent, empty and "-" have none.
--- a/internal/simwire/endpoint_list.go
+++ b/internal/simwire/endpoint_list.go
@@ -43,7 +43,7 @@
 }
 
 // endpointList: kind, version, number of the list. FULL and SAVED lists name all endpoints; INCREMENTAL ones those that
-// changed; FAILED tells that the list is no longer followed.
+// changed; FAILED reports that the list is no longer followed.
 func (i *instance) endpointList(now int64, fields [][]byte, n *fieldReader) error {
 	kind := string(fields[2])
 	switch kind {
--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -44,7 +44,7 @@
 // Close closes the connection at once.
 func (s *Stream) Close() { s.conn.Close() }
 
-// WriteSideClosed tells whether nothing more will leave: our side has ended, behind all that was queued.
+// WriteSideClosed reports whether nothing more will leave: our side has ended, after all that was queued.
 func (s *Stream) WriteSideClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -39,7 +39,7 @@
 	slowReaders  = metrics.New("peers that read too slowly")
 )
 
-// ErrUnwritten tells that the peer's machine was handed nothing of what was to be written.
+// ErrUnwritten is the error of a write of which surely no byte reached the peer's machine.
 var ErrUnwritten = errors.New("nothing was written")
 
 // Events are what a connection tells its owner; each is called on a goroutine of the library's.
@@ -112,7 +112,7 @@
 	}
 }
 
-// Quiet tells whether the connection lives and nothing has come that was not read: neither bytes nor its end.
+// Quiet reports whether the connection is open and nothing unread has arrived: neither bytes nor the peer's end.
 func (s *Stream) Quiet() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,8 +123,8 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// PeerPresent tells whether the peer has not gone, as the kernel knows it now: its end may have come and not been read.
-// What it sent before its end hides that.
+// PeerPresent reports whether the peer is still connected, by asking the kernel: the peer's end may have arrived without
+// having been read yet. Unread bytes that the peer sent before its end hide the end.
 func (s *Stream) PeerPresent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/stream/write.go
+++ b/internal/stream/write.go
@@ -49,7 +49,7 @@
 				err = s.writeNow(one.bytes)
 			}
 			if err != nil && failed == nil {
-				failed = ErrUnwritten // of those behind it nothing has left
+				failed = ErrUnwritten // of those after it nothing has left
 				failedWrites.Add()
 				s.Close()
 			}
