--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -100,7 +100,7 @@
 
 // Run runs it.
 func (c *leasesCommand) Run() error {
-	leases := proof.Leases{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Times: 6, Log: logWriter(c.Log), Writes: os.Stdout}
+	leases := proof.LeaseProof{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Measurements: 6, Log: logWriter(c.Log), Writes: os.Stdout}
 	if c.Script != "" {
 		raw, err := os.ReadFile(c.Script)
 		if err != nil {
@@ -111,7 +111,7 @@
 		}
 	}
 	if c.Print {
-		fmt.Print(leases.Draw())
+		fmt.Print(leases.RandomScript())
 		return nil
 	}
 	return printClosingLine(leases.Run())
--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -72,7 +72,7 @@
 
 // Run runs it.
 func (l *holdCommand) Run() error {
-	return asExitCode(HoldWork(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
+	return asExitCode(RunWorkWithLease(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
 }
 
 // keepCommand supervises a command as the product does.
@@ -84,7 +84,7 @@
 
 // Run runs it.
 func (l *keepCommand) Run() error {
-	return asExitCode(Keep(l.Clock, l.Room, l.Args))
+	return asExitCode(SuperviseWork(l.Clock, l.Room, l.Args))
 }
 
 // badKeepCommand supervises a command without ending it in time: a planted mistake.
@@ -95,7 +95,7 @@
 }
 
 // Run runs it.
-func (l *badKeepCommand) Run() error { return BadKeep(l.Args) }
+func (l *badKeepCommand) Run() error { return SuperviseWithoutTime(l.Args) }
 
 // workCommand works under a lease, unchecked.
 type workCommand struct {
@@ -105,4 +105,4 @@
 }
 
 // Run runs it.
-func (l *workCommand) Run() error { return Work(l.Acts, l.Holder, l.Lease, l.Span) }
+func (l *workCommand) Run() error { return DoWork(l.Acts, l.Holder, l.Lease, l.Span) }
--- a/internal/testcluster/proof/leases_test.go
+++ b/internal/testcluster/proof/lease_proof_test.go
@@ -75,20 +75,21 @@
 	return s
 }
 
-// TestLeases plays one script: holders stopped past their lease and continued, cut off one way and both, all voters
-// killed at once, messages doubled and late, a majority lost and back. A keeper that heeds no time must be seen.
+// TestLeases: a holder is stopped past its lease and goes on, another is cut off one way, all voters are killed at once,
+// messages come twice and late, a majority is lost and comes back. No two processes may act under one lease through all of it,
+// and a supervisor that does not end its command in time must be seen.
 func TestLeases(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		p    Leases
+		p    LeaseProof
 		want string
 	}{
-		"as it is":                  {Leases{Script: script(t, leaseScript), Times: 1}, ""},
-		"commands without a keeper": {Leases{Script: script(t, "200 stop-at work-0\n6000 up\n"), Unkept: true}, "overlapped"},
+		"as it is":                      {LeaseProof{Script: script(t, leaseScript), Measurements: 1}, ""},
+		"commands without a supervisor": {LeaseProof{Script: script(t, "200 stop-at work-0\n6000 up\n"), Unsupervised: true}, "overlapped"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c.p.Seed, c.p.Voters, c.p.Others, c.p.Rules, c.p.Log, c.p.Writes = 1, 3, 2, true, io.Discard, io.Discard
+			c.p.Seed, c.p.Voters, c.p.Others, c.p.RulesOnly, c.p.Log, c.p.Writes = 1, 3, 2, true, io.Discard, io.Discard
 			line, err := c.p.Run()
 			if c.want == "" && (err != nil || !strings.Contains(line, "holds")) {
 				t.Errorf("%v: %s", err, line)
@@ -118,11 +119,12 @@
 	return strings.Contains(l.b.String(), text)
 }
 
-// TestClockOutsideTheBound gives one voter a clock at three times the bound: that is outside the promise, and told.
+// TestClockOutsideTheBound: one voter's clock goes wrong by three times the bound, and leases are no longer safe with it. That
+// is outside the promise, so somebody must be told of it.
 func TestClockOutsideTheBound(t *testing.T) {
 	t.Parallel()
 	log := &lines{}
-	p := Leases{Seed: 2, Voters: 3, Others: 1, Rules: true, Rate: 1 + 3*leaseDrift, Script: script(t, "9000 heal\n"), Log: log, Writes: io.Discard}
+	p := LeaseProof{Seed: 2, Voters: 3, Others: 1, RulesOnly: true, FirstClockRate: 1 + 3*leaseDrift, Script: script(t, "9000 heal\n"), Log: log, Writes: io.Discard}
 	if line, err := p.Run(); err != nil {
 		t.Errorf("%v: %s", err, line)
 	}
@@ -131,11 +133,12 @@
 	}
 }
 
-// TestVotersChangeDuringACut replaces a voter, one step at a time, while another one is cut off.
+// TestVotersChangeDuringACut: an operator replaces a voter while another one is cut off, and the new set never comes in force,
+// or both sets have a holder. One step at a time it must come in force, and nothing overlap.
 func TestVotersChangeDuringACut(t *testing.T) {
 	t.Parallel()
 	log := &lines{}
-	p := Leases{Seed: 3, Voters: 3, Others: 2, Rules: true, Log: log, Writes: io.Discard, Script: script(t, `
+	p := LeaseProof{Seed: 3, Voters: 3, Others: 2, RulesOnly: true, Log: log, Writes: io.Discard, Script: script(t, `
 1000 cut 0 * both
 1500 voters 2 r0,r1,r2,r3 r0,r1,r2
 7000 voters 3 r1,r2,r3 r0,r1,r2,r3
@@ -150,11 +153,12 @@
 	}
 }
 
-// TestBulk kills the holder of a thousand leases: another process has them all soon.
+// TestBulk: the holder of a thousand leases is killed, all of them are requested at once, and the voters never come to the end
+// of it. Another process must have them all soon.
 func TestBulk(t *testing.T) {
 	t.Parallel()
 	const bulk = 1000
-	c := &tribunal{p: Leases{Seed: 4, Voters: 3, Others: 2, Bulk: bulk, Log: io.Discard, Writes: io.Discard}}
+	c := &leaseRun{proof: LeaseProof{Seed: 4, Voters: 3, Others: 2, BulkLeases: bulk, Log: io.Discard, Writes: io.Discard}}
 	if err := c.open(); err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +168,7 @@
 	held := func() map[string]int {
 		n := map[string]int{}
 		others = nil
-		o, err := c.knows(0)
+		o, err := c.overview(0)
 		for _, one := range o.Leases {
 			if err == nil && strings.HasPrefix(one.Lease, "bulk-") && len(one.GrantedBy) > 1 {
 				n[one.Holder]++
@@ -190,7 +194,7 @@
 	if n[process.ProcessName(4)] > n[process.ProcessName(3)] {
 		most, other = "4", 3
 	}
-	c.r.Execute(process.Step{Command: "kill", Args: []string{most}})
+	c.harness.Execute(process.Step{Command: "kill", Args: []string{most}})
 	began := time.Now()
 	wait("the other one has them", func(n map[string]int) bool { return n[process.ProcessName(other)] == bulk })
 	t.Logf("%v to a new holder of all", time.Since(began).Round(time.Millisecond))
