--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -38,7 +38,7 @@
 // admit is the stage that a request passes once.
 //
 // A request over its tenant's quota loses weight. This guards against a tenant whose flood makes all others wait: the
-// request then stands behind theirs in the queue, and may use only lowWeightShare of a node's limit. Each router holds
+// request then stands behind theirs in the queue, and, as a read, may use only lowWeightShare of a replica's limit. Each router holds
 // an equal part of the quota, so a tenant whose requests reach the routers unevenly can meet it early at one of them.
 //
 // A read is then admitted with its shard's admission probability, or rejected at once (adjustAdmission).
@@ -49,7 +49,7 @@
 	req.admitted = true
 	req.weight = req.group.Weight
 	r.chargeQuota(req, now)
-	if !req.group.needsPrimary() && !req.shard.admitsRead() {
+	if !req.group.needsPrimary() && !req.shard.takeAdmission() {
 		r.giveUp(req)
 		return stop
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// admitsRead admits reads evenly, as many as the shard's probability says.
-func (s *shard) admitsRead() bool {
+// takeAdmission admits reads evenly, as many as the shard's probability says.
+func (s *shard) takeAdmission() bool {
 	s.admitCredit += s.admitProbability
 	if s.admitCredit < 1 {
 		return false
--- a/internal/routing/command_group.go
+++ b/internal/routing/command_group.go
@@ -5,7 +5,7 @@
 const (
 	// initialUsualResponse is the share of the latency objective supposed as a response time before any answer was seen.
 	initialUsualResponse = 0.25
-	// initialUsualSamples is how many answers that supposition weighs as much as.
+	// initialUsualSamples is the weight of that initial value, in answers.
 	initialUsualSamples = 4.0
 	// usualResponseGain is the least weight of one more answer in the usual response time: an average over about 50.
 	usualResponseGain = 0.02
@@ -15,9 +15,9 @@
 	// longRunningFactor is how many times the shortest usual response of any group makes a group long-running: such a
 	// read can keep a replica from applying its log for as long.
 	longRunningFactor = 5.0
-	// firstAttemptVotes bounds the lead of the time that clients mostly leave: after so many requests that left another
-	// one, as when clients were given another timeout, that one counts instead.
-	firstAttemptVotes = 50
+	// maxUsualTimeLeftVotes caps the votes for the usual time left, so that a changed client timeout is recognised after as
+	// many requests.
+	maxUsualTimeLeftVotes = 50
 )
 
 // commandGroup is one kind of request: its settings and what was learnt of it.
@@ -42,13 +42,13 @@
 	g.usualResponse += max(usualResponseGain, 1/(g.answers+initialUsualSamples)) * (counted - g.usualResponse)
 }
 
-// isFirstAttempt tells whether a request is its client's first attempt, by the time it leaves: a later one leaves
-// another time than most do. The time that most leave is kept by the majority vote of Boyer and Moore, since first
-// attempts may leave less than the whole timeout, and last ones whatever is left of it.
-func (r *Router) isFirstAttempt(g *commandGroup, timeLeft int64) bool {
+// noteTimeLeft counts the time that a request leaves, and returns whether the request is its client's first attempt: a later
+// one leaves another time than most do. The time that most leave is kept by the majority vote of Boyer and Moore, since
+// first attempts may leave less than the whole timeout, and last ones whatever is left of it.
+func (r *Router) noteTimeLeft(g *commandGroup, timeLeft int64) bool {
 	difference := max(timeLeft-g.usualTimeLeft, g.usualTimeLeft-timeLeft)
 	if difference <= 2*r.config.TimeResolution {
-		g.usualTimeLeftVotes = min(g.usualTimeLeftVotes+1, firstAttemptVotes)
+		g.usualTimeLeftVotes = min(g.usualTimeLeftVotes+1, maxUsualTimeLeftVotes)
 		return true
 	}
 	if g.usualTimeLeftVotes > 0 {
--- a/internal/routing/concurrency_limit.go
+++ b/internal/routing/concurrency_limit.go
@@ -8,6 +8,9 @@
 	initialLimit = 8.0
 	// leastFleetLimit is the limit that all routers together keep at least at a node.
 	leastFleetLimit = 1.0
+	// maxLeastLimit is the least limit of a single router: a pause of one usual response after each attempt. With more, a few
+	// routers together would crowd a node that can do hardly anything.
+	maxLeastLimit = 0.5
 	// uncrowdedFleetLimit is how many attempts by all routers together are taken not to crowd a node, so that a limit may
 	// grow although it isn't in use: one for each core of a small machine.
 	uncrowdedFleetLimit = 3.0
@@ -37,13 +40,14 @@
 		return false
 	}
 	if warmth := r.warmth(n, now); warmth < 1 {
-		return r.slowStartAllows(n, group, warmth, now)
+		return r.refillAndCheckCredit(n, group, warmth, now)
 	}
 	return true
 }
 
-// raiseLimit raises a node's limit by an answer in time. It is the limit in use that an answer speaks for; one of two
-// and more also counts as in use where no other request fits, and so do few attempts.
+// raiseLimit raises a node's limit by an answer in time. Such an answer says that the node could do more only if the limit
+// was in use: limitInUseShare of it was in flight, or no further request would have fit, or there are so few attempts by all
+// routers together that they can't crowd a node. After a pause the limit is raised by a factor.
 func (r *Router) raiseLimit(n *node, group *commandGroup) {
 	if pause := n.pause(group); pause > 0 {
 		n.limit *= 1 + limitGain + pause/pauseDoubling
@@ -55,8 +59,8 @@
 	}
 }
 
-// cutLimit cuts a node's limit by a bad outcome: what was in use loses a step, and what was less than one attempt at a
-// time the more, the later the answer came.
+// cutLimit cuts a node's limit by a bad outcome, starting from what of it was in use. One or more loses limitLoss. Less than
+// one is scaled by how late the answer came: lateShare of the objective over the response time.
 func (n *node) cutLimit(inUse float64, took, objective int64) {
 	if inUse < 1 {
 		n.limit = inUse * lateShare * float64(objective) / float64(max(took, objective))
@@ -65,16 +69,19 @@
 	n.limit = max(1, inUse-limitLoss)
 }
 
-// leastLimit is this router's part of leastFleetLimit; never so much that a few routers together would crowd a node.
-func (r *Router) leastLimit() float64 { return min(0.5, leastFleetLimit/float64(r.config.Routers)) }
+// leastLimit is this router's part of leastFleetLimit, at most maxLeastLimit.
+func (r *Router) leastLimit() float64 {
+	return min(maxLeastLimit, leastFleetLimit/float64(r.config.Routers))
+}
 
 // pause is how long, us, a node with a limit under one is left alone after each attempt, for a group's requests.
 func (n *node) pause(group *commandGroup) float64 {
 	return max(0, group.usualResponse*(1/n.limit-1))
 }
 
-// limitInUse is what a bad outcome must be counted against: the limit; or, where this router seldom uses the node, the
-// part of it that it does use.
+// limitInUse is what a bad outcome must be counted against: the limit; or, where this router seldom uses the node (under one
+// usual response at a time, and under its part of initialLimit), the part of the limit that it does use. With initialLimit
+// routers or fewer no node is seldom used.
 func (r *Router) limitInUse(n *node, group *commandGroup, now int64) (limit float64, seldomUsed bool) {
 	inUse := max(n.workRateNow(now)/1e6, group.usualResponse/rateSpan, initialLimit/float64(r.config.Routers))
 	if inUse < 1 {
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Config is what a Router is told before Start; it doesn't change afterwards.
+// Config is what a Router decides by; it doesn't change after Configure.
 type Config struct {
 	// Zone is the zone the router runs in; reads prefer nodes of it. Empty for none.
 	Zone string
@@ -35,15 +35,16 @@
 	Consistency            Consistency
 	// MaxStaleness is how old, us, the data of a BoundedStaleness read may be when it is sent.
 	MaxStaleness int64
-	// IdempotencyWindow is how long, us, a node remembers the key of an IdempotentWithKey request.
+	// IdempotencyWindow is how long, us, a node remembers the key of an IdempotentWithKey request. It bounds hedging of
+	// Idempotent requests too: 0 means none.
 	IdempotencyWindow int64
-	// LatencyObjective is the time, us, within which the answer has its whole worth.
+	// LatencyObjective is the time, us, within which an answer has its full weight.
 	LatencyObjective int64
 	// Timeout is how long, us, a client waits in all, over its own attempts.
 	Timeout int64
 	// Weight is the priority weight of a request that is answered in time; queues serve the greatest first.
 	Weight float64
-	// LateWeight multiplies Weight where the answer comes after the latency objective; 0 to 1.
+	// LateWeight multiplies Weight where the answer comes after the latency objective; 0 to 1, 0 where it is worth nothing.
 	LateWeight float64
 }
 
@@ -55,7 +56,7 @@
 
 // AttemptConfig tells what a request's attempts may do.
 type AttemptConfig struct {
-	// Max is how many attempts a request may have.
+	// Max is how many attempts a request may have; at least 1, for with 0 every request is given up on arrival.
 	Max int
 	// Cancelable tells whether the router can stop waiting for an attempt.
 	Cancelable bool
@@ -108,7 +109,7 @@
 	BoundedStaleness
 	// ReadYourWrites reads take data that holds the last write of their session.
 	ReadYourWrites
-	// Latest reads go to a node that answered as the primary.
+	// Latest reads go to a node that answered as the primary, or reported to be it while no answer has shown its role.
 	Latest
 	// Write is no read: it goes to the primary alone.
 	Write
--- a/internal/routing/consistency.go
+++ b/internal/routing/consistency.go
@@ -11,7 +11,8 @@
 	// answerTransit is the longest time, us, that an answer is on its way. A write in flight for longer may have been
 	// answered, and its client told by other means, though the network lost the answer on its way here.
 	answerTransit = 100_000
-	// primarySilence is the time, us, without an answer of a primary from which positions are taken to stand still.
+	// primarySilence is the time, us, without an answer of a primary from which positions are taken to stand still: shorter
+	// ones are pauses of the primary, or of the traffic.
 	primarySilence = 250_000
 )
 
@@ -23,7 +24,7 @@
 }
 
 // observePosition raises a node's position, and measures its lag behind the primary. While no primary is heard of, all
-// positions stand still: then none lags but behind what is known.
+// positions stand still, and lag is measured against the newest position known.
 func (r *Router) observePosition(n *node, position, now int64) {
 	if position <= 0 {
 		return
@@ -89,7 +90,8 @@
 }
 
 // sessionTokens remembers the position of each session's last write, in two generations. The highest position that fell
-// out of the older one stands for all sessions that aren't found: their reads may need more than they must, never less.
+// out of the older one stands for all sessions that aren't found: their reads may need more than they must, never less. A
+// restart loses all of it; a session's reads need see only writes that were answered since the router started.
 type sessionTokens struct {
 	recent, older map[string]int64
 	floor         int64
--- a/internal/routing/deadlines.go
+++ b/internal/routing/deadlines.go
@@ -6,15 +6,15 @@
 	// responseAllowance is how many usual responses must fit between sending a request and a limit on its answer:
 	// nineteen in twenty are answered within so many.
 	responseAllowance = 3.0
-	// leastQueueTime is the share of the latency objective for which a request may always be queued. Without it slow
+	// leastQueueShareOfObjective is the share of the latency objective for which a request may always be queued. Without it slow
 	// responses would have every read rejected on arrival, and nothing would ever be learnt again.
-	leastQueueTime = 0.1
-	// readQueueTime is the share of its group's timeout for which a read may be queued: its client should hear soon
-	// that it may try elsewhere.
-	readQueueTime = 0.25
-	// writeQueueTime is the share of its time left for which a write may be queued, for a primary to be elected, say.
+	leastQueueShareOfObjective = 0.1
+	// readQueueShareOfTimeout is the share of its group's timeout for which a read may be queued, if its latency objective lets
+	// it: a quarter leaves its client time for several attempts elsewhere.
+	readQueueShareOfTimeout = 0.25
+	// writeQueueShareOfTimeLeft is the share of its time left for which a write may be queued, for a primary to be elected, say.
 	// It is under half, so that its client has time for one more attempt of its own.
-	writeQueueTime = 0.45
+	writeQueueShareOfTimeLeft = 0.45
 	// deadlineMargin is the time, us, before its client's deadline at which a request gets its final answer at the
 	// latest, for the answer to reach the client in time: two sweeps.
 	deadlineMargin = 2 * sweepInterval
@@ -25,16 +25,16 @@
 func (r *Router) setQueueTimes(req *request, timeLeft, now int64) {
 	group := req.group
 	objective := now + group.LatencyObjective
-	if !r.isFirstAttempt(group, timeLeft) {
+	if !r.noteTimeLeft(group, timeLeft) {
 		objective -= max(0, group.Timeout-timeLeft)
 	}
 	allowance := int64(responseAllowance * group.usualResponse)
-	least := now + int64(leastQueueTime*float64(group.LatencyObjective))
+	least := now + int64(leastQueueShareOfObjective*float64(group.LatencyObjective))
 	req.sendBefore = max(least, objective-allowance)
 
-	queueTime := int64(writeQueueTime * float64(timeLeft))
+	queueTime := int64(writeQueueShareOfTimeLeft * float64(timeLeft))
 	if group.Consistency != Write {
-		queueTime = min(req.sendBefore-now, int64(readQueueTime*float64(group.Timeout)))
+		queueTime = min(req.sendBefore-now, int64(readQueueShareOfTimeout*float64(group.Timeout)))
 	}
 	req.queueUntil = max(least, req.deadline-allowance)
 	req.queueUntil = min(req.queueUntil, now+queueTime, req.deadline-deadlineMargin)
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -26,8 +26,8 @@
 //	adjustAdmission        admission.go            the shard's admission probability
 //	handleAttemptFailure   retry.go                another attempt, or the final answer
 //
-// A request has exactly one final answer: an answer of a node, Actions.RejectWithRetry (it had no effect), Actions.Fail
-// (it may have had one), or none because its client left.
+// A request has exactly one final answer: an answer of a node, Actions.RejectWithRetry (sending it again is harmless),
+// Actions.Fail (it may have been executed, and a repeat could do harm), or none because its client left.
 //
 //	arrived -> queued <-> in flight (one attempt, or two while hedged) -> final answer -> gone once no attempt is open
 //
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -8,7 +8,7 @@
 	endpointPollDelay = 1e6
 )
 
-// EndpointState is what the endpoint list says of a node.
+// EndpointState is what the endpoint list says of a node. The zero value is Up.
 type EndpointState uint8
 
 // The states of an entry.
@@ -81,8 +81,8 @@
 	}
 }
 
-// noteRestart takes a node whose process started anew: what was learnt of the former process's pace and errors is void,
-// and it is no primary until it says so.
+// noteRestart takes a node whose process started anew. Its suspicion, errors and limit are reset, and it is no primary until
+// it says so. Its pace fades by itself, and its position stays: a node keeps what it has applied over a restart.
 func (r *Router) noteRestart(n *node, startedAt int64, known bool, now int64) {
 	n.startedAt = startedAt
 	r.beginSlowStart(n, now)
--- a/internal/routing/health_check.go
+++ b/internal/routing/health_check.go
@@ -11,7 +11,7 @@
 	healthCheckBurst = 10.0
 	// spareHealthChecks is what a check that no request waits for must find in the budget, so that half of it is left for
 	// checks that one does wait for.
-	spareHealthChecks = 5.0
+	spareHealthChecks = healthCheckBurst / 2
 	// readCheckInterval is the time, us, between two checks of a replica for queued reads: several fit into the time for
 	// which a read is queued.
 	readCheckInterval = 30_000
@@ -46,12 +46,13 @@
 	required := r.requiredPosition(req, now)
 	var likeliest *node
 	for i := range req.shard.members {
-		n := req.shard.rotated(i)
+		n := req.shard.memberInTurn(i)
 		if n == req.shard.primary || !r.usable(n, now) || n.checkPending || now-n.checkedAt < readCheckInterval {
 			continue
 		}
 		missing := required + n.lag - now
-		if missing > 0 && 2*missing > now-n.positionAt { // it can't be there yet
+		// Replicas are assumed to catch up by half a second a second at most: one that needs longer can't be there yet.
+		if missing > 0 && 2*missing > now-n.positionAt {
 			continue
 		}
 		if likeliest == nil || n.lag+equalLag < likeliest.lag {
@@ -68,7 +69,7 @@
 //   - No answer: a node that also refused connections is suspected now. When it answers later it is merely back, and its
 //     refusals don't count as scarcity.
 //   - An answer, though connections failed again and again: the node lives and has no place for more (noteScarcity).
-//   - An answer of a suspected node ends the suspicion. It may have lost one answer, so what is in flight there gets as
+//   - Any other answer of a suspected node ends the suspicion. It may have lost one answer, so what is in flight there gets as
 //     long again; or it may be overloaded, so a router that seldom uses it cuts its limit.
 func (r *Router) HealthChecked(now int64, name string, outcome Outcome) {
 	n := r.nodeByName[name]
@@ -87,6 +88,7 @@
 	case n.suspected:
 		n.suspected = false
 		n.answeredAt = now
+		// Any group serves here: only its usual response time counts, and hardly matters beside the router's part of the limit.
 		if inUse, seldomUsed := r.limitInUse(n, r.groups[0], now); seldomUsed {
 			n.limit = max(r.leastLimit(), inUse*rejectionCut)
 		}
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -4,7 +4,7 @@
 	// hedgesPerRequest is what one request adds to the budget for hedged attempts: with more they cost nodes more than
 	// they bring.
 	hedgesPerRequest = 0.3
-	// hedgingBurst is how many may be saved up.
+	// hedgingBurst is how many may be saved up: enough for the requests that one node holds when it stops answering.
 	hedgingBurst = 10.0
 )
 
@@ -26,8 +26,8 @@
 	r.runStages(req, now)
 }
 
-// mayHedgeInTime tells whether a second attempt beside the first may still begin: in time for the latency objective,
-// and inside the window in which the first one's repeat is recognised.
+// mayHedgeInTime tells whether a second attempt beside the first may still begin: in time for the latency objective, and
+// inside the idempotency window. The window counts for idempotent requests too, so a group without one is never hedged.
 func (r *Router) mayHedgeInTime(req *request, now int64) bool {
 	return now < min(req.sendBefore, req.attempts[0].startedAt+r.usableWindow(req.group))
 }
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -50,3 +50,18 @@
 		}
 	}
 }
+
+// A read is late in its last attempt, and the budget allows a hedge. There is no attempt left for one, so the attempt in
+// flight must go on: it may be answered within the deadline. Seen: the read is given up and its attempt canceled.
+func TestHedgeLeavesLastAttemptAlone(t *testing.T) {
+	w := newShard(t, 2, 3)
+	w.r.config.Attempts.Max = 1
+	w.r.groups[eventualRead].usualResponse = 20_000
+	w.sweeps(1)
+	w.r.hedgingBudget = 1
+	w.arrive("c", eventualRead, 0, 1e6, 0)
+	w.sweeps(7)
+	if len(w.inFlight) != 1 || w.requests["c"].finished || w.inFlight[0].canceled {
+		t.Fatalf("in flight: %+v, given up: %v", w.inFlight, w.requests["c"].finished)
+	}
+}
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -3,8 +3,8 @@
 import "cmp"
 
 // What is learnt of a node from how its attempts end, and from those that don't: its pace and error rate, whether it is
-// suspected, and when it must cool down. Three things bring a node back: an answer or a health check ends a suspicion,
-// a cool-down ends by itself, and pace and errors fade.
+// suspected, and when it must cool down. What brings a node back: an answer or an answered health check ends a suspicion, a
+// cool-down ends by itself, pace and errors fade, and a restart clears suspicion and errors (noteRestart).
 
 const (
 	// slowdownGain is the weight of one answer in a node's slowdown: an average over about 10.
@@ -73,8 +73,9 @@
 	return r.tightestObjective()
 }
 
-// tellsOverload tells whether the end of an attempt speaks for a lower limit. A client that left sooner than its
-// request was late says nothing of the node, and an attempt taken to be lost was counted as an error already.
+// tellsOverload tells whether the end of an attempt speaks for a lower limit: a late answer or timeout does, unless the
+// attempt was taken to be lost and so counted as an error already. A client that left, or cancelled, counts as a late answer
+// however soon it left: what it waited for was too late for it.
 func (a *attempt) tellsOverload(outcome Outcome, late bool) bool {
 	if outcome == Canceled {
 		return a.request.clientGone
@@ -136,7 +137,7 @@
 			r.giveUpLost(a)
 		}
 	}
-	if n.suspected || n.lag > maxRotationLag && r.config.HealthChecks.ReportsPosition {
+	if n.suspected || n.lag > maxNormalLag && r.config.HealthChecks.ReportsPosition {
 		r.checkForReturn(n, now)
 	}
 }
@@ -157,8 +158,9 @@
 	}
 }
 
-// cancelRepeatable cancels what may be sent again from a node that is suspected, or no longer the primary. Requests
-// with a key are left there until another node is known to be the primary: only it could take them.
+// cancelRepeatable cancels what may be sent again from a node: idempotent requests where it is suspected, and requests with
+// a key once it is not the primary any more. Those are left at a suspected primary until another one is known, because only
+// a primary could take them.
 func (r *Router) cancelRepeatable(n *node) {
 	for _, a := range n.attempts {
 		switch a.request.group.Idempotency {
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -6,7 +6,8 @@
 //
 // Answers decide: a node that answers as the primary is believed at once, and one that answers as a replica no longer
 // is. What comes late (marks of the endpoint list, load reports, gossip) is a hint, which counts only where no answer has
-// shown the role lately. A hint never proves data: reads of the latest data wait for an answer.
+// shown the role lately. A hint proves no data: reads of the latest data wait for an answer. A node's own load report stands for
+// an answer as long as no answer has shown its role (ReportedRole).
 
 const (
 	// roleTrustedFor is the time, us, for which a role shown in an answer stands over any hint: lists and reports lag
@@ -15,8 +16,8 @@
 	// primaryQueryInterval is the time, us, between two questions to a shard's members for an unknown primary: one member
 	// at a time, and yet through the shard before a client loses patience.
 	primaryQueryInterval = 50_000
-	// primaryQueryDivisor leaves a write most of its attempts: one in so many may go to a member that may not be the
-	// primary.
+	// primaryQueryDivisor bounds the search for a primary by a write: only until half of its attempts are used may it go to
+	// a member that may not be the primary, so that the rest is left for the primary itself.
 	primaryQueryDivisor = 2
 )
 
@@ -47,8 +48,8 @@
 	r.observePosition(n, position, now)
 }
 
-// observeRole moves the belief in a shard's primary by an answer. What a former primary was given to do, and may be
-// sent again, is canceled there.
+// observeRole moves the belief in a shard's primary by an answer. Requests with a key at a former primary are canceled, so
+// that they can be sent to the new one (cancelRepeatable).
 func (r *Router) observeRole(n *node, role Role, now int64) {
 	n.role = role
 	n.roleAt = now
@@ -159,8 +160,8 @@
 		return nil
 	}
 	s.primaryAskedAt = now
-	s.rotation++
-	n := candidates[s.rotation%len(candidates)]
+	s.turn++
+	n := candidates[s.turn%len(candidates)]
 	if !r.config.HealthChecks.ReportsRole {
 		return n
 	}
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -1,8 +1,8 @@
 package routing
 
 const (
-	// maxRotationLag is the lag, us, past which a replica leaves the rotation: a client may notice data that old.
-	maxRotationLag = 2e6
+	// maxNormalLag is the lag, us, past which a replica serves only as a last resort: a client may notice data that old.
+	maxNormalLag = 2e6
 	// otherZoneCost is the factor on the expected response of a node in another zone: traffic between zones costs the
 	// operator, so a read leaves its zone only where that saves it a third of its time.
 	otherZoneCost = 1.5
@@ -18,8 +18,8 @@
 	primaryFallbackLead = 2 * sweepInterval
 )
 
-// selectReplica is the stage that chooses the node of a read: a replica in rotation that is fresh enough, in this
-// router's zone first, taking turns among equals. Where none has capacity, or none can become fresh enough in time, the
+// selectReplica is the stage that chooses the node of a read: a replica that is fresh enough and doesn't lag,
+// in this router's zone first, taking turns among equals. Where none has capacity, or none can become fresh enough in time, the
 // primary takes the read. Else it is queued, and a health check may prove a replica fresh enough.
 func (r *Router) selectReplica(req *request, now int64) decision {
 	group := req.group
@@ -29,30 +29,30 @@
 	if group.Consistency == ReadYourWrites && !r.config.ClientsCarryTokens {
 		r.recallSession(req, now)
 	}
-	req.shard.rotation++
+	req.shard.turn++
 	if group.Consistency == Eventual && r.longRunning(group) {
-		replica, provenInRotation := r.replicaForLongRead(req, now)
+		replica, freshWithoutLag := r.replicaForLongRead(req, now)
 		if replica != nil && !r.hasCapacity(replica, 1, group, now) {
 			return enqueue
 		}
-		return r.sendToReplicaOrPrimary(req, replica, provenInRotation, now)
+		return r.sendToReplicaOrPrimary(req, replica, freshWithoutLag, now)
 	}
-	replica, provenInRotation := r.bestReplica(req, now)
-	return r.sendToReplicaOrPrimary(req, replica, provenInRotation, now)
+	replica, freshWithoutLag := r.bestReplica(req, now)
+	return r.sendToReplicaOrPrimary(req, replica, freshWithoutLag, now)
 }
 
 // sendToReplicaOrPrimary chooses the replica that was found for a read, nil for none, or else the primary.
-// provenInRotation tells whether any replica in rotation is fresh enough.
-func (r *Router) sendToReplicaOrPrimary(req *request, replica *node, provenInRotation bool, now int64) decision {
+// freshWithoutLag tells whether any replica that doesn't lag is fresh enough.
+func (r *Router) sendToReplicaOrPrimary(req *request, replica *node, freshWithoutLag bool, now int64) decision {
 	if replica != nil {
 		req.chosen = replica
 		return proceed
 	}
-	if r.primaryTakesRead(req, provenInRotation, now) {
+	if r.primaryTakesRead(req, freshWithoutLag, now) {
 		req.chosen = req.shard.primary
 		return proceed
 	}
-	if !provenInRotation && r.config.HealthChecks.ReportsPosition {
+	if !freshWithoutLag && r.config.HealthChecks.ReportsPosition {
 		r.checkLikeliestReplica(req, now)
 	}
 	return enqueue
@@ -64,19 +64,19 @@
 }
 
 // bestReplica is the replica with capacity and the least expected cost, nil for none. It also tells whether any replica
-// in rotation is fresh enough, with capacity or without.
-func (r *Router) bestReplica(req *request, now int64) (best *node, provenInRotation bool) {
+// that doesn't lag is fresh enough, with capacity or without.
+func (r *Router) bestReplica(req *request, now int64) (best *node, freshWithoutLag bool) {
 	share := 1.0
 	if req.weight < req.group.Weight {
 		share = lowWeightShare
 	}
 	leastCost := 0.0
 	for i := range req.shard.members {
-		n := req.shard.rotated(i)
+		n := req.shard.memberInTurn(i)
 		if !r.mayServeRead(n, req, now) {
 			continue
 		}
-		provenInRotation = provenInRotation || n.lag <= maxRotationLag
+		freshWithoutLag = freshWithoutLag || n.lag <= maxNormalLag
 		if !r.hasCapacity(n, share, req.group, now) {
 			continue
 		}
@@ -86,24 +86,24 @@
 			leastCost = cost
 		}
 	}
-	return best, provenInRotation
+	return best, freshWithoutLag
 }
 
 // replicaForLongRead is the one replica that takes the long-running reads of a shard, the first by name, so that all
 // routers choose alike. Such a read may stop a replica from applying its log; spread out, they would make every replica
 // lag, and leave none for reads that need new data.
-func (r *Router) replicaForLongRead(req *request, now int64) (first *node, provenInRotation bool) {
+func (r *Router) replicaForLongRead(req *request, now int64) (first *node, freshWithoutLag bool) {
 	for i := range req.shard.members {
-		n := req.shard.rotated(i)
+		n := req.shard.memberInTurn(i)
 		if !r.mayServeRead(n, req, now) {
 			continue
 		}
-		provenInRotation = provenInRotation || n.lag <= maxRotationLag
+		freshWithoutLag = freshWithoutLag || n.lag <= maxNormalLag
 		if first == nil || n.name < first.name {
 			first = n
 		}
 	}
-	return first, provenInRotation
+	return first, freshWithoutLag
 }
 
 // expectedCost is the response to be expected of a node, as a multiple of the usual one: its pace, times what is in
@@ -116,7 +116,7 @@
 	if n.peerSilentAt > n.answeredAt {
 		cost *= lastResortCost
 	}
-	if n.lag > maxRotationLag {
+	if n.lag > maxNormalLag {
 		cost *= lastResortCost
 	}
 	return cost
@@ -124,7 +124,7 @@
 
 // primaryTakesRead tells whether the primary serves a read for which no replica was found: it has answered as the
 // primary (or is known to be fresh enough), has capacity with one place left for a write, and waiting would not help.
-func (r *Router) primaryTakesRead(req *request, provenInRotation bool, now int64) bool {
+func (r *Router) primaryTakesRead(req *request, freshWithoutLag bool, now int64) bool {
 	p := req.shard.primary
 	if p == nil || !r.usable(p, now) || !r.freshEnough(p, req, now) || req.inFlightAt(p) {
 		return false
@@ -132,7 +132,7 @@
 	if !r.hasCapacity(p, 1-1/p.limit, req.group, now) {
 		return false
 	}
-	return provenInRotation || now >= req.queueUntil-primaryFallbackLead || r.noReplicaInTime(req)
+	return freshWithoutLag || now >= req.queueUntil-primaryFallbackLead || r.noReplicaInTime(req)
 }
 
 // noReplicaInTime tells whether no replica can be expected to be fresh enough before the read's queueing ends.
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -5,8 +5,8 @@
 // How attempts are started, when a request is sent again, and which final answer it has when it is given up.
 
 const (
-	// untilDeadline is the timeout of every attempt: none of its own. What takes too long is found by sweeps, which know
-	// what is usual (outlier_detection.go), and ends at the client's deadline at the latest.
+	// untilDeadline is the timeout of every attempt: attempts have none of their own, only the client's deadline. Those that
+	// take too long are found by sweeps, which know what is usual (outlier_detection.go).
 	untilDeadline = 0
 	// retryAtOnce is the Retry-After of every rejection: clients space their attempts themselves.
 	retryAtOnce = 0
@@ -80,8 +80,8 @@
 }
 
 // startWithin is how soon, us, an attempt must begin; 0 for no bound. A repeat of a request with a key must begin
-// before its shard forgets the key. The bound holds against one that is decided inside the window and then waits for a
-// connection until that has passed.
+// before its shard forgets the key. Without the bound, an attempt that is decided inside the window
+// and waits for a connection could be written after the window has passed.
 func (r *Router) startWithin(req *request, now int64) int64 {
 	if req.group.Idempotency != IdempotentWithKey || !req.mayHaveExecuted && req.inFlight == 0 {
 		return 0
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -35,8 +35,8 @@
 	n.credit = float64(r.random.below(max(1, int(r.shortestUsualResponse()))))
 }
 
-// slowStartAllows tells whether a node that warms up may be sent one more request of a group.
-func (r *Router) slowStartAllows(n *node, group *commandGroup, warmth float64, now int64) bool {
+// refillAndCheckCredit tells whether a node that warms up may be sent one more request of a group.
+func (r *Router) refillAndCheckCredit(n *node, group *commandGroup, warmth float64, now int64) bool {
 	r.refillCredit(n, group, warmth, now)
 	return n.credit >= group.usualResponse
 }
@@ -46,9 +46,9 @@
 // shard may start at once.
 //
 // Credit that isn't used lapses. This guards against hundreds of routers that have each saved up one request and send
-// them all at once, on top of the steady flow: the node fails as it warms up. No more is kept than fits, with that flow,
-// into one overload window. Where that is less than one request, whole requests lapse and the rest is kept, so that
-// routers don't come into step.
+// them all at once, on top of the steady flow: the node fails as it warms up. What may be kept is the credit that fits into one
+// overload window beside the steady flow. Where that is less than one request, credit over one request and what may be kept
+// loses whole requests and keeps the fraction, so that routers go on sending at different moments.
 func (r *Router) refillCredit(n *node, group *commandGroup, warmth float64, now int64) {
 	c := &r.config.SlowStart
 	usual := group.usualResponse
@@ -57,6 +57,7 @@
 	allowed := max(unknownWarmRate/float64(r.config.Routers), share*c.OverloadMultiple*warmth*rates/float64(max(count, 1)))
 	n.credit += allowed * float64(now-n.creditAt) / 1e6
 	n.creditAt = now
+	// The flow uses share of the window's budget, so 1/share - 1 of the flow is left beside it.
 	kept := allowed * float64(c.OverloadWindow) / 1e6 * (1/share - 1)
 	if kept >= usual || c.OverloadWindow == 0 {
 		n.credit = min(slowStartBurst*usual, n.credit)
