--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -16,7 +16,7 @@
 	randomDraws uint64 // so far
 
 	sets       []adoptedSet // known voter sets, at most two, the newest last
-	voters     []*votedBy   // every member that was in a known set, in the order in which they became known
+	voters     []*voterView // every member that was in a known set, in the order in which they became known
 	voterIndex map[string]int
 
 	lastRequestID   uint64
--- a/internal/lease/candidate_voters.go
+++ b/internal/lease/candidate_voters.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// votedBy is what a candidate knows of one voter. It keeps its place when the voter set changes.
-type votedBy struct {
+// voterView is what a candidate knows of one voter. It keeps its place when the voter set changes.
+type voterView struct {
 	name          string
 	setNumber     uint64        // of the voter set that it goes by, as far as is known
 	clock         clockReading  // the first of the span over which the rates are compared
 	clockOff      bool          // its clock's rate was reported to be out of bound
 	excessRenewed int           // renewals in a row in which it extended more grants than are known
-	queue         []WantedLease //  grant requests to go out with this tick
+	queue         []WantedLease // grant requests to go out with this tick
 }
 
 // clockReading is one comparison of a voter's clock with the own one, in us.
@@ -74,7 +74,7 @@
 // addVoter makes room for a voter's votes on each request.
 func (c *Candidate) addVoter(name string, setNumber uint64) {
 	c.voterIndex[name] = len(c.voters)
-	c.voters = append(c.voters, &votedBy{name: name, setNumber: setNumber})
+	c.voters = append(c.voters, &voterView{name: name, setNumber: setNumber})
 	for _, r := range c.requests {
 		if r != nil {
 			r.votes = append(r.votes, vote{})
@@ -118,7 +118,7 @@
 // compareClocks compares how fast a voter's clock goes with the own one, and reports once when the difference is more
 // than clockTolerance times the bound. A clock outside the bound breaks what UsableLength rests on: its holder, or its
 // voter, may be wrong about the end of a grant, and no message shows it.
-func (c *Candidate) compareClocks(voter *votedBy, reading clockReading) {
+func (c *Candidate) compareClocks(voter *voterView, reading clockReading) {
 	first := voter.clock
 	if first.voterClock > 0 && reading.requestSentAt < first.receivedAt {
 		return // an answer that came late tells nothing new
