--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -44,11 +44,20 @@
 	"left":    routing.Removed,
 }
 
+// Why a list is refused, besides JSON that can't be read.
 var (
-	errNoVersion       = errors.New("no version")
-	errUnnamedEndpoint = errors.New("a node without name or address")
+	ErrNoVersion       = errors.New("no version")
+	ErrUnnamedEndpoint = errors.New("a node without name or address")
 )
 
+// UnknownStatusError is the error of a list with an endpoint whose state has no meaning here.
+type UnknownStatusError struct{ Node, Status string }
+
+// Error implements error.
+func (e *UnknownStatusError) Error() string {
+	return fmt.Sprintf("node %q: unknown status %q", e.Node, e.Status)
+}
+
 // DecodeEndpointList reads one list as discovery writes it. One that is broken anywhere is refused as a whole, and
 // changes nothing.
 func DecodeEndpointList(raw []byte) (*EndpointList, error) {
@@ -57,7 +66,7 @@
 		return nil, err
 	}
 	if wire.Index == nil {
-		return nil, errNoVersion
+		return nil, ErrNoVersion
 	}
 	list := &EndpointList{Version: *wire.Index, Complete: wire.Snapshot, Endpoints: make([]Endpoint, 0, len(wire.Endpoints))}
 	for _, one := range wire.Endpoints {
@@ -73,10 +82,10 @@
 func (w wireEndpoint) decode() (Endpoint, error) {
 	state, known := states[w.Status]
 	if !known {
-		return Endpoint{}, fmt.Errorf("node %q: unknown status %q", w.Name, w.Status)
+		return Endpoint{}, &UnknownStatusError{w.Name, w.Status}
 	}
 	if w.Name == "" || w.Address == "" && state != routing.Removed {
-		return Endpoint{}, errUnnamedEndpoint
+		return Endpoint{}, ErrUnnamedEndpoint
 	}
 	return Endpoint{
 		Name:      w.Name,
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -11,18 +11,19 @@
 	"cairntiller/internal/routing"
 )
 
-const entry = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"leaving","weight":1.0,` +
+const leavingEndpoint = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"leaving","weight":1.0,` +
 	`"since_ms":17.5,"role":"primary","new":{}}`
 
+// TestDecodeEndpointList: an endpoint with fields that are not known is read; a list that is broken anywhere is refused.
 func TestDecodeEndpointList(t *testing.T) {
-	l, err := DecodeEndpointList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entry + `],"more":1}`))
+	l, err := DecodeEndpointList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + leavingEndpoint + `],"more":1}`))
 	want := Endpoint{"s-1", "127.0.0.1:1", "a", "m", 3, routing.Draining, true, 17_500}
 	if err != nil || l.Version != 41 || !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0] != want {
 		t.Errorf("%+v, %v", l, err)
 	}
 	for _, bad := range []string{"", "{", `{"endpoints":[]}`, `{"index":"1"}`, `[1]`,
-		`{"index":1,"endpoints":[` + strings.Replace(entry, "leaving", "asleep", 1) + `]}`,
-		`{"index":1,"endpoints":[` + strings.Replace(entry, "s-1", "", 1) + `]}`} {
+		`{"index":1,"endpoints":[` + strings.Replace(leavingEndpoint, "leaving", "asleep", 1) + `]}`,
+		`{"index":1,"endpoints":[` + strings.Replace(leavingEndpoint, "s-1", "", 1) + `]}`} {
 		if l, err := DecodeEndpointList([]byte(bad)); err == nil {
 			t.Errorf("%q was read as %+v", bad, l)
 		}
@@ -34,7 +35,7 @@
 func TestWatchGoesOn(t *testing.T) {
 	asked := make(chan string, 9)
 	answers := []string{"{\"index\":5,\"snapshot\":true,\"endpoints\":[]}\n\n{\"index\":6,\"endpoints\":[]}\n",
-		"{\"index\":7,\"endp", "{\"index\":4,\"endpoints\":[]}\n{\"index\":8,\"endpoints\":[" + entry + "]}\n", "?"}
+		"{\"index\":7,\"endp", "{\"index\":4,\"endpoints\":[]}\n{\"index\":8,\"endpoints\":[" + leavingEndpoint + "]}\n", "?"}
 	n := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -39,6 +39,12 @@
 	errSilent       = errors.New("the watch fell silent")
 )
 
+// statusError is the HTTP status of an answer that is no list.
+type statusError string
+
+// Error implements error.
+func (e statusError) Error() string { return string(e) }
+
 // UnknownVersion is no version: the complete list is asked for. Another discovery may count its versions anew.
 const UnknownVersion = -1
 
@@ -108,7 +114,7 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return false, errors.New(answer.Status)
+		return false, statusError(answer.Status)
 	}
 	silence := time.AfterFunc(signTimeout, func() { cancel(errSilent) })
 	defer silence.Stop()
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -10,6 +10,7 @@
 const post = "/* id=9b1f,c=post,t=acme,d=480,cluster=2,after=1767225600123 */ INSERT INTO facts (code, data) " +
 	"VALUES ('7f3a', '\\x9f03') RETURNING data"
 
+// TestCommandGoesOnByteForByteButForItsTime: a node gets the client's statement, with the time left in place of the timeout.
 func TestCommandGoesOnByteForByteButForItsTime(t *testing.T) {
 	c, err := DecodeCommand([]byte(post))
 	if err != nil {
@@ -25,6 +26,7 @@
 	}
 }
 
+// TestCommandNamesWhatIsWrong: the error of a command that can't be read names the field that is missing or wrong.
 func TestCommandNamesWhatIsWrong(t *testing.T) {
 	for in, field := range map[string]string{
 		"SELECT 1": "comment", "/* id=1": "comment", "/*/ x": "comment",
@@ -130,6 +132,8 @@
 	})
 }
 
+// TestReplyRefusesWhatIsOutOfTurn guards against a node's message in the wrong place, which would make one query's answer
+// pass for another's.
 func TestReplyRefusesWhatIsOutOfTurn(t *testing.T) {
 	ok := row("", "a")
 	for name, in := range map[string][]byte{
@@ -156,6 +160,7 @@
 	}
 }
 
+// TestSplitterNeverTrustsALength: a length too small or too large for a message is an error before its bytes are awaited.
 func TestSplitterNeverTrustsALength(t *testing.T) {
 	for _, in := range []string{"Q\x00\x00\x00\x03", "Q\xff\xff\xff\xff", "Q\x00\x01\x00\x00"} {
 		s := NewSplitter(1000, false)
--- a/internal/serve/crossings_test.go
+++ b/internal/serve/crossings_test.go
@@ -17,14 +17,14 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// entry is one node as discovery's list names it, the first of a group as its primary.
-func entry(name, address, status string) string {
+// endpointJSON is one node as discovery's list names it, the first of a group as its primary.
+func endpointJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":3,"status":%q,"role":"primary","since_ms":0}`,
 		name, address, status)
 }
 
-// begin runs a router with a list that it knows, and an agent of discovery's.
-func begin(t *testing.T, known string, agent http.HandlerFunc) (listen string, ended chan error) {
+// startRouter runs a router with a list that it knows, and an agent of discovery's.
+func startRouter(t *testing.T, known string, agent http.HandlerFunc) (listen string, ended chan error) {
 	t.Helper()
 	discovery := httptest.NewServer(agent)
 	t.Cleanup(discovery.Close)
@@ -34,7 +34,7 @@
 	}
 	listen = free.Addr().String()
 	free.Close()
-	configured(t, strings.Replace(fmt.Sprintf(config, listen, strings.TrimPrefix(discovery.URL, "http://")),
+	writeConfig(t, strings.Replace(fmt.Sprintf(configTemplate, listen, strings.TrimPrefix(discovery.URL, "http://")),
 		`"settings"`, `"known":{"index":7,"snapshot":true,"endpoints":[`+known+`]},"settings"`, 1))
 	ended = make(chan error, 1)
 	go func() { ended <- Run("", TestHooks{}) }()
@@ -47,7 +47,7 @@
 	in *bufio.Reader
 }
 
-func connect(t *testing.T, listen string) *client {
+func dialRouter(t *testing.T, listen string) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", listen)
 	for ; err != nil; c, err = net.Dial("tcp", listen) {
@@ -80,14 +80,14 @@
 	return c.answer(t)
 }
 
-func (c *client) ready(t *testing.T) {
+func (c *client) waitReady(t *testing.T) {
 	t.Helper()
 	for c.ask(t, "")[0] != 'I' {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func stopped(t *testing.T, ended chan error) {
+func stopRouter(t *testing.T, ended chan error) {
 	t.Helper()
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -102,21 +102,21 @@
 func TestTheAgentsListComesFirst(t *testing.T) {
 	old, next := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	speak := make(chan bool)
-	listen, ended := begin(t, entry("old", old.Addr, "active"), func(w http.ResponseWriter, r *http.Request) {
+	listen, ended := startRouter(t, endpointJSON("old", old.Addr, "active"), func(w http.ResponseWriter, r *http.Request) {
 		<-speak
 		if r.URL.RawQuery == "" {
-			fmt.Fprintf(w, `{"index":9,"snapshot":true,"endpoints":[%s,%s]}`, entry("old", old.Addr, "leaving"), entry("next", next.Addr, "active"))
+			fmt.Fprintf(w, `{"index":9,"snapshot":true,"endpoints":[%s,%s]}`, endpointJSON("old", old.Addr, "leaving"), endpointJSON("next", next.Addr, "active"))
 			return
 		}
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	c := connect(t, listen)
+	c := dialRouter(t, listen)
 	if got := c.ask(t, "/* id=1,c=put,d=900,cluster=3 */ INSERT"); !strings.Contains(got, "C57P03") {
 		t.Errorf("before its agent spoke: %q", got)
 	}
 	close(speak)
-	c.ready(t)
+	c.waitReady(t)
 	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); got != scriptedserver.Row+scriptedserver.Ready {
 		t.Errorf("then: %q", got)
 	}
@@ -124,16 +124,16 @@
 		t.Errorf("%d to the one that drains, %d to the other", len(old.Queries), len(next.Queries))
 	}
 	c.Close()
-	stopped(t, ended)
+	stopRouter(t, ended)
 }
 
 // TestReadyWhileDiscoveryIsDown: with an agent that says nothing the list from the file serves, soon.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	node := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
-	listen, ended := begin(t, entry("n", node.Addr, "active"), func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	listen, ended := startRouter(t, endpointJSON("n", node.Addr, "active"), func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	began := time.Now()
-	c := connect(t, listen)
-	c.ready(t)
+	c := dialRouter(t, listen)
+	c.waitReady(t)
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("ready after %v", took)
 	}
@@ -141,16 +141,16 @@
 		t.Errorf("then: %q", got)
 	}
 	c.Close()
-	stopped(t, ended)
+	stopRouter(t, ended)
 }
 
 // TestAStopEnds: all that is owed is owed by a node that hangs, until a client timeout that lies far behind SIGKILL. It
 // is answered before that, and the process ends; a second SIGTERM changes nothing.
 func TestAStopEnds(t *testing.T) {
 	node := scriptedserver.Start(t, scriptedserver.Welcome, "")
-	listen, ended := begin(t, entry("n", node.Addr, "active"), func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	c, rests := connect(t, listen), connect(t, listen)
-	c.ready(t)
+	listen, ended := startRouter(t, endpointJSON("n", node.Addr, "active"), func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	c, rests := dialRouter(t, listen), dialRouter(t, listen)
+	c.waitReady(t)
 	c.Write(pgwire.AppendQuery(nil, "/* id=1,c=put,d=60000,cluster=3 */ INSERT"))
 	<-node.Queries
 	began := time.Now()
@@ -180,9 +180,9 @@
 
 // TestStoppedBeforeReady: nobody has told it a list, and it leaves all the same.
 func TestStoppedBeforeReady(t *testing.T) {
-	listen, ended := begin(t, "", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	connect(t, listen).Close()
-	stopped(t, ended)
+	listen, ended := startRouter(t, "", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	dialRouter(t, listen).Close()
+	stopRouter(t, ended)
 }
 
 // TestAReloadDuringAHandOver: the lead has passed on, as the new primary's own answer told, and a reload leads to a
@@ -206,16 +206,16 @@
 			<-r.Context().Done()
 		}
 	}
-	a, b, taken := entry("was", was.Addr, "active"), entry("leads", leads.Addr, "active"), make(chan bool, 9)
-	listen, ended := begin(t, "", list(9, make(chan bool), b, a))
-	c := connect(t, listen)
-	c.ready(t)
+	a, b, taken := endpointJSON("was", was.Addr, "active"), endpointJSON("leads", leads.Addr, "active"), make(chan bool, 9)
+	listen, ended := startRouter(t, "", list(9, make(chan bool), b, a))
+	c := dialRouter(t, listen)
+	c.waitReady(t)
 	if got := c.ask(t, "/* id=1,c=put,d=900,cluster=3 */ INSERT"); !strings.HasSuffix(got, scriptedserver.Row+scriptedserver.Ready) {
 		t.Errorf("at the hand-over: %q", got)
 	}
 	next := httptest.NewServer(list(3, taken, a, b))
 	t.Cleanup(next.Close)
-	if err := os.WriteFile(os.Getenv("RELAY_CONFIG"), fmt.Appendf(nil, config, listen, strings.TrimPrefix(next.URL, "http://")), 0o600); err != nil {
+	if err := os.WriteFile(os.Getenv("RELAY_CONFIG"), fmt.Appendf(nil, configTemplate, listen, strings.TrimPrefix(next.URL, "http://")), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
@@ -229,5 +229,5 @@
 		t.Errorf("the former primary was asked %d times", n)
 	}
 	c.Close()
-	stopped(t, ended)
+	stopRouter(t, ended)
 }
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -28,6 +28,9 @@
 // its start: a node that has begun to drain must not be used because an older list calls it up.
 const knownListDelay = 1_000_000
 
+// ErrNoAddress is the error of a configuration that lacks an address which the router can't do without.
+var ErrNoAddress = errors.New("no address to listen on, or none of discovery")
+
 // router is one running router.
 type router struct {
 	operatorFile         string         // path, "" for none
@@ -55,7 +58,7 @@
 	}
 	platform := loaded.platform.withEnvironment()
 	if platform.Listen == "" || platform.Discovery == "" {
-		return errors.New("no address to listen on, or none of discovery")
+		return ErrNoAddress
 	}
 	options, err := readOperatorFile(operatorFile, platform.Name)
 	if err != nil {
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -22,13 +22,13 @@
 	"cairntiller/internal/pgwire"
 )
 
-const config = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+const configTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":192,"sockets":1024},
 	"settings":{"az":"a","siblings":1,"round":5,
 	"classes":[{"name":"put","effect":"unsafe","aim":400,"hardLimit":1000,"points":1}],
 	"domain":{"readLevel":["write"]},"limits":{"maxAttempts":8,"cancel":true,"connectTimeout":250,"connIdle":15000}}}`
 
-func configured(t *testing.T, text string) {
+func writeConfig(t *testing.T, text string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -64,7 +64,7 @@
 	}
 	listen := free.Addr().String()
 	free.Close()
-	configured(t, fmt.Sprintf(config, listen, "127.0.0.1:1")) // where nobody answers
+	writeConfig(t, fmt.Sprintf(configTemplate, listen, "127.0.0.1:1")) // where nobody answers
 	t.Setenv("RELAY_DISCOVERY", "127.0.0.1:1")
 	ended := make(chan error, 1)
 	go func() { ended <- Run("", TestHooks{}) }()
@@ -110,11 +110,11 @@
 		}
 	}
 	hangUp("{", rejectedConfigs)
-	hangUp(fmt.Sprintf(config, listen, "nowhere"), rejectedConfigs)
+	hangUp(fmt.Sprintf(configTemplate, listen, "nowhere"), rejectedConfigs)
 	if got := answer(empty); !strings.Contains(got, "C57P03") {
 		t.Errorf("after a configuration that can't be used: %q", got)
 	}
-	hangUp(fmt.Sprintf(config, listen, strings.TrimPrefix(discovery.URL, "http://")), reloadedConfigs)
+	hangUp(fmt.Sprintf(configTemplate, listen, strings.TrimPrefix(discovery.URL, "http://")), reloadedConfigs)
 	close(speak)
 	for answer(empty)[0] != 'I' {
 	}
@@ -133,16 +133,18 @@
 	}
 }
 
+// TestUnreadableConfigurationStopsBeforeListening: each kind of configuration that can't be used ends the start with an
+// error that names the part.
 func TestUnreadableConfigurationStopsBeforeListening(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "RELAY_CONFIG", "{": "RELAY_CONFIG", `{"settings":{}}`: "no address",
-		fmt.Sprintf(config, "127.0.0.1:0", "d")[:40] + "}":                                       "RELAY_CONFIG",
+		fmt.Sprintf(configTemplate, "127.0.0.1:0", "d")[:40] + "}":                               "RELAY_CONFIG",
 		`{"listen":"127.0.0.1:0","discovery":"d","settings":7}`:                                  "settings",
 		`{"listen":"127.0.0.1:0","discovery":"d","settings":{"round":"soon"}}`:                   "round",
 		`{"listen":"127.0.0.1:0","discovery":"d","settings":{},"known":{"endpoints":[]}}`:        "known",
 		`{"listen":"nowhere at all","discovery":"d","settings":{"limits":{"connIdle":"15000"}}}`: "nowhere",
 	} {
-		configured(t, text)
+		writeConfig(t, text)
 		if err := Run("", TestHooks{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
@@ -165,7 +167,7 @@
 		return ln.Addr().String()
 	}
 	listen, place := free(), free()
-	configured(t, strings.Replace(fmt.Sprintf(config, listen, "127.0.0.1:1"), `"cancel":true`, `"cancel":true,"probes":true`, 1))
+	writeConfig(t, strings.Replace(fmt.Sprintf(configTemplate, listen, "127.0.0.1:1"), `"cancel":true`, `"cancel":true,"probes":true`, 1))
 	path := filepath.Join(t.TempDir(), "file.sexp")
 	write := func(keys ...string) {
 		t.Helper()
--- a/internal/settings/values_test.go
+++ b/internal/settings/values_test.go
@@ -9,6 +9,8 @@
 	"cairntiller/internal/routing"
 )
 
+// TestNestedValuesBecomePaths: objects, lists, numbers with an exponent and nulls come out as paths and plain text; what is
+// no object is refused.
 func TestNestedValuesBecomePaths(t *testing.T) {
 	got, err := FromJSON([]byte(`{"az":"a","limits":{"cancel":true,"connIdle":15000.5},"tenants":[{"name":"x y",
 		"quotaPerS":9e1}],"domain":{"readLevel":["any","write"]},"none":null,"empty":[]}`))
@@ -25,6 +27,7 @@
 	}
 }
 
+// TestUnreadableValueIsNamed: the error says which setting can't be read.
 func TestUnreadableValueIsNamed(t *testing.T) {
 	v := Values{"classes.count": "1", "classes.0.aim": "soon"}
 	_, _, err := v.RoutingConfig(0)
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -31,7 +31,7 @@
 	reply   []byte // actions of the batch so far
 }
 
-// Serve answers batches until the input ends. The error names line and field of what can't be read.
+// Serve answers batches until the input ends. The error is an *InputError where the input can't be read.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		in:        bufio.NewReaderSize(in, ioBuffer),
@@ -152,7 +152,18 @@
 	return i.deliver(event.handle, fields)
 }
 
-// fault names what can't be read, and where.
+// InputError names what can't be read on the input, and where.
+type InputError struct {
+	Line       int // from 1
+	Field, Why string
+}
+
+// Error implements error.
+func (e *InputError) Error() string {
+	return fmt.Sprintf("line %d, field %s: %s", e.Line, e.Field, e.Why)
+}
+
+// fault is an InputError at the line that was read last.
 func (s *server) fault(field, why string) error {
-	return fmt.Errorf("line %d, field %s: %s", s.line, field, why)
+	return &InputError{s.line, field, why}
 }
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -13,8 +13,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// deaf opens a connection to a peer that reads nothing by itself, and is not started: nobody is told of its end.
-func deaf(t *testing.T) (*Stream, net.Conn) {
+// dialUnstarted opens a connection to a peer that reads nothing by itself, and is not started: nobody is told of its end.
+func dialUnstarted(t *testing.T) (*Stream, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,10 +33,10 @@
 	return New(conn), peer
 }
 
-// pair is such a connection, started.
-func pair(t *testing.T) (*Stream, net.Conn, chan []byte, chan struct{}) {
+// dialStarted opens such a connection, started.
+func dialStarted(t *testing.T) (*Stream, net.Conn, chan []byte, chan struct{}) {
 	t.Helper()
-	s, peer := deaf(t)
+	s, peer := dialUnstarted(t)
 	in, ended := make(chan []byte, 9), make(chan struct{})
 	s.Start(Events{Received: func(p []byte) { in <- append([]byte(nil), p...) }, Closed: func() { close(ended) }})
 	return s, peer, in, ended
@@ -44,7 +44,7 @@
 
 // TestAPeerThatReadsNothingHoldsUpNobody: the library's flush would wait for it, and what waits would pile up.
 func TestAPeerThatReadsNothingHoldsUpNobody(t *testing.T) {
-	s, peer, _, ended := pair(t)
+	s, peer, _, ended := dialStarted(t)
 	done := make(chan error, 2)
 	s.Write(make([]byte, 32<<20), func(err error) { done <- err })
 	if _, err := peer.Read(make([]byte, 1)); err != nil {
@@ -65,8 +65,9 @@
 	}
 }
 
+// TestCloseGracefullyLetsAllBytesOut: all that was written before the end arrives, and nothing is taken after it.
 func TestCloseGracefullyLetsAllBytesOut(t *testing.T) {
-	s, peer, _, ended := pair(t)
+	s, peer, _, ended := dialStarted(t)
 	s.Write(make([]byte, 4<<20), nil)
 	s.CloseGracefully()
 	s.Write([]byte("late"), func(err error) {
@@ -81,8 +82,9 @@
 	<-ended
 }
 
+// TestShutdownNowIsSeenAtOnceAndEndsOnce: the peer sees our end without a delay, and the owner is told once.
 func TestShutdownNowIsSeenAtOnceAndEndsOnce(t *testing.T) {
-	s, peer, in, ended := pair(t)
+	s, peer, in, ended := dialStarted(t)
 	peer.Write([]byte("x"))
 	if p := <-in; string(p) != "x" {
 		t.Errorf("%q", p)
@@ -107,7 +109,7 @@
 		"half-closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
-		s, peer := deaf(t)
+		s, peer := dialUnstarted(t)
 		if !s.PeerPresent() {
 			t.Errorf("%s: gone before it went", name)
 		}
@@ -158,7 +160,7 @@
 // TestAnEndOverUnreadBytes guards against a reset that takes the last words with it: the peer goes on sending as our
 // side ends, reads everything, and only then is closed, in bounded time.
 func TestAnEndOverUnreadBytes(t *testing.T) {
-	s, peer, in, ended := pair(t)
+	s, peer, in, ended := dialStarted(t)
 	go func() {
 		for range in {
 		}
@@ -205,7 +207,7 @@
 // TestAWriteBehindAReset: what is written after the peer's reset has come has surely not left, also where nobody has
 // noticed the reset yet.
 func TestAWriteBehindAReset(t *testing.T) {
-	s, peer := deaf(t)
+	s, peer := dialUnstarted(t)
 	peer.(*net.TCPConn).SetLinger(0)
 	peer.Close()
 	for { // the reset has come once the kernel says so; asking takes its first error away
@@ -220,7 +222,7 @@
 	}
 	s.Close()
 
-	s, _, _, _ = pair(t) // the library knows of no end, and the kernel refuses its first call
+	s, _, _, _ = dialStarted(t) // the library knows of no end, and the kernel refuses its first call
 	syscall.Shutdown(s.fd, syscall.SHUT_WR)
 	s.Write([]byte("a command"), func(err error) { done <- err })
 	if err := <-done; !errors.Is(err, ErrUnwritten) {
