--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -119,13 +119,13 @@
 
 // Send implements inflight.NodeConnections.
 func (p *Pool) Send(attempt *inflight.Attempt) {
-	q := &query{attempt: attempt, startedAt: attempt.StartedAt}
+	q := &query{attempt: attempt}
 	p.attempts[attempt] = q
 	p.begin(q, attempt.Node)
 }
 
 // CheckHealth implements inflight.NodeConnections.
-func (p *Pool) CheckHealth(name string) { p.begin(&query{startedAt: p.now()}, name) }
+func (p *Pool) CheckHealth(name string) { p.begin(&query{}, name) }
 
 // Cancel implements inflight.NodeConnections.
 func (p *Pool) Cancel(attempt *inflight.Attempt) (mayHaveRun bool) {
--- a/internal/backend/query.go
+++ b/internal/backend/query.go
@@ -16,7 +16,6 @@
 type query struct {
 	attempt      *inflight.Attempt
 	node         *node
-	startedAt    int64       // us
 	conn         *connection // that carries it, nil while it waits for one
 	writeSettled bool        // it is known whether the kernel took all of it
 	ended        bool
@@ -151,7 +150,7 @@
 	if reply != nil && outcome == routing.Answered {
 		load = string(reply.First)
 	}
-	p.results.HealthCheckEnded(now, q.node.name, now-q.startedAt, outcome, load)
+	p.results.HealthCheckEnded(now, q.node.name, outcome, load)
 }
 
 // endLater ends a query in an event of its own, after the current call has returned: the routing module must not hear of
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,6 +1,7 @@
 // Package engine runs one router's decisions. A single goroutine, Engine.Run, feeds the routing module its events in
 // order, carries out the actions that it asks for, and keeps the timers and the requests in flight. Nothing on that
-// goroutine blocks: sockets, files and dialling live in other packages, which report back through Engine.Post.
+// goroutine waits for the network or a disk: sockets, files and dialling live in other packages, which report back through
+// Engine.Post. Log lines alone are written synchronously.
 //
 // The package carries and decides nothing: which node gets a request, when it is retried and what is rejected is
 // package routing's.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -29,11 +29,11 @@
 // SharedProbes shares health checks with other routers of the cluster. Its methods are called on the engine's
 // goroutine.
 type SharedProbes interface {
-	// EndpointListed tells one endpoint of a list that the router applies, and ListApplied the list's end; a complete
-	// list names all endpoints that there are.
+	// EndpointListed reports one endpoint of a list that the router applies, and ListApplied the list's end. A complete list
+	// names all endpoints that there are.
 	EndpointListed(now int64, name string, state routing.EndpointState, started int64)
 	ListApplied(now int64, complete bool)
-	// HealthCheckEnded tells the outcome of a health check, whoever asked for it, with the replicated position (us in
+	// HealthCheckEnded reports the outcome of a health check, whoever asked for it, with the replicated position (us in
 	// Unix time, 0 where not told) and the role that the node reported: 1 for primary, -1 for replica, 0 where not told.
 	HealthCheckEnded(now int64, node string, outcome routing.Outcome, position int64, role int8, load string)
 }
@@ -129,7 +129,7 @@
 	ev.handle(e.eventTime)
 }
 
-// GiveUpAll ends every request that has no answer yet: rejected where it never ran, failed else.
+// GiveUpAll ends every request that has no answer yet: rejected where a repeat is harmless, failed otherwise.
 func (e *Engine) GiveUpAll() {
 	e.Post(e.now(), func(int64) { e.router.Shutdown() })
 }
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -22,7 +22,7 @@
 const reportedPrimary = 500_000
 
 // HealthCheckEnded implements inflight.ResultHandler.
-func (e *Engine) HealthCheckEnded(now int64, node string, _ int64, outcome routing.Outcome, load string) {
+func (e *Engine) HealthCheckEnded(now int64, node string, outcome routing.Outcome, load string) {
 	position, role := e.applyLoadReport(now, node, load)
 	e.router.HealthChecked(now, node, outcome)
 	if e.sharedProbes != nil {
--- a/internal/inflight/doc.go
+++ b/internal/inflight/doc.go
@@ -5,8 +5,8 @@
 // A request is open until it is concluded, once and for good, by the first of
 //
 //	Answer      a node's value went to the client
-//	Reject      nothing ran; the client was told when to come again
-//	Fail        it may have run or not; the client was told no more than that
+//	Reject      sending it again is harmless; the client was told when to
+//	Fail        it may have run, and a repeat could do harm; the client was told no more than that
 //	ClientGone  the client has left or cancelled, and is told nothing
 //
 // An attempt is started, then either ends with the outcome that its node or its connection gave, or is abandoned by the
--- a/internal/inflight/interfaces.go
+++ b/internal/inflight/interfaces.go
@@ -9,7 +9,8 @@
 type Client interface {
 	// Answer gives the client a node's value, as it came.
 	Answer(request *Request, value []byte)
-	// Reject tells the client that nothing ran, and after how many us to try again.
+	// Reject tells the client that it may send the command again, and after how many us.
+	// Either nothing ran, or a repeat has no further effect.
 	Reject(request *Request, retryAfter int64)
 	// Fail tells the client that the command failed; it may have run.
 	Fail(request *Request)
@@ -38,15 +39,16 @@
 	CheckHealth(node string)
 	// CloseIdle closes the idle connections to a node.
 	CloseIdle(node string)
-	// FailWaiting ends the attempts that wait for a connection to a node, as unsent.
+	// FailWaiting ends the attempts that wait for a connection to a node, as not sent. Health checks go on waiting, and
+	// connections that are being opened are kept.
 	FailWaiting(node string)
 	// Remove closes the idle connections to a node and forgets its address; what is under way ends by itself.
 	Remove(node string)
 }
 
-// ResultHandler learns how attempts and health checks ended, on the engine's goroutine. elapsed is in us; reply is nil
-// where the node sent none that counts, and load is empty where it sent no report.
+// ResultHandler learns how attempts and health checks ended, on the engine's goroutine. reply is nil where the node sent none
+// that counts, and never with routing.Answered; load is empty where the node sent no report.
 type ResultHandler interface {
 	AttemptEnded(now int64, attempt *Attempt, outcome routing.Outcome, reply *pgwire.Reply)
-	HealthCheckEnded(now int64, node string, elapsed int64, outcome routing.Outcome, load string)
+	HealthCheckEnded(now int64, node string, outcome routing.Outcome, load string)
 }
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -83,7 +83,7 @@
 	return true
 }
 
-// Reject tells the client that nothing ran, and after how many us to try again.
+// Reject tells the client that it may send the command again, and after how many us.
 func (r *Request) Reject(retryAfter int64) {
 	if invariant.That(!r.concluded, "a request is rejected before it is concluded") {
 		r.concluded = true
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -8,11 +8,11 @@
 //	path                    start value
 //	az                      the router's zone
 //	siblings                routers of this kind, this one included
-//	round                   interval of the module's timer
+//	round                   step to which the times in events may be rounded
 //	classes.count           number of command groups
 //	classes.N.name          name under which commands give their group
 //	classes.N.effect        idempotency: safe (always), keyed (inside a window), else none
-//	classes.N.group         all: a keyed command may be retried at any node, not just at those of the first's kind and zone
+//	classes.N.group         all: every node recognises a keyed command's repeat, not only the nodes of its shard
 //	classes.N.window        idempotency window of a keyed command
 //	classes.N.aim           latency objective
 //	classes.N.hardLimit     client timeout
@@ -26,7 +26,7 @@
 //	tenants.N.name          name under which commands give their tenant
 //	tenants.N.quotaPerS     quota in commands a second, over all routers
 //	overShareWorth          part of the weight that a command over its tenant's quota has
-//	limits.maxAttempts      most attempts of a command
+//	limits.maxAttempts      most attempts of a command; without it every command is given up on arrival
 //	limits.cancel           whether attempts may be cancelled
 //	limits.secondCopies     whether requests may be hedged
 //	limits.probes           whether health checks are allowed
