--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -45,18 +45,23 @@
 	idleClosings  int           // how often the idle connections were closed: one that rests meanwhile is closed too
 }
 
-// New makes a pool, whose calls come from the goroutine that runs what is posted. Times are in us: connectTimeout is the
-// time in which a connection must be up, and idleLimit the time after which nodes close idle connections. maxConnections
-// bounds the connections to all nodes together.
-func New(now func() int64, post Post, after After, results inflight.ResultHandler, connectTimeout, idleLimit int64, maxConnections int) *Pool {
+// Config is what a pool is made with.
+type Config struct {
+	ConnectTimeout int64 // us in which a connection must be up, and a health check answered
+	IdleLimit      int64 // us after which nodes close idle connections
+	MaxConnections int   // to all nodes together
+}
+
+// New makes a pool on the router's clock, us. Its methods are called on the goroutine that runs what is posted.
+func New(now func() int64, post Post, after After, results inflight.ResultHandler, config Config) *Pool {
 	p := &Pool{
 		now:            now,
 		post:           post,
 		after:          after,
 		results:        results,
-		connectTimeout: connectTimeout,
-		idleTimeout:    max(idleLimit-idleMargin, idleLimit/2),
-		descriptors:    newDescriptorBudget(maxConnections),
+		connectTimeout: config.ConnectTimeout,
+		idleTimeout:    max(config.IdleLimit-idleMargin, config.IdleLimit/2),
+		descriptors:    newDescriptorBudget(config.MaxConnections),
 		nodes:          map[string]*node{},
 		attempts:       map[*inflight.Attempt]*query{},
 	}
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -376,7 +376,7 @@
 	s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready)
 	harness := &poolHarness{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go harness.run()
-	p := backend.New(harness.now, harness.post, harness.after, harness, 500_000, 900_000, 9)
+	p := backend.New(harness.now, harness.post, harness.after, harness, backend.Config{ConnectTimeout: 500_000, IdleLimit: 900_000, MaxConnections: 9})
 	p.SetAddress("n0", s.Addr)
 	for i, rest := range []time.Duration{0, 0, 700 * time.Millisecond} {
 		time.Sleep(rest) // past half of the limit, not past the limit
--- a/internal/engine/pool_harness_test.go
+++ b/internal/engine/pool_harness_test.go
@@ -63,7 +63,7 @@
 func startPool(t *testing.T, most int, placed ...*scriptedserver.Node) (*backend.Pool, *poolHarness) {
 	e := &poolHarness{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
 	go e.run()
-	p := backend.New(e.now, e.post, e.after, e, 500_000, 15_000_000, most)
+	p := backend.New(e.now, e.post, e.after, e, backend.Config{ConnectTimeout: 500_000, IdleLimit: 15_000_000, MaxConnections: most})
 	for i, s := range placed {
 		p.SetAddress(fmt.Sprint("n", i), s.Addr)
 	}
--- a/internal/engine/router_harness_test.go
+++ b/internal/engine/router_harness_test.go
@@ -41,9 +41,10 @@
 		t.Fatal(err)
 	}
 	r.Configure(config)
-	pool := backend.New(now, e.Post, e.After, e, 250_000, 15_000_000, 99)
+	pool := backend.New(now, e.Post, e.After, e, backend.Config{ConnectTimeout: 250_000, IdleLimit: 15_000_000, MaxConnections: 99})
 	e.Attach(r, pool)
-	front := frontend.New(now, e, catalog.GroupNumbers, catalog.TenantNumbers, most, 32<<20)
+	front := frontend.New(now, e, frontend.Config{GroupNumbers: catalog.GroupNumbers, TenantNumbers: catalog.TenantNumbers, MaxConnections: most,
+		MemoryLimit: 32 << 20})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -78,7 +78,7 @@
 			return
 		}
 	}
-	if len(c.answers) == 0 && c.phase.Load() == phaseBusy {
+	if len(c.answers) == 0 && c.currentPhase() == phaseBusy {
 		c.enter(phaseIdle)
 	}
 	if wrote && c.server.draining.Load() {
--- a/internal/frontend/commands.go
+++ b/internal/frontend/commands.go
@@ -89,7 +89,7 @@
 	if c.closing {
 		return sessionClosing
 	}
-	if c.server.draining.Load() && c.phase.Load() != phaseNew {
+	if c.server.draining.Load() && c.currentPhase() != phaseNew {
 		return serverDraining
 	}
 	if len(c.answers) >= maxPipelined || c.server.inFlightBytes.Load() >= c.server.limits.inFlightBytes {
--- a/internal/frontend/commands_test.go
+++ b/internal/frontend/commands_test.go
@@ -17,7 +17,7 @@
 func TestNothingIsTakenAfterTheEnd(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		got := &countingIntake{}
-		f := New(func() int64 { return 1 }, got, map[string]int{"look": 0}, nil, 9, 1<<20)
+		f := New(func() int64 { return 1 }, got, Config{GroupNumbers: map[string]int{"look": 0}, MaxConnections: 9, MemoryLimit: 1 << 20})
 		f.SetReady()
 		c := &session{server: f, closing: closed}
 		c.handleQuery(1, []byte("/* id=1,c=look,d=9,cluster=0 */ SELECT 1"))
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -35,5 +35,5 @@
 
 // owesWrites reports whether something is still to be written. A client that never asked anything is owed nothing.
 func (c *session) owesWrites() bool {
-	return !c.stream.WriteSideClosed() && c.phase.Load() != phaseNew
+	return !c.stream.WriteSideClosed() && c.currentPhase() != phaseNew
 }
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -87,7 +87,7 @@
 	lowest := rankNever
 	var candidate, oldestEnded *session
 	for _, c := range s.sessions {
-		if c.phase.Load() == phaseClosing {
+		if c.currentPhase() == phaseClosing {
 			if c.olderThan(oldestEnded) {
 				oldestEnded = c
 			}
@@ -126,7 +126,7 @@
 
 func (c *session) evictionRank(now int64) evictionRank {
 	age := now - c.phaseSince.Load()
-	switch c.phase.Load() {
+	switch c.currentPhase() {
 	case phaseNew:
 		if age > newcomerGrace {
 			return rankNoFirstCommand
@@ -142,7 +142,7 @@
 
 // evict ends the session for another, unless a command has come meanwhile.
 func (c *session) evict() {
-	switch c.phase.Load() {
+	switch c.currentPhase() {
 	case phaseNew:
 		c.sendFatalError(pgwire.CodeRejected, "too many connections")
 	case phaseIdle:
@@ -160,7 +160,7 @@
 			timedOutConnections.Add()
 			c.partialSince.Store(0)
 			c.sendFatalError(pgwire.CodeIdle, "nothing whole came in time")
-		} else if c.phase.Load() == phaseIdle && now-c.phaseSince.Load() > idleTimeout {
+		} else if c.currentPhase() == phaseIdle && now-c.phaseSince.Load() > idleTimeout {
 			idle = append(idle, c)
 		}
 	}
@@ -174,7 +174,7 @@
 
 // pastFirstCommandTimeout reports whether the session's first command, or the rest of a message, is overdue.
 func (c *session) pastFirstCommandTimeout(now int64) bool {
-	phase := c.phase.Load()
+	phase := c.currentPhase()
 	if phase == phaseNew && now-c.phaseSince.Load() > firstCommandTimeout {
 		return true
 	}
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -22,10 +22,10 @@
 		"long idle beside many ended": {append(filled(30, phaseIdle), phaseClosing, phaseClosing), idleTimeout + 1, true, true, false},
 	} {
 		now := int64(10_000_000)
-		f := New(func() int64 { return now }, &countingIntake{}, nil, nil, 32, 1<<20)
+		f := New(func() int64 { return now }, &countingIntake{}, Config{MaxConnections: 32, MemoryLimit: 1 << 20})
 		for i, p := range c.phases {
 			one := &session{server: f, number: uint32(i)}
-			one.phase.Store(p)
+			one.phase.Store(int32(p))
 			one.phaseSince.Store(now - c.age + int64(i))
 			f.sessions[one.number] = one
 		}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -32,15 +32,21 @@
 	lastNumber uint32
 }
 
-// New makes a server that knows command groups and tenants by name. It holds maxConnections connections at most, and
-// uses a part of memoryLimit bytes for what is in flight.
-func New(now func() int64, intake inflight.Intake, groupNumbers, tenantNumbers map[string]int, maxConnections int, memoryLimit int64) *Server {
+// Config is what a server is made with.
+type Config struct {
+	GroupNumbers, TenantNumbers map[string]int // the routing module's numbers, by the names that commands give
+	MaxConnections              int            // connections held at a time
+	MemoryLimit                 int64          // of the process, bytes: a part of it may be used for what is in flight
+}
+
+// New makes a server on the router's clock, us, that hands its requests to an intake.
+func New(now func() int64, intake inflight.Intake, config Config) *Server {
 	return &Server{
 		now:           now,
 		intake:        intake,
-		groupNumbers:  groupNumbers,
-		tenantNumbers: tenantNumbers,
-		limits:        newLimits(maxConnections, memoryLimit),
+		groupNumbers:  config.GroupNumbers,
+		tenantNumbers: config.TenantNumbers,
+		limits:        newLimits(config.MaxConnections, config.MemoryLimit),
 		sessions:      map[uint32]*session{},
 	}
 }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -13,7 +13,7 @@
 )
 
 // phase is how far a session has come; the package comment shows what leads from one to the next.
-type phase = int32
+type phase int32
 
 const (
 	phaseClosing phase = iota
@@ -29,7 +29,7 @@
 	number uint32 // with secret the key by which a client cancels the session's commands
 	secret uint32
 
-	phase        atomic.Int32
+	phase        atomic.Int32 // a phase; read by currentPhase, set by enter
 	phaseSince   atomic.Int64 // us
 	partialSince atomic.Int64 // us: when a message began to arrive that is still incomplete, 0 for none
 
@@ -61,9 +61,11 @@
 // enter notes that the session comes to a phase.
 func (c *session) enter(p phase) {
 	c.phaseSince.Store(c.server.now())
-	c.phase.Store(p)
+	c.phase.Store(int32(p))
 }
 
+func (c *session) currentPhase() phase { return phase(c.phase.Load()) }
+
 // isClosing reports whether nothing more is taken.
 func (c *session) isClosing() bool {
 	c.mu.Lock()
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -48,7 +48,8 @@
 func TestBytesThatAClientReceives(t *testing.T) {
 	start := time.Now()
 	now := func() int64 { return time.Since(start).Microseconds() + 1 }
-	f := New(now, scriptedIntake{}, map[string]int{"look": 0}, map[string]int{"acme": 0}, 32, 32<<20)
+	f := New(now, scriptedIntake{}, Config{GroupNumbers: map[string]int{"look": 0}, TenantNumbers: map[string]int{"acme": 0}, MaxConnections: 32,
+		MemoryLimit: 32 << 20})
 	f.SetReady()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -99,7 +99,11 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	core.Configure(config)
-	pool := backend.New(now, e.Post, e.After, e, connectTimeout, idleLimit, limits.nodeConnections)
+	pool := backend.New(now, e.Post, e.After, e, backend.Config{
+		ConnectTimeout: connectTimeout,
+		IdleLimit:      idleLimit,
+		MaxConnections: limits.nodeConnections,
+	})
 	e.Attach(core, pool)
 	rollouts := &rolloutRouter{now: now, engine: e, began: began, leave: make(chan struct{}, 1)}
 	services, err := startClusterServices(options, platform.Name, host{
@@ -113,10 +117,15 @@
 		return nil, err
 	}
 	return &router{
-		now:                  now,
-		engine:               e,
-		routing:              core,
-		frontend:             frontend.New(now, e, catalog.GroupNumbers, catalog.TenantNumbers, limits.clientConnections, limits.memory),
+		now:     now,
+		engine:  e,
+		routing: core,
+		frontend: frontend.New(now, e, frontend.Config{
+			GroupNumbers:   catalog.GroupNumbers,
+			TenantNumbers:  catalog.TenantNumbers,
+			MaxConnections: limits.clientConnections,
+			MemoryLimit:    limits.memory,
+		}),
 		services:             services,
 		rollouts:             rollouts,
 		longestClientTimeout: catalog.LongestClientTimeout,
