--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -34,8 +34,8 @@
 	EndpointListed(now int64, name string, state routing.EndpointState, started int64)
 	ListApplied(now int64, complete bool)
 	// HealthCheckEnded reports the outcome of a health check, whoever asked for it, with the replicated position (us in
-	// Unix time, 0 where not told) and the role that the node reported: 1 for primary, -1 for replica, 0 where not told.
-	HealthCheckEnded(now int64, node string, outcome routing.Outcome, position int64, role int8, load string)
+	// Unix time, 0 where unknown) and the role that the node reported. load is its load report as it came.
+	HealthCheckEnded(now int64, node string, outcome routing.Outcome, position int64, role routing.Role, load string)
 }
 
 // Engine runs one router's decisions. Create it with New, wire it with Attach, start it with go Run. Submit, ClientGone,
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -33,31 +33,12 @@
 // CheckHealth asks a node for its load report; the outcome comes to HealthCheckEnded.
 func (e *Engine) CheckHealth(node string) { e.connections.CheckHealth(node) }
 
-// ApplyGossip hands the routing module what another router learnt of a node at a time: its position, its role (1 for
-// primary, -1 for replica, 0 for unknown) and whether it answered. A position that can't be true is left out.
-func (e *Engine) ApplyGossip(now int64, node string, at, position int64, role int8, silent, alive bool) {
-	if !plausiblePosition(now, position) {
-		position = 0
+// ApplyGossip hands the routing module what another router learnt of a node. A position that can't be true is left out.
+func (e *Engine) ApplyGossip(now int64, update routing.GossipUpdate) {
+	if !plausiblePosition(now, update.Position) {
+		update.Position = 0
 	}
-	e.router.GossipReceived(now, routing.GossipUpdate{
-		Node:     node,
-		LearntAt: at,
-		Position: position,
-		Role:     gossipedRole(role),
-		Silent:   silent,
-		Alive:    alive,
-	})
-}
-
-// gossipedRole is the role that gossip tells: 1 for primary, -1 for replica, 0 for unknown.
-func gossipedRole(role int8) routing.Role {
-	switch {
-	case role > 0:
-		return routing.Primary
-	case role < 0:
-		return routing.Replica
-	}
-	return routing.RoleUnknown
+	e.router.GossipReceived(now, update)
 }
 
 // DelegateHealthChecks tells the routing module whether another router checks a node's health.
@@ -81,18 +62,17 @@
 }
 
 // applyLoadReport passes on the figures of a node's load report, all or none: where one can't be read the report is
-// worth nothing. It returns the position (us in Unix time) and the role (1 for primary, -1 for replica); 0 stands for
-// not told.
-func (e *Engine) applyLoadReport(now int64, node, load string) (position int64, role int8) {
+// worth nothing. It returns the position (us in Unix time, 0 where unknown) and the role that the report tells.
+func (e *Engine) applyLoadReport(now int64, node, load string) (position int64, role routing.Role) {
 	if load == "" {
-		return 0, 0
+		return 0, routing.RoleUnknown
 	}
 	for pair := range strings.SplitSeq(load, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		millionths, err := decimal.Scaled(value, 6)
 		if err != nil {
 			impossibleReports.Add()
-			return 0, 0
+			return 0, routing.RoleUnknown
 		}
 		switch name {
 		case pgwire.LoadPosition: // seconds of Unix time on sockets
@@ -102,26 +82,26 @@
 		}
 	}
 	if !plausiblePosition(now, position) {
-		return 0, 0
+		return 0, routing.RoleUnknown
 	}
 	if position > 0 {
 		e.router.ReportedPosition(now, node, position)
 	}
-	if role != 0 {
-		e.router.ReportedRole(now, node, role > 0)
+	if role != routing.RoleUnknown {
+		e.router.ReportedRole(now, node, role == routing.Primary)
 	}
 	return position, role
 }
 
-// reportedRole reads a load report's primary figure; one below zero tells nothing.
-func reportedRole(millionths int64) int8 {
+// reportedRole reads a load report's primary figure; one below zero says nothing.
+func reportedRole(millionths int64) routing.Role {
 	switch {
 	case millionths >= reportedPrimary:
-		return 1
+		return routing.Primary
 	case millionths >= 0:
-		return -1
+		return routing.Replica
 	}
-	return 0
+	return routing.RoleUnknown
 }
 
 // plausiblePosition reports whether a position can be true: positions are times of commits, so none is later than the
--- a/internal/sharedprobes/golden_test.go
+++ b/internal/sharedprobes/golden_test.go
@@ -36,9 +36,9 @@
 		service.table.Tick(now, nil)
 	}
 	service.checks["s-1"], service.checks["s-2"] = healthCheck{}, healthCheck{}
-	service.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 123_456_789, -1, "x0=1")
-	service.HealthCheckEnded(3_000_000, "s-2", routing.TimedOut, 0, 0, "")
-	service.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 9, 1, "nobody asked")
+	service.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 123_456_789, routing.Replica, "x0=1")
+	service.HealthCheckEnded(3_000_000, "s-2", routing.TimedOut, 0, routing.RoleUnknown, "")
+	service.HealthCheckEnded(3_000_000, "s-1", routing.Answered, 9, routing.Primary, "nobody asked")
 	want := []string{
 		"896970726f62652f732d316272310100184df41a075bcd15206478303d31",
 		"896970726f62652f732d326272310100184ef5000060",
--- a/internal/sharedprobes/service.go
+++ b/internal/sharedprobes/service.go
@@ -37,11 +37,10 @@
 	Post(at int64, do func(now int64))
 	// After asks for a call on the engine's goroutine, in us from now.
 	After(in int64, do func(now int64))
-	// ApplyGossip hands on what a peer learned of a node at a time: a position, whether it is the primary (1, -1, 0 if not
-	// known), and whether it lately did not respond (silent) or did (alive).
-	ApplyGossip(now int64, node string, at, pos int64, lead int8, silent, alive bool)
+	// ApplyGossip hands on what another instance learned of a node.
+	ApplyGossip(now int64, update routing.GossipUpdate)
 	// DelegateHealthChecks tells whether a peer checks a node.
-	DelegateHealthChecks(node string, to bool)
+	DelegateHealthChecks(node string, delegated bool)
 	// CheckHealth checks a node; HealthCheckEnded is called at its end.
 	CheckHealth(node string)
 }
@@ -199,7 +198,7 @@
 }
 
 // HealthCheckEnded implements engine.SharedProbes: what a check that the table asked for learned goes to the other instances.
-func (s *Service) HealthCheckEnded(now int64, node string, outcome routing.Outcome, pos int64, lead int8, load string) {
+func (s *Service) HealthCheckEnded(now int64, node string, outcome routing.Outcome, position int64, role routing.Role, load string) {
 	ended, underWay := s.checks[node]
 	if !underWay {
 		return
@@ -208,8 +207,8 @@
 	update := assignment.Update{
 		Key:          keyPrefix + node,
 		Unresponsive: outcome != routing.Answered,
-		Position:     pos,
-		PrimaryHint:  lead,
+		Position:     position,
+		PrimaryHint:  hintOf(role),
 		LoadReport:   load,
 	}
 	s.unsent = append(s.unsent, s.table.RecordRun(now, update, ended.secondOpinion))
@@ -225,6 +224,41 @@
 		}
 		updatesUsed.Add()
 		node := strings.TrimPrefix(update.Key, keyPrefix)
-		s.engine.ApplyGossip(now, node, evidence.LearnedAt, evidence.Position, evidence.PrimaryHint, evidence.Unresponsive, evidence.Responsive)
+		s.engine.ApplyGossip(now, routing.GossipUpdate{
+			Node:     node,
+			LearntAt: evidence.LearnedAt,
+			Position: evidence.Position,
+			Role:     roleOf(evidence.PrimaryHint),
+			Silent:   evidence.Unresponsive,
+			Alive:    evidence.Responsive,
+		})
 	}
 }
+
+// The role of a node as assignment's updates carry it.
+const (
+	hintPrimary    = 1
+	hintNotPrimary = -1
+)
+
+// hintOf returns the hint that stands for a role, 0 where it is unknown.
+func hintOf(role routing.Role) int8 {
+	switch role {
+	case routing.Primary:
+		return hintPrimary
+	case routing.Replica:
+		return hintNotPrimary
+	}
+	return 0
+}
+
+// roleOf returns the role that a hint stands for. Any positive or negative hint counts: it comes from another instance.
+func roleOf(hint int8) routing.Role {
+	switch {
+	case hint > 0:
+		return routing.Primary
+	case hint < 0:
+		return routing.Replica
+	}
+	return routing.RoleUnknown
+}
--- a/internal/sharedprobes/service_test.go
+++ b/internal/sharedprobes/service_test.go
@@ -40,8 +40,8 @@
 func (l *testEngine) After(in int64, do func(int64)) {
 	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { l.do(do) })
 }
-func (l *testEngine) ApplyGossip(_ int64, node string, _, pos int64, _ int8, _, _ bool) {
-	l.positions[node] = max(l.positions[node], pos)
+func (l *testEngine) ApplyGossip(_ int64, update routing.GossipUpdate) {
+	l.positions[update.Node] = max(l.positions[update.Node], update.Position)
 }
 func (l *testEngine) DelegateHealthChecks(node string, to bool) { l.delegated[node] = to }
 func (l *testEngine) CheckHealth(node string) {
@@ -51,9 +51,9 @@
 	}
 	l.After(1_000, func(now int64) {
 		if l.unresponsive[node] {
-			l.service.HealthCheckEnded(now, node, routing.TimedOut, 0, 0, "")
+			l.service.HealthCheckEnded(now, node, routing.TimedOut, 0, routing.RoleUnknown, "")
 		} else {
-			l.service.HealthCheckEnded(now, node, routing.Answered, now, -1, "x0=1")
+			l.service.HealthCheckEnded(now, node, routing.Answered, now, routing.Replica, "x0=1")
 		}
 	})
 }
