--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -149,7 +149,7 @@
 
 // Run runs it.
 func (c *releasesCommand) Run() error {
-	p := proof.Releases{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Writes: os.Stdout}
+	p := proof.RolloutProof{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Writes: os.Stdout}
 	return printClosingLine(p.Run())
 }
 
@@ -166,9 +166,9 @@
 // Run runs it.
 func (c *rolloutSimulationCommand) Run() error {
 	if c.Trace {
-		return proof.TraceRollout(c.From, os.Stdout)
+		return proof.TraceRolloutSimulation(c.From, os.Stdout)
 	}
-	return printClosingLine(proof.Rollout{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Writes: os.Stdout}.Run())
 }
 
 // parseSizes reads a list such as 3x10,30x1000.
--- a/internal/testcluster/proof/releases_test.go
+++ b/internal/testcluster/proof/rollout_proof_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// TestReleases restarts routers and drains nodes by plans under load, at its least size; operators who restart their
+// TestRolloutProof restarts routers and drains nodes by plans under load, at its least size; operators who restart their
 // routers by themselves must be seen to take out too many.
-func TestReleases(t *testing.T) {
+func TestRolloutProof(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		p    Releases
+		p    RolloutProof
 		want string
 	}{
-		"by plans":        {Releases{Routers: 4, Groups: 2, Nodes: 2}, ""},
-		"all by a signal": {Releases{Routers: 6, Groups: 2, Alone: true}, "were out at once"},
+		"by plans":        {RolloutProof{Routers: 4, Groups: 2, Nodes: 2}, ""},
+		"all by a signal": {RolloutProof{Routers: 6, Groups: 2, Alone: true}, "were out at once"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestRollout is the simulated part at a size that takes seconds, with a mistake planted.
-func TestRollout(t *testing.T) {
-	line, err := Rollout{Seeds: 10, Twice: 5, Halts: 1, Sizes: []int{30}, Writes: io.Discard}.Run()
+// TestRolloutSimulation is the simulated part at a size that takes seconds; rolloutsim's own test plants mistakes.
+func TestRolloutSimulation(t *testing.T) {
+	line, err := RolloutSimulation{Seeds: 10, Twice: 5, Halts: 1, Sizes: []int{30}, Writes: io.Discard}.Run()
 	if err != nil || !strings.Contains(line, "holds") {
 		t.Errorf("%v: %s", err, line)
 	}
--- a/internal/testcluster/proof/rollout.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -12,8 +12,8 @@
 	"cairntiller/internal/simulation/rolloutsim"
 )
 
-// Rollout is the part of the proof of releases that needs no sockets: internal/rollout in simulated time.
-type Rollout struct {
+// RolloutSimulation is the part of the proof of releases that needs no sockets: internal/rollout in simulated time.
+type RolloutSimulation struct {
 	From   uint64 // first seed
 	Seeds  int    // runs of mixed faults
 	Twice  int    // one in so many is run twice, and the hashes compared
@@ -24,7 +24,7 @@
 }
 
 // Run plays it and returns the closing line; the error says which limits do not hold.
-func (p Rollout) Run() (line string, err error) {
+func (p RolloutSimulation) Run() (line string, err error) {
 	var errs []error
 	began := time.Now()
 	mixed := p.playMixed()
@@ -58,7 +58,7 @@
 	violation   string // the first one, "" for none
 }
 
-func (p Rollout) playMixed() (sum mixedResult) {
+func (p RolloutSimulation) playMixed() (sum mixedResult) {
 	play := func(seed uint64) (result rolloutsim.Result, hash uint64, violation string) {
 		w := rolloutsim.New(rolloutsim.MixedFaults(seed))
 		result = w.Run()
@@ -72,7 +72,7 @@
 }
 
 // findMistakes plants each mistake, and counts those that are found.
-func (p Rollout) findMistakes() (found int, err error) {
+func (p RolloutSimulation) findMistakes() (found int, err error) {
 	if p.Plant == 0 {
 		return 0, nil
 	}
@@ -91,7 +91,7 @@
 }
 
 // find is the first seed that shows a planted mistake, -1 for none.
-func (p Rollout) find(m rolloutsim.Mistake) int {
+func (p RolloutSimulation) find(m rolloutsim.Mistake) int {
 	return firstSeedThat(p.Plant, func(seed uint64) bool {
 		s := rolloutsim.MixedFaults(seed)
 		s.Planted = m
@@ -112,7 +112,7 @@
 }
 
 // playVersions plays versions that are as good as the one before, and bad ones.
-func (p Rollout) playVersions() (sum versionsResult) {
+func (p RolloutSimulation) playVersions() (sum versionsResult) {
 	var mu sync.Mutex
 	forEachParallel(p.Halts, func(i int) bool {
 		for _, extra := range []float64{0, extraFailures} {
@@ -139,7 +139,7 @@
 const unfinishedRatio = 99
 
 // playSizes plays plans without faults and returns the worst ratio of their time to the least possible under the budget.
-func (p Rollout) playSizes() (worst float64) {
+func (p RolloutSimulation) playSizes() (worst float64) {
 	out := tabwriter.NewWriter(p.Writes, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "routers\tmay be out\tmost out\ttook s\tleast s\tratio\t")
 	for _, routers := range p.Sizes {
@@ -149,7 +149,7 @@
 	return worst
 }
 
-func (p Rollout) playSize(routers int, out io.Writer) (ratio float64) {
+func (p RolloutSimulation) playSize(routers int, out io.Writer) (ratio float64) {
 	plan := rollout.Plan{ID: "all", Kind: rollout.KindRestart, WatchTime: 30_000_000, ProgressTimeout: 120_000_000, Budget: rollout.Budget{MaxShare: 0.1}}
 	for i := range routers {
 		plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
@@ -179,8 +179,8 @@
 	return seconds
 }
 
-// TraceRollout plays one seed and prints what happens.
-func TraceRollout(seed uint64, out io.Writer) error {
+// TraceRolloutSimulation plays one seed and prints what happens.
+func TraceRolloutSimulation(seed uint64, out io.Writer) error {
 	w := rolloutsim.New(rolloutsim.MixedFaults(seed))
 	w.Trace = func(at int64, what string) { fmt.Fprintf(out, "%10.3f %s\n", float64(at)/1e6, what) }
 	w.Run()
