--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -4,15 +4,20 @@
 //
 // A session is one connection. Its phases, and what leads from one to the next:
 //
-//	phaseNew      no command has come yet; also while it starts up
-//	phaseBusy     a command is in flight
+//	phaseNew      no command has been taken yet; also during startup, and after queries that were refused
+//	phaseBusy     an answer is owed to a command
 //	phaseIdle     it has had commands, and all of them have their answers
-//	phaseClosing  the router's side has ended, or ends after the answers that are queued
+//	phaseClosing  the router has ended its side; what the client still sends is read and dropped
 //
-//	new -> busy -> idle -> busy -> ...   a command arrives; the last answer is written
-//	any -> closing                       a fatal error, a limit, the drain before the router ends, or the client's end
+//	new -> busy            a command is taken
+//	busy -> idle -> busy   the last answer owed is written; the next command is taken
+//	any -> closing         a fatal error was written, a limit was reached, or the router drains
 //
-// A place, one of the connections that may be open at once, is freed for newcomers in this order (see limits.go): ended
-// connections that are still read, connections that never sent a command, connections that have long been idle. None
-// with a command in flight is ever closed for another.
+// A session whose client has ended leaves the server's list in whatever phase it is. Between the decision to end a session
+// and its last answer nothing more is taken (session.closing).
+//
+// Where the limit of connections is reached a newcomer needs another's place. Sessions in phaseClosing hold none, only a
+// descriptor. Of the others one is closed, in this order: the oldest that had 0.1 s and sent no command, the one that has
+// been idle longest if that is over 2 s, the oldest newcomer. A session with a command in flight is never closed for
+// another; if there are only such, and ones idle for a moment, the newcomer is rejected. limits.go has the rules.
 package frontend
--- a/internal/pgwire/codes.go
+++ b/internal/pgwire/codes.go
@@ -2,7 +2,7 @@
 
 // SQLSTATEs that this router gives or is given.
 const (
-	CodeRejected    = "53300" // too_many_connections: nothing ran, come again
+	CodeRejected    = "53300" // too_many_connections: from a node, nothing ran; to a client, it may try again later
 	CodeNotReady    = "57P03" // cannot_connect_now
 	CodeIdle        = "57P05" // idle_session_timeout
 	CodeFailed      = "58000" // system_error
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,10 +1,15 @@
 // Package stream holds one connection of the network library: bytes out in order without ever blocking the caller, bytes
 // in as they come, and one end.
 //
-// A stream takes writes until its side is ending: after CloseGracefully, which lets all out that is queued, after
-// ShutdownNow or Close, or where the peer reads too little. Once our side has ended what the peer still sends is read
-// and thrown away for lingerTimeout, so that our last words arrive and are not taken away by a reset; then the
-// connection is closed. Events.Closed is called once, whoever ended the connection.
+// A stream takes writes until its side is ending:
+//
+//	CloseGracefully  all that is queued is written, then our side is shut. What the peer still sends is read for
+//	                 lingerTimeout at most, for its owner to drop: closing a socket over unread bytes sends a reset, which
+//	                 would take our last bytes away from the peer. Then the connection is closed.
+//	ShutdownNow      our side is shut before the call returns, and the connection is closed soon after
+//	Close            the connection is closed
+//
+// A peer that reads too little is closed. Events.Closed is called once, whichever side ended the connection.
 package stream
 
 import (
