--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -35,7 +35,7 @@
 	errNoFailover = errors.New("no write of group 0 was answered after the death of its primary")
 )
 
-// demoCommand shows a router at work before stand-in nodes, with a primary that dies half-way.
+// demoCommand shows a router at work before simulated nodes, with a primary that dies half-way.
 type demoCommand struct {
 	Groups   int           `default:"2" help:"Node groups, each of one primary and two replicas."`
 	Duration time.Duration `name:"for" default:"8s" help:"How long to send commands; a primary dies half-way."`
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -23,7 +23,7 @@
 // errHoldUsage tells how lease hold is called.
 var errHoldUsage = errors.New("want lease hold NAME -- COMMAND")
 
-// leaseLine is cairntiller lease and its sub-commands.
+// leaseCommands is cairntiller lease and its sub-commands.
 type leaseCommands struct {
 	List leaseListCommand `cmd:"" help:"Who holds which lease, as the voters know it."`
 	Show leaseShowCommand `cmd:"" help:"The same of one lease."`
@@ -32,7 +32,7 @@
 	Keep leaseKeepCommand `cmd:"" hidden:""`
 }
 
-// leaseListLine is cairntiller lease list.
+// leaseListCommand is cairntiller lease list.
 type leaseListCommand struct {
 	socketFlag
 	JSON bool `help:"Print JSON."`
@@ -41,7 +41,7 @@
 // Run prints all leases and voters.
 func (l *leaseListCommand) Run(out io.Writer) error { return printLeases(out, l.Socket, "", l.JSON) }
 
-// leaseShowLine is cairntiller lease show.
+// leaseShowCommand is cairntiller lease show.
 type leaseShowCommand struct {
 	socketFlag
 	JSON bool   `help:"Print JSON."`
@@ -82,7 +82,7 @@
 	return w.Flush()
 }
 
-// leaseFreeLine is cairntiller lease free.
+// leaseFreeCommand is cairntiller lease free.
 type leaseFreeCommand struct {
 	socketFlag
 	Name string `arg:"" help:"The lease."`
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// leaseHoldLine is cairntiller lease hold.
+// leaseHoldCommand is cairntiller lease hold.
 type leaseHoldCommand struct {
 	socketFlag
 	Length   time.Duration `help:"Length of the lease: how long nobody has it after this machine fails."`
@@ -125,7 +125,7 @@
 	return supervisor.ExitCode(code)
 }
 
-// leaseKeepLine is the hidden cairntiller lease keep: the supervisor's process, which lease hold starts.
+// leaseKeepCommand is the hidden cairntiller lease keep: the supervisor's process, which lease hold starts.
 type leaseKeepCommand struct {
 	Room time.Duration `required:""`
 	Args []string      `arg:"" passthrough:""`
--- a/cmd/cairntiller/main.go
+++ b/cmd/cairntiller/main.go
@@ -31,7 +31,7 @@
 	Lease    leaseCommands   `cmd:"" help:"The fleet's leases: who holds them; hold one while a command runs."`
 	Fleet    fleetCommands   `cmd:"" help:"Releases: who goes out and when, agreed across the fleet."`
 	Version  versionCommand  `cmd:"" help:"Print the version."`
-	Demo     demoCommand     `cmd:"" help:"Show a router at work before stand-in nodes on this machine, with a primary that dies half-way."`
+	Demo     demoCommand     `cmd:"" help:"Show a router at work before simulated nodes on this machine, with a primary that dies half-way."`
 }
 
 // runCommand runs a router.
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -7,7 +7,8 @@
 	"cairntiller/internal/codec"
 )
 
-// Messages are CBOR arrays (RFC 8949), described in docs/assignment.md. A change that others can't read takes another
+// version is that of the messages, which are CBOR arrays (RFC 8949) described in docs/assignment.md. A change that others can't
+// read takes another
 // version; members of different versions keep apart.
 const version = 1
 
--- a/internal/testcluster/process/harness.go
+++ b/internal/testcluster/process/harness.go
@@ -68,9 +68,9 @@
 	for i := range min(3, len(machines)) {
 		join = append(join, strconv.Quote(h.Relays.RelayAddress(i)))
 	}
-	key := base64.StdEncoding.EncodeToString([]byte("a key for the rig, of 32 bytes, "))
+	key := base64.StdEncoding.EncodeToString([]byte("a key for harnesses of 32 bytes,"))
 	for i, machine := range machines {
-		h.membershipParts = append(h.membershipParts, fmt.Sprintf("(fleet (name %q) (cluster \"rig\") (listen %q) (advertise %q) (join %s) (keys %q))\n", ProcessName(i),
+		h.membershipParts = append(h.membershipParts, fmt.Sprintf("(fleet (name %q) (cluster \"harness\") (listen %q) (advertise %q) (join %s) (keys %q))\n", ProcessName(i),
 			h.Relays.ProcessAddress(i), h.Relays.RelayAddress(i), strings.Join(join, " "), key))
 		sourceAddress, _, _ := net.SplitHostPort(h.Relays.ProcessAddress(i))
 		args := append(append([]string{}, child...), "--clock", machine.Skew.String(), "--own", sourceAddress)
--- a/internal/testcluster/scriptedserver/scripted.go
+++ b/internal/testcluster/scriptedserver/scripted.go
@@ -1,4 +1,4 @@
-// Package scriptedserver is a stand-in node that says, for each query in turn, what a test wrote down: whole replies, parts
+// Package scriptedserver simulates a node that says, for each query in turn, what a test wrote down: whole replies, parts
 // of them, noise, or the end of the connection.
 package scriptedserver
 
