--- a/internal/rollout/action.go
+++ b/internal/rollout/action.go
@@ -5,8 +5,8 @@
 	isAction()
 }
 
-// What a Leader wants done. All of these but LogEvent, HandOverLead and ReplyToCommand are said to others, and must not be
-// said once the lease is not held any more.
+// What a Leader wants done. RequestReport, WriteVoter and SendStatement must not be sent once the lease is not held any
+// more: a member would follow a leader that another one has replaced. A late ReadVoter is refused by its term.
 type (
 	// ReadVoter asks a voter under a term which record it keeps; the answer goes to Leader.HandleReadAnswer.
 	ReadVoter struct {
@@ -21,18 +21,18 @@
 		Record      *Record
 	}
 
-	// RequestReport tells a member that it is to report here.
+	// RequestReport asks a member to report here from now on.
 	RequestReport struct {
 		Member string
 	}
 
-	// SendStatement tells a member what a majority of voters keeps of what concerns it.
+	// SendStatement notifies a member of what a majority of voters keeps that concerns it.
 	SendStatement struct {
 		Member    string
 		Statement *Statement
 	}
 
-	// ReplyToCommand tells whoever gave the operator's command with this token that it was accepted, or refused for Err.
+	// ReplyToCommand answers the operator's command with this token: it was accepted, or refused for Err.
 	ReplyToCommand struct {
 		Token string
 		Err   error
@@ -58,7 +58,7 @@
 		Version uint64
 	}
 
-	// DrainNodes says which nodes get nothing new because of plans: these, and no others.
+	// DrainNodes sets the nodes that get no new commands because of plans: these, and no others.
 	DrainNodes struct {
 		Nodes []string
 	}
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -124,7 +124,7 @@
 }
 
 // checkVoters keeps a majority of voters that remember the record. Without it the lead would be stuck until an operator
-// says begin: a voter that restarts has forgotten, and counts as out until it was written to again.
+// gives the command begin: a voter that restarts has forgotten, and counts as out until it was written to again.
 func (l *Leader) checkVoters(name string, u *unavailability) error {
 	canMiss := (len(l.voters) - 1) / 2
 	if l.isVoter(name) && u.voters+1 > canMiss {
@@ -134,7 +134,7 @@
 }
 
 // checkGroup returns why a node may not leave its group, or nil: a primary goes only where a replica near the log's end can
-// lead in its place, and the group keeps as many such replicas beside its primary as the plan says.
+// lead in its place, and the group keeps MinReplicas of them beside its primary.
 func (l *Leader) checkGroup(b *Budget, node *NodeState, u *unavailability) error {
 	group := node.Group
 	if u.byGroup[group] >= b.MaxPerGroup {
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -11,7 +11,7 @@
 // limit would halt on a bad day for all and miss a bad version on a good one.
 
 const (
-	// minCommands is how many commands of touched routers a wave is judged on: 2% of them, which must be found, are
+	// minCommands is how many commands of touched routers a conclusion needs: 2% of them, which must be found, are
 	// twenty-four bad ones.
 	minCommands = 1_200
 
@@ -44,7 +44,7 @@
 	upperQuantile = 0.9
 
 	startupTimeFactor = 3.0      // times that quantile
-	startupTimeMargin = 2e6      // us beside: a second or two tells nothing
+	startupTimeMargin = 2e6      // us beside: a second or two is no evidence
 	memoryFactor      = 1.5      // times that quantile
 	memoryMargin      = 16 << 20 // bytes beside: caches fill differently
 )
@@ -53,7 +53,7 @@
 type CommandCounts struct {
 	Commands  uint64 // all that ended
 	Failed    uint64
-	Late      uint64 // answered behind their target
+	Late      uint64 // answered after their latency objective
 	Throttled uint64 // refused to protect the fleet
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-// continues tells whether one count can follow another of the same process.
+// continues reports whether one count can follow another of the same process.
 func (c CommandCounts) continues(earlier CommandCounts) bool {
 	return c.Commands >= earlier.Commands && c.Failed >= earlier.Failed && c.Late >= earlier.Late && c.Throttled >= earlier.Throttled
 }
@@ -159,7 +159,7 @@
 	{"throttled", func(c CommandCounts) uint64 { return c.Throttled }},
 }
 
-// evaluate says why the plan must halt, "" for no reason; inDoubt tells that a reason may be near.
+// evaluate returns the evidence for which the plan must halt, "" for none; inDoubt is set where more commands might give it.
 func (a *canaryAnalysis) evaluate() (inDoubt bool, evidence string) {
 	for _, end := range badEnds {
 		suspect, difference := a.compareShares(end.name, end.count)
@@ -228,7 +228,7 @@
 	return fmt.Sprintf("routers that it touched take %d MB, the others up to %d MB", touched>>20, usual>>20)
 }
 
-// hasEnoughCommands tells whether touched routers have answered enough to be judged on.
+// hasEnoughCommands reports whether touched routers have answered enough commands for a conclusion.
 func (a *canaryAnalysis) hasEnoughCommands() bool { return a.touched.total().Commands >= minCommands }
 
 // binomialTail is the probability of at least so many hits in n tries of probability p each.
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// stillUsedBy says who may still use a drained node, "" for nobody. A router that can't be heard is waited for: it may send
-// commands there without having heard of the drain, and an operator who then stops the node would break them.
+// stillUsedBy returns who may still use a drained node, "" for nobody. A router that can't be heard is waited for: it
+// may send commands there without having heard of the drain, and an operator who then stops the node would break them.
 func (l *Leader) stillUsedBy(now int64, name string) string {
 	if node := l.nodes[name]; node != nil && node.Primary {
 		return "its group has no other primary yet"
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// missingNodeProof says what a node that is back still has to prove, "" for nothing.
+// missingNodeProof returns what a node that is back still has to prove, "" for nothing.
 func (l *Leader) missingNodeProof(name string) string {
 	node := l.nodes[name]
 	if node == nil || !node.Up || !node.NearLogEnd && !node.Primary {
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -22,14 +22,14 @@
 	WorkShare  float64 // its share of its group's usual work
 }
 
-// IsNearLogEnd tells whether a replica whose position is so many microseconds behind the clock could lead in its
+// IsNearLogEnd reports whether a replica whose position is so many microseconds behind the clock could lead in its
 // primary's place.
 func IsNearLogEnd(behind int64) bool { return behind <= maxNearLag }
 
 // memberState is what a leader knows of one member.
 type memberState struct {
 	report         Report        // the newest
-	reportedAt     int64         // 0 for never, or since the membership missed it
+	reportedAt     int64         // 0 for never, or since the membership lost it
 	returnedAt     int64         // when its present incarnation was first heard of
 	countsAtReturn CommandCounts // what it had counted then
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// MemberUp tells that the membership knows a member, before it has reported.
+// MemberUp takes from the membership that there is a member, before it has reported.
 func (l *Leader) MemberUp(member string) {
 	if l.members[member] == nil {
 		l.members[member] = &memberState{report: Report{Member: member}}
@@ -69,15 +69,15 @@
 	l.addMember(member)
 }
 
-// MemberGone tells that a member is gone. It counts as unavailable until it is back or forgotten, also where it left in
-// order: an operator who restarts it by hand takes it out as much as a plan does.
+// MemberGone takes from the membership that a member is gone. It counts as unavailable until it is back or forgotten,
+// also where it left in order: an operator who restarts it by hand takes it out as much as a plan does.
 func (l *Leader) MemberGone(member string) {
 	if m := l.members[member]; m != nil {
 		m.reportedAt = 0
 	}
 }
 
-// SetNode tells of a node; a later call stands for the earlier.
+// SetNode takes a node's state; a later call replaces the earlier one.
 func (l *Leader) SetNode(n NodeState) {
 	if l.nodes[n.Name] == nil {
 		l.nodes[n.Name] = &NodeState{Group: n.Group}
@@ -86,7 +86,7 @@
 	*l.nodes[n.Name] = n
 }
 
-// inSight tells whether a member has reported lately.
+// inSight reports whether a member has reported lately.
 func (l *Leader) inSight(now int64, member string) bool {
 	m := l.members[member]
 	return m != nil && m.reportedAt > 0 && now-m.reportedAt < reportTimeout
@@ -103,7 +103,7 @@
 	}
 }
 
-// removeMember takes a member out that is not missed any more.
+// removeMember takes a member out for good: it does not count as unavailable any more.
 func (l *Leader) removeMember(member string) {
 	delete(l.members, member)
 	if i, known := slices.BinarySearch(l.record.Members, member); known {
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -234,7 +234,7 @@
 	fmt.Fprintf(f.out, "leads %v: %s\n", record != nil, f.leader.NotLeadingReason())
 }
 
-// carryOutOne lets voters answer, but for some, and routers leave. It tells whether the leader may want more.
+// carryOutOne lets voters answer, but for some, and routers leave. It reports whether the leader may want more.
 func (f *generatedFleet) carryOutOne(action Action) bool {
 	switch a := action.(type) {
 	case ReadVoter:
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -15,7 +15,7 @@
 // within that time what is drained.
 const statementInterval = 1_000_000
 
-// Leader is the part of whoever holds the lease. Its fields outlive a lead where they tell of members and nodes; all
+// Leader is the part of whoever holds the lease. What it knows of members and nodes outlives a lead; all
 // others belong to one lead.
 type Leader struct {
 	self   string
@@ -121,7 +121,7 @@
 	l.replicate(now)
 }
 
-// StepDown ends its part; members are told nothing, for another one may lead.
+// StepDown ends its lead; members are not notified, for another instance may lead.
 func (l *Leader) StepDown() {
 	l.term = 0
 	l.record = nil
@@ -219,7 +219,7 @@
 // maxNamedUnits is how many units a halted plan names: an operator begins with these, and the line can still be read.
 const maxNamedUnits = 5
 
-// haltWithoutProgress halts a plan that makes no progress and says why. One that goes back goes on, and the units
+// haltWithoutProgress halts a plan that makes no progress, with the reason. One that goes back goes on, and the units
 // that can't are stuck.
 func (l *Leader) haltWithoutProgress(now int64, p *Progress) {
 	tracker := l.trackers[p.Plan.ID]
@@ -270,8 +270,8 @@
 	l.logf(p.Plan.ID, "plan %s: %s", to, why)
 }
 
-// sendStatements tells members what a majority of voters keeps: all of them, or, after a write over the record before, those
-// whom the write concerns.
+// sendStatements notifies members of what a majority of voters keeps: all of them, or, after a write over the record
+// before, those whom the write concerns.
 func (l *Leader) sendStatements(before *Record) {
 	drained := drainedNodes(l.committed)
 	toAll := before == nil || !slices.Equal(drained, drainedNodes(before))
@@ -291,7 +291,7 @@
 	}
 }
 
-// leaveStatements returns what is said to members that are to leave.
+// leaveStatements returns the statements for members that are to leave, by name.
 func (l *Leader) leaveStatements() map[string]*Statement {
 	leaving := map[string]*Statement{}
 	for _, p := range l.committed.Plans {
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Instruction is what a member is told to do with itself. The numbers are sent to other instances.
+// Instruction is what a member is to do with itself. The numbers are sent to other instances.
 type Instruction uint8
 
 // The instructions.
@@ -19,7 +19,7 @@
 	return "continue"
 }
 
-// Statement is what a leader tells one member, from a record that a majority of voters keeps.
+// Statement is a leader's message to one member, from a record that a majority of voters keeps.
 type Statement struct {
 	Term, Seq     uint64 // of that record
 	Instruction   Instruction
@@ -29,7 +29,7 @@
 	DrainedNodes  []string
 }
 
-// Report is what a member tells whoever leads, each second.
+// Report is a member's message to whoever leads, each second.
 type Report struct {
 	Member           string
 	Zone             string
@@ -49,14 +49,14 @@
 type NodeUse struct {
 	Node         string
 	OpenCommands int
-	Answers      uint64 // of the node since the router was last told that it is back
+	Answers      uint64 // of the node since it was returned to service
 }
 
 // drainQueryInterval is the time between queries of a member that has heard no statement yet, in us: a router that starts
 // while there is no leader waits a second more for a lost one before it takes commands.
 const drainQueryInterval = 1_000_000
 
-// Member is one router's part: it heeds the newest statement.
+// Member is one router's part: it follows the newest statement.
 type Member struct {
 	incarnation  uint64
 	newest       Statement
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -14,7 +14,7 @@
 
 var kindNames = [...]string{"", "restart", "version", "nodes"}
 
-// Valid tells whether there is such a kind.
+// Valid reports whether there is such a kind.
 func (k Kind) Valid() bool { return k >= KindRestart && k <= KindNodes }
 
 // String returns the kind as a plan's file says it.
@@ -40,7 +40,7 @@
 	WaveSizes       []int    // units in each of the first waves; all that are left make the last one
 	WatchTime       int64    // us for which a wave is watched when all of it is back
 	DrainTime       int64    // us for which a drained node stays out; 0 until an operator returns it
-	ProgressTimeout int64    // us without progress after which the plan halts and says why
+	ProgressTimeout int64    // us without progress after which the plan halts
 	NoRollback      bool     // it does not go back by itself when it halts by evidence
 	Budget          Budget
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -32,7 +32,7 @@
 // String returns the phase as operators see it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// HoldsSlot tells whether a unit in this phase holds a slot.
+// HoldsSlot reports whether a unit in this phase holds a slot.
 func (p Phase) HoldsSlot() bool { return p >= PhaseLeaving && p <= PhaseReturning || p == PhaseStuck }
 
 // State is how a plan stands. The numbers are sent to other instances.
@@ -52,14 +52,14 @@
 // String returns the state as operators see it.
 func (s State) String() string { return stateNames[s] }
 
-// Ended tells whether the plan is over: it does nothing more by itself. A finished one can still be rolled back.
+// Ended reports whether the plan is over: it does nothing more by itself. A finished one can still be rolled back.
 func (s State) Ended() bool { return s == StateFinished || s == StateRolledBack }
 
 // Unit is how one of a plan's units stands.
 type Unit struct {
 	Phase       Phase
 	Slot        Slot
-	Incarnation uint64 // the process that was told to leave; 0 for a node
+	Incarnation uint64 // the process that is to leave; 0 for a node
 	RollingBack bool   // it goes back, or has gone back
 	Attempts    int    // times that it left on the way it is on
 }
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// isNewer tells whether a write comes after another.
+// isNewer reports whether a write comes after another.
 func isNewer(term, seq, otherTerm, otherSeq uint64) bool {
 	return term > otherTerm || term == otherTerm && seq > otherSeq
 }
--- a/internal/rollout/refusal.go
+++ b/internal/rollout/refusal.go
@@ -9,7 +9,7 @@
 var (
 	ErrNotLeading     = errors.New("this instance does not lead, or has only begun to")
 	ErrUnknownCommand = errors.New("there is no such command")
-	ErrInvalidPlan    = errors.New("the plan is wrong by itself")
+	ErrInvalidPlan    = errors.New("the plan is invalid")
 	ErrPlanExists     = errors.New("a plan of that name was started before")
 	ErrUnknownPlan    = errors.New("there is no such plan")
 	ErrPlanState      = errors.New("the plan's state does not allow it")
@@ -31,7 +31,7 @@
 	ErrTooFewInSight   = errors.New("too few of the plan's units are in sight")
 )
 
-// Refusal says why an operator's command is refused or a unit may not leave service. Its text is for operators, with names
+// Refusal is why an operator's command is refused or a unit may not leave service. Its text is for operators, with names
 // and figures; errors.Is finds which of the errors above it is.
 type Refusal struct {
 	cause error
--- a/internal/rollout/replication.go
+++ b/internal/rollout/replication.go
@@ -7,7 +7,7 @@
 )
 
 // How a record is read from voters, recovered, and written to a majority of them. A record is written complete, one write
-// after another, each again until a majority keeps it; only then are members told of it and operators answered.
+// after another, each again until a majority keeps it; only then are members notified and operators answered.
 
 // retryInterval is the time between reads and writes to voters that have not answered, in us: well above a round trip
 // in any fleet, and a lost message costs an operator a second.
@@ -111,8 +111,8 @@
 	l.replicate(now)
 }
 
-// isNewFleet tells whether there has never been a record: no voter remembers one, and every known member is in sight and has
-// never heard of one.
+// isNewFleet reports whether there has never been a record: no voter remembers one, and every known member is in sight
+// and has never heard of one.
 func (l *Leader) isNewFleet(now int64, answers, remember int) bool {
 	if answers != len(l.voters) || remember > 0 || now-l.leadingSince < settleTime {
 		return false
@@ -150,7 +150,7 @@
 }
 
 // HandleWriteAnswer takes a voter's answer to WriteVoter. With a majority the record is committed: operators are answered,
-// members told, and what has changed since is written.
+// members notified, and what has changed since is written.
 func (l *Leader) HandleWriteAnswer(now int64, voter string, term, seq uint64, accepted bool) {
 	if l.inFlight == nil || term != l.term || seq != l.inFlight.Seq || !accepted || !l.isVoter(voter) {
 		return
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -19,7 +19,7 @@
 	maxFailedShare = 0.5
 )
 
-// advanceUnit takes a unit that holds a slot from phase to phase, by what members tell.
+// advanceUnit takes a unit that holds a slot from phase to phase, by what members report.
 func (l *Leader) advanceUnit(now int64, p *Progress, i int) {
 	if p.Plan.Kind == KindNodes {
 		l.advanceNode(now, p, i)
@@ -53,7 +53,7 @@
 	}
 }
 
-// missingProof says what a returned unit still has to prove, "" for nothing.
+// missingProof returns what a returned unit still has to prove, "" for nothing.
 func (l *Leader) missingProof(now int64, p *Progress, i int) string {
 	unit := &p.Units[i]
 	name := p.Plan.Units[i]
@@ -81,7 +81,7 @@
 	return member.missingService(now, p.Plan.WatchTime)
 }
 
-// missingService says what a router that is back still lacks in commands answered, "" for nothing.
+// missingService returns what a router that is back still lacks in commands answered, "" for nothing.
 func (m *memberState) missingService(now, watchTime int64) string {
 	served := m.report.Counts.minus(m.countsAtReturn)
 	if served.Commands < minCommandsServed {
--- a/internal/rollout/waves.go
+++ b/internal/rollout/waves.go
@@ -10,7 +10,7 @@
 	minShareInSight = 0.5
 
 	// maxWatches is how many of the plan's WatchTime a wave is watched at most while its routers answer too few commands to
-	// be judged on: a fleet at night still goes on.
+	// conclude from: a fleet at night still goes on.
 	maxWatches = 8
 
 	// maxWatchesInDoubt is the same where its routers do worse than others and not yet surely so: twice as many commands
@@ -66,7 +66,7 @@
 	return left
 }
 
-// hasWaitingUnits tells whether there is a wave after this one.
+// hasWaitingUnits reports whether there is a wave after this one.
 func (p *Progress) hasWaitingUnits() bool {
 	for _, unit := range p.Units {
 		if unit.Phase == PhaseWaiting {
@@ -98,14 +98,14 @@
 	}
 }
 
-// watchWave waits after a wave until it has been judged, then begins the next one or ends the plan.
+// watchWave waits after a wave until the canary analysis can conclude, then begins the next one or ends the plan.
 func (l *Leader) watchWave(now int64, p *Progress, inDoubt bool) {
 	tracker := l.trackers[p.Plan.ID]
 	if tracker.watchedSince == 0 {
 		tracker.watchedSince = now
 	}
 	watched := now - tracker.watchedSince
-	if watched < p.Plan.WatchTime || !isJudged(p, tracker.canary, watched, inDoubt) {
+	if watched < p.Plan.WatchTime || !canConclude(p, tracker.canary, watched, inDoubt) {
 		return
 	}
 	tracker.watchedSince = 0
@@ -120,8 +120,8 @@
 	l.logf(p.Plan.ID, "wave %d begins", p.Wave+1)
 }
 
-// isJudged tells whether a wave that was watched for so long, in us, has shown enough.
-func isJudged(p *Progress, canary *canaryAnalysis, watched int64, inDoubt bool) bool {
+// canConclude reports whether a wave that was watched for so long, in us, has shown enough.
+func canConclude(p *Progress, canary *canaryAnalysis, watched int64, inDoubt bool) bool {
 	switch {
 	case p.Plan.Kind == KindNodes:
 		return true
--- a/internal/rolloutservice/dispatch.go
+++ b/internal/rolloutservice/dispatch.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// drain tells the router which nodes get nothing new, and notes those that are back.
+// drain sets the nodes to which the router sends nothing new, and notes those that are back.
 func (s *Service) drain(names []string) {
 	drainChanges.Add()
 	now := s.clock()
--- a/internal/rolloutservice/doc.go
+++ b/internal/rolloutservice/doc.go
@@ -1,6 +1,6 @@
-// Package rolloutservice carries what internal/rollout decides: it moves messages between the instances, tells the router's
-// own engine which nodes are drained, lets the router leave for its supervisor to start it again, and takes operators'
-// commands. It decides nothing.
+// Package rolloutservice carries what internal/rollout decides: it moves messages between the instances, notifies the
+// router's own engine which nodes are drained, lets the router leave for its supervisor to start it again, and takes
+// operators' commands. It decides nothing.
 //
 // A Service is one instance's part. Its leader, member and voter run on one goroutine of its own, which owns all their
 // state; other goroutines hand it events by post. A second goroutine stands for the lease.
--- a/internal/rolloutservice/messages.go
+++ b/internal/rolloutservice/messages.go
@@ -15,7 +15,7 @@
 // reportRequest is the leader's: the member is to report to its sender from now on.
 type reportRequest struct{}
 
-// statementMessage tells a member what to do with itself and which nodes are drained.
+// statementMessage is for a member: what to do with itself, and which nodes are drained.
 type statementMessage struct {
 	statement *rollout.Statement
 	fromVoter bool // it answers a drainQuery and says nothing about who leads
--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -58,7 +58,7 @@
 	DrainedNodes     []string     `json:"drains,omitempty"`
 }
 
-// addRecord adds what a record says.
+// addRecord adds the plans and drained nodes of a record.
 func (s *Status) addRecord(r *rollout.Record) {
 	s.DrainedNodes = rollout.DrainStatement(r).DrainedNodes
 	for _, p := range r.Plans {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Settled tells whether nothing more happens by itself: the plan is finished, rolled back or halted.
+// Settled reports whether nothing more happens by itself: the plan is finished, rolled back or halted.
 func (p *PlanStatus) Settled() bool {
 	return p.State == rollout.StateFinished.String() || p.State == rollout.StateRolledBack.String() || p.State == rollout.StateHalted.String()
 }
@@ -140,7 +140,7 @@
 }
 
 // Execute hands an operator's command to whoever leads and waits until a majority of voters keeps what it does. It is sent
-// again until it is accepted or refused: its token, which is made up where it has none, tells that it is the same. The
+// again until it is accepted or refused: its token, which is made up where it has none, marks it as the same. The
 // error is a CommandRefused or ErrNoReply.
 func (s *Service) Execute(ctx context.Context, c rollout.Command) error {
 	if c.Token == "" {
--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -217,7 +217,7 @@
 	s.leader.StepDown()
 }
 
-// handOver gives the lead up; what was said under it is over, for a record is written complete or not at all.
+// handOver gives the lead up; what was sent under it is over, for a record is written complete or not at all.
 func (s *Service) handOver(next string) {
 	if guard := s.guard; guard != nil && s.term > 0 {
 		s.stepDown()
@@ -225,7 +225,7 @@
 	}
 }
 
-// holdsLease tells whether the lease is held right now: nothing is said under it later.
+// holdsLease reports whether the lease is held right now: nothing is sent under it later.
 func (s *Service) holdsLease() bool {
 	if s.guard == nil {
 		return false
@@ -275,7 +275,7 @@
 	}
 }
 
-// tickLeader tells the leader which members and nodes there are.
+// tickLeader hands the leader which members and nodes there are.
 func (s *Service) tickLeader(now int64) {
 	present := map[string]bool{s.self: true}
 	s.leader.MemberUp(s.self)
@@ -302,7 +302,7 @@
 	}
 }
 
-// report tells whoever leads how this router does.
+// report sends whoever leads how this router does.
 func (s *Service) report(now int64) {
 	s.nextReportAt = now + reportInterval
 	counts, ready, startupTime := s.router.Counts()
@@ -337,7 +337,7 @@
 	s.sendMessage(s.knownLeader, reportMessage{report})
 }
 
-// residentBytes is what the process takes of memory; 0 where the system does not tell.
+// residentBytes is what the process takes of memory; 0 where the system does not say.
 func residentBytes() int64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/simulation/rolloutsim/leaders.go
+++ b/internal/simulation/rolloutsim/leaders.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// reachesMajority tells whether a router reaches a majority of voters, both ways.
+// reachesMajority reports whether a router reaches a majority of voters, both ways.
 func (w *World) reachesMajority(r *router) bool {
 	reached := 0
 	for _, voter := range w.routers[:w.Voters] {
@@ -61,7 +61,7 @@
 	w.tickLeader(r, r.incarnation, w.term)
 }
 
-// holdsLease tells whether a router's present process holds the lease.
+// holdsLease reports whether a router's present process holds the lease.
 func (w *World) holdsLease(r *router) bool {
 	return w.holder == r.index && w.holderIncarnation == r.incarnation
 }
--- a/internal/simulation/rolloutsim/network.go
+++ b/internal/simulation/rolloutsim/network.go
@@ -1,6 +1,6 @@
 package rolloutsim
 
-// reaches tells whether what one router sends can come to another.
+// reaches reports whether what one router sends can come to another.
 func (w *World) reaches(from, to *router) bool {
 	return from == to || from.up && to.up && from.partition == to.partition && !from.mute && !to.deaf
 }
--- a/internal/simulation/rolloutsim/nodes.go
+++ b/internal/simulation/rolloutsim/nodes.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// isDrained tells whether any router that is up sends nothing new to a node.
+// isDrained reports whether any router that is up sends nothing new to a node.
 func (w *World) isDrained(name string) bool {
 	return slices.ContainsFunc(w.routers, func(r *router) bool {
 		_, drained := r.drainedSince[name]
