--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -65,14 +65,24 @@
 	if err != nil {
 		return err
 	}
+	ended := make(chan struct{})
+	defer close(ended)
+	go s.sweepUntil(ended)
+	return loop.Serve(ln)
+}
+
+// sweepUntil sweeps at intervals until the server has ended.
+func (s *Server) sweepUntil(ended <-chan struct{}) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	go func() {
-		for range ticker.C {
+	for {
+		select {
+		case <-ticker.C:
 			s.sweep()
+		case <-ended:
+			return
 		}
-	}()
-	return loop.Serve(ln)
+	}
 }
 
 // accept takes a new connection. Where all places are taken it closes another session for it; where none may be closed
--- a/internal/serve/crossings_test.go
+++ b/internal/serve/crossings_test.go
@@ -1,10 +1,8 @@
 package serve
 
 import (
-	"bufio"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -17,86 +15,6 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// endpointJSON is one node as discovery's list names it, the first of a group as its primary.
-func endpointJSON(name, address, status string) string {
-	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":3,"status":%q,"role":"primary","since_ms":0}`,
-		name, address, status)
-}
-
-// startRouter runs a router with a list that it knows, and an agent of discovery's.
-func startRouter(t *testing.T, known string, agent http.HandlerFunc) (listen string, ended chan error) {
-	t.Helper()
-	discovery := httptest.NewServer(agent)
-	t.Cleanup(discovery.Close)
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen = free.Addr().String()
-	free.Close()
-	writeConfig(t, strings.Replace(fmt.Sprintf(configTemplate, listen, strings.TrimPrefix(discovery.URL, "http://")),
-		`"settings"`, `"known":{"index":7,"snapshot":true,"endpoints":[`+known+`]},"settings"`, 1))
-	ended = make(chan error, 1)
-	go func() { ended <- Run("", TestHooks{}) }()
-	return listen, ended
-}
-
-// client is one connection to the router, which says what comes back for each query.
-type client struct {
-	net.Conn
-	in *bufio.Reader
-}
-
-func dialRouter(t *testing.T, listen string) *client {
-	t.Helper()
-	c, err := net.Dial("tcp", listen)
-	for ; err != nil; c, err = net.Dial("tcp", listen) {
-		time.Sleep(time.Millisecond) // it is not listening yet
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	one := &client{c, bufio.NewReader(c)}
-	c.Write(pgwire.AppendStartup(nil, pgwire.User, pgwire.Database))
-	one.answer(t)
-	return one
-}
-
-func (c *client) answer(t *testing.T) string {
-	t.Helper()
-	var all strings.Builder
-	for !strings.HasSuffix(all.String(), scriptedserver.Ready) {
-		b, err := c.in.ReadByte()
-		if err != nil {
-			t.Fatal(err)
-		}
-		all.WriteByte(b)
-	}
-	return all.String()
-}
-
-func (c *client) ask(t *testing.T, statement string) string {
-	t.Helper()
-	c.Write(pgwire.AppendQuery(nil, statement))
-	return c.answer(t)
-}
-
-func (c *client) waitReady(t *testing.T) {
-	t.Helper()
-	for c.ask(t, "")[0] != 'I' {
-		time.Sleep(time.Millisecond)
-	}
-}
-
-func stopRouter(t *testing.T, ended chan error) {
-	t.Helper()
-	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
-}
-
 // TestTheAgentsListComesFirst: a new process knows an older list in which a node may be used that drains by now. What
 // its agent has counts as told from its first moment, so it waits for that before it takes a command.
 func TestTheAgentsListComesFirst(t *testing.T) {
@@ -155,9 +73,7 @@
 	<-node.Queries
 	began := time.Now()
 	for range 2 {
-		if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
-			t.Fatal(err)
-		}
+		signalSelf(t, syscall.SIGTERM)
 	}
 	if got := c.answer(t); !strings.Contains(got, "C58000") {
 		t.Errorf("what may have run: %q", got)
@@ -218,9 +134,7 @@
 	if err := os.WriteFile(os.Getenv("RELAY_CONFIG"), fmt.Appendf(nil, configTemplate, listen, strings.TrimPrefix(next.URL, "http://")), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
+	signalSelf(t, syscall.SIGHUP)
 	<-taken
 	if got := c.ask(t, "/* id=2,c=put,d=900,cluster=3 */ INSERT"); !strings.HasSuffix(got, scriptedserver.Row+scriptedserver.Ready) {
 		t.Errorf("behind the reload: %q", got)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -1,7 +1,6 @@
 package serve
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/base64"
 	"fmt"
@@ -19,24 +18,8 @@
 	"cairntiller/internal/assignment"
 	"cairntiller/internal/membership"
 	"cairntiller/internal/metrics"
-	"cairntiller/internal/pgwire"
 )
 
-const configTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-	"limits":{"cores":1,"memory_mb":192,"sockets":1024},
-	"settings":{"az":"a","siblings":1,"round":5,
-	"classes":[{"name":"put","effect":"unsafe","aim":400,"hardLimit":1000,"points":1}],
-	"domain":{"readLevel":["write"]},"limits":{"maxAttempts":8,"cancel":true,"connectTimeout":250,"connIdle":15000}}}`
-
-func writeConfig(t *testing.T, text string) {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	t.Setenv("RELAY_CONFIG", path)
-}
-
 // TestStartToStop: not ready before there is a list, and a SIGHUP without a usable file changes nothing; with one
 // the list comes from its discovery, whatever the environment named; on SIGTERM nothing taken is lost.
 func TestStartToStop(t *testing.T) {
@@ -58,73 +41,39 @@
 		<-r.Context().Done()
 	}))
 	defer discovery.Close()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := free.Addr().String()
-	free.Close()
+	listen := freeAddress(t)
 	writeConfig(t, fmt.Sprintf(configTemplate, listen, "127.0.0.1:1")) // where nobody answers
 	t.Setenv("RELAY_DISCOVERY", "127.0.0.1:1")
-	ended := make(chan error, 1)
-	go func() { ended <- Run("", TestHooks{}) }()
+	ended := runInBackground("")
 
-	var c net.Conn
-	for c, err = net.Dial("tcp", listen); err != nil; c, err = net.Dial("tcp", listen) {
-		time.Sleep(time.Millisecond) // it is not listening yet
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	in := bufio.NewReader(c)
-	answer := func(out []byte) string { // what comes back, up to ReadyForQuery
-		t.Helper()
-		c.Write(out)
-		var all strings.Builder
-		for !strings.HasSuffix(all.String(), "Z\x00\x00\x00\x05I") {
-			b, err := in.ReadByte()
-			if err != nil {
-				t.Fatal(err)
-			}
-			all.WriteByte(b)
-		}
-		return all.String()
+	c := dialRouter(t, listen)
+	if !strings.Contains(c.welcome, "server_version") {
+		t.Errorf("startup: %q", c.welcome)
 	}
-	empty := pgwire.AppendQuery(nil, "")
-	if got := answer(pgwire.AppendStartup(nil, pgwire.User, pgwire.Database)); !strings.Contains(got, "server_version") {
-		t.Errorf("startup: %q", got)
-	}
-	if got := answer(empty); !strings.Contains(got, "C57P03") {
+	if got := c.ask(t, ""); !strings.Contains(got, "C57P03") {
 		t.Errorf("without a list: %q", got)
 	}
-	hangUp := func(text string, counted *metrics.Counter) {
+	reloadWith := func(text string, counter *metrics.Counter) {
 		t.Helper()
 		if err := os.WriteFile(os.Getenv("RELAY_CONFIG"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := counted.Count()
-		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-		for counted.Count() == before {
-			time.Sleep(time.Millisecond)
-		}
+		reloadUntilCounted(t, counter)
 	}
-	hangUp("{", rejectedConfigs)
-	hangUp(fmt.Sprintf(configTemplate, listen, "nowhere"), rejectedConfigs)
-	if got := answer(empty); !strings.Contains(got, "C57P03") {
+	reloadWith("{", rejectedConfigs)
+	reloadWith(fmt.Sprintf(configTemplate, listen, "nowhere"), rejectedConfigs)
+	if got := c.ask(t, ""); !strings.Contains(got, "C57P03") {
 		t.Errorf("after a configuration that can't be used: %q", got)
 	}
-	hangUp(fmt.Sprintf(configTemplate, listen, strings.TrimPrefix(discovery.URL, "http://")), reloadedConfigs)
+	reloadWith(fmt.Sprintf(configTemplate, listen, strings.TrimPrefix(discovery.URL, "http://")), reloadedConfigs)
 	close(speak)
-	for answer(empty)[0] != 'I' {
+	for c.ask(t, "")[0] != 'I' {
 	}
-	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if got := answer(pgwire.AppendQuery(nil, "/* id=1,c=put,d=900,cluster=3 */ INSERT")); !strings.Contains(got, "C53300") {
+	signalSelf(t, syscall.SIGTERM)
+	if got := c.ask(t, "/* id=1,c=put,d=900,cluster=3 */ INSERT"); !strings.Contains(got, "C53300") {
 		t.Errorf("a command that came while it leaves, and never ran: %q", got)
 	}
-	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
+	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
 		t.Errorf("at the end: %q, %v", rest, err)
 	}
 	c.Close()
@@ -158,15 +107,7 @@
 // TestKeysChangeBySignal: a member with the new key alone comes in once SIGHUP has read the file again; a file with
 // faults changes nothing.
 func TestKeysChangeBySignal(t *testing.T) {
-	free := func() string {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer ln.Close()
-		return ln.Addr().String()
-	}
-	listen, place := free(), free()
+	listen, place := freeAddress(t), freeAddress(t)
 	writeConfig(t, strings.Replace(fmt.Sprintf(configTemplate, listen, "127.0.0.1:1"), `"cancel":true`, `"cancel":true,"probes":true`, 1))
 	path := filepath.Join(t.TempDir(), "file.sexp")
 	write := func(keys ...string) {
@@ -179,8 +120,7 @@
 	old, fresh := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 	word := func(key []byte) string { return `"` + base64.StdEncoding.EncodeToString(key) + `"` }
 	write(word(old))
-	ended := make(chan error, 1)
-	go func() { ended <- Run(path, TestHooks{}) }()
+	ended := runInBackground(path)
 	for c, err := net.Dial("tcp", listen); ; c, err = net.Dial("tcp", listen) {
 		if err == nil {
 			c.Close()
@@ -196,25 +136,15 @@
 		t.Fatal(err)
 	}
 	defer m.Abort()
-	hangUp := func(counted *metrics.Counter) {
-		t.Helper()
-		before := counted.Count()
-		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-		for counted.Count() == before {
-			time.Sleep(time.Millisecond)
-		}
-	}
 	write("short")
-	hangUp(rejectedConfigs)
+	reloadUntilCounted(t, rejectedConfigs)
 	select {
 	case name := <-up:
 		t.Fatalf("%s is met with a wrong key", name)
 	case <-time.After(700 * time.Millisecond):
 	}
 	write(word(fresh), word(old))
-	hangUp(changedKeys)
+	reloadUntilCounted(t, changedKeys)
 	select {
 	case name := <-up:
 		if name != "n0" {
@@ -223,12 +153,7 @@
 	case <-time.After(15 * time.Second):
 		t.Error("the new key does not open")
 	}
-	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
+	stopRouter(t, ended)
 }
 
 // TestReleasesWithoutLeases names that fault alone: the part was read twice, and its names were unknown the second time.
