--- a/internal/testcluster/process/child.go
+++ b/internal/testcluster/process/child.go
@@ -49,10 +49,12 @@
 	address net.IP
 }
 
+// DialTimeout implements memberlist.Transport.
 func (s *sourceBoundTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return s.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (s *sourceBoundTransport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: s.address}}
 	return d.DialContext(context.Background(), "tcp", addr.Addr)
--- a/internal/testcluster/process/clock_skew.go
+++ b/internal/testcluster/process/clock_skew.go
@@ -34,15 +34,16 @@
 }
 
 // ParseClockSkew reads what ClockSkew.String prints; "" is the true clock.
-func ParseClockSkew(text string) (k ClockSkew, err error) {
+func ParseClockSkew(text string) (ClockSkew, error) {
 	if text == "" {
 		return ClockSkew{Rate: 1}, nil
 	}
-	var off, jump int64
-	if _, err = fmt.Sscanf(text, "%f,%d,%d,%d", &k.Rate, &off, &k.JumpAt, &jump); err != nil {
+	var k ClockSkew
+	var offset, jump int64
+	if _, err := fmt.Sscanf(text, "%f,%d,%d,%d", &k.Rate, &offset, &k.JumpAt, &jump); err != nil {
 		return k, fmt.Errorf("clock %q: %w", text, err)
 	}
-	k.Offset = time.Duration(off) * time.Microsecond
+	k.Offset = time.Duration(offset) * time.Microsecond
 	k.Jump = time.Duration(jump) * time.Microsecond
 	return k, nil
 }
--- a/internal/testcluster/process/harness.go
+++ b/internal/testcluster/process/harness.go
@@ -8,6 +8,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -23,19 +24,25 @@
 
 // Harness is router processes in front of one test cluster, and the faulty links between them.
 type Harness struct {
-	Cluster         *cluster.Cluster
-	Relays          *faultnet.Relays
-	Folder          string
-	Log             io.Writer
-	Progress        io.Writer // gets a line for each step as it is played, nil for none
-	clocks          []ClockSkew
-	routers         []*cluster.Router
-	membershipParts []string // each process's part (fleet ...) of the operator's file
-	handlers        map[string]func(args []string) error
+	Cluster  *cluster.Cluster
+	Relays   *faultnet.Relays
+	Folder   string
+	Log      io.Writer
+	Progress io.Writer // gets a line for each step as it is played, nil for none
+
+	processes []*routerProcess
+	handlers  map[string]func(args []string) error // commands that the harness does not know itself
 
 	mu     sync.Mutex
 	played []PlayedStep
-	ended  []bool
+}
+
+// routerProcess is one process of a harness.
+type routerProcess struct {
+	router         *cluster.Router
+	skew           ClockSkew // of its machine's clock
+	membershipPart string    // its part (fleet ...) of the operator's file
+	ended          bool      // by a step; guarded by Harness.mu
 }
 
 // PlayedStep is a step that was played, and when by the true clock, in us.
@@ -51,103 +58,132 @@
 	Args []string // of the child beside the harness's own
 }
 
+// maxSeeds is how many processes the others look for at their start.
+const maxSeeds = 3
+
+// startGap is the time between the starts of two processes, so that many do not start in one instant.
+const startGap = 5 * time.Millisecond
+
 // New starts a router on each machine, all of them members of one fleet that talk through relays. child is the beginning of
 // the arguments with which this program runs a router, as RunChild reads them.
-func New(seed uint64, testCluster *cluster.Cluster, machines []Machine, log, progress io.Writer, child ...string) (h *Harness, err error) {
-	h = &Harness{Cluster: testCluster, Folder: testCluster.Folder, Log: log, Progress: progress, handlers: map[string]func([]string) error{}, ended: make([]bool, len(machines))}
+func New(seed uint64, testCluster *cluster.Cluster, machines []Machine, log, progress io.Writer, child ...string) (*Harness, error) {
+	h := &Harness{
+		Cluster:  testCluster,
+		Folder:   testCluster.Folder,
+		Log:      log,
+		Progress: progress,
+		handlers: map[string]func([]string) error{},
+	}
 	address, err := cluster.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	_, port, _ := net.SplitHostPort(address)
-	number, _ := strconv.Atoi(port)
-	if h.Relays, err = faultnet.NewRelays(seed, len(machines), number); err != nil {
+	_, portText, _ := net.SplitHostPort(address)
+	port, _ := strconv.Atoi(portText)
+	if h.Relays, err = faultnet.NewRelays(seed, len(machines), port); err != nil {
 		return nil, err
 	}
-	var join []string
-	for i := range min(3, len(machines)) {
-		join = append(join, strconv.Quote(h.Relays.RelayAddress(i)))
+	var seeds []string
+	for i := range min(maxSeeds, len(machines)) {
+		seeds = append(seeds, strconv.Quote(h.Relays.RelayAddress(i)))
 	}
-	key := base64.StdEncoding.EncodeToString([]byte("a key for harnesses of 32 bytes,"))
 	for i, machine := range machines {
-		h.membershipParts = append(h.membershipParts, fmt.Sprintf("(fleet (name %q) (cluster \"harness\") (listen %q) (advertise %q) (join %s) (keys %q))\n", ProcessName(i),
-			h.Relays.ProcessAddress(i), h.Relays.RelayAddress(i), strings.Join(join, " "), key))
-		sourceAddress, _, _ := net.SplitHostPort(h.Relays.ProcessAddress(i))
-		args := append(append([]string{}, child...), "--clock", machine.Skew.String(), "--own", sourceAddress)
-		router, err := testCluster.PrepareRouter(ProcessName(i), len(machines), h.membershipParts[i]+machine.File, log, append(args, machine.Args...)...)
+		process, err := h.prepare(i, len(machines), machine, strings.Join(seeds, " "), child)
 		if err != nil {
 			return h, errors.Join(err, h.Close())
 		}
-		h.routers, h.clocks = append(h.routers, router), append(h.clocks, machine.Skew)
+		h.processes = append(h.processes, process)
 	}
-	var wg sync.WaitGroup
-	errs := make([]error, len(machines))
-	for i, one := range h.routers {
-		wg.Go(func() { errs[i] = one.Start() })
-		time.Sleep(5 * time.Millisecond)
-	}
-	wg.Wait()
-	if err := errors.Join(errs...); err != nil {
+	if err := h.startAll(); err != nil {
 		return h, errors.Join(err, h.Close())
 	}
 	return h, nil
 }
 
+// prepare makes a process ready to start.
+func (h *Harness) prepare(i, count int, machine Machine, seeds string, child []string) (*routerProcess, error) {
+	key := base64.StdEncoding.EncodeToString([]byte("a key for harnesses of 32 bytes,"))
+	part := fmt.Sprintf("(fleet (name %q) (cluster \"harness\") (listen %q) (advertise %q) (join %s) (keys %q))\n", ProcessName(i),
+		h.Relays.ProcessAddress(i), h.Relays.RelayAddress(i), seeds, key)
+	sourceAddress, _, _ := net.SplitHostPort(h.Relays.ProcessAddress(i))
+	args := slices.Concat(child, []string{"--clock", machine.Skew.String(), "--own", sourceAddress}, machine.Args)
+	router, err := h.Cluster.PrepareRouter(ProcessName(i), count, part+machine.File, h.Log, args...)
+	if err != nil {
+		return nil, err
+	}
+	return &routerProcess{router: router, skew: machine.Skew, membershipPart: part}, nil
+}
+
+// startAll starts all processes and returns when each takes connections.
+func (h *Harness) startAll() error {
+	var starting sync.WaitGroup
+	errs := make([]error, len(h.processes))
+	for i, process := range h.processes {
+		starting.Go(func() { errs[i] = process.router.Start() })
+		time.Sleep(startGap)
+	}
+	starting.Wait()
+	return errors.Join(errs...)
+}
+
 // ProcessName returns a process's name.
 func ProcessName(i int) string { return fmt.Sprintf("r%d", i) }
 
 // StateFolder returns a folder that outlives the process's restarts.
-func (r *Harness) StateFolder(i int) string { return filepath.Join(r.Folder, "keep-"+ProcessName(i)) }
+func (h *Harness) StateFolder(i int) string { return filepath.Join(h.Folder, "keep-"+ProcessName(i)) }
 
 // AdminSocket returns where a process listens for operators, if its file says so.
-func (r *Harness) AdminSocket(i int) string { return filepath.Join(r.Folder, ProcessName(i)+".sock") }
+func (h *Harness) AdminSocket(i int) string { return filepath.Join(h.Folder, ProcessName(i)+".sock") }
 
 // WriteOperatorFile replaces a process's operator's file but for the part (fleet ...). SIGHUP or its next start reads it.
-func (r *Harness) WriteOperatorFile(i int, text string) error {
-	return r.routers[i].WriteOperatorFile(r.membershipParts[i] + text)
+func (h *Harness) WriteOperatorFile(i int, text string) error {
+	process := h.processes[i]
+	return process.router.WriteOperatorFile(process.membershipPart + text)
 }
 
 // Router returns a process.
-func (r *Harness) Router(i int) *cluster.Router { return r.routers[i] }
+func (h *Harness) Router(i int) *cluster.Router { return h.processes[i].router }
 
 // ClockSkew returns a machine's clock.
-func (r *Harness) ClockSkew(i int) ClockSkew { return r.clocks[i] }
+func (h *Harness) ClockSkew(i int) ClockSkew { return h.processes[i].skew }
 
 // HandleCommand sets who executes a command that the harness does not know.
-func (r *Harness) HandleCommand(verb string, do func(args []string) error) { r.handlers[verb] = do }
+func (h *Harness) HandleCommand(command string, do func(args []string) error) {
+	h.handlers[command] = do
+}
 
 // Played returns the steps that were played so far.
-func (r *Harness) Played() []PlayedStep {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]PlayedStep(nil), r.played...)
+func (h *Harness) Played() []PlayedStep {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]PlayedStep(nil), h.played...)
 }
 
 // Close kills all processes and stops the relays.
-func (r *Harness) Close() error {
-	for _, one := range r.routers {
-		one.Kill()
+func (h *Harness) Close() error {
+	for _, process := range h.processes {
+		process.router.Kill()
 	}
-	if r.Relays != nil {
-		return r.Relays.Close()
+	if h.Relays != nil {
+		return h.Relays.Close()
 	}
 	return nil
 }
 
 // Play plays a script, whose times count from now, and returns when all steps are over, with their errors joined.
-func (r *Harness) Play(s Script) error {
+func (h *Harness) Play(s Script) error {
 	began := time.Now()
 	var wg sync.WaitGroup
 	var errs []error
 	var mu sync.Mutex
 	for _, one := range s {
 		time.Sleep(one.At - time.Since(began))
-		if r.Progress != nil {
-			fmt.Fprintf(r.Progress, "%7.2f s  %s %s\n", time.Since(began).Seconds(), one.Command, strings.Join(one.Args, " "))
+		if h.Progress != nil {
+			fmt.Fprintf(h.Progress, "%7.2f s  %s %s\n", time.Since(began).Seconds(), one.Command, strings.Join(one.Args, " "))
 		}
-		r.recordPlayed(one)
+		h.recordPlayed(one)
 		wg.Go(func() { // a start takes a while, and the next step must not wait for it
-			if err := r.Execute(one); err != nil {
+			if err := h.Execute(one); err != nil {
 				mu.Lock()
 				errs = append(errs, fmt.Errorf("%d ms %s %v: %w", one.At.Milliseconds(), one.Command, one.Args, err))
 				mu.Unlock()
@@ -158,109 +194,159 @@
 	return errors.Join(errs...)
 }
 
-func (r *Harness) recordPlayed(one Step) {
-	r.mu.Lock()
-	r.played = append(r.played, PlayedStep{TrueClock(), one})
-	r.mu.Unlock()
+func (h *Harness) recordPlayed(one Step) {
+	h.mu.Lock()
+	h.played = append(h.played, PlayedStep{TrueClock(), one})
+	h.mu.Unlock()
 }
 
-// Execute executes one step now.
-func (r *Harness) Execute(one Step) error {
-	if do := r.handlers[one.Command]; do != nil {
-		return do(one.Args)
-	}
-	n := -1
-	if len(one.Args) > 0 && one.Args[0] != "*" {
-		if v, err := strconv.Atoi(one.Args[0]); err == nil && v >= 0 && v < len(r.routers) {
-			n = v
-		}
+// Errors of a step.
+var (
+	ErrUnknownStep    = errors.New("unknown step")
+	ErrUnknownProcess = errors.New("no such process")
+	ErrLinkFaults     = errors.New("fate wants five figures")
+)
+
+// Execute executes one step now. The error is one of those above, or why a process did not start or end.
+func (h *Harness) Execute(step Step) error {
+	if do := h.handlers[step.Command]; do != nil {
+		return do(step.Args)
 	}
-	switch one.Command {
-	case "kill":
-		r.setEnded(n, true)
-		r.routers[n].Kill()
-	case "term":
-		r.setEnded(n, true)
-		return r.routers[n].Stop()
-	case "start", "bare":
-		if one.Command == "bare" {
-			if err := os.RemoveAll(r.StateFolder(n)); err != nil {
-				return err
-			}
-		}
-		if !r.setEnded(n, false) {
-			return nil // it is up
-		}
-		return r.routers[n].Start()
-	case "stop":
-		r.routers[n].Signal(syscall.SIGSTOP)
-	case "cont":
-		r.routers[n].Signal(syscall.SIGCONT)
+	switch step.Command {
 	case "cut":
-		r.cutLinks(one.Args)
+		h.cutLinks(step.Args)
+		return nil
 	case "heal":
-		r.changeLinks(func(f *faultnet.LinkFaults) { f.Cut = false })
+		h.changeLinks(func(f *faultnet.LinkFaults) { f.Cut = false })
+		return nil
 	case "fate":
-		return r.setLinkFaults(one.Args)
-	default:
-		return fmt.Errorf("unknown step %q", one.Command)
+		return h.setLinkFaults(step.Args)
 	}
-	return nil
+	act := processSteps[step.Command]
+	if act == nil {
+		return fmt.Errorf("%w %q", ErrUnknownStep, step.Command)
+	}
+	i, err := h.processNumber(step.Args)
+	if err != nil {
+		return err
+	}
+	return act(h, i)
+}
+
+// processSteps are the commands on one process.
+var processSteps = map[string]func(h *Harness, i int) error{
+	"kill": func(h *Harness, i int) error {
+		h.setEnded(i, true)
+		h.Router(i).Kill()
+		return nil
+	},
+	"term": func(h *Harness, i int) error {
+		h.setEnded(i, true)
+		return h.Router(i).Stop()
+	},
+	"start": (*Harness).startEnded,
+	"bare": func(h *Harness, i int) error {
+		if err := os.RemoveAll(h.StateFolder(i)); err != nil {
+			return err
+		}
+		return h.startEnded(i)
+	},
+	"stop": func(h *Harness, i int) error {
+		h.Router(i).Signal(syscall.SIGSTOP)
+		return nil
+	},
+	"cont": func(h *Harness, i int) error {
+		h.Router(i).Signal(syscall.SIGCONT)
+		return nil
+	},
+}
+
+// processNumber reads the first argument of a command on one process.
+func (h *Harness) processNumber(args []string) (int, error) {
+	if len(args) > 0 {
+		if i, err := strconv.Atoi(args[0]); err == nil && i >= 0 && i < len(h.processes) {
+			return i, nil
+		}
+	}
+	return 0, fmt.Errorf("%w: %q", ErrUnknownProcess, args)
+}
+
+// startEnded starts a process that a step has ended; one that runs is left alone.
+func (h *Harness) startEnded(i int) error {
+	if !h.setEnded(i, false) {
+		return nil
+	}
+	return h.Router(i).Start()
 }
 
 // setEnded notes whether a step has ended a process, and returns what it was before.
-func (r *Harness) setEnded(n int, to bool) (was bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	was, r.ended[n] = r.ended[n], to
-	return was
+func (h *Harness) setEnded(i int, ended bool) (before bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	before = h.processes[i].ended
+	h.processes[i].ended = ended
+	return before
 }
 
 // IsRunning reports whether no step has ended the process.
-func (r *Harness) IsRunning(n int) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !r.ended[n]
+func (h *Harness) IsRunning(i int) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return !h.processes[i].ended
 }
 
-func (r *Harness) cutLinks(args []string) {
-	matches := func(word string, i int) bool { return word == "*" || word == strconv.Itoa(i) }
-	for i := range r.routers {
-		for j := range r.routers {
-			if i != j && (matches(args[0], i) && matches(args[1], j) || len(args) > 2 && matches(args[0], j) && matches(args[1], i)) {
-				f := r.Relays.Faults(i, j)
-				f.Cut = true
-				r.Relays.SetFaults(i, j, f)
-			}
+// cutLinks cuts the links from one process to another, "*" for all; both ways if there is a third argument.
+func (h *Harness) cutLinks(args []string) {
+	matches := func(arg string, i int) bool { return arg == "*" || arg == strconv.Itoa(i) }
+	bothWays := len(args) > 2
+	h.eachLink(func(from, to int) {
+		if matches(args[0], from) && matches(args[1], to) || bothWays && matches(args[0], to) && matches(args[1], from) {
+			faults := h.Relays.Faults(from, to)
+			faults.Cut = true
+			h.Relays.SetFaults(from, to, faults)
 		}
-	}
+	})
+}
+
+// changeLinks changes the faults of all links.
+func (h *Harness) changeLinks(change func(f *faultnet.LinkFaults)) {
+	h.eachLink(func(from, to int) {
+		faults := h.Relays.Faults(from, to)
+		change(&faults)
+		h.Relays.SetFaults(from, to, faults)
+	})
 }
 
-func (r *Harness) changeLinks(change func(f *faultnet.LinkFaults)) {
-	for i := range r.routers {
-		for j := range r.routers {
-			if i != j {
-				f := r.Relays.Faults(i, j)
-				change(&f)
-				r.Relays.SetFaults(i, j, f)
+// eachLink calls do for each ordered pair of processes.
+func (h *Harness) eachLink(do func(from, to int)) {
+	for from := range h.processes {
+		for to := range h.processes {
+			if from != to {
+				do(from, to)
 			}
 		}
 	}
 }
 
-func (r *Harness) setLinkFaults(args []string) error {
-	var v [5]float64
-	for i := range v {
-		if i >= len(args) {
-			return errors.New("fate wants five figures")
-		}
+// setLinkFaults sets the faults of all links but cuts: loss, duplication, corruption, delay in ms, share of late duplicates.
+func (h *Harness) setLinkFaults(args []string) error {
+	var figures [5]float64
+	if len(args) < len(figures) {
+		return ErrLinkFaults
+	}
+	for i := range figures {
 		var err error
-		if v[i], err = strconv.ParseFloat(args[i], 64); err != nil {
+		if figures[i], err = strconv.ParseFloat(args[i], 64); err != nil {
 			return err
 		}
 	}
-	r.changeLinks(func(f *faultnet.LinkFaults) {
-		f.Loss, f.Duplication, f.Corruption, f.MaxDelay, f.LateShare, f.MaxLateDelay = v[0], v[1], v[2], time.Duration(v[3]*float64(time.Millisecond)), v[4], MaxPacketDelay
+	h.changeLinks(func(f *faultnet.LinkFaults) {
+		f.Loss = figures[0]
+		f.Duplication = figures[1]
+		f.Corruption = figures[2]
+		f.MaxDelay = time.Duration(figures[3] * float64(time.Millisecond))
+		f.LateShare = figures[4]
+		f.MaxLateDelay = MaxPacketDelay
 	})
 	return nil
 }
--- a/internal/testcluster/process/script.go
+++ b/internal/testcluster/process/script.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"cmp"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strconv"
 	"strings"
@@ -31,18 +30,19 @@
 }
 
 // ParseScript reads what Script.String prints. Empty lines and lines that begin with # are ignored.
-func ParseScript(text string) (s Script, err error) {
+func ParseScript(text string) (Script, error) {
+	var s Script
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
-		f := strings.Fields(lines.Text())
-		if len(f) == 0 || strings.HasPrefix(f[0], "#") {
+		fields := strings.Fields(lines.Text())
+		if len(fields) == 0 || strings.HasPrefix(fields[0], "#") {
 			continue
 		}
-		at, err := strconv.ParseInt(f[0], 10, 64)
-		if err != nil || len(f) < 2 || commands[f[1]] == "" {
-			return nil, fmt.Errorf("line %d: %q, want a time in ms, one of the verbs, and its arguments", n, lines.Text())
+		at, err := strconv.ParseInt(fields[0], 10, 64)
+		if err != nil || len(fields) < 2 || commands[fields[1]] == "" {
+			return nil, fmt.Errorf("line %d: %q, want a time in ms, one of the commands, and its arguments", n, lines.Text())
 		}
-		s = append(s, Step{time.Duration(at) * time.Millisecond, f[1], f[2:]})
+		s = append(s, Step{At: time.Duration(at) * time.Millisecond, Command: fields[1], Args: fields[2:]})
 	}
 	s.sort()
 	return s, nil
@@ -71,7 +71,8 @@
 		for from := 0; from < len(script); {
 			candidate := slices.Concat(script[:from], script[min(len(script), from+size):])
 			if len(candidate) < len(script) && fails(candidate) {
-				script, shrunk = candidate, true
+				script = candidate
+				shrunk = true
 			} else {
 				from += size
 			}
@@ -82,67 +83,3 @@
 	}
 	return script
 }
-
-// RandomScript returns a script of mixed faults drawn from a seed: about one each gap, up to an end at which all links are
-// healed. extraSteps draw further kinds of steps.
-func RandomScript(seed uint64, processes int, gap, end time.Duration, extraSteps ...func(random *rand.Rand, at time.Duration) []Step) (s Script) {
-	random := rand.New(rand.NewPCG(seed, 6))
-	add := func(at time.Duration, do string, args ...any) {
-		one := Step{At: min(at, end), Command: do}
-		for _, a := range args {
-			one.Args = append(one.Args, fmt.Sprint(a))
-		}
-		s = append(s, one)
-	}
-	busyUntil := make([]time.Duration, processes) // a process is killed or stopped until then
-	for at := time.Duration(0); at < end; {
-		at += time.Duration(random.Int64N(int64(2 * gap)))
-		n, span := random.IntN(processes), time.Duration(random.Int64N(int64(4*gap)))+gap/2
-		free := at >= busyUntil[n] && at+span < end
-		switch random.IntN(11 + len(extraSteps)) {
-		case 0, 1:
-			if free {
-				busyUntil[n] = at + span
-				add(at, "kill", n)
-				add(at+span, []string{"start", "start", "bare"}[random.IntN(3)], n)
-			}
-		case 2, 3:
-			if free {
-				busyUntil[n] = at + span
-				add(at, "stop", n)
-				add(at+span, "cont", n)
-			}
-		case 4: // the process hears everybody and is heard by nobody; then the other way round
-			add(at, "cut", n, "*")
-			add(at+span, "heal")
-		case 5:
-			add(at, "cut", "*", n)
-			add(at+span, "heal")
-		case 6:
-			add(at, "cut", n, "*", "both")
-			add(at+span, "heal")
-		case 7:
-			add(at, "cut", n, random.IntN(processes))
-			add(at+span, "heal")
-		case 8, 9:
-			add(at, "fate", fmt.Sprintf("%.2f", random.Float64()*0.4), fmt.Sprintf("%.2f", random.Float64()*0.4),
-				fmt.Sprintf("%.3f", random.Float64()*0.02), random.IntN(100), fmt.Sprintf("%.2f", random.Float64()*0.5))
-			add(at+span, "fate", "0.01", "0.02", "0", "2", "0.1")
-		case 10:
-			if k := random.IntN(processes); free && at >= busyUntil[k] && k != n { // two at once
-				busyUntil[n], busyUntil[k] = at+span, at+span
-				add(at, "kill", n)
-				add(at, "kill", k)
-				add(at+span, "start", n)
-				add(at+span, "start", k)
-			}
-		default:
-			k := random.IntN(len(extraSteps))
-			s = append(s, extraSteps[k](random, at)...)
-		}
-	}
-	add(end, "heal")
-	add(end, "fate", "0", "0", "0", "0", "0")
-	s.sort()
-	return s
-}
