--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -46,7 +46,8 @@
 //   - waves.go: who is next, when a wave is over, when the leader hands over; budget.go: who may leave service at all
 //   - unit.go: how a router proves that it is back; drain.go: the same of a node, and which nodes get nothing new
 //   - canary.go: what counts as evidence against a version; rollback.go: the way back
-//   - operator_command.go: what operators may ask, and every reason for which they are refused
+//   - operator_command.go: what operators may ask; refusal.go: every reason for which that is refused, or a unit may not
+//     leave service
 //   - fleet.go: which members are in sight; replication.go: how a record is written, read and recovered
 //   - leader.go: the lead's begin and end, and what is due at a tick; member.go, voter.go: the other instances' parts
 //
--- a/internal/rollout/operator_command.go
+++ b/internal/rollout/operator_command.go
@@ -88,7 +88,7 @@
 	if c.Type == CommandForget && c.PlanID == "" {
 		return l.forgetMember(now, c.Unit)
 	}
-	p := l.record.progress(c.PlanID)
+	p := l.record.FindPlan(c.PlanID)
 	if p == nil {
 		return refuse(ErrUnknownPlan, "no plan %q", c.PlanID)
 	}
@@ -159,7 +159,7 @@
 	if err := p.Validate(); err != nil {
 		return err
 	}
-	if l.record.progress(p.ID) != nil {
+	if l.record.FindPlan(p.ID) != nil {
 		return refuse(ErrPlanExists, "a plan %s was started before", p.ID)
 	}
 	underWay := 0
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -112,8 +112,11 @@
 	return &c
 }
 
-// progress finds a plan by its name, nil for none.
-func (r *Record) progress(id string) *Progress {
+// FindPlan finds a plan by its name, nil for none. A nil record has no plans.
+func (r *Record) FindPlan(id string) *Progress {
+	if r == nil {
+		return nil
+	}
 	for _, p := range r.Plans {
 		if p.Plan.ID == id {
 			return p
--- a/internal/simulation/rolloutsim/checks.go
+++ b/internal/simulation/rolloutsim/checks.go
@@ -27,13 +27,13 @@
 	w.recoveredByCommand = false
 	holders := w.checkSlotsGrow(record)
 	for _, p := range record.Plans {
-		old := progressOf(before, p.Plan.ID)
+		old := before.FindPlan(p.Plan.ID)
 		w.measureProgress(old, p)
 		w.checkNewlyUnused(old, p)
 		w.checkNewSlots(old, p, holders)
 	}
 	for _, p := range record.Plans {
-		if old := progressOf(before, p.Plan.ID); old != nil && p.Plan.Kind != rollout.KindNodes {
+		if old := before.FindPlan(p.Plan.ID); old != nil && p.Plan.Kind != rollout.KindNodes {
 			w.checkFreedSlots(old, p)
 		}
 	}
@@ -42,7 +42,7 @@
 // checkNothingForgotten checks that each plan under way and each slot is still known.
 func (w *World) checkNothingForgotten(before, record *rollout.Record) {
 	for _, p := range before.Plans {
-		now := progressOf(record, p.Plan.ID)
+		now := record.FindPlan(p.Plan.ID)
 		if now == nil {
 			if !p.State.Ended() {
 				w.violated("plan %s is forgotten", p.Plan.ID)
@@ -290,16 +290,3 @@
 	}
 	return touched
 }
-
-// progressOf finds a plan in a record by its name, nil for none.
-func progressOf(r *rollout.Record, id string) *rollout.Progress {
-	if r == nil {
-		return nil
-	}
-	for _, p := range r.Plans {
-		if p.Plan.ID == id {
-			return p
-		}
-	}
-	return nil
-}
