--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -15,7 +15,8 @@
 	// twenty-four bad ones.
 	minCommands = 1_200
 
-	// minBadCommands is how many bad commands of touched routers are the least from which anything is concluded.
+	// minBadCommands is how many bad commands of touched routers are the least from which anything is concluded: fewer may
+	// be one client's mistakes.
 	minBadCommands = 5
 
 	// minShareDifference is by how much the share of bad commands must lie above that of the untouched routers: less than
@@ -29,14 +30,16 @@
 	// three would halt good versions.
 	haltDeviations = 5.0
 
-	// minUsualShare is the share of bad commands that counts as usual where none was seen.
+	// minUsualShare is the share of bad commands that counts as usual where fewer were seen: a fleet without a failure yet
+	// must not halt by its first ones.
 	minUsualShare = 5e-4
 
-	// minCrashes is how many processes of touched routers must have ended by themselves, at the least.
+	// minCrashes is how many processes of touched routers must have ended by themselves, at the least: one may be its
+	// machine's fault.
 	minCrashes = 2
 
 	// maxCrashProbability is the probability, of so many of all crashes falling on touched routers by chance, under which a
-	// plan halts.
+	// plan halts: when nearly all routers are touched, nearly all crashes fall on them.
 	maxCrashProbability = 1e-3
 
 	// upperQuantile of the untouched routers' startup times and memory is what touched ones are held against: some routers
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// settleTime is how long after its lead began a leader grants no slot, in us: it has to see first who is there. Two
-// reports of each member come in that time.
+// settleTime is how long after its lead began a leader grants no slot, in us: it has to see first who is there. Some
+// reports of each member come in that time, even where a few are lost. Without it a new leader would count members that
+// it has not heard of yet as unavailable, or grant a slot beside a loss that it has not seen yet.
 const settleTime = 5_000_000
 
 // statementInterval is the time between statements to each member, in us. One may be lost; a member that restarts hears
--- a/internal/rollout/waves.go
+++ b/internal/rollout/waves.go
@@ -17,8 +17,8 @@
 	// tell a difference a third smaller.
 	maxWatchesInDoubt = 16
 
-	// handOverInterval is the time between attempts to let another instance lead, in us: some leases' length, in which
-	// another one takes it or none can.
+	// handOverInterval is the time between attempts to let another instance lead, in us. It is the longest that a lease
+	// of a leader lasts: by then another instance has taken it, or none can.
 	handOverInterval = 10_000_000
 )
 
