--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -62,3 +63,45 @@
 		t.Errorf("%s after an operator's command", got)
 	}
 }
+
+// TestBudgetRefusals asks for a slot that must not be granted, each time for a reason of its own.
+func TestBudgetRefusals(t *testing.T) {
+	routers := Plan{Kind: KindRestart, Budget: Budget{MaxShare: 1, MaxPerGroup: 1}}
+	nodes := Plan{Kind: KindNodes, Budget: Budget{MaxShare: 1, MaxPerGroup: 1}}
+	for name, c := range map[string]struct {
+		plan   Plan
+		change func(b *Budget, f *testFleet, u *unavailability)
+		unit   string
+		want   error
+		text   string
+	}{
+		"all used": {routers, func(b *Budget, _ *testFleet, u *unavailability) { b.MaxUnavailable, u.total = 2, 2 }, "r1", ErrBudgetUsed,
+			"2 of 6 are out, planned or not, and 2 may be"},
+		"zone used": {routers, func(b *Budget, _ *testFleet, u *unavailability) { b.MaxPerZone, u.byZone["z"] = 1, 1 }, "r1", ErrZoneBudgetUsed,
+			"1 of zone z are out, and 1 may be"},
+		"out of sight":  {routers, func(*Budget, *testFleet, *unavailability) {}, "r9", ErrUnavailable, "r9 is not in sight"},
+		"the one voter": {routers, func(*Budget, *testFleet, *unavailability) {}, "r0", ErrVotersOut, "0 of 1 voters are out or have forgotten"},
+		"a node that is down": {nodes, func(_ *Budget, f *testFleet, _ *unavailability) { f.leader.nodes["b"].Up = false }, "b", ErrUnavailable,
+			"b is out already"},
+		"group used": {nodes, func(_ *Budget, _ *testFleet, u *unavailability) { u.byGroup[1] = 1 }, "b", ErrGroupBudgetUsed,
+			"1 of group 1 are out, and 1 may be"},
+		"group's work": {nodes, func(b *Budget, _ *testFleet, _ *unavailability) { b.MaxGroupWork = 0.4 }, "a", ErrGroupWork,
+			"group 1 would be without 50% of its usual work"},
+		"no other primary": {nodes, func(_ *Budget, f *testFleet, _ *unavailability) { f.leader.nodes["b"].NearLogEnd = false }, "a", ErrNoPrimary,
+			"group 1 would have no primary, and none that could become one"},
+		"too few replicas": {nodes, func(b *Budget, _ *testFleet, _ *unavailability) { b.MinReplicas = 1 }, "a", ErrTooFewReplicas,
+			"group 1 would have 0 replicas near the log's end, and 1 must stay"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newTestFleet(t, 6,
+				NodeState{Name: "a", Group: 1, Primary: true, Up: true, NearLogEnd: true, WorkShare: 0.5},
+				NodeState{Name: "b", Group: 1, Up: true, NearLogEnd: true, WorkShare: 0.5})
+			p := &Progress{Plan: c.plan}
+			u := f.leader.countUnavailable(f.now, c.plan.Kind == KindNodes)
+			c.change(&p.Plan.Budget, f, u)
+			if err := f.leader.checkBudget(f.now, p, c.unit, u); !errors.Is(err, c.want) || err.Error() != c.text {
+				t.Errorf("%v, want %q", err, c.text)
+			}
+		})
+	}
+}
