--- a/internal/serve/cluster_services.go
+++ b/internal/serve/cluster_services.go
@@ -17,9 +17,9 @@
 
 // TestHooks replace parts of the machine in tests and proofs; each may be nil.
 type TestHooks struct {
-	Wrap   membership.WrapTransport    // stands before the network among routers
-	Clock  func() int64                // of leases
-	Leases func(*leaseservice.Service) // is given the router's lease service, once it runs
+	WrapTransport membership.WrapTransport    // stands before the network among routers
+	LeaseClock    func() int64                // of leases
+	OnLeases      func(*leaseservice.Service) // is given the router's lease service, once it runs
 }
 
 // clusterServices are what a router does together with others, and for operators on its machine. Each part is nil where
@@ -75,7 +75,7 @@
 	if options.leases.Given {
 		s.makeLeases(options, joined, hooks)
 	}
-	if s.membership, err = membership.Start(options.membership, s.membershipEvents(h), hooks.Wrap); err != nil {
+	if s.membership, err = membership.Start(options.membership, s.membershipEvents(h), hooks.WrapTransport); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	close(joined)
@@ -121,7 +121,7 @@
 		<-joined
 		return s.membership.Members()
 	}
-	clock := hooks.Clock
+	clock := hooks.LeaseClock
 	if clock == nil {
 		clock = leaseservice.Clock
 	}
@@ -132,8 +132,8 @@
 func (s *clusterServices) startLeases(options operatorOptions, hooks TestHooks) {
 	s.leases.Start()
 	s.audit.Start(options.leases.LongestLease)
-	if hooks.Leases != nil {
-		go hooks.Leases(s.leases)
+	if hooks.OnLeases != nil {
+		go hooks.OnLeases(s.leases)
 	}
 	if s.admin != nil {
 		s.leases.RegisterCommands(s.admin)
--- a/internal/simwire/endpoint_list.go
+++ b/internal/simwire/endpoint_list.go
@@ -42,10 +42,15 @@
 	return nil
 }
 
-// endpointList: kind, version, number of the list. FULL and SAVED lists name all endpoints; INCREMENTAL ones those that
-// changed; FAILED reports that the list is no longer followed.
+// The fields of a peers_known event.
+const (
+	knownKind = 2 // FULL and SAVED lists name all endpoints, INCREMENTAL ones those that changed; FAILED ends the watch
+	knownList = 4 // number of the list; 3 is its version, which is not used
+)
+
+// endpointList hands a numbered list to the module.
 func (i *instance) endpointList(now int64, fields [][]byte, n *fieldReader) error {
-	kind := string(fields[2])
+	kind := string(fields[knownKind])
 	switch kind {
 	case "FAILED":
 		i.router.EndpointListFailed(now)
@@ -54,7 +59,7 @@
 	default:
 		return i.server.fault("kind", "unknown kind of list")
 	}
-	number := n.int(fields[4], "sheet")
+	number := n.int(fields[knownList], "sheet")
 	if n.err != nil {
 		return nil
 	}
@@ -71,27 +76,39 @@
 	return nil
 }
 
-// endpoint: node, zone, whether it is the primary, kind, shard, state, a size that is not used, time of its start.
+// The fields of an endpoint's line.
+const (
+	endpointNode    = 1
+	endpointZone    = 2
+	endpointPrimary = 3 // 1 for the primary
+	endpointKind    = 4
+	endpointShard   = 5
+	endpointState   = 6
+	endpointStarted = 8 // 7 is a size, which is not used
+	endpointFields  = 9
+)
+
+// endpoint hands one line of a list to the module.
 func (i *instance) endpoint(now int64, row []byte, n *fieldReader) error {
 	i.server.split(row)
 	fields := i.server.fields
-	if len(fields) < 9 {
+	if len(fields) < endpointFields {
 		return i.server.fault("items", "too few fields in a list entry")
 	}
-	state, known := states[string(fields[6])]
+	state, known := states[string(fields[endpointState])]
 	if !known {
 		return i.server.fault("availability", "unknown state")
 	}
-	primary := n.float(fields[3], "leads")
-	shard := n.int(fields[5], "cluster")
-	started := n.time(fields[8], "readyAt")
+	primary := n.float(fields[endpointPrimary], "leads")
+	shard := n.int(fields[endpointShard], "cluster")
+	started := n.time(fields[endpointStarted], "readyAt")
 	if n.err != nil {
 		return nil
 	}
 	i.router.UpdateEndpoint(now, routing.Endpoint{
-		Name:        string(fields[1]),
-		Zone:        text(fields[2]),
-		MachineKind: text(fields[4]),
+		Name:        string(fields[endpointNode]),
+		Zone:        text(fields[endpointZone]),
+		MachineKind: text(fields[endpointKind]),
 		Shard:       int(shard),
 		State:       state,
 		Primary:     primary >= 0.5,
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -30,27 +30,38 @@
 	"note_from":     {4, (*instance).note},
 }
 
-// request: id, group, tenant, session, time left, a cost that is not used, shard, time since the session's commit, and
-// a mark that is not used.
+// The fields of a req event, by their place on the line; here and below 0 is the event's name and 1 the instance.
+const (
+	requestID          = 2
+	requestGroup       = 3 // name of its command group
+	requestTenant      = 4 // name; one that is not known has no quota
+	requestSession     = 5
+	requestTimeLeft    = 6  // until the client gives up
+	requestShard       = 8  // 7 is a cost, which is not used
+	requestSinceCommit = 9  // time since the session's last commit
+	requestMark        = 10 // must be a number, and is not used
+)
+
+// request hands a new request to the module.
 func (i *instance) request(now int64, fields [][]byte, n *fieldReader) error {
-	group, known := i.groupNumbers[string(fields[3])]
+	group, known := i.groupNumbers[string(fields[requestGroup])]
 	if !known {
 		return i.server.fault("grade", "unknown class")
 	}
-	tenant, known := i.tenantNumbers[string(fields[4])]
+	tenant, known := i.tenantNumbers[string(fields[requestTenant])]
 	if !known {
 		tenant = -1
 	}
-	left := n.time(fields[6], "timeLeft")
-	shard := n.int(fields[8], "clusterNo")
-	sinceCommit := n.time(fields[9], "sinceWriteMs")
-	n.int(fields[10], "marks")
+	left := n.time(fields[requestTimeLeft], "timeLeft")
+	shard := n.int(fields[requestShard], "clusterNo")
+	sinceCommit := n.time(fields[requestSinceCommit], "sinceWriteMs")
+	n.int(fields[requestMark], "marks")
 	if n.err == nil {
 		i.router.RequestArrived(now, routing.Request{
-			ID:         string(fields[2]),
+			ID:         string(fields[requestID]),
 			Group:      group,
 			Tenant:     tenant,
-			Session:    text(fields[5]),
+			Session:    text(fields[requestSession]),
 			TimeLeft:   left,
 			Shard:      int(shard),
 			SinceWrite: sinceCommit,
@@ -59,25 +70,36 @@
 	return nil
 }
 
-// attemptStarted: the module does not use when a node began an attempt.
+// attemptStarted ignores the event: the module does not use when a node began an attempt.
 func (*instance) attemptStarted(int64, [][]byte, *fieldReader) error { return nil }
 
-// attemptEnded: request, node, whether the client has had its answer, outcome, the attempt's number, its time, the
-// node's position and role in one number, and its load report where it sent one.
+// The fields of a result event.
+const (
+	resultRequest    = 2
+	resultNode       = 3
+	resultFinal      = 4 // whether the client has had its answer
+	resultOutcome    = 5
+	resultAttempt    = 6 // number of the attempt
+	resultElapsed    = 7
+	resultNodeStatus = 8 // the node's position and role in one number
+	resultLoadReport = 9 // where the node sent one
+)
+
+// attemptEnded hands the end of an attempt to the module, and what its node told of itself.
 func (i *instance) attemptEnded(now int64, fields [][]byte, n *fieldReader) error {
-	request, node := string(fields[2]), string(fields[3])
-	result := outcome(n.int(fields[5], "result"))
-	number := n.int(fields[6], "hop")
-	elapsed := n.time(fields[7], "delaySeen")
-	status := n.int(fields[8], "stand")
-	final := n.int(fields[4], "final") != 0
+	request, node := string(fields[resultRequest]), string(fields[resultNode])
+	result := outcome(n.int(fields[resultOutcome], "result"))
+	number := n.int(fields[resultAttempt], "hop")
+	elapsed := n.time(fields[resultElapsed], "delaySeen")
+	status := n.int(fields[resultNodeStatus], "stand")
+	final := n.int(fields[resultFinal], "final") != 0
 	if n.err != nil {
 		return nil
 	}
 	role, position := i.nodeStatus(status)
 	i.router.ObserveReply(now, node, role, position)
-	if len(fields) > 9 {
-		i.loadReport(now, node, fields[9], n)
+	if len(fields) > resultLoadReport {
+		i.loadReport(now, node, fields[resultLoadReport], n)
 	}
 	if n.err == nil {
 		i.router.AttemptEnded(now, routing.AttemptResult{
@@ -106,13 +128,21 @@
 	return role, position
 }
 
-// healthCheckEnded: node, a time that is not used, outcome, and the node's load report where it sent one.
+// The fields of a checked event.
+const (
+	checkedNode       = 2
+	checkedElapsed    = 3 // must be a time, and is not used
+	checkedOutcome    = 4
+	checkedLoadReport = 5 // where the node sent one
+)
+
+// healthCheckEnded hands the end of a health check to the module.
 func (i *instance) healthCheckEnded(now int64, fields [][]byte, n *fieldReader) error {
-	node := string(fields[2])
-	n.time(fields[3], "delaySeen")
-	result := outcome(n.int(fields[4], "result"))
-	if len(fields) > 5 && n.err == nil {
-		i.loadReport(now, node, fields[5], n)
+	node := string(fields[checkedNode])
+	n.time(fields[checkedElapsed], "delaySeen")
+	result := outcome(n.int(fields[checkedOutcome], "result"))
+	if len(fields) > checkedLoadReport && n.err == nil {
+		i.loadReport(now, node, fields[checkedLoadReport], n)
 	}
 	if n.err == nil {
 		i.router.HealthChecked(now, node, result)
@@ -146,13 +176,13 @@
 	}
 }
 
-// clientGone: request.
+// clientGone hands on that the client of a request, field 2, has gone.
 func (i *instance) clientGone(now int64, fields [][]byte, _ *fieldReader) error {
 	i.router.ClientGone(now, string(fields[2]))
 	return nil
 }
 
-// timer: a cookie that is always 0, for the routing module has one kind of timer.
+// timer hands on that a timer has elapsed. Its cookie, field 2, is always 0, for the module has one kind of timer.
 func (i *instance) timer(now int64, fields [][]byte, _ *fieldReader) error {
 	if _, err := strconv.ParseUint(string(fields[2]), 10, 64); err != nil {
 		return i.server.fault("cookie", "no number")
@@ -161,7 +191,7 @@
 	return nil
 }
 
-// note: sender, bytes. Routers send no notes, so one is read and dropped.
+// note drops a note of another router, sender and bytes in fields 2 and 3: routers send none.
 func (i *instance) note(_ int64, fields [][]byte, n *fieldReader) error {
 	if _, err := hex.DecodeString(text(fields[3])); err != nil {
 		return i.server.fault("bytes", "no hex digits")
--- a/internal/testcluster/process/child.go
+++ b/internal/testcluster/process/child.go
@@ -40,7 +40,7 @@
 	wrapTransport := func(t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 		return &sourceBoundTransport{t, net.ParseIP(options.SourceAddress)}
 	}
-	return serve.Run(options.OperatorFile, serve.TestHooks{Wrap: wrapTransport, Clock: skew.Clock, Leases: onLeaseService})
+	return serve.Run(options.OperatorFile, serve.TestHooks{WrapTransport: wrapTransport, LeaseClock: skew.Clock, OnLeases: onLeaseService})
 }
 
 // sourceBoundTransport opens connections from the address at which the member listens.
--- a/internal/testcluster/proof/assignment.go
+++ b/internal/testcluster/proof/assignment.go
@@ -70,7 +70,7 @@
 		}
 		os.Exit(3)
 	}()
-	return serve.Run(file, serve.TestHooks{Wrap: network.WrapTransport})
+	return serve.Run(file, serve.TestHooks{WrapTransport: network.WrapTransport})
 }
 
 // Run plays the proof and returns its closing line; the error says which limits do not hold.
