--- a/internal/testcluster/discovery/discovery.go
+++ b/internal/testcluster/discovery/discovery.go
@@ -26,15 +26,21 @@
 
 // Server is a running service discovery.
 type Server struct {
-	mu        sync.Mutex
-	version   int64
-	entries   map[string]Entry
-	changedIn map[string]int64 // version of each entry's last change
-	order     []string
-	silent    bool
-	updated   chan struct{} // closed at each change
-	http      *http.Server
-	address   string
+	http    *http.Server
+	address string
+
+	mu      sync.Mutex
+	version int64 // of the list
+	entries map[string]*versionedEntry
+	order   []string // names, as they were added
+	silent  bool
+	changed chan struct{} // closed at each change
+}
+
+// versionedEntry is an entry, and the version of the list in which it last changed.
+type versionedEntry struct {
+	entry     Entry
+	changedIn int64
 }
 
 // Start starts a server on a free port of loopback.
@@ -43,8 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{entries: map[string]Entry{}, changedIn: map[string]int64{}, updated: make(chan struct{}),
-		address: ln.Addr().String()}
+	s := &Server{entries: map[string]*versionedEntry{}, changed: make(chan struct{}), address: ln.Addr().String()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", s.serveTargets)
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
@@ -59,15 +64,15 @@
 func (s *Server) Close() { s.http.Close() }
 
 // Update adds nodes to the list or changes them, as one new version.
-func (s *Server) Update(all ...Entry) {
+func (s *Server) Update(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	for _, e := range all {
-		if _, known := s.entries[e.Name]; !known {
-			s.order = append(s.order, e.Name)
+	for _, entry := range entries {
+		if s.entries[entry.Name] == nil {
+			s.order = append(s.order, entry.Name)
 		}
-		s.entries[e.Name], s.changedIn[e.Name] = e, s.version
+		s.entries[entry.Name] = &versionedEntry{entry: entry, changedIn: s.version}
 	}
 	s.notify()
 }
@@ -80,61 +85,77 @@
 	s.notify()
 }
 
+// notify wakes all watches.
 func (s *Server) notify() {
-	close(s.updated)
-	s.updated = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Entry returns the present entry of a node.
+// Entry returns the present entry of a node, an empty one if there is none.
 func (s *Server) Entry(name string) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.entries[name]
+	if known := s.entries[name]; known != nil {
+		return known.entry
+	}
+	return Entry{}
 }
 
+// list is an answer: the complete list, or what has changed.
 type list struct {
 	Index     int64   `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// changesSince returns what has changed after a version; the complete list where all is set or the version is unknown.
-func (s *Server) changesSince(version int64, all bool) (l list, news chan struct{}, silent bool) {
+// changesSince returns what has changed after a version; the complete list if complete is set or the version is unknown. changed
+// is closed at the next change.
+func (s *Server) changesSince(version int64, complete bool) (answer list, changed chan struct{}, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	whole := all || version > s.version
-	l = list{Index: s.version, Snapshot: whole, Endpoints: []Entry{}}
+	complete = complete || version > s.version
+	answer = list{Index: s.version, Snapshot: complete, Endpoints: []Entry{}}
 	for _, name := range s.order {
-		if e := s.entries[name]; (whole && e.Status != "left") || !whole && s.changedIn[name] > version {
-			l.Endpoints = append(l.Endpoints, e)
+		known := s.entries[name]
+		if complete && known.entry.Status != "left" || !complete && known.changedIn > version {
+			answer.Endpoints = append(answer.Endpoints, known.entry)
 		}
 	}
-	return l, s.updated, s.silent
+	return answer, s.changed, s.silent
 }
 
+// keepAliveInterval is how often a watch sends an empty line while nothing changes.
+const keepAliveInterval = 2 * time.Second
+
+// serveTargets answers with the complete list, or with a watch if the request asks for one.
 func (s *Server) serveTargets(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
-	follow := r.URL.Query().Get("follow") == "1"
-	if !follow {
-		l, _, _ := s.changesSince(0, true)
-		json.NewEncoder(w).Encode(l)
+	if r.URL.Query().Get("follow") == "1" {
+		s.watch(w, r, version, err != nil)
 		return
 	}
-	all, out := err != nil, json.NewEncoder(w)
+	complete, _, _ := s.changesSince(0, true)
+	json.NewEncoder(w).Encode(complete)
+}
+
+// watch sends what has changed after a version, the complete list first if complete is set, and then each change.
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, version int64, complete bool) {
+	encoder := json.NewEncoder(w)
 	for first := true; ; first = false {
-		l, news, silent := s.changesSince(version, all)
-		if !silent && (first || len(l.Endpoints) > 0) {
-			if out.Encode(l) != nil {
+		answer, changed, silent := s.changesSince(version, complete)
+		if !silent && (first || len(answer.Endpoints) > 0) {
+			if encoder.Encode(answer) != nil {
 				return
 			}
-			version, all = l.Index, false
+			version = answer.Index
+			complete = false
 			w.(http.Flusher).Flush()
 		}
 		select {
 		case <-r.Context().Done():
 			return
-		case <-news:
-		case <-time.After(2 * time.Second):
+		case <-changed:
+		case <-time.After(keepAliveInterval):
 			if _, err := w.Write([]byte("\n")); err != nil {
 				return
 			}
--- a/internal/testcluster/faultnet/network.go
+++ b/internal/testcluster/faultnet/network.go
@@ -33,7 +33,8 @@
 func (n *Network) Cut(in, out bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.inboundCut, n.outboundCut = in, out
+	n.inboundCut = in
+	n.outboundCut = out
 	if in || out {
 		for c := range n.connections {
 			c.Close()
@@ -43,10 +44,12 @@
 }
 
 // SetPacketFaults sets the shares of packets that are lost and duplicated, and how long each is held at most.
-func (n *Network) SetPacketFaults(loss, twice float64, delay time.Duration) {
+func (n *Network) SetPacketFaults(loss, duplication float64, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.duplication, n.maxDelay = loss, twice, delay
+	n.loss = loss
+	n.duplication = duplication
+	n.maxDelay = maxDelay
 }
 
 // DroppedPackets returns how many packets were lost or cut off, of how many.
@@ -64,6 +67,7 @@
 	return w
 }
 
+// faultyTransport is a member's transport behind its faulty network.
 type faultyTransport struct {
 	memberlist.NodeAwareTransport
 	network   *Network
@@ -92,12 +96,14 @@
 	return after
 }
 
+// isCut tells whether what comes in, or goes out, is dropped.
 func (n *Network) isCut() (in, out bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inboundCut, n.outboundCut
 }
 
+// forward hands on what comes in, until Shutdown.
 func (w *faultyTransport) forward() {
 	for {
 		select {
@@ -128,19 +134,25 @@
 	}
 }
 
+// trackConnection notes an open connection, for a cut to end.
 func (n *Network) trackConnection(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.connections[c] = true
 }
 
+// PacketCh implements memberlist.Transport.
 func (w *faultyTransport) PacketCh() <-chan *memberlist.Packet { return w.packets }
-func (w *faultyTransport) StreamCh() <-chan net.Conn           { return w.streams }
 
+// StreamCh implements memberlist.Transport.
+func (w *faultyTransport) StreamCh() <-chan net.Conn { return w.streams }
+
+// WriteTo implements memberlist.Transport.
 func (w *faultyTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return w.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
+// WriteToAddress implements memberlist.NodeAwareTransport.
 func (w *faultyTransport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	_, out := w.network.isCut()
 	for _, wait := range w.network.deliveryDelays(out) {
@@ -154,10 +166,12 @@
 	return time.Now(), nil
 }
 
+// DialTimeout implements memberlist.Transport.
 func (w *faultyTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return w.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (w *faultyTransport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	if in, out := w.network.isCut(); in || out {
 		return nil, ErrCut
--- a/internal/testcluster/faultnet/relays.go
+++ b/internal/testcluster/faultnet/relays.go
@@ -34,10 +34,11 @@
 	closed           bool
 	goroutines       sync.WaitGroup
 	connections      map[net.Conn]bool
-	packets          int64 // packets
-	dropped          int64
+	packets          int64 // that came so far
+	dropped          int64 // of them
 }
 
+// endpoint is one process's addresses and relay.
 type endpoint struct {
 	processAddress, relayAddress string // host:port each: where the process listens, and where its relay does
 	udp                          *net.UDPConn
@@ -45,10 +46,10 @@
 }
 
 const (
-	processNetwork = "127.77.%d.%d"
-	relayNetwork   = "127.78.%d.%d"
-	maxChunkBytes  = 16 << 10 // of a stream, passed on at once
-	dialTimeout    = 2 * time.Second
+	processNetwork = "127.77.%d.%d"  // addresses of processes: 250 in each of the last two numbers
+	relayNetwork   = "127.78.%d.%d"  // addresses of their relays
+	maxChunkBytes  = 16 << 10        // of a stream, passed on at once
+	dialTimeout    = 2 * time.Second // for a process to accept a connection
 )
 
 // NewRelays starts relays in front of that many processes, all on one port.
@@ -56,7 +57,8 @@
 	r = &Relays{random: rand.New(rand.NewPCG(seed, 5)), processByAddress: map[string]int{}, links: map[[2]int]LinkFaults{}, connections: map[net.Conn]bool{}}
 	r.changed = sync.NewCond(&r.mu)
 	for i := range processes {
-		own, out := fmt.Sprintf(processNetwork, i/250, 1+i%250), fmt.Sprintf(relayNetwork, i/250, 1+i%250)
+		own := fmt.Sprintf(processNetwork, i/250, 1+i%250)
+		out := fmt.Sprintf(relayNetwork, i/250, 1+i%250)
 		p := endpoint{processAddress: fmt.Sprintf("%s:%d", own, port), relayAddress: fmt.Sprintf("%s:%d", out, port)}
 		if p.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(out), Port: port}); err != nil {
 			return nil, errors.Join(err, r.Close())
@@ -121,6 +123,7 @@
 	return nil
 }
 
+// senderOf returns the process that sends from an address.
 func (r *Relays) senderOf(a net.Addr) (i int, known bool) {
 	host, _, _ := net.SplitHostPort(a.String())
 	i, known = r.processByAddress[host]
@@ -153,6 +156,7 @@
 	}
 }
 
+// isClosed tells whether Close was called.
 func (r *Relays) isClosed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,6 +222,7 @@
 	}
 }
 
+// trackConnection notes a connection for Close to end, or closes it and forgets it. It returns false if the relays are closed.
 func (r *Relays) trackConnection(c net.Conn, on bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,35 +269,40 @@
 	return !r.closed
 }
 
+// copyStream passes one way of a connection on, with its link's faults, until its end.
 func (r *Relays) copyStream(from, to int, dst, src net.Conn) {
-	buf := make([]byte, maxChunkBytes)
+	chunk := make([]byte, maxChunkBytes)
 	for {
-		n, err := src.Read(buf)
+		n, err := src.Read(chunk)
 		if n > 0 {
 			if !r.waitUntilOpen(from, to) {
 				return
 			}
-			r.mu.Lock()
-			f := r.links[[2]int{from, to}]
-			if r.random.Float64() < f.Corruption {
-				buf[r.random.IntN(n)] ^= 1 << r.random.IntN(8)
-			}
-			wait := time.Duration(0)
-			if f.MaxDelay > 0 {
-				wait = time.Duration(r.random.Int64N(int64(f.MaxDelay)))
-			}
-			r.mu.Unlock()
-			time.Sleep(wait)
-			if _, err := dst.Write(buf[:n]); err != nil {
+			time.Sleep(r.corruptAndDelay(from, to, chunk[:n]))
+			if _, err := dst.Write(chunk[:n]); err != nil {
 				src.Close()
 				return
 			}
 		}
 		if err != nil {
-			if c, ok := dst.(*net.TCPConn); ok {
-				c.CloseWrite()
+			if conn, ok := dst.(*net.TCPConn); ok {
+				conn.CloseWrite()
 			}
 			return
 		}
 	}
 }
+
+// corruptAndDelay may flip a bit of a chunk of a stream, and returns how long it is held.
+func (r *Relays) corruptAndDelay(from, to int, chunk []byte) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	faults := r.links[[2]int{from, to}]
+	if r.random.Float64() < faults.Corruption {
+		chunk[r.random.IntN(len(chunk))] ^= 1 << r.random.IntN(8)
+	}
+	if faults.MaxDelay <= 0 {
+		return 0
+	}
+	return time.Duration(r.random.Int64N(int64(faults.MaxDelay)))
+}
--- a/internal/testcluster/resource/resource.go
+++ b/internal/testcluster/resource/resource.go
@@ -30,43 +30,52 @@
 
 // Server is the resource. It listens on loopback.
 type Server struct {
-	now          func() int64
-	listener     net.Listener
-	mu           sync.Mutex
-	operations   []Operation
-	usages       []*Usage
-	highestTerm  map[string]uint64
-	holderOfTerm map[string]string
-	connections  map[net.Conn]bool
-	goroutines   sync.WaitGroup
+	now        func() int64
+	listener   net.Listener
+	goroutines sync.WaitGroup
+
+	mu          sync.Mutex
+	operations  []Operation
+	usages      []*Usage
+	newest      map[string]claim // by lease
+	connections map[net.Conn]bool
+}
+
+// claim is the highest term under which a lease was used, and by whom.
+type claim struct {
+	term   uint64
+	holder string
 }
 
 // Start starts a resource; now is the true clock, in us.
 func Start(now func() int64) (*Server, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{now: now, listener: ln, highestTerm: map[string]uint64{}, holderOfTerm: map[string]string{}, connections: map[net.Conn]bool{}}
-	s.goroutines.Go(func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
+	s := &Server{now: now, listener: listener, newest: map[string]claim{}, connections: map[net.Conn]bool{}}
+	s.goroutines.Go(s.accept)
+	return s, nil
+}
+
+// accept serves connections until the listener is closed.
+func (s *Server) accept() {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		s.connections[conn] = true
+		s.mu.Unlock()
+		s.goroutines.Go(func() {
+			s.serve(conn)
 			s.mu.Lock()
-			s.connections[c] = true
+			delete(s.connections, conn)
 			s.mu.Unlock()
-			s.goroutines.Go(func() {
-				s.serve(c)
-				s.mu.Lock()
-				delete(s.connections, c)
-				s.mu.Unlock()
-				c.Close()
-			})
-		}
-	})
-	return s, nil
+			conn.Close()
+		})
+	}
 }
 
 // Address returns where it listens.
@@ -91,72 +100,83 @@
 }
 
 // Usages returns the usages recorded so far; one that lasts ends now.
-func (s *Server) Usages() (all []Usage) {
+func (s *Server) Usages() []Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	var all []Usage
 	for _, one := range s.usages {
-		r := *one
-		if r.End == 0 {
-			r.End = s.now()
+		usage := *one
+		if usage.End == 0 {
+			usage.End = s.now()
 		}
-		all = append(all, r)
+		all = append(all, usage)
 	}
 	return all
 }
 
 // serve reads lines: "begin LEASE HOLDER", then "act TERM", then "end", for an operation; "run LEASE HOLDER TERM" for a usage.
-func (s *Server) serve(c net.Conn) {
-	lines := bufio.NewScanner(c)
-	var act Operation
+// Any other line ends the connection.
+func (s *Server) serve(conn net.Conn) {
+	lines := bufio.NewScanner(conn)
+	var operation Operation // under way
 	for lines.Scan() {
-		f := strings.Fields(lines.Text())
+		fields := strings.Fields(lines.Text())
 		now := s.now()
 		switch {
-		case len(f) == 3 && f[0] == "begin":
-			act = Operation{Lease: f[1], Holder: f[2], AnnouncedAt: now}
-			fmt.Fprintln(c, "ok")
-		case len(f) == 2 && f[0] == "act" && act.Lease != "":
-			act.Term, _ = strconv.ParseUint(f[1], 10, 64)
-			if act.CheckedAt = now; s.accept(&act) {
-				fmt.Fprintln(c, "taken")
-			} else {
-				fmt.Fprintln(c, "refused")
-			}
-		case len(f) == 1 && f[0] == "end" && act.CheckedAt > 0:
-			s.finish(act, now)
-			act = Operation{}
-		case len(f) == 4 && f[0] == "run":
-			r := &Usage{Lease: f[1], Holder: f[2], Begin: now}
-			r.Term, _ = strconv.ParseUint(f[3], 10, 64)
-			s.mu.Lock()
-			s.usages = append(s.usages, r)
-			s.mu.Unlock()
-			defer func() {
-				s.mu.Lock()
-				r.End = s.now()
-				s.mu.Unlock()
-			}()
+		case len(fields) == 3 && fields[0] == "begin":
+			operation = Operation{Lease: fields[1], Holder: fields[2], AnnouncedAt: now}
+			fmt.Fprintln(conn, "ok")
+		case len(fields) == 2 && fields[0] == "act" && operation.Lease != "":
+			operation.Term, _ = strconv.ParseUint(fields[1], 10, 64)
+			operation.CheckedAt = now
+			fmt.Fprintln(conn, s.check(&operation))
+		case len(fields) == 1 && fields[0] == "end" && operation.CheckedAt > 0:
+			s.finish(operation, now)
+			operation = Operation{}
+		case len(fields) == 4 && fields[0] == "run":
+			usage := s.beginUsage(fields[1], fields[2], fields[3], now)
+			defer s.endUsage(usage)
 		default:
 			return
 		}
 	}
-	if act.CheckedAt > 0 { // its process died before it knew
-		s.finish(act, s.now())
+	if operation.CheckedAt > 0 { // its process died before it knew the outcome
+		s.finish(operation, s.now())
 	}
 }
 
-// accept decides on an operation by its term: it refuses a lower one than it has seen, and a second holder of the same term.
-func (s *Server) accept(a *Operation) bool {
+// beginUsage records a usage that lasts from now on.
+func (s *Server) beginUsage(lease, holder, term string, now int64) *Usage {
+	usage := &Usage{Lease: lease, Holder: holder, Begin: now}
+	usage.Term, _ = strconv.ParseUint(term, 10, 64)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.usages = append(s.usages, usage)
+	return usage
+}
+
+// endUsage records that a usage has ended.
+func (s *Server) endUsage(usage *Usage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	usage.End = s.now()
+}
+
+// check decides on an operation by its term, and returns the answer: it refuses a lower term than it has seen, and a second
+// holder of the same term.
+func (s *Server) check(o *Operation) (answer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	top := s.highestTerm[a.Lease]
-	a.Accepted = a.Term > top || a.Term == top && s.holderOfTerm[a.Lease] == a.Holder
-	if a.Accepted {
-		s.highestTerm[a.Lease], s.holderOfTerm[a.Lease] = a.Term, a.Holder
+	newest := s.newest[o.Lease]
+	o.Accepted = o.Term > newest.term || o.Term == newest.term && newest.holder == o.Holder
+	if !o.Accepted {
+		return "refused"
 	}
-	return a.Accepted
+	s.newest[o.Lease] = claim{term: o.Term, holder: o.Holder}
+	return "taken"
 }
 
+// finish records an operation whose outcome is known now.
 func (s *Server) finish(a Operation, now int64) {
 	a.KnownAt = now
 	s.mu.Lock()
@@ -206,13 +226,15 @@
 	}
 }
 
+// send sends a line and returns the answer; "end" has none.
 func (c *Client) send(line string) (string, error) {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.address)
 		if err != nil {
 			return "", err
 		}
-		c.conn, c.reader = conn, bufio.NewReader(conn)
+		c.conn = conn
+		c.reader = bufio.NewReader(conn)
 	}
 	if _, err := fmt.Fprintln(c.conn, line); err != nil {
 		c.Close()
@@ -235,7 +257,7 @@
 }
 
 // Execute executes the operation under a term and reports whether it was accepted. Finish follows.
-func (c *Client) Execute(term uint64) (taken bool, err error) {
+func (c *Client) Execute(term uint64) (accepted bool, err error) {
 	answer, err := c.send("act " + strconv.FormatUint(term, 10))
 	return answer == "taken", err
 }
