--- a/internal/engine/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -1,4 +1,4 @@
-package engine_test
+package backend_test
 
 import (
 	"fmt"
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -9,128 +9,12 @@
 	"testing"
 	"time"
 
-	"cairntiller/internal/backend"
-	"cairntiller/internal/engine"
-	"cairntiller/internal/inflight"
 	"cairntiller/internal/pgwire"
-	"cairntiller/internal/routing"
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
 // Each test here makes two events meet in their bad order; docs/crossings.md has the table.
 
-// goneClient is a client that has gone without anyone having been told.
-type goneClient struct{ stayingClient }
-
-func (goneClient) Connected() bool { return false }
-
-// heldNode is a node whose connections come up only once they are let.
-type heldNode struct {
-	addr     string
-	startups chan net.Conn
-	queries  chan string
-}
-
-func startHeldNode(t *testing.T) *heldNode {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	h := &heldNode{ln.Addr().String(), make(chan net.Conn, 99), make(chan string, 99)}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			if _, err := scriptedserver.ReadFrame(c, false); err == nil {
-				h.startups <- c
-			}
-		}
-	}()
-	return h
-}
-
-// complete lets a connection come up, and tells what it is asked.
-func (h *heldNode) complete(c net.Conn) {
-	io.WriteString(c, scriptedserver.Welcome)
-	go func() {
-		for {
-			q, err := scriptedserver.ReadFrame(c, true)
-			if err != nil {
-				return
-			}
-			h.queries <- string(q)
-			io.WriteString(c, scriptedserver.Row+scriptedserver.Ready)
-		}
-	}()
-}
-
-// TestLookedAtAgainAsItBegins: what was true as an attempt was decided is looked at again as its connection comes up:
-// whether its client is there, its command owed an answer, its window of repeats open, its node in use. None is written.
-func TestLookedAtAgainAsItBegins(t *testing.T) {
-	for name, c := range map[string]struct {
-		client    inflight.Client
-		within    int64
-		meanwhile func(p interface{ FailWaiting(string) }, x *inflight.Request)
-		want      string
-	}{
-		"nothing happened":      {stayingClient{}, 400_000, nil, "written"},
-		"its client has gone":   {goneClient{}, 0, nil, "unsent"},
-		"its command is over":   {stayingClient{}, 0, func(_ interface{ FailWaiting(string) }, x *inflight.Request) { x.ClientGone() }, "unsent"},
-		"its window has passed": {stayingClient{}, 1, nil, "unsent"},
-		"its node drains":       {stayingClient{}, 0, func(p interface{ FailWaiting(string) }, _ *inflight.Request) { p.FailWaiting("n0") }, "unsent"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			node := startHeldNode(t)
-			p, harness := startPool(t, 9, &scriptedserver.Node{Addr: node.addr})
-			x := harness.dispatch(p, "n0", c.client, 0, c.within).Request
-			conn := <-node.startups // it waits for this one
-			harness.mu.Lock()
-			if c.meanwhile != nil {
-				c.meanwhile(p, x)
-			}
-			harness.mu.Unlock()
-			node.complete(conn)
-			got := <-harness.results
-			if c.want == "unsent" && got.outcome != routing.NotSent || c.want == "written" && got.outcome != routing.Answered {
-				t.Errorf("%d, want it %s", got.outcome, c.want)
-			}
-			harness.send(p, "n0", 0) // the connection is as good as before; nothing else was ever written on it
-			if c.want == "unsent" {
-				if got := <-harness.results; got.outcome != routing.Answered || len(node.queries) != 1 {
-					t.Errorf("the next one: %d, %d queries", got.outcome, len(node.queries))
-				}
-			}
-		})
-	}
-}
-
-// TestDescriptorsOfConnectionsThatClose count: attempts that are cancelled in a row never hold more connections to a
-// node than may be open and closing, and none is forgotten.
-func TestDescriptorsOfConnectionsThatClose(t *testing.T) {
-	node := startHeldNode(t)
-	p, harness := startPool(t, 4, &scriptedserver.Node{Addr: node.addr})
-	for range 200 {
-		d := harness.send(p, "n0", 0)
-		select {
-		case c := <-node.startups:
-			io.WriteString(c, scriptedserver.Welcome)
-			if _, err := scriptedserver.ReadFrame(c, true); err != nil {
-				t.Fatal(err)
-			}
-			harness.mu.Lock()
-			p.Cancel(d)
-			harness.mu.Unlock()
-		case got := <-harness.results:
-			t.Fatalf("no room: %d", got.outcome)
-		}
-	}
-}
-
 // errorCode is an error's.
 func errorCode(p []byte) string {
 	if _, rest, found := strings.Cut(string(p), "\x00VERROR\x00C"); found {
@@ -246,8 +130,8 @@
 // TestACrowdThatLeaves guards against what is sent on for clients that have gone: hundreds wait for one connection that
 // comes up late, then leave in each way there is; nothing is written for them.
 func TestACrowdThatLeaves(t *testing.T) {
-	node := startHeldNode(t)
-	r := startRouter(t, 999, &scriptedserver.Node{Addr: node.addr})
+	node := scriptedserver.StartHeld(t)
+	r := startRouter(t, 999, &scriptedserver.Node{Addr: node.Addr})
 	const crowd = 200
 	over := func() int64 { // a few may have had their attempts before their clients went
 		return counterValue("commands abandoned by clients") + counterValue("commands rejected")
@@ -261,7 +145,7 @@
 	for i, c := range all {
 		sendCommand(c, fmt.Sprint("x", i), "put", "15000")
 	}
-	conn := <-node.startups // the limit lets a few go out; the rest wait in the module
+	conn := <-node.Startups // the limit lets a few go out; the rest wait in the module
 	for i, c := range all {
 		switch i % 4 {
 		case 0:
@@ -278,10 +162,10 @@
 	for r.engine.Unanswered() > 0 || over() < before+crowd {
 		time.Sleep(time.Millisecond)
 	}
-	node.complete(conn)
+	node.Complete(conn)
 	go func() {
-		for c := range node.startups {
-			node.complete(c)
+		for c := range node.Startups {
+			node.Complete(c)
 		}
 	}()
 	c, _ := cancelKey(t, r)
@@ -289,8 +173,8 @@
 	if got := summary(readUntil(t, c, 'Z')); got != "row" {
 		t.Errorf("who stays: %q", got)
 	}
-	for len(node.queries) > 0 {
-		if q := <-node.queries; !strings.Contains(q, "id=stays") {
+	for len(node.Queries) > 0 {
+		if q := <-node.Queries; !strings.Contains(q, "id=stays") {
 			t.Errorf("sent on for a client that has gone: %q", q)
 		}
 	}
@@ -370,39 +254,3 @@
 		}
 	}
 }
-
-// TestAShortIdleLimit: a node that closes idle connections soon has each used again all the same, for half of that time.
-func TestAShortIdleLimit(t *testing.T) {
-	s := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready)
-	harness := &poolHarness{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
-	go harness.run()
-	p := backend.New(harness.now, harness.post, harness.after, harness, backend.Config{ConnectTimeout: 500_000, IdleLimit: 900_000, MaxConnections: 9})
-	p.SetAddress("n0", s.Addr)
-	for i, rest := range []time.Duration{0, 0, 700 * time.Millisecond} {
-		time.Sleep(rest) // past half of the limit, not past the limit
-		harness.send(p, "n0", 0)
-		if got := <-harness.results; got.outcome != routing.Answered {
-			t.Fatal(got.outcome)
-		}
-		if n := len(s.Opened()); n != 1+i/2 {
-			t.Errorf("%d connections after %d queries", n, i+1)
-		}
-	}
-}
-
-// TestAnAddressMovesUnderAWait: an attempt that waits for a connection goes to the node's new address, and the
-// connection that comes up late at the old one carries nothing.
-func TestAnAddressMovesUnderAWait(t *testing.T) {
-	before, after := startHeldNode(t), startHeldNode(t)
-	p, harness := startPool(t, 9, &scriptedserver.Node{Addr: before.addr})
-	harness.send(p, "n0", 0)
-	old := <-before.startups
-	harness.mu.Lock()
-	p.SetAddress("n0", after.addr)
-	harness.mu.Unlock()
-	before.complete(old)
-	after.complete(<-after.startups)
-	if got := <-harness.results; got.outcome != routing.Answered || len(before.queries) != 0 || len(after.queries) != 1 {
-		t.Errorf("%d, %d queries at the old address, %d at the new one", got.outcome, len(before.queries), len(after.queries))
-	}
-}
