--- a/internal/simulation/rolloutsim/mistakes.go
+++ b/internal/simulation/rolloutsim/mistakes.go
@@ -22,8 +22,10 @@
 	Mistakes                       // how many there are, None among them
 )
 
-var mistakeNames = [...]string{"none", "frees-by-time", "no-unplanned", "tells-first", "reads-one", "forgets-blank", "any-process", "old-statements",
-	"leaves-open", "no-hand-over", "no-groups"}
+var mistakeNames = [...]string{
+	"none", "frees-slot-by-time", "ignores-unplanned-losses", "announces-before-commit", "reads-one-voter", "hides-forgotten-state", "ignores-incarnation",
+	"accepts-old-statements", "ignores-open-commands", "ignores-primary", "ignores-groups",
+}
 
 // String returns the name by which proofs print the mistake.
 func (m Mistake) String() string { return mistakeNames[m] }
