--- a/internal/testcluster/cluster/cluster.go
+++ b/internal/testcluster/cluster/cluster.go
@@ -33,29 +33,30 @@
 
 // Cluster is the nodes, their discovery and the routers in front of them.
 type Cluster struct {
-	Database   *database.Cluster
-	Discovery  *discovery.Server
-	Folder     string // of the routers' files; Close removes it
-	shardCount int
-	routers    []*Router
+	Database  *database.Cluster
+	Discovery *discovery.Server
+	Folder    string // of the routers' files; Close removes it
+	routers   []*Router
 }
 
 // New starts a cluster of that many shards with that many nodes each. The first node of a shard is its primary.
-func New(seed uint64, groups, members int) (c *Cluster, err error) {
-	c = &Cluster{Database: database.New(seed, drainGrace), shardCount: groups}
+func New(seed uint64, shards, nodesPerShard int) (*Cluster, error) {
+	c := &Cluster{Database: database.New(seed, drainGrace)}
+	var err error
 	if c.Discovery, err = discovery.Start(); err != nil {
 		return nil, err
 	}
 	if c.Folder, err = os.MkdirTemp("", "cluster"); err != nil {
 		return nil, err
 	}
-	for g := range groups {
-		for m := range members {
-			n, err := c.Database.AddNode(fmt.Sprintf("s-%d%c", g, 'a'+m), "abc"[m%3:m%3+1], g, coresPerNode, workPerCommand)
+	for shard := range shards {
+		for i := range nodesPerShard {
+			zone := "abc"[i%3 : i%3+1]
+			node, err := c.Database.AddNode(fmt.Sprintf("s-%d%c", shard, 'a'+i), zone, shard, coresPerNode, workPerCommand)
 			if err != nil {
 				return nil, errors.Join(err, c.Close())
 			}
-			c.Announce(n, "active")
+			c.Announce(node, "active")
 		}
 	}
 	return c, nil
--- a/internal/testcluster/database/node.go
+++ b/internal/testcluster/database/node.go
@@ -30,12 +30,14 @@
 	queryCount int // commands that arrived
 }
 
+// listen opens the node's socket.
 func (n *Node) listen(at string) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		return err
 	}
-	n.listener, n.address = ln, ln.Addr().String()
+	n.listener = ln
+	n.address = ln.Addr().String()
 	go n.accept(ln)
 	return nil
 }
@@ -50,6 +52,7 @@
 	return n.startedAt
 }
 
+// accept serves connections until the listener is closed.
 func (n *Node) accept(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -87,9 +90,13 @@
 }
 
 // Restart starts a killed node at its former address, as a replica that warms up for a time in us.
-func (n *Node) Restart(cold int64) error {
+func (n *Node) Restart(warmUp int64) error {
 	n.cluster.mu.Lock()
-	n.startedAt, n.warmUp, n.hung, n.pausedAt, n.drainingSince = n.cluster.now(), cold, false, 0, 0
+	n.startedAt = n.cluster.now()
+	n.warmUp = warmUp
+	n.hung = false
+	n.pausedAt = 0
+	n.drainingSince = 0
 	n.cluster.mu.Unlock()
 	return n.listen(n.address)
 }
@@ -145,7 +152,8 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.cluster.advanceLog(n.Shard)
-	n.applyLag, n.pausedAt = defaultApplyLag, 0
+	n.applyLag = defaultApplyLag
+	n.pausedAt = 0
 	n.cluster.shards[n.Shard].primary = n
 }
 
@@ -170,6 +178,7 @@
 	return n.queryCount
 }
 
+// isHung reports whether the node answers nothing.
 func (n *Node) isHung() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
