--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -61,6 +61,19 @@
 	Answers      uint64 // of the node since the router started
 }
 
+// Config holds what New needs. Only Settings may be empty. The functions may be called from any goroutine.
+type Config struct {
+	Self         string   // this instance's name among the members
+	Settings     Settings // the part "releases" of the operator's file
+	Voters       []string // names of the members that keep the record
+	LongestLease int64    // us that the leases' settings allow for a lease
+	Router       Router   // the router beside the service
+	Leases       *leaseservice.Service
+	Clock        func() int64                                   // us, never goes back
+	Members      func() []string                                // names of the other live members
+	Send         func(to string, kind uint8, body []byte) error // sends a direct message to a member
+}
+
 // Service is one instance's part.
 type Service struct {
 	self        string
@@ -103,23 +116,22 @@
 	answers uint64
 }
 
-// New makes an instance's part. longestLease is in us, as the leases' settings say it; clock is the leases' clock.
-func New(self string, settings Settings, voters []string, longestLease int64, router Router, clock func() int64, leases *leaseservice.Service, members func() []string,
-	send func(to string, kind uint8, body []byte) error) *Service {
+// New makes an instance's part, which does nothing before Start.
+func New(config Config) *Service {
 	incarnation := uint64(time.Now().UnixMicro())
 	s := &Service{
-		self:           self,
-		settings:       settings,
-		router:         router,
-		clock:          clock,
-		send:           send,
-		members:        members,
-		leases:         leases,
-		voters:         voters,
-		leaseLength:    min(longestLease, maxLeaseLength),
+		self:           config.Self,
+		settings:       config.Settings,
+		router:         config.Router,
+		clock:          config.Clock,
+		send:           config.Send,
+		members:        config.Members,
+		leases:         config.Leases,
+		voters:         config.Voters,
+		leaseLength:    min(config.LongestLease, maxLeaseLength),
 		inbox:          make(chan func(int64), inboxSize),
 		stopped:        make(chan struct{}),
-		leader:         rollout.NewLeader(self, voters),
+		leader:         rollout.NewLeader(config.Self, config.Voters),
 		member:         rollout.NewMember(incarnation),
 		incarnation:    incarnation,
 		returned:       map[string]returnedNode{},
@@ -128,7 +140,7 @@
 		commandSenders: map[string]string{},
 		waiting:        map[string]chan commandReply{},
 	}
-	if slices.Contains(voters, self) {
+	if slices.Contains(config.Voters, config.Self) {
 		s.voter = rollout.NewVoter(incarnation, nil)
 	}
 	return s
--- a/internal/rolloutservice/service_test.go
+++ b/internal/rolloutservice/service_test.go
@@ -30,7 +30,16 @@
 	leases.Start()
 	t.Cleanup(leases.Stop)
 	nobody := func() []string { return nil }
-	return New("a", Settings{}, []string{"a"}, 4_000_000, idleRouter{}, leaseservice.Clock, leases, nobody, send), leases
+	return New(Config{
+		Self:         "a",
+		Voters:       []string{"a"},
+		LongestLease: 4_000_000,
+		Router:       idleRouter{},
+		Leases:       leases,
+		Clock:        leaseservice.Clock,
+		Members:      nobody,
+		Send:         send,
+	}), leases
 }
 
 // awaitLead waits until a service leads.
--- a/internal/serve/cluster_services.go
+++ b/internal/serve/cluster_services.go
@@ -142,8 +142,17 @@
 
 func (s *clusterServices) startRollouts(options operatorOptions, h host) {
 	h.engine.EnableClusterServices(h.latencyObjectives)
-	rollouts := rolloutservice.New(options.membership.Name, options.rollouts, options.leases.Voters.Names, options.leases.LongestLease, h.rollouts,
-		leaseservice.Clock, s.leases, s.membership.Members, s.membership.Send)
+	rollouts := rolloutservice.New(rolloutservice.Config{
+		Self:         options.membership.Name,
+		Settings:     options.rollouts,
+		Voters:       options.leases.Voters.Names,
+		LongestLease: options.leases.LongestLease,
+		Router:       h.rollouts,
+		Leases:       s.leases,
+		Clock:        leaseservice.Clock,
+		Members:      s.membership.Members,
+		Send:         s.membership.Send,
+	})
 	rollouts.Start()
 	s.rollouts.Store(rollouts)
 	if s.admin != nil {
