--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -63,7 +63,7 @@
 		}
 		for i := range 3 {
 			if n := c.Table(i).OwnedTasks(); n < 3 || n > 20 {
-				t.Errorf("seed %d: instance %d holds %d of 30", seed, i, n)
+				t.Errorf("seed %d: instance %d owns %d of 30", seed, i, n)
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 		c.ResetMeasurements()
 		c.Run(500_000)
 		if n := c.Table(0).OwnedTasks(); n != 0 {
-			t.Errorf("seed %d: it still holds %d duties that others took over", seed, n)
+			t.Errorf("seed %d: it still owns %d tasks that others took over", seed, n)
 		}
 		c.Run(20 * second)
 		expectProbedWithin(t, c, 3*second)
@@ -312,12 +312,12 @@
 	}
 	expectProbedWithin(t, c, 4*second)
 	if n := c.Table(0).OwnedTasks(); n > 5 {
-		t.Errorf("it holds %d of 100 duties, 6 s after its eighth return", n)
+		t.Errorf("it owns %d of 100 tasks, 6 s after its eighth return", n)
 	}
 	c.Run(60 * second)
 	expectOneOwner(t, c, 100)
 	if n := c.Table(0).OwnedTasks(); n < 10 {
-		t.Errorf("it holds %d of 100 duties, a minute after", n)
+		t.Errorf("it owns %d of 100 tasks, a minute after", n)
 	}
 }
 
--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -191,76 +191,76 @@
 	const interval = 1_000_000
 	m := &model{t: t, self: "r0", now: 5_000_000, tickedAt: 5_000_000, interval: interval,
 		members: map[string]*modelMember{"r0": {weight: 1, incarnation: 1, alive: true}}, tasks: map[string]*modelTask{}}
-	// A box load without bound keeps the interval as it is.
-	tab := New(m.now, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: interval, Instances: 1, MaxRunRate: 1e9, ClaimRate: 5})
+	// A run rate without bound keeps the interval as it is.
+	table := New(m.now, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: interval, Instances: 1, MaxRunRate: 1e9, ClaimRate: 5})
 	member := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "member")) })
 	key := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("probe/s-", rapid.IntRange(0, 9).Draw(t, "box")) })
 	t.Repeat(map[string]func(*rapid.T){
 		"up": func(t *rapid.T) {
-			name, weight, born := member.Draw(t, "name"), rapid.Float64Range(0.5, 2).Draw(t, "weight"), rapid.Uint64Range(1, 4).Draw(t, "born")
-			tab.MemberUp(m.now, name, weight, born)
-			if one := m.members[name]; name != m.self && (one == nil || born >= one.incarnation) {
-				m.members[name] = &modelMember{weight, born, true}
+			name, weight, incarnation := member.Draw(t, "name"), rapid.Float64Range(0.5, 2).Draw(t, "weight"), rapid.Uint64Range(1, 4).Draw(t, "born")
+			table.MemberUp(m.now, name, weight, incarnation)
+			if one := m.members[name]; name != m.self && (one == nil || incarnation >= one.incarnation) {
+				m.members[name] = &modelMember{weight, incarnation, true}
 			}
 		},
 		"down": func(t *rapid.T) {
-			name, born := member.Draw(t, "name"), rapid.Uint64Range(1, 4).Draw(t, "born")
-			tab.MemberDown(m.now, name, born, rapid.Bool().Draw(t, "left"))
-			if one := m.members[name]; one != nil && name != m.self && born >= one.incarnation {
+			name, incarnation := member.Draw(t, "name"), rapid.Uint64Range(1, 4).Draw(t, "born")
+			table.MemberDown(m.now, name, incarnation, rapid.Bool().Draw(t, "left"))
+			if one := m.members[name]; one != nil && name != m.self && incarnation >= one.incarnation {
 				one.alive = false
 			}
 		},
 		"add": func(t *rapid.T) {
-			k, started := key.Draw(t, "key"), rapid.Int64Range(0, 2).Draw(t, "started")
-			tab.AddTask(m.now, k, started)
-			if d := m.tasks[k]; d != nil {
-				d.nodeStarted = started
+			taskKey, started := key.Draw(t, "key"), rapid.Int64Range(0, 2).Draw(t, "started")
+			table.AddTask(m.now, taskKey, started)
+			if task := m.tasks[taskKey]; task != nil {
+				task.nodeStarted = started
 			} else {
-				m.tasks[k] = &modelTask{nodeStarted: started, learnedAt: m.now}
+				m.tasks[taskKey] = &modelTask{nodeStarted: started, learnedAt: m.now}
 			}
 		},
 		"drop": func(t *rapid.T) {
-			k := key.Draw(t, "key")
-			tab.RemoveTask(k)
-			delete(m.tasks, k)
+			taskKey := key.Draw(t, "key")
+			table.RemoveTask(taskKey)
+			delete(m.tasks, taskKey)
 		},
 		"hear": func(t *rapid.T) {
-			w := Update{Key: key.Draw(t, "key"), Owner: member.Draw(t, "holder"), Term: rapid.Uint64Range(0, 9).Draw(t, "term"),
+			update := Update{Key: key.Draw(t, "key"), Owner: member.Draw(t, "holder"), Term: rapid.Uint64Range(0, 9).Draw(t, "term"),
 				Age: rapid.Int64Range(-1, 6_000_000).Draw(t, "age"), NodeStarted: rapid.Int64Range(0, 2).Draw(t, "started"),
 				Unresponsive: rapid.Bool().Draw(t, "silent"), Position: rapid.Int64Range(0, 9).Draw(t, "pos"),
 				PrimaryHint: rapid.SampledFrom([]int8{-1, 0, 1}).Draw(t, "lead")}
-			want, any := m.handleUpdate(w)
-			if got := tab.HandleUpdate(m.now, w); any && got != want || !any && (got.Position != 0 || got.PrimaryHint != 0 || got.Unresponsive || got.Responsive) {
-				t.Fatalf("%+v is taken for %+v, want %+v", w, got, want)
+			want, any := m.handleUpdate(update)
+			if got := table.HandleUpdate(m.now, update); any && got != want || !any && (got.Position != 0 || got.PrimaryHint != 0 || got.Unresponsive || got.Responsive) {
+				t.Fatalf("%+v is taken for %+v, want %+v", update, got, want)
 			}
 		},
 		"done": func(t *rapid.T) {
-			k, silent, check := key.Draw(t, "key"), rapid.Bool().Draw(t, "silent"), rapid.Bool().Draw(t, "check")
-			w := tab.RecordRun(m.now, Update{Key: k, Unresponsive: silent}, check)
-			d := m.tasks[k]
-			if d == nil {
+			taskKey, unresponsive, secondOpinion := key.Draw(t, "key"), rapid.Bool().Draw(t, "silent"), rapid.Bool().Draw(t, "check")
+			update := table.RecordRun(m.now, Update{Key: taskKey, Unresponsive: unresponsive}, secondOpinion)
+			task := m.tasks[taskKey]
+			if task == nil {
 				return
 			}
-			d.learnedAt, d.heard = m.now, true
-			if d.owner != m.self && check && !silent {
-				d.owner, d.term = m.self, d.term+1
+			task.learnedAt, task.heard = m.now, true
+			if task.owner != m.self && secondOpinion && !unresponsive {
+				task.owner, task.term = m.self, task.term+1
 			}
-			if want := d.term; w.Owner != m.self || w.NodeStarted != d.nodeStarted || d.owner == m.self && w.Term != want ||
-				d.owner != m.self && w.Term != 0 {
-				t.Fatalf("%+v of %+v", w, d)
+			if want := task.term; update.Owner != m.self || update.NodeStarted != task.nodeStarted || task.owner == m.self && update.Term != want ||
+				task.owner != m.self && update.Term != 0 {
+				t.Fatalf("%+v of %+v", update, task)
 			}
 		},
 		"time": func(t *rapid.T) {
 			m.now += rapid.Int64Range(1, 900_000).Draw(t, "us")
-			m.tick(tab)
+			m.tick(table)
 		},
 		"standstill": func(t *rapid.T) {
 			m.now += rapid.Int64Range(1_100_000, 12_000_000).Draw(t, "us")
-			m.tick(tab)
+			m.tick(table)
 			// What is read right after lies as long as the instance stood: it is left out here.
-			for m.now < tab.pauses.backlogUntil {
+			for m.now < table.pauses.backlogUntil {
 				m.now += 400_000
-				m.tick(tab)
+				m.tick(table)
 			}
 		},
 	})
--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -72,8 +72,8 @@
 			}
 		}
 		one, name := key(), member()
-		holder, term, age := tab.Owner(now, one)
-		text(holder)
+		owner, term, age := tab.Owner(now, one)
+		text(owner)
 		stats := tab.Stats(now)
 		number(int64(term), age, stats.Claims, stats.TargetChanges, int64(stats.LiveMembers), int64(stats.SlowMembers), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
 		flag(tab.Owns(one), tab.Delegated(now, one), tab.ClaimsTasks())
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,7 +9,7 @@
 	"cairntiller/internal/assignment"
 )
 
-// goldenUpdates are words of every kind: of the origin and of another, with and without each field.
+// goldenUpdates are updates of every kind: of the origin and of another, with and without each field.
 var goldenUpdates = []assignment.Update{
 	{Key: "probe/s-1", Owner: "r1", Term: 7, Age: 250_000, NodeStarted: 1_796_148_000_000_000, Position: 1_796_148_000_123_456, PrimaryHint: 1, LoadReport: "x0=1796148000.000000,x1=0,inflight=3"},
 	{Key: "probe/s-2", Owner: "r2", Term: 1 << 40, Age: 0, NodeStarted: -1, Unresponsive: true, PrimaryHint: -1},
--- a/internal/simulation/assignmentsim/trace_test.go
+++ b/internal/simulation/assignmentsim/trace_test.go
@@ -114,8 +114,8 @@
 		}
 		for _, n := range c.nodes {
 			key := n.key
-			holder, term, age := in.table.Owner(now, key)
-			t.text(holder)
+			owner, term, age := in.table.Owner(now, key)
+			t.text(owner)
 			t.number(int64(term), age)
 			t.flag(in.table.Owns(key))
 			t.flag(in.table.Delegated(now, key))
