--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -63,6 +63,7 @@
 	return s, err
 }
 
+// Run prints all plans, and who leads.
 func (l *fleetStatusCommand) Run(out io.Writer) error {
 	s, err := status(l.Socket)
 	if err != nil {
@@ -96,6 +97,7 @@
 	File string `arg:"" type:"existingfile" help:"A file with one part (plan …)."`
 }
 
+// Run prints a plan's waves and begins nothing.
 func (l *fleetPlanCommand) Run(out io.Writer) error {
 	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
@@ -115,6 +117,7 @@
 	File string `arg:"" type:"existingfile" help:"A file with one part (plan …)."`
 }
 
+// Run begins a plan, and waits for its end if Wait is set.
 func (l *fleetStartCommand) Run(out io.Writer) error {
 	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
@@ -166,18 +169,21 @@
 
 type fleetHaltCommand struct{ planCommand }
 
+// Run halts a plan.
 func (l *fleetHaltCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandHalt, PlanID: l.ID})
 }
 
 type fleetResumeCommand struct{ planCommand }
 
+// Run lets a halted plan go on.
 func (l *fleetResumeCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandResume, PlanID: l.ID})
 }
 
 type fleetBackCommand struct{ planCommand }
 
+// Run rolls a plan back.
 func (l *fleetBackCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandRollBack, PlanID: l.ID})
 }
@@ -187,6 +193,7 @@
 	Nodes []string `arg:"" help:"Nodes. Each is a plan of its own, by the name drain-NODE, out until it is returned."`
 }
 
+// Run begins a plan for each node, which drains it.
 func (l *fleetDrainCommand) Run(out io.Writer) error {
 	for _, name := range l.Nodes {
 		p := rollout.Plan{ID: "drain-" + name, Kind: rollout.KindNodes, Units: []string{name}, ProgressTimeout: 24 * 3600 * 1_000_000}
@@ -203,6 +210,7 @@
 	Node string `arg:"" help:"The node."`
 }
 
+// Run ends the plan that drained a node.
 func (l *fleetReturnCommand) Run(out io.Writer) error {
 	id := l.ID
 	if id == "" {
@@ -217,12 +225,14 @@
 	Unit string `arg:"" help:"The unit or member."`
 }
 
+// Run answers for a unit or a member.
 func (l *fleetForgetCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandForget, PlanID: l.ID, Unit: l.Unit})
 }
 
 type fleetBeginCommand struct{ commandFlags }
 
+// Run begins anew from what the voters still have.
 func (l *fleetBeginCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandBegin})
 }
