--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -54,33 +54,33 @@
 
 // CommandCounts is what a router counts of its commands since its process started; figures only grow.
 type CommandCounts struct {
-	Commands  uint64 // all that ended
-	Failed    uint64
-	Late      uint64 // answered after their latency objective
-	Throttled uint64 // refused to protect the fleet
+	Commands uint64 // all that ended
+	Failed   uint64
+	Late     uint64 // answered after their latency objective
+	Rejected uint64 // to protect the fleet; operators see "throttled"
 }
 
 func (c CommandCounts) minus(other CommandCounts) CommandCounts {
 	return CommandCounts{
-		Commands:  c.Commands - other.Commands,
-		Failed:    c.Failed - other.Failed,
-		Late:      c.Late - other.Late,
-		Throttled: c.Throttled - other.Throttled,
+		Commands: c.Commands - other.Commands,
+		Failed:   c.Failed - other.Failed,
+		Late:     c.Late - other.Late,
+		Rejected: c.Rejected - other.Rejected,
 	}
 }
 
 func (c CommandCounts) plus(other CommandCounts) CommandCounts {
 	return CommandCounts{
-		Commands:  c.Commands + other.Commands,
-		Failed:    c.Failed + other.Failed,
-		Late:      c.Late + other.Late,
-		Throttled: c.Throttled + other.Throttled,
+		Commands: c.Commands + other.Commands,
+		Failed:   c.Failed + other.Failed,
+		Late:     c.Late + other.Late,
+		Rejected: c.Rejected + other.Rejected,
 	}
 }
 
-// continues reports whether one count can follow another of the same process.
-func (c CommandCounts) continues(earlier CommandCounts) bool {
-	return c.Commands >= earlier.Commands && c.Failed >= earlier.Failed && c.Late >= earlier.Late && c.Throttled >= earlier.Throttled
+// follows reports whether c can be a later count of the process that counted earlier: no figure is smaller.
+func (c CommandCounts) follows(earlier CommandCounts) bool {
+	return c.Commands >= earlier.Commands && c.Failed >= earlier.Failed && c.Late >= earlier.Late && c.Rejected >= earlier.Rejected
 }
 
 // cohort is one side of the comparison: what its routers did since the analysis began.
@@ -138,7 +138,7 @@
 	}
 	sameProcess := before.report.Incarnation == incarnation
 	leftByPlan := unit != nil && unit.Phase == PhaseReturning && before.report.Incarnation == unit.Incarnation
-	if sameProcess && after.report.Counts.continues(before.report.Counts) {
+	if sameProcess && after.report.Counts.follows(before.report.Counts) {
 		side.counts[name] = side.counts[name].plus(after.report.Counts.minus(before.report.Counts))
 		side.observedTime += now - before.reportedAt
 	} else if !sameProcess && !leftByPlan {
@@ -159,7 +159,7 @@
 }{
 	{"failed", func(c CommandCounts) uint64 { return c.Failed }},
 	{"late", func(c CommandCounts) uint64 { return c.Late }},
-	{"throttled", func(c CommandCounts) uint64 { return c.Throttled }},
+	{"throttled", func(c CommandCounts) uint64 { return c.Rejected }},
 }
 
 // evaluate returns the evidence for which the plan must halt, "" for none; inDoubt is set where more commands might give it.
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -12,13 +12,13 @@
 // TestCanaryAnalysis halts by evidence and not by noise.
 func TestCanaryAnalysis(t *testing.T) {
 	counts := func(commands, failed, late, throttled uint64) CommandCounts {
-		return CommandCounts{Commands: commands, Failed: failed, Late: late, Throttled: throttled}
+		return CommandCounts{Commands: commands, Failed: failed, Late: late, Rejected: throttled}
 	}
 	commands := func(touched, others CommandCounts) *canaryAnalysis {
 		a := newCanaryAnalysis()
 		a.touched.counts["a"] = touched
 		for i := range 10 {
-			a.untouched.counts[fmt.Sprint(i)] = counts(others.Commands/10, others.Failed/10, others.Late/10, others.Throttled/10)
+			a.untouched.counts[fmt.Sprint(i)] = counts(others.Commands/10, others.Failed/10, others.Late/10, others.Rejected/10)
 		}
 		return a
 	}
@@ -76,7 +76,7 @@
 				name := fmt.Sprint("r", i)
 				commands := uint64(rng.IntN(3_000))
 				bad := func() uint64 { return uint64(float64(commands) * share * 2 * rng.Float64()) }
-				side.counts[name] = CommandCounts{Commands: commands, Failed: bad(), Late: bad(), Throttled: bad()}
+				side.counts[name] = CommandCounts{Commands: commands, Failed: bad(), Late: bad(), Rejected: bad()}
 				side.startupTimes[name] = rng.Int64N(9_000_000)
 				side.residentBytes[name] = rng.Int64N(80 << 20)
 			}
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -120,7 +120,7 @@
 		case x < shares.failed+shares.late:
 			r.counts.Late++
 		case x < shares.failed+shares.late+shares.throttled:
-			r.counts.Throttled++
+			r.counts.Rejected++
 		}
 	}
 	report := &Report{Member: r.name, Zone: "z" + r.name[len(r.name)-1:], Incarnation: r.incarnation, Version: r.version, Ready: f.now-r.backAt > 500_000, Leaving: r.leaving,
--- a/internal/rolloutservice/codec_test.go
+++ b/internal/rolloutservice/codec_test.go
@@ -40,7 +40,7 @@
 	message message
 }{
 	{"report", reportMessage{&rollout.Report{Member: "r1", Zone: "a", Incarnation: 1_700_000_000_000_002, Version: 7, Ready: true, Leaving: true, Term: 9, Seq: 300,
-		Counts: rollout.CommandCounts{Commands: 1000, Failed: 3, Late: 2, Throttled: 1}, StartupTime: 250_000, ResidentBytes: 20 << 20,
+		Counts: rollout.CommandCounts{Commands: 1000, Failed: 3, Late: 2, Rejected: 1}, StartupTime: 250_000, ResidentBytes: 20 << 20,
 		Nodes: []rollout.NodeUse{{Node: "s-0a", OpenCommands: 2}, {Node: "s-1b", Answers: 70_000}}, MayHaveForgotten: true}}},
 	{"report of a new member", reportMessage{&rollout.Report{Member: "r1"}}},
 	{"report request", reportRequest{}},
--- a/internal/serve/rollout_router.go
+++ b/internal/serve/rollout_router.go
@@ -32,10 +32,10 @@
 	startedIn = r.startTime.Load()
 	ready = startedIn > 0 && !r.leaving.Load()
 	return rollout.CommandCounts{
-		Commands:  totals.Answered + totals.Failed + totals.Rejected,
-		Failed:    totals.Failed,
-		Late:      engine.LateAnswers(),
-		Throttled: totals.Rejected,
+		Commands: totals.Answered + totals.Failed + totals.Rejected,
+		Failed:   totals.Failed,
+		Late:     engine.LateAnswers(),
+		Rejected: totals.Rejected,
 	}, ready, startedIn
 }
 
