--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -157,19 +157,24 @@
 	l.replicate(now)
 }
 
-// advancePlans takes each plan further. What is unavailable is counted once for all plans of routers and once for all of
-// nodes, and each slot counts at once.
+// advancePlans takes each plan further. What is unavailable is counted once for all plans of routers, at the first of
+// them, and once for all plans of nodes. Each slot that is granted is added to its count at once.
 func (l *Leader) advancePlans(now int64) {
-	counts := map[bool]*unavailability{} // of nodes, of routers
+	var routers, nodes *unavailability
 	for _, p := range l.record.Plans {
-		if p.State.Ended() {
-			continue
-		}
-		nodes := p.Plan.Kind == KindNodes
-		if counts[nodes] == nil {
-			counts[nodes] = l.countUnavailable(now, nodes)
+		switch {
+		case p.State.Ended():
+		case p.Plan.Kind == KindNodes:
+			if nodes == nil {
+				nodes = l.countUnavailable(now, true)
+			}
+			l.advancePlan(now, p, nodes)
+		default:
+			if routers == nil {
+				routers = l.countUnavailable(now, false)
+			}
+			l.advancePlan(now, p, routers)
 		}
-		l.advancePlan(now, p, counts[nodes])
 	}
 }
 
--- a/internal/rollout/operator_command.go
+++ b/internal/rollout/operator_command.go
@@ -185,7 +185,8 @@
 	return nil
 }
 
-// checkOverlap returns which of another plan's units this one still has to do with, or nil.
+// checkOverlap returns ErrUnitInPlan if p still has to handle one of other's units, else nil. Plans of routers and plans
+// of nodes have no units in common.
 func (p *Progress) checkOverlap(other *Plan) error {
 	if (p.Plan.Kind == KindNodes) != (other.Kind == KindNodes) {
 		return nil
--- a/internal/rollout/waves.go
+++ b/internal/rollout/waves.go
@@ -66,7 +66,7 @@
 	return left
 }
 
-// hasWaitingUnits reports whether there is a wave after this one.
+// hasWaitingUnits reports whether a unit has not been touched yet.
 func (p *Progress) hasWaitingUnits() bool {
 	for _, unit := range p.Units {
 		if unit.Phase == PhaseWaiting {
@@ -76,11 +76,15 @@
 	return false
 }
 
-// checkInSight returns why nobody may leave because the leader sees too few of a plan's routers, or nil.
+// checkInSight returns ErrTooFewInSight if the leader sees too few of a plan's routers for any to leave, else nil. It
+// does not apply to nodes.
 func (l *Leader) checkInSight(now int64, p *Progress) error {
+	if p.Plan.Kind == KindNodes {
+		return nil
+	}
 	inSight := 0
 	for _, name := range p.Plan.Units {
-		if p.Plan.Kind == KindNodes || l.inSight(now, name) {
+		if l.inSight(now, name) {
 			inSight++
 		}
 	}
