--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -26,8 +26,8 @@
 	// suspectDeviations is from how many standard deviations on a wave is watched for longer before the next one begins.
 	suspectDeviations = 2.0
 
-	// haltDeviations is from how many standard deviations on a plan halts. It is looked at each second, for hours, so that
-	// three would halt good versions.
+	// haltDeviations is from how many standard deviations on a plan halts. The comparison is made at each tick, on counts
+	// that are new each second, for hours: with three deviations good versions would halt by chance.
 	haltDeviations = 5.0
 
 	// minUsualShare is the share of bad commands that counts as usual where fewer were seen: a fleet without a failure yet
@@ -137,6 +137,8 @@
 		return
 	}
 	sameProcess := before.report.Incarnation == incarnation
+	// A plan ends a process while its unit is leaving, when nothing is counted (above). The former report may still be of that
+	// process: this leader heard it under an earlier lead, or it came late.
 	leftByPlan := unit != nil && unit.Phase == PhaseReturning && before.report.Incarnation == unit.Incarnation
 	if sameProcess && after.report.Counts.follows(before.report.Counts) {
 		side.counts[name] = side.counts[name].plus(after.report.Counts.minus(before.report.Counts))
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -20,25 +20,30 @@
 //	running        an operator's halt                                     halted
 //	halted         an operator's resume                                   running
 //	running, halted, finished   an operator's back                        going back
-//	going back     all touched units are back                             back
-//	going back     no progress: units that can't go back become stuck     going back
+//	going back     all touched units are back, and none is stuck          back
+//	going back     no progress: units that hold a slot become stuck       going back
 //
 // Evidence is the canary analysis (canary.go): routers that the plan has touched do worse than those that it has not.
-// Progress is a change of any unit's phase; a wave that is watched is not held to it.
+// Progress is a change of any unit's phase, of the plan's state or of its wave; a wave that is watched is not held to it.
+// A unit that is done and has still to go back holds no slot. While it is out of sight it can't be sent (checkBudget) and
+// does not become stuck, so that the plan goes on going back until the unit is in sight again or an operator forgets it. A
+// finished plan goes back only under the leader that saw it finish (applyCommand).
 //
 // # A unit's phases
 //
 //	phase              operators see   it ends when
 //	PhaseWaiting       waits           the budget allows a slot (grantSlot)
-//	PhaseLeaving       going           it has left; a node: no router uses it any more
+//	PhaseLeaving       going           it has left or is out of sight; a node: no router uses it any more, or an operator's return
 //	PhaseUnavailable   away            a new process reports; a node: DrainTime is over, or an operator's return
-//	PhaseReturning     returning       it has proven its health (missingProof)
+//	PhaseReturning     returning       it has proven its health (missingProof); on the way back, also: it is sent again, or stuck
 //	PhaseDone          done            a rollback sends it again, back to the previous version
-//	PhaseStuck         stuck           it has proven its health after all
+//	PhaseStuck         stuck           it has proven its health after all, which a node hardly can (drainedNodes)
 //	PhaseForgotten     forgotten       never; an operator's forget leads here from any phase
 //
 // A unit from PhaseLeaving to PhaseReturning, and in PhaseStuck, holds a slot of the disruption budget. A slot is freed by
-// proof or by an operator, never by time.
+// proof or by an operator, never by time alone. Only a unit in PhaseLeaving is told to leave (leaveStatements). A rollback
+// returns a node that is leaving or unavailable at once, and on lack of progress turns every phase with a slot to
+// PhaseStuck.
 //
 // # Where to look
 //
@@ -56,5 +61,6 @@
 // The Record survives a restart and a change of leader as long as a majority of voters keeps it: plans, phases, slots, the
 // names of known members, tokens of operators' commands. Voters keep it in memory; one that starts anew says that it may
 // have forgotten and is written to at once. A new leader starts afresh with the rest (planTracker, memberState): the
-// canary's counts, how long a wave has been watched and how long a plan has made no progress.
+// canary's counts, how long a wave has been watched, how long a plan has made no progress, and since when each unit has
+// been in its phase, so that the DrainTime of a drained node starts anew with each leader.
 package rollout
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -71,7 +71,9 @@
 	return &Statement{Term: r.Term, Seq: r.Seq, DrainedNodes: drainedNodes(r)}
 }
 
-// drainedNodes returns, in order, the nodes that no router may send anything new to.
+// drainedNodes returns, in order, the nodes that no router may send anything new to. A stuck node is one of them: so
+// routers report no answers of it, missingNodeProof keeps waiting for one, and as a rule it stays stuck until an operator
+// forgets it.
 func drainedNodes(r *Record) []string {
 	var names []string
 	for _, p := range r.Plans {
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -19,7 +19,7 @@
 	Primary    bool
 	Up         bool    // listed as up, and not silent
 	NearLogEnd bool    // IsNearLogEnd of its position
-	WorkShare  float64 // its share of its group's usual work
+	WorkShare  float64 // its share of its group's usual work; only the simulation and tests set it, the router leaves it 0
 }
 
 // IsNearLogEnd reports whether a replica whose position is so many microseconds behind the clock could lead in its
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -16,8 +16,8 @@
 // within that time what is drained.
 const statementInterval = 1_000_000
 
-// Leader is the part of whoever holds the lease. What it knows of members and nodes outlives a lead; all
-// others belong to one lead.
+// Leader is the part of whoever holds the lease. What it knows of the fleet (members, nodes, groups) outlives a
+// lead; the record and what it has in mind of plans belong to one lead.
 type Leader struct {
 	self   string
 	voters []string
@@ -53,7 +53,7 @@
 	watchedSince   int64   // since when the wave is watched, 0 for not
 	phaseSince     []int64 // by unit
 	canary         *canaryAnalysis
-	blockedBy      error // why nobody left last
+	blockedBy      error // why a unit was last kept from leaving. It is never cleared; operators see it only if the plan halts for lack of progress
 }
 
 // NewLeader makes one that does not lead yet.
@@ -225,8 +225,9 @@
 // maxNamedUnits is how many units a halted plan names: an operator begins with these, and the line can still be read.
 const maxNamedUnits = 5
 
-// haltWithoutProgress halts a plan that makes no progress, with the reason. One that goes back goes on, and the units
-// that can't are stuck.
+// haltWithoutProgress halts a plan that makes no progress: the reason names units that hold a slot with what each lacks,
+// or, if no unit holds one, why nobody could leave. A plan that goes back is not halted: its units that hold a slot become
+// stuck, and those that still have to be sent back are tried again at each tick.
 func (l *Leader) haltWithoutProgress(now int64, p *Progress) {
 	tracker := l.trackers[p.Plan.ID]
 	if p.State == StateRollingBack {
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -33,7 +33,7 @@
 type Report struct {
 	Member           string
 	Zone             string
-	Incarnation      uint64 // of its process: a number that grows with each start
+	Incarnation      uint64 // of its process; no other process of this member has it. Only equality is compared
 	Version          uint64
 	Ready            bool // it takes commands
 	Leaving          bool
--- a/internal/rollout/operator_command.go
+++ b/internal/rollout/operator_command.go
@@ -16,7 +16,7 @@
 	CommandStart    CommandType = iota + 1 // Plan: begin it
 	CommandHalt                            // PlanID: nobody new leaves
 	CommandResume                          // PlanID: a halted plan goes on
-	CommandRollBack                        // PlanID: what it touched goes back
+	CommandRollBack                        // PlanID: what it touched goes back; also of a finished plan, see applyCommand
 	CommandForget                          // PlanID, Unit: take it out of the plan, with its slot. Unit alone: it is not a member any more
 	CommandReturn                          // PlanID, Unit: bring a drained node back
 	CommandBegin                           // lead with what is left, though voters have forgotten
@@ -33,7 +33,8 @@
 }
 
 // Command is an operator's. One whose token was accepted before is accepted as the same command and does nothing more, so
-// that it can be repeated until it is answered.
+// that it can be repeated until it is answered. CommandBegin is the exception: its token is not kept, and a repeat to a
+// leader that has begun is refused.
 type Command struct {
 	Type   CommandType
 	Token  string
@@ -42,7 +43,7 @@
 	Unit   string
 }
 
-// byOperator is the reason that is noted for what a command does.
+// byOperator is the reason that operators see for what a command of theirs did.
 const byOperator = "an operator's word"
 
 // HandleCommand takes an operator's command. A refusal is answered at once, an accepted one when a majority of voters keeps
@@ -80,7 +81,8 @@
 	l.replicate(now)
 }
 
-// applyCommand does what a command asks for, or returns why not.
+// applyCommand does what a command asks for, or returns why not. A leader keeps a tracker only of plans that it has seen
+// under way, so a plan that finished under a former leader can't be rolled back: the command is refused with ErrNotLeading.
 func (l *Leader) applyCommand(now int64, c *Command) error {
 	if c.Type == CommandStart {
 		return l.startPlan(c.Plan)
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -17,7 +17,7 @@
 // Valid reports whether there is such a kind.
 func (k Kind) Valid() bool { return k >= KindRestart && k <= KindNodes }
 
-// String returns the kind as a plan's file says it.
+// String returns the kind as a plan's file says it. It panics for a kind that is not Valid and not 0.
 func (k Kind) String() string { return kindNames[k] }
 
 // Budget is how much may be unavailable at once, by plans or for any other reason.
@@ -27,7 +27,7 @@
 	MaxPerZone     int     // units of one zone; 0 for no bound
 	MaxPerGroup    int     // nodes of one group; 0 for one
 	MinReplicas    int     // of a group that stay in service, near the log's end
-	MaxGroupWork   float64 // share of a group's usual work that may be without its nodes; 0 for no bound
+	MaxGroupWork   float64 // share of a group's usual work that may be without its nodes; 0 for no bound. No effect while NodeState.WorkShare is 0
 }
 
 // Plan is what an operator asks for. Once started it never changes.
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -20,16 +20,17 @@
 const (
 	PhaseWaiting     Phase = iota // not touched
 	PhaseLeaving                  // it has a slot; it may be out from now on
-	PhaseUnavailable              // it is out
+	PhaseUnavailable              // it has left, or went out of sight when it was to leave; a node: no router uses it
 	PhaseReturning                // it is to come back, and has to prove its health
 	PhaseDone                     // it is back and proven
-	PhaseStuck                    // it could not go back; an operator has to look at it
+	PhaseStuck                    // it held a slot on the way back and made no progress; an operator has to look at it
 	PhaseForgotten                // an operator took it out of the plan
 )
 
 var phaseNames = [...]string{"waits", "going", "away", "returning", "done", "stuck", "forgotten"}
 
-// String returns the phase as operators see it.
+// String returns the phase as operators see it. It panics beyond PhaseForgotten, which a record from another member can
+// hold since nothing checks that as it is read.
 func (p Phase) String() string { return phaseNames[p] }
 
 // HoldsSlot reports whether a unit in this phase holds a slot.
@@ -49,7 +50,8 @@
 
 var stateNames = [...]string{"", "running", "halted", "going back", "finished", "back"}
 
-// String returns the state as operators see it.
+// String returns the state as operators see it. It panics beyond StateRolledBack, which a record from another member can
+// hold since nothing checks that as it is read.
 func (s State) String() string { return stateNames[s] }
 
 // Ended reports whether the plan is over: it does nothing more by itself. A finished one can still be rolled back.
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -10,8 +10,8 @@
 	// router that clients have found again.
 	minCommandsServed = 20
 
-	// idleWatches is how many of the plan's WatchTime after its return a router that is asked less than that counts as
-	// proven: one that no client uses must not hold its slot for ever.
+	// idleWatches is a number of the plan's WatchTimes. A router that has answered fewer than minCommandsServed counts as
+	// proven that long after its return: one that no client uses must not hold its slot for ever.
 	idleWatches = 4
 
 	// maxFailedShare is the share of failed commands above which a returned router is not healthy: a database that fails
@@ -20,6 +20,14 @@
 )
 
 // advanceUnit takes a unit that holds a slot from phase to phase, by what members report.
+//
+// A router in PhaseLeaving that goes out of sight counts as having left, also if it was only cut off and never heard that
+// it is to leave. It is not told again, since only units in PhaseLeaving are. When it is in sight again with the same
+// process it stays in PhaseUnavailable until something else restarts it. Its wave can't end meanwhile, and in the end the
+// plan halts for lack of progress, or, on the way back, the unit becomes stuck.
+//
+// A router that on the way back came with the wrong version is sent again (sendAgain) only if it is ready. So a version
+// that starts and never gets ready is not sent back: the unit becomes stuck for lack of progress.
 func (l *Leader) advanceUnit(now int64, p *Progress, i int) {
 	if p.Plan.Kind == KindNodes {
 		l.advanceNode(now, p, i)
