--- a/internal/rolloutservice/codec.go
+++ b/internal/rolloutservice/codec.go
@@ -40,15 +40,15 @@
 	Version   int
 	Kind      messageKind
 	Term, Seq uint64         `cbor:",omitempty"`
-	Born      uint64         `cbor:",omitempty"`
-	OK        bool           `cbor:",omitempty"`
+	Born      uint64         `cbor:",omitempty"` // writeRequest.incarnation
+	OK        bool           `cbor:",omitempty"` // accepted; in a statement: fromVoter
 	Report    *wireReport    `cbor:",omitempty"`
 	Statement *wireStatement `cbor:",omitempty"`
-	Kept      *wireKept      `cbor:",omitempty"`
+	Kept      *wireKept      `cbor:",omitempty"` // readAnswer.state
 	Record    *wireRecord    `cbor:",omitempty"`
-	Word      *wireCommand   `cbor:",omitempty"`
+	Word      *wireCommand   `cbor:",omitempty"` // commandMessage.command
 	Token     string         `cbor:",omitempty"`
-	Why       string         `cbor:",omitempty"`
+	Why       string         `cbor:",omitempty"` // commandReply.reason
 }
 
 var (
@@ -90,7 +90,8 @@
 	return w.message()
 }
 
-// check looks for records that no member sends, whatever the message's kind is.
+// check returns ErrMalformed for a record that no member sends, whatever the message's kind is. It does not bound a
+// plan's state and wave, nor its units' phases.
 func (w *wireMessage) check() error {
 	if err := w.Record.check(); err != nil {
 		return err
--- a/internal/rolloutservice/dispatch.go
+++ b/internal/rolloutservice/dispatch.go
@@ -15,7 +15,7 @@
 // dropped gives its command again.
 const maxCommandSenders = 256
 
-// sendMessage sends a message, to itself without the network.
+// sendMessage sends a message to a member; one to this instance itself does not go over the network.
 func (s *Service) sendMessage(to string, m message) {
 	if to == s.self {
 		s.post(func(now int64) { s.handle(now, to, m) })
@@ -27,7 +27,7 @@
 	}
 }
 
-// Receive takes a member's message; it never blocks.
+// Receive queues a member's message; it never blocks. One that can't be read is counted and dropped.
 func (s *Service) Receive(from string, body []byte) {
 	m, err := decode(body)
 	if err != nil {
@@ -38,7 +38,7 @@
 	s.post(func(now int64) { s.handle(now, from, m) })
 }
 
-// handle hands a message to the part that it is for.
+// handle passes a message to the leader, the member or the voter. The leader's are dropped unless the lease is held.
 func (s *Service) handle(now int64, from string, m message) {
 	switch m := m.(type) {
 	case reportMessage:
@@ -51,6 +51,8 @@
 	case statementMessage:
 		s.knownLeader = from
 		if m.fromVoter {
+			// Its sender need not lead. Reports stop, also those to a leader that is known by now, until the next request or
+			// statement of a leader comes.
 			s.knownLeader = ""
 		}
 		s.member.HandleStatement(m.statement)
@@ -85,7 +87,7 @@
 	}
 }
 
-// handleCommand hands an operator's command to the leader, where that is here.
+// handleCommand passes an operator's command to the leader, or replies that this instance does not lead.
 func (s *Service) handleCommand(now int64, from string, c *rollout.Command) {
 	if s.term == 0 {
 		s.sendMessage(from, commandReply{c.Token, false, notLeadingReason})
@@ -98,7 +100,7 @@
 	s.leader.HandleCommand(now, c)
 }
 
-// carryOut does what the parts want done.
+// carryOut carries out the actions of the member and the leader, in their order.
 func (s *Service) carryOut() {
 	for _, action := range s.member.TakeActions() {
 		s.carryOutOne(action)
@@ -156,7 +158,7 @@
 	}
 }
 
-// drain sets the nodes to which the router sends nothing new, and notes those that are back.
+// drain sets the nodes to which the router sends nothing new, and records when each that was drained is back.
 func (s *Service) drain(names []string) {
 	drainChanges.Add()
 	now := s.clock()
@@ -174,7 +176,8 @@
 	slog.Info("drained by plans", "nodes", names)
 }
 
-// leave lets the router leave in order; its supervisor starts the version that is named.
+// leave lets the router leave in order; its supervisor starts the version that is named. If that can't be written the
+// router stays; the leader is not told, and waits for it to leave until the plan halts for lack of progress.
 func (s *Service) leave(a rollout.LeaveService) {
 	if a.Version > 0 && s.settings.NextVersionFile != "" {
 		if err := writeNextVersion(s.settings.NextVersionFile, a.Version); err != nil {
@@ -189,7 +192,8 @@
 	s.router.Leave()
 }
 
-// writeNextVersion replaces the file at once: a supervisor that reads it meanwhile sees one version or the other.
+// writeNextVersion replaces the file by a rename, so that a supervisor that reads it meanwhile sees one version or the
+// other. After a failed write it renames all the same; the error is returned then too.
 func writeNextVersion(path string, version uint64) error {
 	part := path + ".part"
 	err := os.WriteFile(part, []byte(strconv.FormatUint(version, 10)+"\n"), 0o644)
--- a/internal/rolloutservice/doc.go
+++ b/internal/rolloutservice/doc.go
@@ -3,7 +3,8 @@
 // operators' commands. It decides nothing.
 //
 // A Service is one instance's part. Its leader, member and voter run on one goroutine of its own, which owns all their
-// state; other goroutines hand it events by post. A second goroutine stands for the lease.
+// state; other goroutines hand it events by post. A second goroutine competes for the lease
+// "releases".
 //
 //   - service.go: the service's life, its goroutines, and what is done each tick
 //   - dispatch.go: messages in, actions out
--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -15,12 +15,17 @@
 // What operators may ask of a running router by its admin socket; cmd/cairntiller speaks it.
 
 const (
-	commandTimeout       = 15 * time.Second // for a command to be kept by a majority of voters: a leader's end and the next one's begin
-	commandRetryInterval = time.Second      // between sendings of one
+	// commandTimeout is the longest time for an operator's request at the admin socket. A command that meets a leader's end
+	// waits for the lease to run out (up to maxLeaseLength) and for the next leader to begin, which may take longer than
+	// the rest. Then the operator gets ErrNoReply and repeats the command with its token.
+	commandTimeout = 15 * time.Second
+
+	// commandRetryInterval is the time between sendings of a command that was not answered, or not by a leader.
+	commandRetryInterval = time.Second
 )
 
-// notLeadingReason is what an instance replies to a command that came to it after its lead. The text is sent, and
-// recognized by the sender.
+// notLeadingReason is the reason in an instance's reply to a command that came to it though it does not lead. The text is
+// sent, and the sender, which sends the command again then, recognizes it.
 const notLeadingReason = "that router does not lead any more"
 
 // ErrNoReply is a command that no leader has answered in time. It may have been accepted: given again with the same
@@ -35,7 +40,7 @@
 // Error returns the reason.
 func (e *CommandRefused) Error() string { return e.Reason }
 
-// PlanStatus is one plan as whoever was asked knows it.
+// PlanStatus is one plan as the router that was asked knows it.
 type PlanStatus struct {
 	ID      string         `json:"id"`
 	Kind    string         `json:"kind"`
@@ -109,7 +114,8 @@
 	})
 }
 
-// Status returns how rollouts stand as this router knows it: what it leads by, else what its voter keeps.
+// Status returns how rollouts stand as this router knows it: by the record under which it leads, else by the one that its
+// voter keeps, else without plans. The error is the context's.
 func (s *Service) Status(ctx context.Context) (Status, error) {
 	answer := make(chan Status, 1)
 	s.post(func(int64) { answer <- s.status() })
@@ -139,9 +145,9 @@
 	return status
 }
 
-// Execute hands an operator's command to whoever leads and waits until a majority of voters keeps what it does. It is sent
-// again until it is accepted or refused: its token, which is made up where it has none, marks it as the same. The
-// error is a CommandRefused or ErrNoReply.
+// Execute sends an operator's command to the leader and waits until a majority of voters keeps what it does. It is sent
+// again until it is accepted or refused, always with the same token; a command without a token gets a random one. The
+// error is a CommandRefused, or ErrNoReply once ctx is done.
 func (s *Service) Execute(ctx context.Context, c rollout.Command) error {
 	if c.Token == "" {
 		c.Token = newToken()
@@ -174,7 +180,7 @@
 	return fmt.Sprintf("%x", b)
 }
 
-// sendToLeader sends a message to whoever leads, as far as that is known.
+// sendToLeader sends a message to the leader, if one is known.
 func (s *Service) sendToLeader(m message) {
 	to := s.knownLeader
 	if s.term > 0 {
@@ -185,7 +191,7 @@
 	}
 }
 
-// handleReply hands a leader's reply to whoever waits for it.
+// handleReply passes a leader's reply to the Execute that waits for it, if any.
 func (s *Service) handleReply(reply commandReply) {
 	if !reply.accepted {
 		reply.reason = cmp.Or(reply.reason, "refused")
--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -23,9 +23,9 @@
 	tickInterval   = 250 * time.Millisecond
 	reportInterval = int64(1_000_000) // us between reports to the leader
 
-	campaignInterval = 5 * time.Second   // between looks whether this instance is one to ask for the lease
-	maxCandidates    = 3                 // instances that ask: with one of them out by a plan another one leads
-	maxLeaseLength   = int64(10_000_000) // us of the lease, where longer ones are allowed: for so long nobody new leaves after a leader's end
+	campaignInterval = 5 * time.Second   // between checks whether this instance is to compete for the lease
+	maxCandidates    = 3                 // instances that compete: while a plan has one of them out, another one leads
+	maxLeaseLength   = int64(10_000_000) // us that the lease lasts at most: after a leader's end nobody new leaves for so long
 
 	returnedReportTime = int64(120_000_000) // us for which a node that is back is reported on, until its answers have proven it
 )
@@ -93,10 +93,10 @@
 	// The rest belongs to the goroutine that runs run.
 	leader       *rollout.Leader
 	member       *rollout.Member
-	voter        *rollout.Voter // nil where it does not vote
+	voter        *rollout.Voter // nil if it does not vote
 	incarnation  uint64
 	guard        *leaseservice.Guard
-	term         uint64 // of the lease; 0 where it is not held
+	term         uint64 // of the lease; 0 if it is not held
 	knownLeader  string // to whom it reports, "" for nobody
 	nextReportAt int64
 	nextQueryAt  int64
@@ -118,6 +118,7 @@
 
 // New makes an instance's part, which does nothing before Start.
 func New(config Config) *Service {
+	// Two processes of a member have the same number only if the clock was set back to the very microsecond.
 	incarnation := uint64(time.Now().UnixMicro())
 	s := &Service{
 		self:           config.Self,
@@ -146,7 +147,7 @@
 	return s
 }
 
-// Start begins to report, to vote, and to stand for the lead.
+// Start begins to report, to vote, and to compete for the lease.
 func (s *Service) Start() {
 	s.goroutines.Go(s.run)
 	s.goroutines.Go(s.campaign)
@@ -167,7 +168,8 @@
 	}
 }
 
-// campaign asks for the lease as one of a few.
+// campaign competes for the lease while this instance is one of the maxCandidates that are first by hash (lease.Eligible),
+// until Stop.
 func (s *Service) campaign() {
 	var guard *leaseservice.Guard
 	for {
@@ -183,8 +185,8 @@
 	}
 }
 
-// campaignOnce asks for the lease where this instance is one to, and withdraws where it is not and does not lead. It returns
-// the request under way, nil for none.
+// campaignOnce requests the lease if this instance is eligible. If it is not eligible and does not lead, it withdraws an
+// earlier request. It returns the request under way, nil for none.
 func (s *Service) campaignOnce(guard *leaseservice.Guard) *leaseservice.Guard {
 	eligible := lease.Eligible(s.self, s.members(), LeaseName, maxCandidates)
 	if eligible && guard == nil {
@@ -205,7 +207,7 @@
 	return guard
 }
 
-// leaseChanged takes what became of the lease; it is called on the leases' goroutine.
+// leaseChanged handles a change of the lease; it is called on the leases' goroutine.
 func (s *Service) leaseChanged(e leaseservice.Event) {
 	s.post(func(now int64) {
 		switch {
@@ -237,7 +239,8 @@
 	}
 }
 
-// holdsLease reports whether the lease is held right now: nothing is sent under it later.
+// holdsLease reports whether the lease is held right now, under the term of this lead. What it is asked for is not sent
+// otherwise, and counted.
 func (s *Service) holdsLease() bool {
 	if s.guard == nil {
 		return false
@@ -270,7 +273,7 @@
 	}
 }
 
-// tick looks at the fleet and the router, and lets all parts look at what is due.
+// tick queries the router's nodes, and lets the member and the leader do what is due.
 func (s *Service) tick(now int64) {
 	s.member.Tick(now)
 	if now >= s.nextQueryAt {
@@ -287,7 +290,7 @@
 	}
 }
 
-// tickLeader hands the leader which members and nodes there are.
+// tickLeader gives the leader the present members and nodes, and ticks it.
 func (s *Service) tickLeader(now int64) {
 	present := map[string]bool{s.self: true}
 	s.leader.MemberUp(s.self)
@@ -349,7 +352,7 @@
 	s.sendMessage(s.knownLeader, reportMessage{report})
 }
 
-// residentBytes is what the process takes of memory; 0 where the system does not say.
+// residentBytes returns the process's resident memory, 0 if the system does not report it.
 func residentBytes() int64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/rolloutservice/wire_form.go
+++ b/internal/rolloutservice/wire_form.go
@@ -3,57 +3,62 @@
 import "cairntiller/internal/rollout"
 
 // The forms of what messages carry, beside the functions that map them to internal/rollout and back. A list that is nil
-// and one that is empty are sent differently and stay what they are.
+// and one that is empty are sent differently and stay what they are. The names of fields are sent and can't change; a
+// comment gives the field of internal/rollout where that is named otherwise.
 
 type wireReport struct {
 	Member    string
 	Zone      string
-	Born      uint64
+	Born      uint64 // Incarnation
 	Version   uint64
 	Ready     bool
 	Leaving   bool
 	Term, Seq uint64
-	Served    wireServed
-	StartedIn int64
-	Heap      int64
-	Open      []wireOpen
-	Blank     bool
+	Served    wireServed // Counts
+	StartedIn int64      // StartupTime
+	Heap      int64      // ResidentBytes: all resident memory, not only the heap
+	Open      []wireOpen // Nodes: drained or returned ones, also those without open commands
+	Blank     bool       // MayHaveForgotten
 }
 
+// wireServed is rollout.CommandCounts.
 type wireServed struct {
-	Commands, Failed, Late, Throttled uint64
+	Commands, Failed, Late uint64
+	Throttled              uint64 // Rejected
 }
 
+// wireOpen is rollout.NodeUse.
 type wireOpen struct {
 	Node     string
-	Commands int
-	Answered uint64
+	Commands int    // OpenCommands
+	Answered uint64 // Answers
 }
 
 type wireStatement struct {
 	Term, Seq uint64
-	Do        uint8
+	Do        uint8 // Instruction
 	Slot      wireSlot
-	Born      uint64
-	Want      uint64
-	Drains    []string
+	Born      uint64   // Incarnation
+	Want      uint64   // TargetVersion
+	Drains    []string // DrainedNodes
 }
 
 type wireSlot struct {
 	Term uint64
-	N    uint64
+	N    uint64 // Number
 }
 
+// wireKept is rollout.VoterState.
 type wireKept struct {
 	Record *wireRecord
-	Born   uint64
-	Blank  bool
+	Born   uint64 // Incarnation
+	Blank  bool   // MayHaveForgotten
 }
 
 type wireRecord struct {
 	Term    uint64
 	Seq     uint64
-	Slots   uint64
+	Slots   uint64 // SlotsGranted
 	Members []string
 	Plans   []*wireProgress
 	Tokens  []string
@@ -62,7 +67,7 @@
 type wireProgress struct {
 	Plan  wirePlan
 	State uint8
-	Why   string
+	Why   string // Reason
 	Wave  int
 	Units []wireUnit
 }
@@ -70,40 +75,40 @@
 type wireUnit struct {
 	Phase uint8
 	Slot  wireSlot
-	Born  uint64
-	Back  bool
-	Tries int
+	Born  uint64 // Incarnation
+	Back  bool   // RollingBack
+	Tries int    // Attempts
 }
 
 type wirePlan struct {
 	ID       string
 	Kind     uint8
 	Units    []string
-	Want     uint64
-	Was      uint64
-	Waves    []int
-	Watch    int64
-	Rest     int64
-	Patience int64
-	Stay     bool
+	Want     uint64 // TargetVersion
+	Was      uint64 // PreviousVersion
+	Waves    []int  // WaveSizes
+	Watch    int64  // WatchTime
+	Rest     int64  // DrainTime
+	Patience int64  // ProgressTimeout
+	Stay     bool   // NoRollback
 	Budget   wireBudget
 }
 
 type wireBudget struct {
-	Most     int
-	Share    float64
-	Zone     int
-	Group    int
-	Replicas int
-	Work     float64
+	Most     int     // MaxUnavailable
+	Share    float64 // MaxShare
+	Zone     int     // MaxPerZone
+	Group    int     // MaxPerGroup
+	Replicas int     // MinReplicas
+	Work     float64 // MaxGroupWork
 }
 
 // wireCommand is an operator's command, in messages and on the admin socket.
 type wireCommand struct {
-	Verb  uint8
+	Verb  uint8 // Type
 	Token string
 	Plan  wirePlan
-	ID    string
+	ID    string // PlanID
 	Unit  string
 }
 
