--- a/internal/rollout/action.go
+++ b/internal/rollout/action.go
@@ -1,6 +1,7 @@
 package rollout
 
-// Action is one thing that a Leader or a Member wants done. Actions are carried out in the order in which they were taken.
+// Action is one thing that a Leader or a Member wants done. Actions are carried out in the order in which TakeActions
+// returns them.
 type Action interface {
 	isAction()
 }
@@ -21,7 +22,7 @@
 		Record      *Record
 	}
 
-	// RequestReport asks a member to report here from now on.
+	// RequestReport asks a member to send its reports to this instance from now on.
 	RequestReport struct {
 		Member string
 	}
@@ -38,7 +39,7 @@
 		Err   error
 	}
 
-	// HandOverLead lets another instance lead, for this one is next to leave by a plan.
+	// HandOverLead lets another instance lead because this one is next to leave by a plan.
 	HandOverLead struct {
 		PlanID string
 	}
@@ -52,13 +53,13 @@
 
 // What a Member wants done.
 type (
-	// LeaveService lets the router leave in order, and be started by its supervisor with a version, 0 for the one it has.
+	// LeaveService lets the router leave in order. Its supervisor then starts it with Version, 0 for the one it has.
 	LeaveService struct {
 		Slot    Slot
 		Version uint64
 	}
 
-	// DrainNodes sets the nodes that get no new commands because of plans: these, and no others.
+	// DrainNodes replaces the set of nodes that get no new commands because of plans.
 	DrainNodes struct {
 		Nodes []string
 	}
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// The disruption budget: who may leave service now. All that is unavailable counts, by any plan or unplanned, so that a
-// loss in the middle of a rollout leaves fewer slots and never more.
+// The disruption budget: which units may leave service now. Every unavailable unit counts, by any plan or unplanned, so
+// that a loss in the middle of a rollout leaves fewer slots and never more.
 
 // unavailability counts what is unavailable at a moment, of one sort of unit: routers or nodes.
 type unavailability struct {
@@ -16,7 +16,7 @@
 	holdsSlot   map[string]bool // by unit
 }
 
-// countUnavailable finds what is unavailable now: units that hold a slot of any plan, members that are out of sight or
+// countUnavailable counts what is unavailable now: units that hold a slot of any plan, members that are out of sight or
 // take no commands, nodes that are not up.
 func (l *Leader) countUnavailable(now int64, nodes bool) *unavailability {
 	u := &unavailability{byZone: map[string]int{}, byGroup: map[int]int{}, workByGroup: map[int]float64{}, holdsSlot: map[string]bool{}}
@@ -81,8 +81,8 @@
 	}
 }
 
-// Limit is how many of so many known units may be unavailable at once. One always may: else a small fleet could never
-// be restarted.
+// Limit returns how many of so many known units may be unavailable at once: the smaller of MaxUnavailable, if set,
+// and MaxShare, but at least one, or a small fleet could never be restarted.
 func (b *Budget) Limit(known int) int {
 	limit := max(1, int(b.MaxShare*float64(known)))
 	if b.MaxUnavailable > 0 {
@@ -91,7 +91,8 @@
 	return limit
 }
 
-// checkBudget returns why a unit of a plan may not leave service now, or nil. It is asked right before each slot.
+// checkBudget returns why a unit of a plan may not leave service now, or nil. It is called right before each slot is
+// granted.
 func (l *Leader) checkBudget(now int64, p *Progress, name string, u *unavailability) error {
 	b := &p.Plan.Budget
 	if limit := b.Limit(u.known); u.total >= limit {
@@ -123,8 +124,9 @@
 	return nil
 }
 
-// checkVoters keeps a majority of voters that remember the record. Without it the lead would be stuck until an operator
-// gives the command begin: a voter that restarts has forgotten, and counts as out until it was written to again.
+// checkVoters returns ErrVotersOut if, without this voter, no majority of voters would remember the record. A voter that
+// restarts has forgotten it, and counts as out until it was written to again. Without this check a plan could restart a
+// majority of the voters, and no leader could begin until an operator gives the command begin.
 func (l *Leader) checkVoters(name string, u *unavailability) error {
 	canMiss := (len(l.voters) - 1) / 2
 	if l.isVoter(name) && u.voters+1 > canMiss {
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// checkGroup returns why a node may not leave its group, or nil: a primary goes only where a replica near the log's end can
-// lead in its place, and the group keeps MinReplicas of them beside its primary.
+// checkGroup returns why a node may not leave its group, or nil: a primary leaves only if a replica near the log's end can
+// take its place, and the group keeps MinReplicas of them besides its primary.
 func (l *Leader) checkGroup(b *Budget, node *NodeState, u *unavailability) error {
 	group := node.Group
 	if u.byGroup[group] >= b.MaxPerGroup {
@@ -155,7 +157,7 @@
 			replicas++
 		}
 	}
-	if node.Primary { // one of these replicas has to lead in its place
+	if node.Primary { // one of these replicas has to take its place
 		hasPrimary = replicas > 0
 		replicas--
 	}
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -8,48 +8,49 @@
 )
 
 // The canary analysis: routers that a plan has touched are compared with those that it has not, over the same time. A fixed
-// limit would halt on a bad day for all and miss a bad version on a good one.
+// limit would halt a good version while all routers do badly, and miss a bad one while all others do well.
 
 const (
-	// minCommands is how many commands of touched routers a conclusion needs: 2% of them, which must be found, are
-	// twenty-four bad ones.
+	// minCommands is how many commands of touched routers a conclusion needs: a version that fails 2% of them must be
+	// found, and that many commands give twenty-four failures.
 	minCommands = 1_200
 
-	// minBadCommands is how many bad commands of touched routers are the least from which anything is concluded: fewer may
-	// be one client's mistakes.
+	// minBadCommands is the least number of bad commands of touched routers from which anything is concluded: fewer may be
+	// one client's mistakes.
 	minBadCommands = 5
 
-	// minShareDifference is by how much the share of bad commands must lie above that of the untouched routers: less than
-	// half of the 2% that must be found.
+	// minShareDifference is by how much the share of bad commands must lie above that of the untouched routers for a halt:
+	// less than half of the 2% that must be found. Half of it makes a wave suspect (compareShares).
 	minShareDifference = 0.008
 
-	// suspectDeviations is from how many standard deviations on a wave is watched for longer before the next one begins.
+	// suspectDeviations is the number of standard deviations from which on a wave is watched for longer before the next one
+	// begins.
 	suspectDeviations = 2.0
 
-	// haltDeviations is from how many standard deviations on a plan halts. The comparison is made at each tick, on counts
-	// that are new each second, for hours: with three deviations good versions would halt by chance.
+	// haltDeviations is the number of standard deviations from which on a plan halts. The comparison is made at each
+	// tick, on counts that are new each second, for hours: with three deviations good versions would halt by chance.
 	haltDeviations = 5.0
 
-	// minUsualShare is the share of bad commands that counts as usual where fewer were seen: a fleet without a failure yet
-	// must not halt by its first ones.
+	// minUsualShare is the share of bad commands that counts as usual if fewer were seen: a fleet without a failure so far
+	// must not halt at the first ones.
 	minUsualShare = 5e-4
 
-	// minCrashes is how many processes of touched routers must have ended by themselves, at the least: one may be its
-	// machine's fault.
+	// minCrashes is the least number of processes of touched routers that must have ended by themselves for a halt: one may
+	// be its machine's fault.
 	minCrashes = 2
 
-	// maxCrashProbability is the probability, of so many of all crashes falling on touched routers by chance, under which a
-	// plan halts: when nearly all routers are touched, nearly all crashes fall on them.
+	// maxCrashProbability is a probability. A plan halts if so many of all crashes would fall on touched routers by chance
+	// with less than it. A plain count would not do: when nearly all routers are touched, nearly all crashes fall on them.
 	maxCrashProbability = 1e-3
 
-	// upperQuantile of the untouched routers' startup times and memory is what touched ones are held against: some routers
-	// are always slower or larger than most.
+	// upperQuantile is the quantile of the untouched routers' startup times and memory with which touched ones are compared:
+	// some routers are always slower or larger than most.
 	upperQuantile = 0.9
 
 	startupTimeFactor = 3.0      // times that quantile
-	startupTimeMargin = 2e6      // us beside: a second or two is no evidence
+	startupTimeMargin = 2e6      // us added to it: a second or two is no evidence
 	memoryFactor      = 1.5      // times that quantile
-	memoryMargin      = 16 << 20 // bytes beside: caches fill differently
+	memoryMargin      = 16 << 20 // bytes added to it: caches fill differently
 )
 
 // CommandCounts is what a router counts of its commands since its process started; figures only grow.
@@ -96,7 +97,7 @@
 	return cohort{counts: map[string]CommandCounts{}, startupTimes: map[string]int64{}, residentBytes: map[string]int64{}}
 }
 
-// total sums the cohort's commands up.
+// total returns the sum of the cohort's commands.
 func (c *cohort) total() CommandCounts {
 	var sum CommandCounts
 	for _, counts := range c.counts {
@@ -112,7 +113,7 @@
 
 func newCanaryAnalysis() *canaryAnalysis { return &canaryAnalysis{newCohort(), newCohort()} }
 
-// recordEvidence counts what a router did since its last report to the cohort that it belongs to. A router on its way out
+// recordEvidence adds what a router did since its last report to the cohort that it belongs to. A router on its way out
 // or back, or one that still runs the process that is to leave, belongs to neither.
 func (l *Leader) recordEvidence(now int64, p *Progress, before, after *memberState) {
 	tracker := l.trackers[p.Plan.ID]
@@ -164,7 +165,8 @@
 	{"throttled", func(c CommandCounts) uint64 { return c.Rejected }},
 }
 
-// evaluate returns the evidence for which the plan must halt, "" for none; inDoubt is set where more commands might give it.
+// evaluate returns the evidence for which the plan must halt, "" for none; inDoubt reports whether more
+// commands might give it.
 func (a *canaryAnalysis) evaluate() (inDoubt bool, evidence string) {
 	for _, end := range badEnds {
 		suspect, difference := a.compareShares(end.name, end.count)
@@ -236,7 +238,7 @@
 // hasEnoughCommands reports whether touched routers have answered enough commands for a conclusion.
 func (a *canaryAnalysis) hasEnoughCommands() bool { return a.touched.total().Commands >= minCommands }
 
-// binomialTail is the probability of at least so many hits in n tries of probability p each.
+// binomialTail returns the probability of at least so many hits in n tries of probability p each.
 func binomialTail(n, least int, p float64) (sum float64) {
 	probability := math.Pow(1-p, float64(n)) // of exactly k hits
 	for k := 0; k <= n; k++ {
@@ -255,8 +257,8 @@
 	return sum
 }
 
-// overdispersion is by how much routers differ more than chance lets them: their groups, zones and callers are not alike.
-// It is Pearson's statistic a degree of freedom, and one at the least. usualShare lies between 0 and 1, exclusively.
+// overdispersion returns the factor by which routers differ more than by chance, since their groups, zones and callers are
+// not alike: Pearson's statistic per degree of freedom, at least 1. usualShare lies between 0 and 1, exclusively.
 func (c *cohort) overdispersion(count func(CommandCounts) uint64, usualShare float64) float64 {
 	sum := 0.0
 	routers := 0
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -11,8 +11,8 @@
 
 // TestCanaryAnalysis halts by evidence and not by noise.
 func TestCanaryAnalysis(t *testing.T) {
-	counts := func(commands, failed, late, throttled uint64) CommandCounts {
-		return CommandCounts{Commands: commands, Failed: failed, Late: late, Rejected: throttled}
+	counts := func(commands, failed, late, rejected uint64) CommandCounts {
+		return CommandCounts{Commands: commands, Failed: failed, Late: late, Rejected: rejected}
 	}
 	commands := func(touched, others CommandCounts) *canaryAnalysis {
 		a := newCanaryAnalysis()
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// How a node that holds a slot is drained and returned, and which nodes get nothing new.
+// How a node that holds a slot is drained and returned, and which nodes get no new commands.
 
-// advanceNode takes a node that holds a slot from phase to phase.
+// advanceNode moves a node that holds a slot from phase to phase.
 func (l *Leader) advanceNode(now int64, p *Progress, i int) {
 	name := p.Plan.Units[i]
 	switch p.Units[i].Phase {
@@ -27,8 +27,9 @@
 	}
 }
 
-// stillUsedBy returns who may still use a drained node, "" for nobody. A router that can't be heard is waited for: it
-// may send commands there without having heard of the drain, and an operator who then stops the node would break them.
+// stillUsedBy returns why a drained node may still be in use, "" if it is not. A router that does not report is waited
+// for: it may send commands there without having heard of the drain, and an operator who then stops the node would break
+// them.
 func (l *Leader) stillUsedBy(now int64, name string) string {
 	if node := l.nodes[name]; node != nil && node.Primary {
 		return "its group has no other primary yet"
@@ -46,7 +47,7 @@
 	return ""
 }
 
-// missingNodeProof returns what a node that is back still has to prove, "" for nothing.
+// missingNodeProof returns what a node that is back still lacks to count as done, "" for nothing.
 func (l *Leader) missingNodeProof(name string) string {
 	node := l.nodes[name]
 	if node == nil || !node.Up || !node.NearLogEnd && !node.Primary {
@@ -66,12 +67,13 @@
 	return ""
 }
 
-// DrainStatement is the statement on drained nodes alone that a voter makes of its record for whoever asks.
+// DrainStatement returns the statement with which a voter answers a member's query for drained nodes. It carries no
+// instruction.
 func DrainStatement(r *Record) *Statement {
 	return &Statement{Term: r.Term, Seq: r.Seq, DrainedNodes: drainedNodes(r)}
 }
 
-// drainedNodes returns, in order, the nodes that no router may send anything new to. A stuck node is one of them: so
+// drainedNodes returns, in order, the nodes to which no router may send new commands. A stuck node is one of them: so
 // routers report no answers of it, missingNodeProof keeps waiting for one, and as a rule it stays stuck until an operator
 // forgets it.
 func drainedNodes(r *Record) []string {
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// What a leader knows of the fleet: members by their reports and by the membership, nodes by its own router.
+// What a leader knows of the fleet: members from their reports and from the membership, nodes from its own router.
 
-// reportTimeout is for how long after its last report a member is in sight, in us. Reports come each second and two in a row
-// may be lost; an operator who pulls a plug sees the slot counted within that time.
+// reportTimeout is the time after its last report for which a member is in sight, in us. Reports come each second, so that
+// two in a row may be lost; a machine that loses power counts as unavailable within that time.
 const reportTimeout = 3_500_000
 
 // maxNearLag is how far behind the clock, in us, a replica's last proven position may lie for it to count as near the
@@ -22,7 +22,7 @@
 	WorkShare  float64 // its share of its group's usual work; only the simulation and tests set it, the router leaves it 0
 }
 
-// IsNearLogEnd reports whether a replica whose position is so many microseconds behind the clock could lead in its
+// IsNearLogEnd reports whether a replica whose position is so many microseconds behind the clock could take its
 // primary's place.
 func IsNearLogEnd(behind int64) bool { return behind <= maxNearLag }
 
@@ -34,7 +34,7 @@
 	countsAtReturn CommandCounts // what it had counted then
 }
 
-// HandleReport takes a member's report.
+// HandleReport handles a member's report. A voter that has forgotten the record gets it again.
 func (l *Leader) HandleReport(now int64, r *Report) {
 	m := l.members[r.Member]
 	if m == nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// MemberUp takes from the membership that there is a member, before it has reported.
+// MemberUp handles news from the membership that there is a member, which need not have reported yet.
 func (l *Leader) MemberUp(member string) {
 	if l.members[member] == nil {
 		l.members[member] = &memberState{report: Report{Member: member}}
@@ -69,15 +69,15 @@
 	l.addMember(member)
 }
 
-// MemberGone takes from the membership that a member is gone. It counts as unavailable until it is back or forgotten,
-// also where it left in order: an operator who restarts it by hand takes it out as much as a plan does.
+// MemberGone handles news from the membership that a member is gone. It counts as unavailable until it is back or
+// forgotten, also if it left in order: an operator who restarts it by hand takes it out of service as much as a plan does.
 func (l *Leader) MemberGone(member string) {
 	if m := l.members[member]; m != nil {
 		m.reportedAt = 0
 	}
 }
 
-// SetNode takes a node's state; a later call replaces the earlier one.
+// SetNode replaces what is known of a node.
 func (l *Leader) SetNode(n NodeState) {
 	if l.nodes[n.Name] == nil {
 		l.nodes[n.Name] = &NodeState{Group: n.Group}
@@ -86,13 +86,13 @@
 	*l.nodes[n.Name] = n
 }
 
-// inSight reports whether a member has reported lately.
+// inSight reports whether a member has reported within reportTimeout.
 func (l *Leader) inSight(now int64, member string) bool {
 	m := l.members[member]
 	return m != nil && m.reportedAt > 0 && now-m.reportedAt < reportTimeout
 }
 
-// addMember notes in the record that there is such a member, so that a later leader misses it too.
+// addMember adds a member to the record, so that a later leader that does not hear of it counts it as unavailable.
 func (l *Leader) addMember(member string) {
 	if l.record == nil {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-// removeMember takes a member out for good: it does not count as unavailable any more.
+// removeMember removes a member for good: it does not count as unavailable any more.
 func (l *Leader) removeMember(member string) {
 	delete(l.members, member)
 	if i, known := slices.BinarySearch(l.record.Members, member); known {
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -33,7 +33,7 @@
 }
 
 // badShares are the shares of commands that end badly.
-type badShares struct{ failed, late, throttled float64 }
+type badShares struct{ failed, late, rejected float64 }
 
 type generatedRouter struct {
 	name        string
@@ -110,7 +110,7 @@
 	if r.version > 1 {
 		shares.failed += f.badVersion.failed
 		shares.late += f.badVersion.late
-		shares.throttled += f.badVersion.throttled
+		shares.rejected += f.badVersion.rejected
 	}
 	for range r.commands {
 		r.counts.Commands++
@@ -119,7 +119,7 @@
 			r.counts.Failed++
 		case x < shares.failed+shares.late:
 			r.counts.Late++
-		case x < shares.failed+shares.late+shares.throttled:
+		case x < shares.failed+shares.late+shares.rejected:
 			r.counts.Rejected++
 		}
 	}
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -7,30 +7,30 @@
 	"strings"
 )
 
-// settleTime is how long after its lead began a leader grants no slot, in us: it has to see first who is there. Some
-// reports of each member come in that time, even where a few are lost. Without it a new leader would count members that
+// settleTime is the time after its lead began in which a leader grants no slot, in us: it has to see first who is there.
+// Several reports of each member come in that time, even if a few are lost. Without it a new leader would count members that
 // it has not heard of yet as unavailable, or grant a slot beside a loss that it has not seen yet.
 const settleTime = 5_000_000
 
-// statementInterval is the time between statements to each member, in us. One may be lost; a member that restarts hears
-// within that time what is drained.
+// statementInterval is the time between statements to each member, in us. One may be lost, and a member that restarts
+// learns within that time which nodes are drained.
 const statementInterval = 1_000_000
 
-// Leader is the part of whoever holds the lease. What it knows of the fleet (members, nodes, groups) outlives a
-// lead; the record and what it has in mind of plans belong to one lead.
+// Leader is the part of the instance that holds the lease. What it knows of the fleet (members, nodes, groups) outlives a
+// lead; the record and the trackers of plans belong to one lead.
 type Leader struct {
 	self   string
 	voters []string
 
-	term             uint64 // of the lease; 0 where it does not hold it
+	term             uint64 // of the lease; 0 if it does not hold it
 	leadingSince     int64  // when it got the lease, and later when its record was first committed
-	notLeadingReason string // why it can't lead though it holds the lease, "" where it leads
+	notLeadingReason string // why it can't lead though it holds the lease, "" if it leads
 
 	// The record, see replication.go.
 	record            *Record // as decided; nil until it was recovered from voters
 	changed           bool    // record differs from what was last written
 	inFlight          *Record // written, not yet kept by a majority
-	committed         *Record // kept by a majority; nil where it does not lead
+	committed         *Record // kept by a majority; nil if it does not lead
 	voterStates       map[string]VoterState
 	voterIncarnations map[string]uint64
 	acknowledged      map[string]bool // voters that keep inFlight
@@ -47,10 +47,10 @@
 	actions  []Action
 }
 
-// planTracker is what a leader has in mind of a plan beside the record; a later leader begins it anew.
+// planTracker is what a leader remembers of a plan besides the record; a later leader begins a new one.
 type planTracker struct {
 	lastProgressAt int64   // when a unit's phase or the plan's state last changed
-	watchedSince   int64   // since when the wave is watched, 0 for not
+	watchedSince   int64   // since when the wave is watched, 0 if it is not
 	phaseSince     []int64 // by unit
 	canary         *canaryAnalysis
 	blockedBy      error // why a unit was last kept from leaving. It is never cleared; operators see it only if the plan halts for lack of progress
@@ -80,7 +80,8 @@
 	l.act(LogEvent{PlanID: planID, Text: fmt.Sprintf(format, args...)})
 }
 
-// Leading returns the term under which it leads and what a majority of voters keeps; 0 and nil where it does not lead.
+// Leading returns the term under which it leads and the record that a majority of voters keeps; 0 and nil if it does not
+// lead.
 func (l *Leader) Leading() (term uint64, r *Record) {
 	if l.committed == nil {
 		return 0, nil
@@ -88,10 +89,10 @@
 	return l.term, l.committed
 }
 
-// NotLeadingReason is why it holds the lease and does not lead, "" where it leads.
+// NotLeadingReason returns why it holds the lease and does not lead yet, "" if it leads or does not hold the lease.
 func (l *Leader) NotLeadingReason() string { return l.notLeadingReason }
 
-// BecomeLeader begins under a term of the lease.
+// BecomeLeader begins a lead under a term of the lease: it reads the record from the voters.
 func (l *Leader) BecomeLeader(now int64, term uint64) {
 	l.StepDown()
 	l.term = term
@@ -105,7 +106,8 @@
 	l.Tick(now)
 }
 
-// ExtendTerm goes on under a later term of the same holder: nobody else has led in between, so nothing has to be read.
+// ExtendTerm continues the lead under a later term of the same holder: nobody else has led in between, so nothing has to be
+// read.
 func (l *Leader) ExtendTerm(now int64, term uint64) {
 	if l.committed == nil {
 		l.BecomeLeader(now, term)
@@ -133,7 +135,7 @@
 	l.notLeadingReason = ""
 }
 
-// Tick looks at what is due. It is to be called some times a second.
+// Tick does what is due. It is to be called several times a second.
 func (l *Leader) Tick(now int64) {
 	if l.term == 0 {
 		return
@@ -157,8 +159,8 @@
 	l.replicate(now)
 }
 
-// advancePlans takes each plan further. What is unavailable is counted once for all plans of routers, at the first of
-// them, and once for all plans of nodes. Each slot that is granted is added to its count at once.
+// advancePlans advances each plan that has not ended. What is unavailable is counted once for all plans of routers, at the
+// first of them, and once for all plans of nodes. Each slot that is granted is added to its count at once.
 func (l *Leader) advancePlans(now int64) {
 	var routers, nodes *unavailability
 	for _, p := range l.record.Plans {
@@ -200,7 +202,7 @@
 	}
 }
 
-// tracker returns what it has in mind of a plan, from now on where that is nothing.
+// tracker returns a plan's tracker, a new one that begins now if there is none.
 func (l *Leader) tracker(now int64, p *Progress) *planTracker {
 	if tracker := l.trackers[p.Plan.ID]; tracker != nil {
 		return tracker
@@ -213,7 +215,7 @@
 	return tracker
 }
 
-// haltByEvidence ends that anybody new leaves, and turns the plan back where there is a version to go back to.
+// haltByEvidence turns a plan of versions back unless it is set to stay (NoRollback), and halts any other plan.
 func (l *Leader) haltByEvidence(now int64, p *Progress, evidence string) {
 	if p.Plan.Kind == KindVersion && !p.Plan.NoRollback {
 		l.setState(now, p, StateRollingBack, evidence)
@@ -222,7 +224,8 @@
 	l.setState(now, p, StateHalted, evidence)
 }
 
-// maxNamedUnits is how many units a halted plan names: an operator begins with these, and the line can still be read.
+// maxNamedUnits is the number of units that a halted plan's reason names: enough for an operator to begin with, in a line
+// that can still be read.
 const maxNamedUnits = 5
 
 // haltWithoutProgress halts a plan that makes no progress: the reason names units that hold a slot with what each lacks,
@@ -256,7 +259,7 @@
 	l.setState(now, p, StateHalted, fmt.Sprintf("no progress for %.0f s: %s", seconds, reason))
 }
 
-// setPhase changes a unit's phase.
+// setPhase changes a unit's phase, which is progress, and logs why.
 func (l *Leader) setPhase(now int64, p *Progress, i int, to Phase, why string) {
 	tracker := l.trackers[p.Plan.ID]
 	p.Units[i].Phase = to
@@ -266,7 +269,7 @@
 	l.logf(p.Plan.ID, "%s %v: %s", p.Plan.Units[i], to, why)
 }
 
-// setState changes a plan's state.
+// setState changes a plan's state, which counts as progress, and logs why.
 func (l *Leader) setState(now int64, p *Progress, to State, why string) {
 	tracker := l.trackers[p.Plan.ID]
 	p.State = to
@@ -277,8 +280,8 @@
 	l.logf(p.Plan.ID, "plan %s: %s", to, why)
 }
 
-// sendStatements notifies members of what a majority of voters keeps: all of them, or, after a write over the record
-// before, those whom the write concerns.
+// sendStatements sends statements from the record that a majority of voters keeps: to all members if before is nil, else
+// to those whom the change from the record before concerns.
 func (l *Leader) sendStatements(before *Record) {
 	drained := drainedNodes(l.committed)
 	toAll := before == nil || !slices.Equal(drained, drainedNodes(before))
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -29,18 +29,18 @@
 	DrainedNodes  []string
 }
 
-// Report is a member's message to whoever leads, each second.
+// Report is a member's message to the leader, each second.
 type Report struct {
 	Member           string
 	Zone             string
 	Incarnation      uint64 // of its process; no other process of this member has it. Only equality is compared
 	Version          uint64
-	Ready            bool // it takes commands
+	Ready            bool // it accepts commands
 	Leaving          bool
 	Term, Seq        uint64 // of the newest statement that it has heard
 	Counts           CommandCounts
 	StartupTime      int64     // us that it took to be ready
-	ResidentBytes    int64     // 0 where it does not know
+	ResidentBytes    int64     // 0 if it does not know
 	Nodes            []NodeUse // those that are drained, or are being returned
 	MayHaveForgotten bool      // it votes, and has kept no record since its process started
 }
@@ -52,11 +52,11 @@
 	Answers      uint64 // of the node since it was returned to service
 }
 
-// drainQueryInterval is the time between queries of a member that has heard no statement yet, in us: a router that starts
-// while there is no leader waits a second more for a lost one before it takes commands.
+// drainQueryInterval is the time between queries of a member that has heard no statement yet, in us. Until one is answered
+// or a leader's statement comes the router goes by discovery alone, and may use a node that plans have drained.
 const drainQueryInterval = 1_000_000
 
-// Member is one router's part: it follows the newest statement.
+// Member is one router's part: it follows the newest statement that it has heard.
 type Member struct {
 	incarnation  uint64
 	newest       Statement
@@ -97,7 +97,7 @@
 	}
 }
 
-// Tick asks voters for what is drained, as long as no leader has spoken: discovery may list a drained node as up.
+// Tick asks voters which nodes are drained until the first statement has come: discovery may list a drained node as up.
 func (m *Member) Tick(now int64) {
 	if !m.hasStatement && now >= m.nextQueryAt {
 		m.nextQueryAt = now + drainQueryInterval
--- a/internal/rollout/operator_command.go
+++ b/internal/rollout/operator_command.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// What operators may ask of the leader, and when it is refused.
+// What operators may ask of the leader, and when the leader refuses it.
 
 // CommandType is what an operator asks for. The numbers are sent.
 type CommandType uint8
@@ -17,9 +17,9 @@
 	CommandHalt                            // PlanID: nobody new leaves
 	CommandResume                          // PlanID: a halted plan goes on
 	CommandRollBack                        // PlanID: what it touched goes back; also of a finished plan, see applyCommand
-	CommandForget                          // PlanID, Unit: take it out of the plan, with its slot. Unit alone: it is not a member any more
+	CommandForget                          // PlanID, Unit: remove it from the plan, with its slot. Unit alone: remove a member that is missed
 	CommandReturn                          // PlanID, Unit: bring a drained node back
-	CommandBegin                           // lead with what is left, though voters have forgotten
+	CommandBegin                           // lead from what the voters that answer keep, though some have forgotten
 )
 
 var commandNames = [...]string{"", "start", "halt", "resume", "back", "forget", "return", "begin"}
@@ -46,8 +46,8 @@
 // byOperator is the reason that operators see for what a command of theirs did.
 const byOperator = "an operator's word"
 
-// HandleCommand takes an operator's command. A refusal is answered at once, an accepted one when a majority of voters keeps
-// what it did.
+// HandleCommand handles an operator's command. A refusal is replied at once, an acceptance when a majority of voters keeps
+// what the command did.
 func (l *Leader) HandleCommand(now int64, c *Command) {
 	if c.Type == CommandBegin && l.term > 0 && l.record == nil {
 		l.recoverRecord(now, true)
@@ -116,7 +116,7 @@
 	return refuse(ErrUnknownCommand, "an unknown word")
 }
 
-// changeState changes a plan's state for an operator, where it is in one of the states from which that may be.
+// changeState changes a plan's state for an operator, or returns ErrPlanState if it is in none of the states from.
 func (l *Leader) changeState(now int64, p *Progress, to State, from ...State) error {
 	if !slices.Contains(from, p.State) {
 		return refuse(ErrPlanState, "plan %s is %s", p.Plan.ID, p.State)
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// forgetMember takes a member out that is missed for good.
+// forgetMember removes a member that is missed for good. One that is in sight is refused.
 func (l *Leader) forgetMember(now int64, member string) error {
 	if l.members[member] == nil || l.inSight(now, member) {
 		return refuse(ErrUnknownUnit, "%q is in sight, or no member of that name is missed", member)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// forgetUnit takes a unit out of a plan: the operator answers for it.
+// forgetUnit removes a unit from a plan and frees its slot without proof: the operator vouches for it.
 func (l *Leader) forgetUnit(now int64, p *Progress, name string) error {
 	i := slices.Index(p.Plan.Units, name)
 	if i < 0 || p.Units[i].Phase == PhaseForgotten {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// returnNode brings a drained node back.
+// returnNode brings a node back that is drained or being drained.
 func (l *Leader) returnNode(now int64, p *Progress, name string) error {
 	i := slices.Index(p.Plan.Units, name)
 	isDrained := i >= 0 && p.Plan.Kind == KindNodes && (p.Units[i].Phase == PhaseUnavailable || p.Units[i].Phase == PhaseLeaving)
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// startPlan begins a plan, if no other one under way has one of its units.
+// startPlan begins a plan, or returns why not: it is invalid, or its name was used, or another plan under way has still to
+// handle one of its units, or too many are under way, or a unit is unknown.
 func (l *Leader) startPlan(p Plan) error {
 	p.SetDefaults()
 	if err := p.Validate(); err != nil {
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// checkUnitsKnown returns which of a plan's units the leader does not know, or nil.
+// checkUnitsKnown returns ErrUnknownUnit if the leader does not know one of a plan's units, else nil.
 func (l *Leader) checkUnitsKnown(p *Plan) error {
 	for _, name := range p.Units {
 		if p.Kind == KindNodes && l.nodes[name] == nil {
@@ -215,7 +216,8 @@
 	return nil
 }
 
-// dropOldestEnded drops ended plans beside so many under way, so that with one more of them MaxPlans are kept.
+// dropOldestEnded removes the oldest ended plans until fewer than MaxPlans ended ones are left. underWay is the number of
+// plans that have not ended.
 func (r *Record) dropOldestEnded(underWay int) {
 	for i := 0; i < len(r.Plans); {
 		ended := len(r.Plans) - underWay
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -8,7 +8,7 @@
 // The kinds of plans.
 const (
 	KindRestart Kind = iota + 1 // each router leaves in order and is started again by its supervisor
-	KindVersion                 // each router takes to another version of its file, by a restart
+	KindVersion                 // each router changes to another version of its file, by a restart
 	KindNodes                   // each node is drained, kept out for a while, and returned
 )
 
@@ -35,24 +35,24 @@
 	ID              string
 	Kind            Kind
 	Units           []string // members or nodes, in the order in which they go
-	TargetVersion   uint64   // KindVersion: the version that they take to
-	PreviousVersion uint64   // KindVersion: the last good one, to which they go back
-	WaveSizes       []int    // units in each of the first waves; all that are left make the last one
-	WatchTime       int64    // us for which a wave is watched when all of it is back
+	TargetVersion   uint64   // KindVersion: the version to which they change
+	PreviousVersion uint64   // KindVersion: the last good one, to which a rollback goes
+	WaveSizes       []int    // units in each of the first waves; all others make the last one
+	WatchTime       int64    // us for which a wave is watched, at the least, once all its units are done
 	DrainTime       int64    // us for which a drained node stays out; 0 until an operator returns it
 	ProgressTimeout int64    // us without progress after which the plan halts
-	NoRollback      bool     // it does not go back by itself when it halts by evidence
+	NoRollback      bool     // evidence halts it instead of rolling it back
 	Budget          Budget
 }
 
-// The bounds of a plan: each is a bound on the record that every voter holds in memory and every message carries.
+// The bounds of a plan. Each bounds the record, which every voter keeps in memory and each write carries.
 const (
 	MaxUnits      = 4_000 // of one plan: four times the largest fleet that is simulated
 	MaxPlans      = 8     // under way, and as many ended ones kept
 	MaxNameLength = 128   // bytes of a plan's or a unit's name
 )
 
-// What stands for what a plan leaves open.
+// The defaults of what a plan leaves open.
 const (
 	defaultWatchTime       = 30_000_000  // us: thirty reports of each router
 	defaultProgressTimeout = 120_000_000 // us: a router's slow stop, its supervisor's pause and its start, with room
@@ -60,7 +60,7 @@
 	defaultMaxPerGroup     = 1           // a group of three keeps its primary and a replica
 )
 
-// SetDefaults sets what the plan leaves open. The usual waves are two canaries, for one alone may be unlike the others (one
+// SetDefaults fills in what the plan leaves open. The usual waves are two canaries, for one alone may be unlike the others (one
 // in a fleet of fewer than twenty), a twentieth, a quarter, and the rest.
 func (p *Plan) SetDefaults() {
 	units := len(p.Units)
@@ -82,7 +82,7 @@
 	}
 }
 
-// Validate returns what is wrong with a plan by itself, as an ErrInvalidPlan, or nil.
+// Validate returns an ErrInvalidPlan that says what is wrong with the plan by itself, or nil.
 func (p *Plan) Validate() error {
 	if err := p.validateUnitNames(); err != nil {
 		return err
@@ -122,7 +122,7 @@
 	return b.MaxUnavailable < 0 || b.MaxShare < 0 || b.MaxShare > 1 || b.MaxPerZone < 0 || b.MaxPerGroup < 0 || b.MaxGroupWork < 0
 }
 
-// waveOf returns which wave a unit goes in, the first being 0.
+// waveOf returns the number of the wave in which a unit goes; the first is 0.
 func (p *Plan) waveOf(unit int) int {
 	for wave, size := range p.WaveSizes {
 		if unit < size {
@@ -133,8 +133,8 @@
 	return len(p.WaveSizes)
 }
 
-// PreviewWaves returns how a plan would go among so many known units: the units of each wave, and the greatest number
-// that may be unavailable at once.
+// PreviewWaves returns the units of each wave of a plan, and the greatest number that may be unavailable at once if so many
+// units of that sort are known, or at least those of the plan.
 func PreviewWaves(p Plan, known int) (waves [][]string, maxUnavailable int) {
 	p.SetDefaults()
 	for i, name := range p.Units {
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// Slot is the right to be unavailable, granted under a term of the leader's lease; a later one is greater.
+// Slot is the right to be unavailable, granted under a term of the leader's lease. Less orders slots by when they were
+// granted.
 type Slot struct {
 	Term   uint64
 	Number uint64
 }
 
-// Less orders slots.
+// Less reports whether s was granted before other.
 func (s Slot) Less(other Slot) bool {
 	return s.Term < other.Term || s.Term == other.Term && s.Number < other.Number
 }
@@ -57,16 +58,16 @@
 // Ended reports whether the plan is over: it does nothing more by itself. A finished one can still be rolled back.
 func (s State) Ended() bool { return s == StateFinished || s == StateRolledBack }
 
-// Unit is how one of a plan's units stands.
+// Unit is the progress of one of a plan's units.
 type Unit struct {
 	Phase       Phase
 	Slot        Slot
 	Incarnation uint64 // the process that is to leave; 0 for a node
-	RollingBack bool   // it goes back, or has gone back
-	Attempts    int    // times that it left on the way it is on
+	RollingBack bool   // it is on its way back, or has gone back
+	Attempts    int    // times that it was sent: forward, or since RollingBack was set
 }
 
-// Progress is a plan and how it stands. Units are in the plan's order.
+// Progress is a plan with its state. Units are in the plan's order.
 type Progress struct {
 	Plan   Plan
 	State  State
@@ -75,7 +76,8 @@
 	Units  []Unit
 }
 
-// targetVersion is the version that a unit is to have at the end of the way it is on, 0 for any.
+// targetVersion returns the version that a unit is to have when it is done: the target, or the previous one if it is
+// rolling back. 0 stands for any.
 func (p *Progress) targetVersion(unit int) uint64 {
 	switch {
 	case p.Plan.Kind != KindVersion:
@@ -86,18 +88,18 @@
 	return p.Plan.TargetVersion
 }
 
-// Record is all that a leader knows and the next one has to. It is written complete.
+// Record is all that the next leader has to know. It is written to voters complete.
 type Record struct {
 	Term         uint64   // of the leader that wrote it
 	Seq          uint64   // grows with each write under a term
 	SlotsGranted uint64   // so far
-	Members      []string // routers that were there and are not forgotten, by name: a later leader misses them too
+	Members      []string // names, in order, of routers that were seen and not forgotten: a later leader counts them as well
 	Plans        []*Progress
 	Tokens       []string // of operators' commands that were accepted, the newest last
 }
 
-// maxTokens is how many operators' commands are recognized when they are given again. An operator repeats the last few;
-// a record of these is a kilobyte larger.
+// maxTokens is the number of accepted operators' commands whose repeat is recognized. An operator repeats one of the last
+// few; so many make the record about a kilobyte larger.
 const maxTokens = 64
 
 // Clone copies a record; plans themselves are never changed and are shared.
@@ -114,7 +116,7 @@
 	return &c
 }
 
-// FindPlan finds a plan by its name, nil for none. A nil record has no plans.
+// FindPlan returns the plan with this name, nil if there is none. A nil record has no plans.
 func (r *Record) FindPlan(id string) *Progress {
 	if r == nil {
 		return nil
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// isNewer reports whether a write comes after another.
+// isNewer reports whether a write with this term and sequence number comes after the other.
 func isNewer(term, seq, otherTerm, otherSeq uint64) bool {
 	return term > otherTerm || term == otherTerm && seq > otherSeq
 }
--- a/internal/rollout/replication.go
+++ b/internal/rollout/replication.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// How a record is read from voters, recovered, and written to a majority of them. A record is written complete, one write
-// after another, each again until a majority keeps it; only then are members notified and operators answered.
+// How a record is read from voters, recovered, and written to a majority of them. A record is written complete. One write
+// is under way at a time, and is repeated until a majority keeps it; only then are members notified and operators answered.
 
-// retryInterval is the time between reads and writes to voters that have not answered, in us: well above a round trip
-// in any fleet, and a lost message costs an operator a second.
+// retryInterval is the time between reads and writes to voters that have not answered, in us. It is well above a round trip
+// in any fleet; a lost message makes an operator wait a second longer.
 const retryInterval = 1_000_000
 
 // pendingReply is an accepted command whose reply waits until a majority keeps the write with this number.
@@ -21,8 +21,8 @@
 
 func (l *Leader) majority() int { return len(l.voters)/2 + 1 }
 
-// tickRecovery asks voters again that have not answered, and all members to report: a record may be recovered by what
-// they say.
+// tickRecovery repeats the reads that voters have not answered, and asks all members to report: isNewFleet needs their
+// reports. Then it tries to recover the record.
 func (l *Leader) tickRecovery(now int64) {
 	if now < l.nextReadAt {
 		return
@@ -47,7 +47,8 @@
 	}
 }
 
-// HandleReadAnswer takes a voter's answer to ReadVoter. One that has heard of a later leader ends this lead.
+// HandleReadAnswer handles a voter's answer to ReadVoter. A refusal means that the voter has heard of a later leader, and
+// ends this lead.
 func (l *Leader) HandleReadAnswer(now int64, voter string, term uint64, state VoterState, accepted bool) {
 	if l.term == 0 || term != l.term || !l.isVoter(voter) {
 		return
@@ -65,14 +66,14 @@
 	l.recoverRecord(now, false)
 }
 
-// recoverRecord goes on from the newest record that voters keep, where it is sure that none is newer:
+// recoverRecord continues from the newest record that voters keep, if it is sure that there is no newer one:
 //
 //   - a majority of voters answers and has not forgotten, or
 //   - all voters have forgotten and the fleet has never had a record, or
-//   - an operator's begin stands for that, and a majority answers.
+//   - an operator vouches for it with the command begin, and a majority answers.
 //
-// Without this guard a leader whose voters had all restarted would begin with an empty record, grant slots that are out
-// already, and bring drained nodes back.
+// Else notLeadingReason says what is missing. Without this guard a leader whose voters had all restarted would begin with
+// an empty record, grant slots to more units while others are out, and bring drained nodes back.
 func (l *Leader) recoverRecord(now int64, byCommand bool) {
 	answers, remember := len(l.voterStates), 0
 	var newest *Record
@@ -125,7 +126,8 @@
 	return true
 }
 
-// replicate writes the record to voters where it has changed, and a write again that too few have acknowledged.
+// replicate begins to write the record to voters if it has changed and no write is under way, and repeats a write that is
+// under way to the voters that have not acknowledged it.
 func (l *Leader) replicate(now int64) {
 	if l.record == nil {
 		return
@@ -149,7 +151,7 @@
 	}
 }
 
-// HandleWriteAnswer takes a voter's answer to WriteVoter. With a majority the record is committed: operators are answered,
+// HandleWriteAnswer handles a voter's answer to WriteVoter. With a majority the record is committed: operators are answered,
 // members notified, and what has changed since is written.
 func (l *Leader) HandleWriteAnswer(now int64, voter string, term, seq uint64, accepted bool) {
 	if l.inFlight == nil || term != l.term || seq != l.inFlight.Seq || !accepted || !l.isVoter(voter) {
@@ -172,7 +174,7 @@
 	l.replicate(now)
 }
 
-// replyToCommitted answers the commands that a majority of voters keeps now.
+// replyToCommitted replies to the accepted commands whose write a majority of voters keeps now.
 func (l *Leader) replyToCommitted() {
 	waiting := l.pendingReplies[:0]
 	for _, reply := range l.pendingReplies {
@@ -185,7 +187,8 @@
 	l.pendingReplies = waiting
 }
 
-// restoreVoter writes what is committed to a voter that has forgotten, by its report: the next leader counts on it.
+// restoreVoter writes the committed record to a voter whose report shows a new process or a forgotten record: a later
+// leader needs voters that remember.
 func (l *Leader) restoreVoter(r *Report) {
 	if l.voterIncarnations[r.Member] != r.Incarnation {
 		l.voterIncarnations[r.Member] = r.Incarnation
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-// The way back of a plan that evidence or an operator turned: units that have left go back to the previous version, newest
-// first, under the same budget; drained nodes return at once, for that makes nothing unavailable.
+// The rollback of a plan, by evidence or by an operator: units of a plan of versions that have left go back to the
+// previous version, newest slot first, under the same budget; drained nodes return at once, since that makes nothing
+// unavailable.
 
-// maxAttempts is how often a unit leaves to go back before it is stuck: a supervisor that starts the wrong version
+// maxAttempts is how often a unit leaves to go back before it becomes stuck: a supervisor that starts the wrong version
 // twice needs an operator.
 const maxAttempts = 2
 
-// advanceRollback brings what the plan touched back, and ends the plan when all of it is.
+// advanceRollback sends units that the plan touched back as the budget allows. It ends the plan when all are back and none
+// is stuck.
 func (l *Leader) advanceRollback(now int64, p *Progress, u *unavailability) {
 	underWay, toSend := l.turnUnits(now, p)
 	if underWay == 0 && len(toSend) == 0 {
@@ -49,8 +51,8 @@
 	}
 }
 
-// turnUnits turns units that hold a slot already, and returns how many are on their way and which ones have yet to be
-// sent: those that run the target version.
+// turnUnits sets units on their way back that need no new slot, since they hold one already. It returns how many units
+// are under way and which ones have yet to be sent: those that are done with the target version.
 func (l *Leader) turnUnits(now int64, p *Progress) (underWay int, toSend []int) {
 	for i := range p.Units {
 		unit := &p.Units[i]
@@ -74,8 +76,8 @@
 	return underWay, toSend
 }
 
-// sendAgain lets a unit leave once more under the slot that it has, for it came back with the version that it is to go
-// back from.
+// sendAgain lets a unit leave once more under the slot that it holds, because it came back with another version than the
+// previous one. After maxAttempts the unit becomes stuck instead.
 func (l *Leader) sendAgain(now int64, p *Progress, i int) {
 	unit := &p.Units[i]
 	report := &l.members[p.Plan.Units[i]].report
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// How a router that holds a slot goes from phase to phase, and what it has to prove for the slot to be freed. A slot
-// that was freed by time instead would let the next router leave while this one is down.
+// How a router that holds a slot moves from phase to phase, and what it has to prove for the slot to be freed. If slots
+// were freed by time instead, the next router could leave while this one is down.
 
 const (
-	// minCommandsServed is how many commands a router answers after its return to prove that it serves: a second's work of a
-	// router that clients have found again.
+	// minCommandsServed is the number of commands that a router has to answer after its return to prove that it serves:
+	// about a second's work once clients have connected to it again.
 	minCommandsServed = 20
 
 	// idleWatches is a number of the plan's WatchTimes. A router that has answered fewer than minCommandsServed counts as
 	// proven that long after its return: one that no client uses must not hold its slot for ever.
 	idleWatches = 4
 
-	// maxFailedShare is the share of failed commands above which a returned router is not healthy: a database that fails
-	// some commands of all routers alike must not hold the slots, a router that reaches none must.
+	// maxFailedShare is the share of failed commands above which a returned router is not healthy. A router that reaches no
+	// node must keep its slot; a database that fails some commands of all routers alike must not make them keep theirs.
 	maxFailedShare = 0.5
 )
 
-// advanceUnit takes a unit that holds a slot from phase to phase, by what members report.
+// advanceUnit moves a unit that holds a slot from phase to phase, by what members report.
 //
 // A router in PhaseLeaving that goes out of sight counts as having left, also if it was only cut off and never heard that
 // it is to leave. It is not told again, since only units in PhaseLeaving are. When it is in sight again with the same
@@ -61,7 +61,8 @@
 	}
 }
 
-// missingProof returns what a returned unit still has to prove, "" for nothing.
+// missingProof returns what a unit with a slot still lacks to count as done, "" for nothing. For a node that is still
+// leaving it names who may still use it.
 func (l *Leader) missingProof(now int64, p *Progress, i int) string {
 	unit := &p.Units[i]
 	name := p.Plan.Units[i]
@@ -89,7 +90,7 @@
 	return member.missingService(now, p.Plan.WatchTime)
 }
 
-// missingService returns what a router that is back still lacks in commands answered, "" for nothing.
+// missingService returns what a router that is back still lacks in answered commands, "" for nothing.
 func (m *memberState) missingService(now, watchTime int64) string {
 	served := m.report.Counts.minus(m.countsAtReturn)
 	if served.Commands < minCommandsServed {
--- a/internal/rollout/waves.go
+++ b/internal/rollout/waves.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// How a plan goes forward: wave by wave, within a wave in the plan's order as the budget allows.
+// How a plan advances: wave by wave, and within a wave in the plan's order as the budget allows.
 
 const (
-	// minShareInSight is the share of a plan's routers of which more must be in sight for anybody new to leave. A leader
-	// that sees less is rather cut off itself.
+	// minShareInSight is a share of a plan's routers. More of them must be in sight for another one to leave: a leader that
+	// sees fewer is more likely cut off itself.
 	minShareInSight = 0.5
 
-	// maxWatches is how many of the plan's WatchTime a wave is watched at most while its routers answer too few commands to
-	// conclude from: a fleet at night still goes on.
+	// maxWatches is the number of the plan's WatchTimes for which a wave is watched at most while its routers answer too few
+	// commands for a conclusion: a plan must also advance at night.
 	maxWatches = 8
 
-	// maxWatchesInDoubt is the same where its routers do worse than others and not yet surely so: twice as many commands
-	// tell a difference a third smaller.
+	// maxWatchesInDoubt is the same for a wave whose routers do worse than others, but not by enough for a halt: with twice
+	// as many commands a difference that is a third smaller can be found.
 	maxWatchesInDoubt = 16
 
-	// handOverInterval is the time between attempts to let another instance lead, in us. It is the longest that a lease
-	// of a leader lasts: by then another instance has taken it, or none can.
+	// handOverInterval is the time between attempts to let another instance lead, in us. A leader's lease lasts no longer:
+	// by then another instance has it, or none can have it.
 	handOverInterval = 10_000_000
 )
 
-// advanceWave lets units of the present wave leave as the budget allows. When all are back the wave is watched.
+// advanceWave lets units of the present wave leave as the budget allows. When all are done the wave is watched.
 func (l *Leader) advanceWave(now int64, p *Progress, u *unavailability, inDoubt bool) {
 	left := p.unitsLeftInWave()
 	if left == 0 {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// handOver lets another instance lead, for this one is next to leave.
+// handOver lets another instance lead because this one is next to leave, at most once each handOverInterval.
 func (l *Leader) handOver(now int64, p *Progress) {
 	if now >= l.nextHandOverAt {
 		l.nextHandOverAt = now + handOverInterval
@@ -124,7 +124,7 @@
 	l.logf(p.Plan.ID, "wave %d begins", p.Wave+1)
 }
 
-// canConclude reports whether a wave that was watched for so long, in us, has shown enough.
+// canConclude reports whether a wave that was watched for so long, in us, may end. Each wave of nodes may.
 func canConclude(p *Progress, canary *canaryAnalysis, watched int64, inDoubt bool) bool {
 	switch {
 	case p.Plan.Kind == KindNodes:
