--- a/internal/rolloutservice/messages.go
+++ b/internal/rolloutservice/messages.go
@@ -2,7 +2,7 @@
 
 import "cairntiller/internal/rollout"
 
-// message is what one instance sends another; each sort is a type of its own. codec.go maps it to the bytes that are sent.
+// message is what one instance sends another; each kind is a type of its own. codec.go maps it to the bytes that are sent.
 type message interface {
 	wire() wireMessage
 }
@@ -12,7 +12,7 @@
 	report *rollout.Report
 }
 
-// reportRequest is the leader's: the member is to report to its sender from now on.
+// reportRequest is a leader's to a member, which is to send its reports to the sender from now on.
 type reportRequest struct{}
 
 // statementMessage is for a member: what to do with itself, and which nodes are drained.
@@ -21,7 +21,7 @@
 	fromVoter bool // it answers a drainQuery and says nothing about who leads
 }
 
-// readRequest is a new leader's to a voter: which record do you keep?
+// readRequest is a new leader's to a voter, which answers with the record that it keeps.
 type readRequest struct {
 	term uint64
 }
@@ -29,11 +29,11 @@
 // readAnswer is a voter's to a readRequest.
 type readAnswer struct {
 	term     uint64
-	accepted bool // false where the voter has heard of a later term
+	accepted bool // false if the voter has heard of a later term
 	state    rollout.VoterState
 }
 
-// writeRequest is the leader's to one process of a voter: keep this record.
+// writeRequest is the leader's to one process of a voter, which is to keep this record.
 type writeRequest struct {
 	incarnation uint64
 	record      *rollout.Record
@@ -46,7 +46,7 @@
 	accepted bool
 }
 
-// drainQuery is a member's to a voter: which nodes are drained?
+// drainQuery is a member's to a voter, which answers with a statementMessage on drained nodes if it keeps a record.
 type drainQuery struct{}
 
 // commandMessage carries an operator's command to the leader.
--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -19,7 +19,7 @@
 
 const (
 	inboxSize      = 4096 // events that wait; a thousand routers report each second, and one event takes microseconds
-	maxBatch       = 256  // events between two looks at what the parts want done
+	maxBatch       = 256  // events handled before the actions that they led to are carried out
 	tickInterval   = 250 * time.Millisecond
 	reportInterval = int64(1_000_000) // us between reports to the leader
 
@@ -42,15 +42,15 @@
 	commandsRejected = metrics.New("operator commands on plans refused")
 )
 
-// Router is what the service needs of the router beside it; its calls may come from any goroutine and never block.
+// Router is what the service needs of the router beside it. Its methods may be called from any goroutine and never block.
 type Router interface {
-	// Counts returns what it has served, whether it takes commands, and how long it took to be ready, in us.
+	// Counts returns what it has served, whether it accepts commands, and how long it took to be ready, in us.
 	Counts() (counts rollout.CommandCounts, ready bool, startupTime int64)
-	// Drain lets nothing new go to these nodes, and lifts that from all others.
+	// Drain sends no new commands to these nodes, and lets them go to all others again.
 	Drain(nodes []string)
-	// QueryNodes asks for the nodes that it knows, with what it has open at them; the answer comes on any goroutine.
+	// QueryNodes asks for the nodes that it knows, with what is open at each; answer may be called on any goroutine.
 	QueryNodes(answer func([]Node))
-	// Leave lets it leave in order, as on a stop.
+	// Leave lets it leave in order, as on SIGTERM.
 	Leave()
 }
 
@@ -159,7 +159,8 @@
 	s.goroutines.Wait()
 }
 
-// post hands an event to the goroutine; it never blocks.
+// post queues an event for the goroutine that runs run; it never blocks. If the queue is full the event is dropped and
+// counted, whatever it is.
 func (s *Service) post(event func(now int64)) {
 	select {
 	case s.inbox <- event:
@@ -231,7 +232,7 @@
 	s.leader.StepDown()
 }
 
-// handOver gives the lead up; what was sent under it is over, for a record is written complete or not at all.
+// handOver gives the lead up, to next if it is not "". A write under way can be left: records are written complete.
 func (s *Service) handOver(next string) {
 	if guard := s.guard; guard != nil && s.term > 0 {
 		s.stepDown()
@@ -317,7 +318,7 @@
 	}
 }
 
-// report sends whoever leads how this router does.
+// report sends this router's report to the leader that it knows.
 func (s *Service) report(now int64) {
 	s.nextReportAt = now + reportInterval
 	counts, ready, startupTime := s.router.Counts()
--- a/internal/rolloutservice/settings.go
+++ b/internal/rolloutservice/settings.go
@@ -7,15 +7,15 @@
 	"cairntiller/internal/sexp"
 )
 
-// Settings are what the operator's file says of releases.
+// Settings are the part "releases" of the operator's file.
 type Settings struct {
-	Given           bool // the file has that part; without it the service is off
+	Given           bool // the file has this part; without it the service is off
 	Zone            string
 	Version         uint64
 	NextVersionFile string // to which the version that the supervisor is to start next is written; "" for none
 }
 
-// ReadSettings takes them from the part "releases" of the operator's file; its faults are noted there.
+// ReadSettings reads them from the part "releases" of the operator's file, and adds its faults to the part.
 func ReadSettings(p *sexp.Part) Settings {
 	settings := Settings{
 		Given:           p.Present(),
