--- a/internal/assignment/members.go
+++ b/internal/assignment/members.go
@@ -83,7 +83,7 @@
 		m.noteRejoin(now)
 	}
 	if m.weight != weight {
-		t.resetScores(m)
+		t.invalidateTargets(m)
 	}
 	t.targetsStale = t.targetsStale || !wasAlive || m.weight != weight
 	m.incarnation = incarnation
@@ -105,9 +105,9 @@
 	m.slowUntil = 0
 }
 
-// resetScores undoes the choices that rest on a member's weight, which changes: the tasks that it is the target of get a
-// target anew, and it is weighed against the targets of all others like one that came.
-func (t *Table) resetScores(m *member) {
+// invalidateTargets undoes the choices that rest on a member's weight, which changes. Tasks that it is the target of are
+// assigned anew; it competes for the rest like a new member.
+func (t *Table) invalidateTargets(m *member) {
 	for _, task := range t.tasks {
 		if task != nil && task.target == m {
 			task.target = nil
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -50,7 +50,7 @@
 			p, harness := startPool(t, 9, s)
 			harness.send(p, "n0", 0)
 			got := <-harness.results
-			if got.outcome != c.want || got.outcome == routing.Answered && string(got.reply.Value) != scriptedserver.Row {
+			if got.outcome != c.want || got.outcome == routing.Answered && string(got.reply.RowMessages) != scriptedserver.Row {
 				t.Errorf("%d, want %d: %+v", got.outcome, c.want, got.reply)
 			}
 		})
@@ -95,8 +95,8 @@
 				harness.send(p, "n0", 0)
 				got := <-harness.results
 				ends = append(ends, got.outcome)
-				if got.outcome == routing.Answered && string(got.reply.Value) != scriptedserver.Row {
-					t.Fatalf("%q behind: %q", behind, got.reply.Value)
+				if got.outcome == routing.Answered && string(got.reply.RowMessages) != scriptedserver.Row {
+					t.Fatalf("%q behind: %q", behind, got.reply.RowMessages)
 				}
 			}
 			if n := len(s.Opened()); slices.Equal(ends, slices.Repeat([]routing.Outcome{routing.Answered}, 3)) && n == 3 {
--- a/internal/backend/query.go
+++ b/internal/backend/query.go
@@ -148,7 +148,7 @@
 	}
 	load := ""
 	if reply != nil && outcome == routing.Answered {
-		load = string(reply.First)
+		load = string(reply.Column)
 	}
 	p.results.HealthCheckEnded(now, q.node.name, outcome, load)
 }
@@ -162,7 +162,7 @@
 // outcomeOf translates a reply's error code. After part of a row no code proves that nothing ran: the node had begun to
 // answer.
 func outcomeOf(reply *pgwire.Reply) routing.Outcome {
-	if reply.Code != "" && len(reply.Value) > 0 {
+	if reply.Code != "" && len(reply.RowMessages) > 0 {
 		return routing.Errored
 	}
 	switch reply.Code {
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -78,7 +78,7 @@
 	attemptOutcomes[outcome].Add()
 	e.services.attemptEnded(attempt, outcome, now)
 	elapsed := now - attempt.StartedAt
-	if outcome == routing.Answered && request.Answer(reply.Value) {
+	if outcome == routing.Answered && request.Answer(reply.RowMessages) {
 		e.unanswered.add(-1)
 	}
 	if reply != nil {
--- a/internal/membership/admission.go
+++ b/internal/membership/admission.go
@@ -13,8 +13,10 @@
 	// directRate is how many more it may send a second.
 	directRate = 2000.0
 
-	// addressMemory is how long (us) a member that is gone keeps its place, and how long its address is tried again.
-	addressMemory = 3600e6
+	// memberMemory is how long (us) a member that is gone is remembered: an hour. It serves two purposes. In admission, the
+	// member's name keeps its place among the members allowed, so that it comes back without counting as new. In
+	// missing_members.go, the last address of a lost member is tried again for that long.
+	memberMemory = 3_600_000_000
 
 	// sendersPerMember bounds the members that rate limits and duplicate filters are kept for, as a multiple of the members
 	// allowed: as many names again may have been replaced by others.
@@ -110,7 +112,7 @@
 // forgetOld drops names that were not seen for long, so that members that came and went do not fill the places.
 func (a *admission) forgetOld(now int64) {
 	for name, seenAt := range a.admitted {
-		if now-seenAt > addressMemory {
+		if now-seenAt > memberMemory {
 			delete(a.admitted, name)
 			delete(a.received, name)
 			delete(a.direct, name)
--- a/internal/membership/missing_members.go
+++ b/internal/membership/missing_members.go
@@ -64,7 +64,7 @@
 func (m *missingMembers) addresses(now int64, alone bool) []string {
 	var all []string
 	for address, lostAt := range m.lost {
-		if now-lostAt > addressMemory {
+		if now-lostAt > memberMemory {
 			delete(m.lost, address)
 			continue
 		}
--- a/internal/membership/missing_members_test.go
+++ b/internal/membership/missing_members_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("%v", addresses)
 	}
 	missing.memberLost(301_000_000, "x")
-	if addresses := missing.addressesToTry(301_000_000+addressMemory+1, false); addresses != nil {
+	if addresses := missing.addressesToTry(301_000_000+memberMemory+1, false); addresses != nil {
 		t.Errorf("it is looked for for ever: %v", addresses)
 	}
 }
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -14,7 +14,7 @@
 	keptBuffer = 1 << 14
 )
 
-// Frame is one message. Type 0 marks the untyped ones that open a connection. Body stands until the next Feed.
+// Frame is one message. Type 0 marks the untyped ones that open a connection. Body is valid until the next Feed.
 type Frame struct {
 	Type byte
 	Body []byte
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -122,11 +122,11 @@
 		}
 		a, doneA, errA := read(len(in) + 1)
 		b, doneB, errB := read(1)
-		if doneA != doneB || errA != errB || a.Code != b.Code || !bytes.Equal(a.Value, b.Value) ||
+		if doneA != doneB || errA != errB || a.Code != b.Code || !bytes.Equal(a.RowMessages, b.RowMessages) ||
 			a.NodeReport != b.NodeReport || a.last != b.last {
 			t.Fatalf("%+v %v %v; %+v %v %v", a, doneA, errA, b, doneB, errB)
 		}
-		if doneA && a.Code == "" && (!a.Complete() || len(a.Value) > len(in)) {
+		if doneA && a.Code == "" && (!a.Complete() || len(a.RowMessages) > len(in)) {
 			t.Fatalf("an answer of no whole row: %+v", a)
 		}
 	})
--- a/internal/pgwire/reply.go
+++ b/internal/pgwire/reply.go
@@ -21,11 +21,11 @@
 // DataRow, CommandComplete), or an error, which may break off a row.
 type Reply struct {
 	NodeReport
-	Code  string // of its ErrorResponse, "" for none
-	Fatal bool   // the connection ends with it
-	Value []byte // the row's messages as they came
-	First []byte // the row's one column
-	last  byte   // type of the last message of the row or error, 0 for none
+	Code        string // of its ErrorResponse, "" for none
+	Fatal       bool   // the connection ends with it
+	RowMessages []byte // the row's messages (RowDescription, DataRow, CommandComplete) as they came
+	Column      []byte // the row's one column, without its length
+	last        byte   // type of the last message of the row or error, 0 for none
 }
 
 // Complete reports whether the row is complete, though ReadyForQuery may be still to come.
@@ -53,9 +53,9 @@
 			return false, ErrUnexpectedMessage
 		}
 		if f.Type == 'D' {
-			r.First = append(r.First, f.Body[6:]...)
+			r.Column = append(r.Column, f.Body[6:]...)
 		}
-		r.Value = f.Append(r.Value)
+		r.RowMessages = f.Append(r.RowMessages)
 	case 'E':
 		if r.last == 'C' || r.last == 'E' { // it may break off a row, not follow a complete one
 			return false, ErrUnexpectedMessage
--- a/internal/serve/cluster_services.go
+++ b/internal/serve/cluster_services.go
@@ -35,8 +35,8 @@
 	rollouts     atomic.Pointer[rolloutservice.Service] // messages may come before it has begun
 }
 
-// host is the router that the cluster services work for.
-type host struct {
+// localRouter is the router that the cluster services work for.
+type localRouter struct {
 	now                 func() int64 // us
 	engine              *engine.Engine
 	rollouts            *rolloutRouter
@@ -45,23 +45,23 @@
 }
 
 // startClusterServices starts what the operator's file asks for. It is called before the engine runs.
-func startClusterServices(options operatorOptions, name string, h host, hooks TestHooks) (*clusterServices, error) {
+func startClusterServices(options operatorOptions, name string, local localRouter, hooks TestHooks) (*clusterServices, error) {
 	s := &clusterServices{name: name, options: options}
-	if err := s.start(h, hooks); err != nil {
+	if err := s.start(local, hooks); err != nil {
 		s.close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *clusterServices) start(h host, hooks TestHooks) (err error) {
+func (s *clusterServices) start(local localRouter, hooks TestHooks) (err error) {
 	options := s.options
 	if options.adminSocket.Enabled {
 		if s.admin, err = adminsocket.Listen(options.adminSocket); err != nil {
 			return err
 		}
 	}
-	if options.sharedProbes.Enabled && !h.healthChecksAllowed {
+	if options.sharedProbes.Enabled && !local.healthChecksAllowed {
 		slog.Warn("the settings allow no health checks, so none are shared")
 		options.sharedProbes.Enabled = false
 	}
@@ -69,41 +69,41 @@
 		return nil
 	}
 	if options.sharedProbes.Enabled {
-		s.sharedProbes = sharedprobes.New(h.engine)
+		s.sharedProbes = sharedprobes.New(local.engine)
 	}
 	joined := make(chan struct{}) // closed once there is a membership: nothing is sent before
 	if options.leases.Given {
 		s.makeLeases(options, joined, hooks)
 	}
-	if s.membership, err = membership.Start(options.membership, s.membershipEvents(h), hooks.WrapTransport); err != nil {
+	if s.membership, err = membership.Start(options.membership, s.membershipEvents(local), hooks.WrapTransport); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	close(joined)
 	if s.sharedProbes != nil {
-		s.sharedProbes.Join(h.now(), s.membership, options.membership, options.sharedProbes)
-		h.engine.SetSharedProbes(s.sharedProbes)
+		s.sharedProbes.Join(local.now(), s.membership, options.membership, options.sharedProbes)
+		local.engine.SetSharedProbes(s.sharedProbes)
 	}
 	if s.leases != nil {
 		s.startLeases(options, hooks)
 	}
 	if s.leases != nil && options.rollouts.Given {
-		s.startRollouts(options, h)
+		s.startRollouts(options, local)
 	}
 	return nil
 }
 
 // membershipEvents passes what membership tells to the services that need it.
-func (s *clusterServices) membershipEvents(h host) membership.Events {
+func (s *clusterServices) membershipEvents(local localRouter) membership.Events {
 	var events membership.Events
 	if s.sharedProbes != nil {
-		events = s.sharedProbes.Events(h.now)
+		events = s.sharedProbes.Events(local.now)
 	}
 	events.Message = s.receive
 	if s.leases != nil {
 		onDown := events.MemberDown
-		events.MemberDown = func(name string, born uint64, left bool) {
+		events.MemberDown = func(name string, incarnation uint64, left bool) {
 			if onDown != nil {
-				onDown(name, born, left)
+				onDown(name, incarnation, left)
 			}
 			s.leases.MemberGone(name)
 		}
@@ -140,14 +140,14 @@
 	}
 }
 
-func (s *clusterServices) startRollouts(options operatorOptions, h host) {
-	h.engine.EnableClusterServices(h.latencyObjectives)
+func (s *clusterServices) startRollouts(options operatorOptions, local localRouter) {
+	local.engine.EnableClusterServices(local.latencyObjectives)
 	rollouts := rolloutservice.New(rolloutservice.Config{
 		Self:         options.membership.Name,
 		Settings:     options.rollouts,
 		Voters:       options.leases.Voters.Names,
 		LongestLease: options.leases.LongestLease,
-		Router:       h.rollouts,
+		Router:       local.rollouts,
 		Leases:       s.leases,
 		Clock:        leaseservice.Clock,
 		Members:      s.membership.Members,
--- a/internal/serve/rollout_router.go
+++ b/internal/serve/rollout_router.go
@@ -13,30 +13,30 @@
 // rolloutRouter is the router as rollouts see it. It implements rolloutservice.Router; its methods may be called from
 // any goroutine.
 type rolloutRouter struct {
-	now       func() int64 // us
-	engine    *engine.Engine
-	began     time.Time
-	startTime atomic.Int64 // us from the router's start until it was ready, 0 for not yet
-	leaving   atomic.Bool
-	leave     chan struct{} // holds a value once a rollout wants the router to end
+	now             func() int64 // us
+	engine          *engine.Engine
+	startedAt       time.Time
+	startupDuration atomic.Int64 // us from startedAt until the router was ready; 0 until then
+	leaving         atomic.Bool
+	leave           chan struct{} // holds a value once a rollout wants the router to end
 }
 
 // noteReady notes that the router takes commands; only the first call counts.
 func (r *rolloutRouter) noteReady() {
-	r.startTime.CompareAndSwap(0, max(1, time.Since(r.began).Microseconds()))
+	r.startupDuration.CompareAndSwap(0, max(1, time.Since(r.startedAt).Microseconds()))
 }
 
 // Counts implements rolloutservice.Router.
-func (r *rolloutRouter) Counts() (f rollout.CommandCounts, ready bool, startedIn int64) {
+func (r *rolloutRouter) Counts() (f rollout.CommandCounts, ready bool, startupDuration int64) {
 	totals := inflight.ReadTotals()
-	startedIn = r.startTime.Load()
-	ready = startedIn > 0 && !r.leaving.Load()
+	startupDuration = r.startupDuration.Load()
+	ready = startupDuration > 0 && !r.leaving.Load()
 	return rollout.CommandCounts{
 		Commands: totals.Answered + totals.Failed + totals.Rejected,
 		Failed:   totals.Failed,
 		Late:     engine.LateAnswers(),
 		Rejected: totals.Rejected,
-	}, ready, startedIn
+	}, ready, startupDuration
 }
 
 // Drain implements rolloutservice.Router.
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -50,7 +50,7 @@
 
 // Run runs a router until it is told to stop. operatorFile is the path of the operator's file, "" for none.
 func Run(operatorFile string, hooks TestHooks) error {
-	began := time.Now()
+	startedAt := time.Now()
 	signals := subscribe() // before all else: a signal that nobody waits for would end the process
 	loaded, err := loadConfig()
 	if err != nil {
@@ -68,7 +68,7 @@
 	if err := stream.ConfigureLibrary(slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn).Writer()); err != nil {
 		return err
 	}
-	r, err := newRouter(platform, loaded.settings, limits, options, began, hooks)
+	r, err := newRouter(platform, loaded.settings, limits, options, startedAt, hooks)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 }
 
 // newRouter makes the router's parts, and starts what it does with others.
-func newRouter(platform platformConfig, values settings.Values, limits resourceLimits, options operatorOptions, began time.Time,
+func newRouter(platform platformConfig, values settings.Values, limits resourceLimits, options operatorOptions, startedAt time.Time,
 	hooks TestHooks) (*router, error) {
 	now := engine.NewClock()
 	e := engine.New(now)
@@ -105,8 +105,8 @@
 		MaxConnections: limits.nodeConnections,
 	})
 	e.Attach(core, pool)
-	rollouts := &rolloutRouter{now: now, engine: e, began: began, leave: make(chan struct{}, 1)}
-	services, err := startClusterServices(options, platform.Name, host{
+	rollouts := &rolloutRouter{now: now, engine: e, startedAt: startedAt, leave: make(chan struct{}, 1)}
+	services, err := startClusterServices(options, platform.Name, localRouter{
 		now:                 now,
 		engine:              e,
 		rollouts:            rollouts,
@@ -168,8 +168,8 @@
 		select {
 		case err := <-r.listenFailed:
 			return fmt.Errorf("no longer listening: %w", err)
-		case call := <-signals.calls:
-			if call == syscall.SIGUSR1 {
+		case request := <-signals.requests:
+			if request == syscall.SIGUSR1 {
 				metrics.Print(os.Stderr)
 			} else {
 				r.reload()
@@ -196,14 +196,14 @@
 
 // signals are the process's signals.
 type signals struct {
-	stops chan os.Signal // SIGTERM and SIGINT
-	calls chan os.Signal // SIGHUP and SIGUSR1
+	stops    chan os.Signal // SIGTERM and SIGINT
+	requests chan os.Signal // SIGHUP and SIGUSR1
 }
 
 func subscribe() signals {
-	s := signals{stops: make(chan os.Signal, 1), calls: make(chan os.Signal, 8)}
+	s := signals{stops: make(chan os.Signal, 1), requests: make(chan os.Signal, 8)}
 	signal.Notify(s.stops, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(s.calls, syscall.SIGHUP, syscall.SIGUSR1)
+	signal.Notify(s.requests, syscall.SIGHUP, syscall.SIGUSR1)
 	return s
 }
 
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// readLine reads the next line, without its end; it stands until the next call. The last line may lack an end.
+// readLine reads the next line, without its end; it is valid until the next call. The last line may lack an end.
 func (s *server) readLine() ([]byte, error) {
 	s.longLine = s.longLine[:0]
 	for {
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -49,7 +49,7 @@
 
 // Events are what a connection tells its owner; each is called on a goroutine of the library's.
 type Events struct {
-	Received func(p []byte) // p stands only until it returns
+	Received func(p []byte) // p is valid only until it returns
 	Closed   func()         // once, whoever ended the connection
 }
 
