--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -18,7 +18,8 @@
 	Lines bool   `help:"One statement a line. Otherwise a line that holds only ;; parts them."`
 }
 
-// Run prints class, cost, shape, route and reason of each statement, with tabs between; a dash for what is not known.
+// Run prints a line for each statement: class, cost, shape, route and reason, with tabs between, and a dash for what is not
+// known. Nothing works out cost and route yet, so both are always a dash; the columns keep their places.
 func (c *classifyCommand) Run(out io.Writer) error {
 	settings, err := c.readSettings()
 	if err != nil {
@@ -62,7 +63,7 @@
 	return os.Open(c.Input)
 }
 
-// printClass classifies one statement and prints a line.
+// printClass classifies one statement and prints a line; cost and route, the second and fourth column, are always a dash.
 func printClass(out io.Writer, classifier *sql.Classifier, text string) error {
 	entry, _, err := classifier.Classify(text, nil)
 	if err != nil {
--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	var token string
+	var token string // the answer is the command's token; it is read only to learn that the command was accepted
 	if err := adminsocket.Ask(f.Socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token); err != nil {
 		return err
 	}
--- a/internal/assignment/claims.go
+++ b/internal/assignment/claims.go
@@ -7,7 +7,7 @@
 	// update may be lost or late, so it is more than 1; a node goes without a probe that long after its owner failed.
 	overdueIntervals = 1.75
 	// overdueRankIntervals is how many intervals later each further rank follows: in that time the update of the member
-	// before it comes in, so that members do not claim a task one upon another.
+	// before it comes in, so that several members do not claim the same task one after another.
 	overdueRankIntervals = 0.4
 
 	// reclaimDelay is how long (us) a target leaves a task to a member that took it over. It failed to deliver once, and a
--- a/internal/assignment/doc.go
+++ b/internal/assignment/doc.go
@@ -15,7 +15,7 @@
 //	           claim (a reason below)                  greater claim heard
 //	no owner ------------------------> this instance ------------------------> another member
 //	    ^                                 |      ^                                    |
-//	    |    this instance stood still    |      |      claim (a reason below)        |
+//	    |    this instance was paused     |      |      claim (a reason below)        |
 //	    +---------------------------------+      +------------------------------------+
 //
 // An instance claims a task for one of these reasons only:
--- a/internal/assignment/evidence.go
+++ b/internal/assignment/evidence.go
@@ -5,7 +5,7 @@
 	// for which a role that a node reported outweighs the endpoint list in the routing module.
 	primaryHintMaxAge = 2_000_000
 	// responseMaxAgeIntervals is the age, in intervals, up to which a peer's report that a node responds or does not is
-	// passed on: after that the next one is overdue.
+	// passed on. It is longer than overdueIntervals, so that one lost update does not end it.
 	responseMaxAgeIntervals = 2.5
 
 	// delayRiseGain and delayFallGain weigh a new sample in the estimate of the delay of updates. The estimate rises fast
--- a/internal/assignment/interval.go
+++ b/internal/assignment/interval.go
@@ -3,8 +3,12 @@
 // updateInterval sets the interval between two runs of one task from the number of members that this instance sees.
 //
 // Each part of a parted network runs every task. A part of k of N instances therefore runs a task at most
-// k * MaxRunRate / N times a second: however the instances are parted, the parts together stay within MaxRunRate. N is the
-// greatest number of members seen lately, or what the operator says.
+// k * MaxRunRate / N times a second, so that the parts together stay within MaxRunRate. N is the greatest number of live
+// members that counts, or what the operator says if that is more.
+//
+// This function runs only when a member is reported up or down. peakAt is the last such report at which the greatest number
+// was reached, not the time until which it held. If memberMemory has passed since then, the first member that is lost
+// takes the greatest number down with it; without a report the greatest number counts for as long as there is none.
 func (t *Table) updateInterval(now int64) {
 	live := t.liveMembers()
 	if live >= t.peakMembers || now-t.peakAt > memberMemory {
--- a/internal/assignment/member_health.go
+++ b/internal/assignment/member_health.go
@@ -6,7 +6,8 @@
 	slowOverdueShare = 0.5
 	// slowMinTasks is how many tasks a member must own to be judged: a few say nothing.
 	slowMinTasks = 3
-	// slowTime is how long (us) a slow member is nobody's target: it must not come and go.
+	// slowTime is how long (us) a slow member is nobody's target, so that a member that is slow now and then does not keep
+	// losing and regaining tasks.
 	slowTime = 15_000_000
 )
 
--- a/internal/assignment/members.go
+++ b/internal/assignment/members.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// memberMemory is how long (us) a lost member, and the greatest number of live members, are remembered. An instance that
-// restarts or a network that is mended comes back well within it; an instance that was retired for good counts in the
-// interval that much longer.
+// memberMemory is how long (us) a lost member is remembered, and for how long after it was reached the greatest number of
+// live members counts (interval.go says how that ends). An instance that restarts or a network that is mended comes back
+// well within it.
 const memberMemory = 600_000_000
 
 // memberState is what a member is to this instance.
@@ -36,7 +36,7 @@
 	owned     int   // tasks that it owns
 	overdue   int   // of these, tasks whose newest update is too old; counted at each tick
 
-	rejoins    int // how often it came back lately
+	rejoins    int // how often it came back, counted as noteRejoin says
 	rejoinedAt int64
 }
 
@@ -95,7 +95,8 @@
 	t.updateInterval(now)
 }
 
-// noteRejoin counts that a member came back. It starts again as one that is not slow.
+// noteRejoin counts that a member came back. The count starts again if the last rejoin was more than rejoinMemory ago;
+// it is not reset in between. The member starts again as one that is not slow.
 func (m *member) noteRejoin(now int64) {
 	if now-m.rejoinedAt > rejoinMemory {
 		m.rejoins = 0
@@ -133,7 +134,8 @@
 	t.updateInterval(now)
 }
 
-// Rejoins is how often a member came back lately, for the member to be told of.
+// Rejoins returns how often a member came back, for the member to be told of. The count covers rejoins that followed one
+// another within rejoinMemory. It is reset only at the member's next rejoin, so it may be older than that.
 func (t *Table) Rejoins(name string) int {
 	if m := t.memberByName[name]; m != nil {
 		return m.rejoins
--- a/internal/assignment/rejoin.go
+++ b/internal/assignment/rejoin.go
@@ -52,8 +52,8 @@
 	t.rejoin.claiming = true
 }
 
-// maybeLeaveMinority is called when a member came. An instance that was cut off with few others comes in like one that
-// rejoined: what the many run goes on.
+// maybeLeaveMinority is called when a member came. An instance that was cut off with few others waits as after a rejoin, so
+// that the larger side keeps its tasks.
 func (t *Table) maybeLeaveMinority(now int64) {
 	if !t.rejoin.minority {
 		return
--- a/internal/assignment/table.go
+++ b/internal/assignment/table.go
@@ -28,7 +28,7 @@
 	Unresponsive bool   // the node did not respond
 	Position     int64  // replication position that the node reported, 0 for none
 	PrimaryHint  int8   // 1 if the node reported that it is the primary, -1 if not, 0 if it reported neither
-	LoadReport   string // the node's own load report, as it came
+	LoadReport   string // the node's own load report, as it came; sent to the other instances, and not read by any
 }
 
 // DueRun is a task that this instance has to run now.
@@ -60,8 +60,8 @@
 	taskByKey map[string]*task
 
 	interval    int64 // us between two runs of one task, as extended by updateInterval
-	peakMembers int   // greatest number of live members lately
-	peakAt      int64
+	peakMembers int   // greatest number of live members that counts (interval.go)
+	peakAt      int64 // when it was last reached at a member's coming or going
 
 	budget   claimBudget
 	rejoin   rejoinState
@@ -156,8 +156,8 @@
 	t.freeTasks = append(t.freeTasks, removed.slot)
 }
 
-// Tick claims what is to be claimed and returns the runs that are due now, in the memory of due. It is to be called about
-// ten times a second: a longer pause counts as a standstill of this instance (pause.go).
+// Tick claims what is to be claimed and returns the runs that are due now, in the memory of due. Call it about ten times a
+// second. A gap of over pauseThreshold counts as a pause of this instance (pause.go).
 func (t *Table) Tick(now int64, due []DueRun) []DueRun {
 	due = due[:0]
 	t.detectPause(now)
--- a/internal/membership/admission.go
+++ b/internal/membership/admission.go
@@ -138,7 +138,9 @@
 	return bucket.take()
 }
 
-// isNew tells whether a gossip message, by an origin's process and under its number, was not taken before.
+// isNew reports whether a gossip message, by an origin's process and under its number, was not taken before. It is also
+// false for an origin without a filter while the table of filters is full; its messages are then dropped, and the caller
+// counts them as duplicates.
 func (a *admission) isNew(origin string, incarnation, number uint64) bool {
 	filter := a.received[origin]
 	if filter == nil {
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -60,7 +60,9 @@
 }
 
 // nextRound returns what one round carries, up to a budget of bytes: what was sent least often first, among equals the
-// oldest. Messages that have had all their rounds are dropped, and all of them if there is no other member.
+// oldest. It stops at the first message that does not fit what is left of the budget, so a message larger than the whole
+// budget holds up those behind it. Messages that have had all their rounds are dropped, and all of them if there is no
+// other member.
 func (q *broadcastQueue) nextRound(members, budget int) []*queuedMessage {
 	if members < 2 {
 		q.messages = nil
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -164,8 +164,9 @@
 // a round at most.
 func (s *Service) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState implements memberlist.Delegate: what a member that joins is handed. The library's regular exchanges carry
-// none of it: each update is sent anew every interval, and the state of all nodes each time would be too much.
+// LocalState implements memberlist.Delegate: what the other member is handed when this one joins it or is joined by it.
+// The library's regular exchanges carry none of it: each update is sent anew every interval, and the state of all nodes
+// each time would be too much.
 func (s *Service) LocalState(join bool) []byte {
 	if !join {
 		return nil
@@ -189,7 +190,9 @@
 	return encode(state)
 }
 
-// MergeRemoteState implements memberlist.Delegate: it takes what another member hands to this one as it joins.
+// MergeRemoteState implements memberlist.Delegate: it takes what another member hands over. The library calls it on both
+// sides of a join, so a member that was there all along also takes the joining one's record of it, and reports Rejoined
+// if that says it came back.
 func (s *Service) MergeRemoteState(raw []byte, _ bool) {
 	if len(raw) == 0 {
 		return
--- a/internal/membership/keyring.go
+++ b/internal/membership/keyring.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// ReplaceKeys takes other encryption keys: the first is sent with, all of them are understood, and keys that are not among
-// them no longer are.
+// ReplaceKeys takes other encryption keys, one at least: the first is sent with, all of them are understood, and keys that
+// are not among them no longer are.
 func (s *Service) ReplaceKeys(keys [][]byte) error {
 	for _, key := range keys {
 		if err := s.keyring.AddKey(key); err != nil {
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -7,15 +7,14 @@
 	"cairntiller/internal/codec"
 )
 
-// version is that of the messages, which are CBOR arrays (RFC 8949) described in docs/assignment.md. A change that others can't
-// read takes another
-// version; members of different versions keep apart.
+// version is the version of the messages, which are CBOR arrays (RFC 8949) described in docs/assignment.md. Raise it with
+// any change that older instances cannot read; members of different versions keep apart.
 const version = 1
 
 // Bounds on what is sent and taken.
 const (
 	maxUpdateMessage = 1_000   // bytes of updates in one gossip message: it fits a datagram with what the library adds
-	maxState         = 4 << 20 // bytes of state that a joining member is handed: ten thousand nodes take half a megabyte
+	maxState         = 4 << 20 // bytes of state handed over when a member joins: ten thousand nodes take half a megabyte
 	maxUpdates       = 20_000  // updates in one message, and tasks whose newest update is kept
 	maxName          = 128     // bytes of a member's name or of a task's key
 	maxLoadReport    = 256     // bytes of a node's load report
@@ -68,7 +67,7 @@
 	Unresponsive bool
 	Position     int64
 	PrimaryHint  int8
-	LoadReport   string
+	LoadReport   string // not read; the form of version 1 has it
 }
 
 // directMessage is one message from one member to another, of a kind that its users agree on. Its first element is a
@@ -83,7 +82,7 @@
 	Body        []byte
 }
 
-// joinState is what a member hands to one that joins: what it knows of others, and the newest updates.
+// joinState is what two members hand each other when one of them joins: what each knows of others, and the newest updates.
 type joinState struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
@@ -91,7 +90,7 @@
 	Updates []wireUpdate
 }
 
-// memberRecord is how often a member came back lately, and the newest process of it that was heard of.
+// memberRecord is how often a member came back (assignment.Table.Rejoins), and the newest process of it that was heard of.
 type memberRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -117,7 +116,8 @@
 	}
 }
 
-// fromWire checks an update and makes an assignment.Update of it; held (us) is added to its age.
+// fromWire checks an update and makes an assignment.Update of it; held (us) is added to its age. Neither has an upper
+// bound, so the sum may overflow.
 func fromWire(w wireUpdate, origin string, held int64) (assignment.Update, error) {
 	switch {
 	case w.Key == "", len(w.Key) > maxName, len(w.Owner) > maxName, len(w.LoadReport) > maxLoadReport:
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -10,7 +10,7 @@
 
 var (
 	membersJoined      = metrics.New("members joined")
-	membersLost        = metrics.New("members lost")
+	membersLost        = metrics.New("members lost") // also those that left in order
 	rejectedVersion    = metrics.New("members of another version")
 	rejectedCluster    = metrics.New("members of another cluster")
 	rejectedKey        = metrics.New("members with a wrong key")
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -19,7 +19,9 @@
 const (
 	heartbeatInterval = 500 * time.Millisecond // between heartbeats, each to one member
 	heartbeatTimeout  = 250 * time.Millisecond // for an answer; other members are then asked to try too
-	// suspicionMultiplier is how many heartbeats, times the logarithm of the members, a suspected member has to object.
+	// suspicionMultiplier sets how soon a suspected member is declared lost: after this many heartbeat intervals, times
+	// log10(members) if there are more than ten, without a refutation. Unless another member confirms the suspicion it takes
+	// loneSuspicionMultiplier times as long.
 	suspicionMultiplier = 3
 	// loneSuspicionMultiplier is how many times longer an instance waits if no other member confirms its suspicion: it may
 	// be cut off itself.
@@ -48,7 +50,7 @@
 	MemberDown func(name string, incarnation uint64, left bool)
 	// Updates takes updates by other instances.
 	Updates func([]assignment.Update)
-	// Rejoined reports how often this instance came back lately, as others saw it.
+	// Rejoined reports how often this instance came back, as others counted it (assignment.Table.Rejoins).
 	Rejoined func(times int)
 	// Message takes a direct message.
 	Message func(from string, incarnation uint64, kind uint8, body []byte)
@@ -108,7 +110,8 @@
 	heldAt int64 // when this instance got it, us
 }
 
-// Start joins the other instances, or waits for them if none answers yet. wrap may be nil.
+// Start joins the other instances, or waits for them if none answers yet. settings.Keys holds one key at least; wrap may
+// be nil.
 func Start(settings Settings, events Events, wrap WrapTransport) (*Service, error) {
 	keyring, err := memberlist.NewKeyring(settings.Keys, settings.Keys[0])
 	if err != nil {
@@ -222,7 +225,7 @@
 	return names
 }
 
-// RecordRejoins notes how often a member came back lately, for the member to be told of when it joins.
+// RecordRejoins notes how often a member came back (assignment.Table.Rejoins), for the member to be told of when it joins.
 func (s *Service) RecordRejoins(name string, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -20,7 +20,7 @@
 	Listen     string   // host:port for TCP and UDP
 	Advertise  string   // host:port at which the others reach this instance; empty if it is Listen
 	Seeds      []string // host:port of members to look for while there is no other
-	Keys       [][]byte // encryption keys; the first is the one to send with
+	Keys       [][]byte // encryption keys; the first is the one to send with. Start needs one at least.
 	MaxMembers int
 	Weight     float64 // this instance's share of the tasks, relative to the other members' weights
 	Bandwidth  int     // bytes a second that gossip may take on the way out
@@ -69,7 +69,8 @@
 	}
 }
 
-// readKeys decodes the keys of the file itself and then those of its key file, "" for none.
+// readKeys decodes the keys of the file itself and then those of its key file, "" for none. A key file that can be read
+// and holds no key adds none and is no fault, so the result may be empty without a fault.
 func readKeys(p *sexp.Part, encoded []string, keyFile string) [][]byte {
 	if keyFile != "" {
 		raw, err := os.ReadFile(keyFile)
--- a/internal/serve/cluster_services.go
+++ b/internal/serve/cluster_services.go
@@ -247,7 +247,7 @@
 	s.close()
 }
 
-// close ends the services without handing leases over.
+// close closes the admin socket and leaves the membership. It does not stop the other services; leave does that first.
 func (s *clusterServices) close() {
 	if s.admin != nil {
 		s.admin.Close()
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -207,7 +207,7 @@
 	return s
 }
 
-// seedOf makes a number of the platform's seed, whatever it looks like.
+// seedOf reads the platform's seed as hexadecimal; any other text is hashed.
 func seedOf(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -8,8 +8,8 @@
 	"cairntiller/internal/metrics"
 )
 
-// The platform sends SIGTERM, and SIGKILL once the longest client timeout, maxKillDelay at most, and killGrace have
-// passed. What is owed is answered answerMargin before that.
+// SIGKILL follows min(longest client timeout, maxKillDelay) + killGrace after SIGTERM. Requests still open answerMargin
+// earlier are given up.
 const (
 	maxKillDelay = 3 * time.Second
 	killGrace    = 700 * time.Millisecond
--- a/internal/stream/write.go
+++ b/internal/stream/write.go
@@ -5,8 +5,9 @@
 	"syscall"
 )
 
-// Write queues bytes, which are the stream's from here on; it never blocks. done, where given, is called once with
-// whether the kernel has all of them: ErrUnwritten only where it surely has none.
+// Write queues bytes, which are the stream's from here on; it never blocks. done, if not nil, is called once with whether
+// the kernel has all of them: ErrUnwritten only if it surely has none. A peer for which more than maxQueuedBytes wait has
+// its connection closed; a single larger write is allowed while nothing else waits.
 func (s *Stream) Write(p []byte, done func(error)) {
 	s.mu.Lock()
 	if s.ending {
@@ -87,7 +88,10 @@
 	}
 	_, err := s.conn.Write(p)
 	if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-		return ErrUnwritten // the first call to the kernel failed: it takes a part or fails, never both
+		// The library's Write stops at the first failing call to the kernel. EPIPE and ECONNRESET come only from the first
+		// call, so nothing was sent: its poller makes the later calls, and their failure arrives as a closed connection.
+		// This rests on cloudwego/netpoll's Write; look at it again with a new version.
+		return ErrUnwritten
 	}
 	return err
 }
--- a/internal/versionaudit/auditor.go
+++ b/internal/versionaudit/auditor.go
@@ -66,7 +66,7 @@
 
 	mu         sync.Mutex
 	lastNumber uint64 // of this instance's questions
-	audit      *audit // under way, nil for none
+	audit      *audit // the latest, nil once it was completed; one that ended early stays until the next begins
 	look       int    // of that audit
 }
 
--- a/internal/versionaudit/doc.go
+++ b/internal/versionaudit/doc.go
@@ -2,6 +2,8 @@
 // of the endpoint list they have, and reports those that stay behind. The instance that holds the lease LeaseName asks, so
 // that there is one audit however many instances there are.
 //
+// The operator's file calls it roll-call; its lease is named list-version.
+//
 // What it decides is in audit.go, which does no I/O and has no clock. auditor.go holds the lease, sends and receives.
 //
 // # The course of an audit
