--- a/internal/lease/acquisition.go
+++ b/internal/lease/acquisition.go
@@ -126,9 +126,9 @@
 	return busyUntil[newest.majority()-free-1]
 }
 
-// takeTurnNotice requests leases of which a voter says that they are free for this process. One voter's notice is not
+// handleTurnNotice requests leases of which a voter says that they are free for this process. One voter's notice is not
 // enough while others may still have the lease granted: one that has come back and knows of no holder calls in vain.
-func (c *Candidate) takeTurnNotice(now int64, voter int, m *TurnNotice) {
+func (c *Candidate) handleTurnNotice(now int64, voter int, m *TurnNotice) {
 	for _, free := range m.Leases {
 		c.highestTerm = max(c.highestTerm, free.Term)
 		r := c.find(free.Lease)
@@ -142,8 +142,8 @@
 	}
 }
 
-// takeVerdict takes a voter's verdict on one lease. sentAt is when the request went out.
-func (c *Candidate) takeVerdict(now int64, voter int, sentAt int64, m *GrantResponse, answer LeaseVerdict) {
+// handleVerdict takes a voter's verdict on one lease. sentAt is when the request went out.
+func (c *Candidate) handleVerdict(now int64, voter int, sentAt int64, m *GrantResponse, answer LeaseVerdict) {
 	c.highestTerm = max(c.highestTerm, answer.Term)
 	r := c.find(answer.Lease)
 	if r == nil || !r.active() {
@@ -155,7 +155,7 @@
 	v := &r.votes[voter]
 	switch answer.Verdict {
 	case Granted:
-		c.takeGrant(now, r, v, sentAt, m, answer)
+		c.countGrant(now, r, v, sentAt, m, answer)
 	case TermTooLow:
 		if r.phase == requesting && answer.Term >= r.term { // what was granted under the present term is of no use
 			c.announceRelease(now, r, "")
@@ -176,9 +176,9 @@
 	}
 }
 
-// takeGrant counts a vote from when it was asked for, never from its answer: the voter may have granted it at once, and
+// countGrant counts a vote from when it was asked for, never from its answer: the voter may have granted it at once, and
 // the answer may have come late.
-func (c *Candidate) takeGrant(now int64, r *request, v *vote, sentAt int64, m *GrantResponse, answer LeaseVerdict) {
+func (c *Candidate) countGrant(now int64, r *request, v *vote, sentAt int64, m *GrantResponse, answer LeaseVerdict) {
 	if !r.ownsTerm(answer.Term) {
 		return
 	}
@@ -227,12 +227,12 @@
 	r.heldUntil = until
 	switch {
 	case r.phase == holding:
-		c.act(Extended{Lease: r.Lease, Term: r.term, Until: until})
+		c.addAction(Extended{Lease: r.Lease, Term: r.term, Until: until})
 	case until-now >= r.Length/2: // full votes, not trials
 		r.phase = holding
 		r.heldSince = now
 		r.failures = 0
-		c.act(Acquired{Lease: r.Lease, Term: r.term, Until: until})
+		c.addAction(Acquired{Lease: r.Lease, Term: r.term, Until: until})
 	case until > now: // the trial is won: all voters are asked for the whole length at once
 		r.attemptEndsAt = now + r.trialLength()
 		for i := range r.votes {
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -30,7 +30,7 @@
 	generation uint64
 
 	requests     []*request // nil in places whose request was withdrawn; a new one takes the place that was freed last
-	freePlaces   []int
+	freeIndexes  []int
 	requestIndex map[string]int
 	releases     []pendingRelease
 	actions      []Action
@@ -107,7 +107,7 @@
 	return actions
 }
 
-func (c *Candidate) act(a Action) { c.actions = append(c.actions, a) }
+func (c *Candidate) addAction(a Action) { c.actions = append(c.actions, a) }
 
 // LastRequestID is the number of the newest request to a voter.
 func (c *Candidate) LastRequestID() uint64 { return c.lastRequestID }
@@ -123,11 +123,11 @@
 
 // find returns the request for a lease, nil where there is none.
 func (c *Candidate) find(lease string) *request {
-	place, known := c.requestIndex[lease]
+	index, known := c.requestIndex[lease]
 	if !known {
 		return nil
 	}
-	return c.requests[place]
+	return c.requests[index]
 }
 
 // RequestLease begins to request a lease; for one that is requested already only priority and YieldAfter change.
@@ -143,27 +143,27 @@
 		ticket:    c.highestTerm,
 		votes:     make([]vote, len(c.voters)),
 	}
-	place := len(c.requests)
-	if last := len(c.freePlaces) - 1; last >= 0 {
-		place = c.freePlaces[last]
-		c.freePlaces = c.freePlaces[:last]
-		c.requests[place] = r
+	index := len(c.requests)
+	if last := len(c.freeIndexes) - 1; last >= 0 {
+		index = c.freeIndexes[last]
+		c.freeIndexes = c.freeIndexes[:last]
+		c.requests[index] = r
 	} else {
 		c.requests = append(c.requests, r)
 	}
-	c.requestIndex[wanted.Lease] = place
+	c.requestIndex[wanted.Lease] = index
 }
 
 // Withdraw ends a request and gives up what is held. What ran under the lease must have ended.
 func (c *Candidate) Withdraw(now int64, lease string) {
-	place, known := c.requestIndex[lease]
+	index, known := c.requestIndex[lease]
 	if !known {
 		return
 	}
-	c.announceRelease(now, c.requests[place], "")
+	c.announceRelease(now, c.requests[index], "")
 	delete(c.requestIndex, lease)
-	c.requests[place] = nil
-	c.freePlaces = append(c.freePlaces, place)
+	c.requests[index] = nil
+	c.freeIndexes = append(c.freeIndexes, index)
 }
 
 // Abandon ends a request without telling the voters: what is held runs out there, because what ran under the lease may
@@ -255,7 +255,7 @@
 }
 
 func (c *Candidate) send(voter int, m Message) {
-	c.act(Send{To: c.voters[voter].name, Message: m})
+	c.addAction(Send{To: c.voters[voter].name, Message: m})
 }
 
 // Receive takes a voter's message.
@@ -267,28 +267,28 @@
 	switch m := m.(type) {
 	case *TurnNotice:
 		c.voters[voter].setNumber = m.SetNumber
-		c.takeTurnNotice(now, voter, m)
+		c.handleTurnNotice(now, voter, m)
 	case *GrantResponse:
-		sentAt, counts := c.takeResponse(now, voter, &m.ResponseHeader)
+		sentAt, counts := c.handleResponse(now, voter, &m.ResponseHeader)
 		if !counts {
 			return
 		}
 		for _, answer := range m.Leases {
-			c.takeVerdict(now, voter, sentAt, m, answer)
+			c.handleVerdict(now, voter, sentAt, m, answer)
 		}
 	case *RenewResponse:
-		sentAt, counts := c.takeResponse(now, voter, &m.ResponseHeader)
+		sentAt, counts := c.handleResponse(now, voter, &m.ResponseHeader)
 		if !counts {
 			return
 		}
 		c.checkRenewedCount(now, voter, m)
-		c.takeRenewal(now, voter, sentAt, m)
+		c.handleRenewal(now, voter, sentAt, m)
 	}
 }
 
-// takeResponse takes what every response tells, and finds when its request went out; counts is false where the response is
+// handleResponse takes what every response tells, and finds when its request went out; counts is false where the response is
 // to a former process of this name, or to a request that is too old.
-func (c *Candidate) takeResponse(now int64, voter int, m *ResponseHeader) (sentAt int64, counts bool) {
+func (c *Candidate) handleResponse(now int64, voter int, m *ResponseHeader) (sentAt int64, counts bool) {
 	if m.Requester != c.incarnation {
 		return 0, false
 	}
--- a/internal/lease/candidate_voters.go
+++ b/internal/lease/candidate_voters.go
@@ -128,7 +128,7 @@
 		return
 	}
 	if reading.voterClock < first.voterClock {
-		c.act(Warning{About: voter.name, Text: "its clock went back: its machine has started anew"})
+		c.addAction(Warning{About: voter.name, Text: "its clock went back: its machine has started anew"})
 		voter.clock = reading
 		return
 	}
@@ -141,7 +141,7 @@
 	slack := int64(clockTolerance * float64(c.maxDrift) * float64(longest) / million)
 	off := advanced > longest+slack || advanced < shortest-slack
 	if off && !voter.clockOff {
-		c.act(ClockOutOfBound{Voter: voter.name, Text: fmt.Sprintf("its clock went %d us while this one went %d to %d: one is outside the bound on drift",
+		c.addAction(ClockOutOfBound{Voter: voter.name, Text: fmt.Sprintf("its clock went %d us while this one went %d to %d: one is outside the bound on drift",
 			advanced, shortest, longest)})
 	}
 	voter.clockOff = off
@@ -171,6 +171,6 @@
 		return
 	}
 	status.excessRenewed = 0
-	c.act(Warning{About: status.name, Text: fmt.Sprintf("it extends %d grants where %d are known: all are asked for anew", m.RenewedCount, known)})
+	c.addAction(Warning{About: status.name, Text: fmt.Sprintf("it extends %d grants where %d are known: all are asked for anew", m.RenewedCount, known)})
 	c.newGeneration(now)
 }
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -18,7 +18,7 @@
 // leaseGrant is what the voter knows of one lease. Times are on the voter's clock.
 type leaseGrant struct {
 	lease         string
-	place         int // in Voter.leases
+	index         int // in Voter.leases
 	term          uint64
 	holder        process // that has it, or had it last
 	granted       bool
@@ -27,7 +27,7 @@
 	length        int64 // granted in full: by what a renewal request extends it
 	full          bool  // and not only a trial
 	generation    uint64
-	sessionPlace  int      // in the leases of its holder's session
+	sessionIndex  int      // in the leases of its holder's session
 	line          []waiter // who waits, in order
 	reservedUntil int64    // for the first in line, 0 for not
 	endedAt       int64
@@ -156,7 +156,7 @@
 	g.full = false
 	g.generation = 0
 	g.reservedUntil = 0
-	g.sessionPlace = len(s.leases)
+	g.sessionIndex = len(s.leases)
 	s.leases = append(s.leases, g)
 	g.line = removeWaiter(g.line, by.name)
 	return extend(now, g, generation, answer)
@@ -165,7 +165,7 @@
 // setHolder notes under which term who has a lease, and lets it be stored.
 func (v *Voter) setHolder(g *leaseGrant, by process, term uint64) {
 	if g.term != term || g.holder != by {
-		v.act(StoreGrant{GrantRecord{Lease: g.lease, Holder: by.name, Term: term, Incarnation: by.incarnation}})
+		v.addAction(StoreGrant{GrantRecord{Lease: g.lease, Holder: by.name, Term: term, Incarnation: by.incarnation}})
 	}
 	g.term = term
 	g.holder = by
@@ -220,8 +220,8 @@
 	}
 }
 
-// takeRelease takes back what its holder gives up; whom the holder names goes first in line.
-func (v *Voter) takeRelease(now int64, m *Release) {
+// handleRelease takes back what its holder gives up; whom the holder names goes first in line.
+func (v *Voter) handleRelease(now int64, m *Release) {
 	by := process{m.From, m.Incarnation}
 	for _, released := range m.Leases {
 		g := v.find(released.Lease)
@@ -257,8 +257,8 @@
 	v.endedGrants++
 	s.endedGrants = v.endedGrants
 	last := s.leases[len(s.leases)-1]
-	s.leases[g.sessionPlace] = last
-	last.sessionPlace = g.sessionPlace
+	s.leases[g.sessionIndex] = last
+	last.sessionIndex = g.sessionIndex
 	s.leases = s.leases[:len(s.leases)-1]
 	g.granted = false
 	g.endedAt = now
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -50,13 +50,13 @@
 	}
 }
 
-// takeRenewal takes a voter's answer that it extended all that it granted to this process in full. sentAt is when the
+// handleRenewal takes a voter's answer that it extended all that it granted to this process in full. sentAt is when the
 // request went out. A vote counts as extended only where it must still have been granted at the voter:
 //   - the same voter process under the same voter set answers, since another one has forgotten or dropped the grant;
 //   - the voter's count of ended grants is as it was, so that none of this process's ended meanwhile;
 //   - the generation is as it was, since others are not extended;
 //   - the answer to the grant had come before this request went out.
-func (c *Candidate) takeRenewal(now int64, voter int, sentAt int64, m *RenewResponse) {
+func (c *Candidate) handleRenewal(now int64, voter int, sentAt int64, m *RenewResponse) {
 	for _, r := range c.requests {
 		if r == nil || !r.active() {
 			continue
@@ -97,7 +97,7 @@
 		return
 	}
 	r.yieldRequested = true
-	c.act(YieldRequested{Lease: wanted.Lease, Term: wanted.Term, Next: wanted.First, Reason: reason})
+	c.addAction(YieldRequested{Lease: wanted.Lease, Term: wanted.Term, Next: wanted.First, Reason: reason})
 }
 
 // carryOver asks all voters to go on under a later term. A voter that came back, or that granted a trial to another
@@ -136,7 +136,7 @@
 // lose ends a lease that could not be extended. The voters are not told: they keep to their grants, so that an act which
 // outlasts its bound is over before another holder begins, as far as a lease can see to that.
 func (c *Candidate) lose(now int64, r *request) {
-	c.act(Lost{Lease: r.Lease, Term: r.term, Reason: reasonTimeRanOut})
+	c.addAction(Lost{Lease: r.Lease, Term: r.term, Reason: reasonTimeRanOut})
 	c.newGeneration(now)
 	r.phase = waiting
 	r.heldUntil = 0
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -21,7 +21,7 @@
 	statusAt      int64 // when it next tells the other voters how it stands
 
 	leases      []*leaseGrant // nil in places whose lease was forgotten; a new one takes the place that was freed last
-	freePlaces  []int
+	freeIndexes []int
 	leaseIndex  map[string]int
 	sessions    map[process]*session
 	endedGrants uint64 // grants that ended here, of all processes
@@ -68,7 +68,7 @@
 			g.holder = process{record.Holder, record.Incarnation}
 		}
 	}
-	v.act(StoreVoterSet{Number: voters.Number})
+	v.addAction(StoreVoterSet{Number: voters.Number})
 	return v
 }
 
@@ -79,9 +79,9 @@
 	return actions
 }
 
-func (v *Voter) act(a Action) { v.actions = append(v.actions, a) }
+func (v *Voter) addAction(a Action) { v.actions = append(v.actions, a) }
 
-func (v *Voter) send(to string, m Message) { v.act(Send{To: to, Message: m}) }
+func (v *Voter) send(to string, m Message) { v.addAction(Send{To: to, Message: m}) }
 
 // header is that of a message of this voter.
 func (v *Voter) header() Header {
@@ -129,11 +129,11 @@
 
 // find returns what is known of a lease, nil for nothing.
 func (v *Voter) find(lease string) *leaseGrant {
-	place, known := v.leaseIndex[lease]
+	index, known := v.leaseIndex[lease]
 	if !known {
 		return nil
 	}
-	return v.leases[place]
+	return v.leases[index]
 }
 
 // findOrAdd returns what is known of a lease, or makes room for it; nil where there is no capacity.
@@ -145,15 +145,15 @@
 		return nil
 	}
 	g := &leaseGrant{lease: lease, endedAt: now}
-	if last := len(v.freePlaces) - 1; last >= 0 {
-		g.place = v.freePlaces[last]
-		v.freePlaces = v.freePlaces[:last]
-		v.leases[g.place] = g
+	if last := len(v.freeIndexes) - 1; last >= 0 {
+		g.index = v.freeIndexes[last]
+		v.freeIndexes = v.freeIndexes[:last]
+		v.leases[g.index] = g
 	} else {
-		g.place = len(v.leases)
+		g.index = len(v.leases)
 		v.leases = append(v.leases, g)
 	}
-	v.leaseIndex[lease] = g.place
+	v.leaseIndex[lease] = g.index
 	return g
 }
 
@@ -168,10 +168,10 @@
 			continue
 		}
 		v.termFloor = max(v.termFloor, g.term)
-		v.act(DeleteGrant{Lease: g.lease})
+		v.addAction(DeleteGrant{Lease: g.lease})
 		delete(v.leaseIndex, g.lease)
-		v.leases[g.place] = nil
-		v.freePlaces = append(v.freePlaces, g.place)
+		v.leases[g.index] = nil
+		v.freeIndexes = append(v.freeIndexes, g.index)
 		some = true
 	}
 	return some
@@ -185,9 +185,9 @@
 	case *RenewRequest:
 		v.answerRenewRequest(now, m)
 	case *Release:
-		v.takeRelease(now, m)
+		v.handleRelease(now, m)
 	case *VoterStatus:
-		v.takeVoterStatus(now, m)
+		v.handleVoterStatus(now, m)
 	}
 }
 
--- a/internal/lease/voter_set_change.go
+++ b/internal/lease/voter_set_change.go
@@ -68,8 +68,8 @@
 	v.set = *v.nextSet
 	v.set.adoptedAt = now
 	v.nextSet = nil
-	v.act(StoreVoterSet{Number: v.set.number})
-	v.act(Warning{Text: fmt.Sprintf("voters number %d in force here", v.set.number)})
+	v.addAction(StoreVoterSet{Number: v.set.number})
+	v.addAction(Warning{Text: fmt.Sprintf("voters number %d in force here", v.set.number)})
 	v.statusAt = now
 }
 
@@ -91,8 +91,8 @@
 	return 2*sure > len(names)
 }
 
-// takeVoterStatus takes another voter's status.
-func (v *Voter) takeVoterStatus(now int64, m *VoterStatus) {
+// handleVoterStatus takes another voter's status.
+func (v *Voter) handleVoterStatus(now int64, m *VoterStatus) {
 	peer, known := v.peers[m.From]
 	if m.From == v.name || !known && len(v.peers) >= maxPeers {
 		return
@@ -101,7 +101,7 @@
 		v.sendStatus(now, m.From)
 	}
 	if m.SetNumber != peer.setNumber && m.SetNumber != v.set.number {
-		v.act(Warning{About: m.From, Text: fmt.Sprintf("goes by voters number %d, this one by %d", m.SetNumber, v.set.number)})
+		v.addAction(Warning{About: m.From, Text: fmt.Sprintf("goes by voters number %d, this one by %d", m.SetNumber, v.set.number)})
 	}
 	v.peers[m.From] = peerStatus{setNumber: m.SetNumber, adoptedAt: now - m.SetAge, heardAt: now}
 	v.learnWhileAbstaining(now, m)
--- a/internal/lease/wait_line.go
+++ b/internal/lease/wait_line.go
@@ -50,7 +50,7 @@
 		}
 		return other.name == by.name || now-other.lastSeen > waiterLifetime
 	})
-	place, _ := slices.BinarySearchFunc(line, w, func(other, w waiter) int {
+	index, _ := slices.BinarySearchFunc(line, w, func(other, w waiter) int {
 		return cmp.Or(
 			cmp.Compare(w.priority, other.priority),
 			cmp.Compare(other.ticket, w.ticket),
@@ -58,7 +58,7 @@
 			-1, // behind its equal
 		)
 	})
-	line = slices.Insert(line, place, w)
+	line = slices.Insert(line, index, w)
 	g.line = line[:min(len(line), maxWaiters)]
 }
 
@@ -73,12 +73,12 @@
 func (v *Voter) notifyFirst(now int64, g *leaseGrant) {
 	g.line = slices.DeleteFunc(g.line, func(w waiter) bool { return now-w.lastSeen > waiterLifetime })
 	g.reservedUntil = 0
-	place := slices.IndexFunc(g.line, func(w waiter) bool { return v.coolDownLeft(now, w.name) <= 0 })
-	if place < 0 {
+	index := slices.IndexFunc(g.line, func(w waiter) bool { return v.coolDownLeft(now, w.name) <= 0 })
+	if index < 0 {
 		return
 	}
-	next := g.line[place]
-	g.line = slices.Insert(slices.Delete(g.line, place, place+1), 0, next)
+	next := g.line[index]
+	g.line = slices.Insert(slices.Delete(g.line, index, index+1), 0, next)
 	g.reservedUntil = now + turnTime
 	free := FreeLease{Lease: g.lease, Term: max(g.term, v.termFloor)}
 	v.send(next.name, &TurnNotice{Header: v.header(), VoterClock: now, Leases: []FreeLease{free}})
--- a/internal/supervisor/children.go
+++ b/internal/supervisor/children.go
@@ -23,7 +23,7 @@
 		for _, pid := range all {
 			syscall.Kill(pid, syscall.SIGKILL)
 		}
-		reapOthers(group)
+		reapAllExcept(group)
 		if len(all) == 0 {
 			return
 		}
@@ -31,10 +31,10 @@
 	}
 }
 
-// reapOthers takes the ends of children that were left behind; the command itself is waited for elsewhere.
-func reapOthers(command int) {
+// reapAllExcept takes the ends of children that were left behind; the command itself is waited for elsewhere.
+func reapAllExcept(exceptPID int) {
 	for _, pid := range children() {
-		if pid != command {
+		if pid != exceptPID {
 			syscall.Wait4(pid, nil, syscall.WNOHANG, nil)
 		}
 	}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -30,9 +30,9 @@
 // Error names the code.
 func (e ExitCode) Error() string { return "exit code " + strconv.Itoa(int(e)) }
 
-// killShare is into how many parts the grace period is divided; the command is killed when one is left, so that even a
+// gracePeriodParts is into how many parts the grace period is divided; the command is killed when one is left, so that even a
 // slow kill is over in time.
-const killShare = 2
+const gracePeriodParts = 2
 
 // GracePeriod is how long before the end of its time a command is told to end, for a lease of a length; it is killed when
 // half of that is left. A fifth of the length leaves the command the rest for its work; an operator's command gets 200 ms
@@ -101,7 +101,7 @@
 
 // keepToTime waits for the command, and ends it in time. It returns the exit code.
 func (s *supervised) keepToTime() int {
-	killAt := s.gracePeriod / killShare
+	killAt := s.gracePeriod / gracePeriodParts
 	timer := time.NewTimer(0)
 	for {
 		left := time.Duration(s.until-s.clock()) * time.Microsecond
@@ -125,15 +125,15 @@
 			killGroup(s.group) // what it left behind has no lease either
 			return s.exitCode(err)
 		case line, more := <-s.lines:
-			s.takeLine(line, more)
+			s.handleLine(line, more)
 		case <-timer.C:
 		}
 	}
 }
 
-// takeLine takes a new end of the command's time, which never moves it back. Any other line ends the command, as the end
+// handleLine takes a new end of the command's time, which never moves it back. Any other line ends the command, as the end
 // of the input does: nobody is there to speak any more.
-func (s *supervised) takeLine(line string, more bool) {
+func (s *supervised) handleLine(line string, more bool) {
 	if !more {
 		s.lines = nil
 		s.endNow()
