--- a/internal/leaseservice/service.go
+++ b/internal/leaseservice/service.go
@@ -260,19 +260,16 @@
 	return guard, nil
 }
 
-// SetVoters tells of the voter set that the operator's file names now. It returns why the voter refuses it, "" where it
-// does not.
-func (s *Service) SetVoters(voters lease.VoterSet) (refused string) {
+// SetVoters passes on the voter set that the operator's file names now, to the candidate and the voter. The error is a
+// *lease.VoterSetError if the voter refuses it.
+func (s *Service) SetVoters(voters lease.VoterSet) (err error) {
 	s.onCandidate(func(int64) { s.candidate.SetVoters(voters.Number, voters.Names) })
 	s.onVoter(func(now int64) {
-		if s.voter == nil {
-			return
-		}
-		if err := s.voter.SetVoters(now, voters); err != nil {
-			refused = err.Error()
+		if s.voter != nil {
+			err = s.voter.SetVoters(now, voters)
 		}
 	})
-	return refused
+	return err
 }
 
 // MemberGone tells that a member left or failed; it never blocks.
--- a/internal/leaseservice/service_test.go
+++ b/internal/leaseservice/service_test.go
@@ -183,3 +183,20 @@
 		t.Errorf("%+v", o)
 	}
 }
+
+// TestVoterSetRefused: an operator's file skipped a change of voters, which could give a lease two holders. The voter must
+// keep to its set, and the caller must be able to tell why; the next number is taken.
+func TestVoterSetRefused(t *testing.T) {
+	_, all := three(t)
+	err := all[0].SetVoters(lease.VoterSet{Number: 3, Names: []string{"a", "b"}})
+	var refused *lease.VoterSetError
+	if !errors.As(err, &refused) || !errors.Is(err, lease.ErrSetSkipped) || refused.Offered != 3 || refused.InForce != 1 {
+		t.Fatal(err)
+	}
+	if want := "voters number 3, and number 1 is in force: one change after another"; err.Error() != want {
+		t.Errorf("%q, want %q", err, want)
+	}
+	if err := all[0].SetVoters(lease.VoterSet{Number: 2, Names: []string{"a", "b"}}); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/serve/cluster_services.go
+++ b/internal/serve/cluster_services.go
@@ -224,9 +224,9 @@
 	if s.leases == nil || reflect.DeepEqual(voters, s.options.leases.Voters) {
 		return
 	}
-	if refused := s.leases.SetVoters(voters); refused != "" {
+	if err := s.leases.SetVoters(voters); err != nil {
 		rejectedConfigs.Add()
-		slog.Error("voters not changed", "why", refused)
+		slog.Error("voters not changed", "why", err)
 		return
 	}
 	slog.Info("voters changed", "number", voters.Number, "names", voters.Names)
