--- a/internal/leaseservice/service.go
+++ b/internal/leaseservice/service.go
@@ -163,7 +163,7 @@
 	s.running.Go(s.runCandidate)
 	s.running.Go(s.runVoter)
 	voters := s.settings.Voters
-	slog.Info("leases", "voters", voters.Names, "number", voters.Number, "votes", slices.Contains(voters.Names, s.self), "lasting", s.store != nil)
+	slog.Info("leases", "voters", voters.Names, "number", voters.Number, "votes", slices.Contains(voters.Names, s.self), "stored", s.store != nil)
 }
 
 // Receive takes a member's message; it never blocks.
