--- a/internal/lease/wait_line.go
+++ b/internal/lease/wait_line.go
@@ -30,16 +30,20 @@
 }
 
 // enterLine puts a candidate into a lease's line: by priority, then by ticket, then by rendezvous score. Tickets and not
-// the times at which requests came decide, because they are the same at all voters: where each voter has a line of its
-// own, each calls another candidate first, and their votes split again and again.
+// the times at which requests came decide, because they are the same at all voters. If each voter had a line of its
+// own, each would notify a different candidate first, and their votes would split again and again.
 func (v *Voter) enterLine(now int64, g *leaseGrant, by process, wanted WantedLease) {
 	if g.granted && g.holder.name == by.name {
 		return // a former process of the holder, or the holder itself under another term
 	}
+	ticket := uint64(math.MaxUint64) // without a ticket: behind all others
+	if wanted.Ticket > 0 {
+		ticket = wanted.Ticket - 1 // the smallest ticket ranks equal with the 0 of putFirst
+	}
 	w := waiter{
 		name:     by.name,
 		priority: wanted.Priority,
-		ticket:   wanted.Ticket - 1, // 0 stands for no ticket and wraps around to the last place
+		ticket:   ticket,
 		since:    now,
 		lastSeen: now,
 	}
@@ -62,14 +66,14 @@
 	g.line = line[:min(len(line), maxWaiters)]
 }
 
-// putFirst puts a member in front of the line: the holder hands the lease over to it.
+// putFirst puts a member in front of the line because the holder hands the lease over to it.
 func (g *leaseGrant) putFirst(now int64, name string) {
 	first := waiter{name: name, priority: math.MaxInt8, since: math.MinInt64, lastSeen: now}
 	g.line = append([]waiter{first}, removeWaiter(g.line, name)...)
 }
 
-// notifyFirst reserves a free lease for the first in line and gives it notice. Who is cooling down is passed over: it
-// would only be refused, and its turn would keep the others waiting for turnTime.
+// notifyFirst reserves a free lease for the first in line and gives it notice. A candidate that is cooling down is passed
+// over: it would be refused, and its turn would keep the others waiting for turnTime.
 func (v *Voter) notifyFirst(now int64, g *leaseGrant) {
 	g.line = slices.DeleteFunc(g.line, func(w waiter) bool { return now-w.lastSeen > waiterLifetime })
 	g.reservedUntil = 0
@@ -84,7 +88,7 @@
 	v.send(next.name, &TurnNotice{Header: v.header(), VoterClock: now, Leases: []FreeLease{free}})
 }
 
-// MemberGone tells that a member left or failed: it waits for nothing any more. What it holds runs out as if it lived.
+// MemberGone removes a member that left or failed from all lines. What it holds runs out as if it were still there.
 func (v *Voter) MemberGone(now int64, name string) {
 	for _, g := range v.leases {
 		if g == nil {
