--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -18,7 +18,9 @@
 	lines *bufio.Scanner
 }
 
-// Dial sends a request to the router that listens at a socket. The error is ErrNoRouter if none does.
+// Dial sends a request to the router that listens at a socket. The error is ErrNoRouter if none does, without a Call. If the
+// request can't be sent, the error is the connection's, and the Call is returned with it, still open: the callers in this
+// program leave it to the end of the process.
 func Dial(socket string, request Request) (*Call, error) {
 	conn, err := net.DialTimeout("unix", socket, dialTimeout)
 	if err != nil {
--- a/internal/adminsocket/server.go
+++ b/internal/adminsocket/server.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// maxConnections is how many connections may be open at once: operators, not clients.
+	// maxConnections is how many connections may be open at once: operators, not clients. Each cairntiller lease hold keeps
+	// one from its request to the end of its command. A connection over the limit is closed without an answer.
 	maxConnections = 32
 	// requestTimeout is how long a connection may take to send its request.
 	requestTimeout = 2 * time.Second
--- a/internal/lease/acquisition.go
+++ b/internal/lease/acquisition.go
@@ -28,17 +28,18 @@
 	// maxAskInterval is the longest time between requests of a candidate that waits, in us. It is under half of
 	// waiterLifetime, after which a voter takes it out of the line.
 	maxAskInterval = 5_000_000
-	// askTogetherEvery is the raster to which waiting candidates' requests are put off, in us, so that one message
-	// carries many. Nobody's turn is late for it: the voter gives notice of a turn.
+	// askTogetherEvery is the time, in us, to the next multiple of which the requests of waiting candidates are delayed, so
+	// that one message carries many of them. This delays nobody's turn, because the voter gives notice of a turn.
 	askTogetherEvery = 200_000
 	// firstBackoff is doubled with each attempt in a row that fails, the first one included, for the wait before the next
-	// one, in us. By chance the wait is up to half more or less, which parts candidates whose votes split.
+	// attempt, in us. A random part makes the wait up to half longer or shorter, so that candidates whose votes split
+	// don't ask at the same time again.
 	firstBackoff = 100_000
 	// maxBackoffDoublings bounds the growth of that wait: 6.4 s, so that a lease which nobody holds is asked for soon.
 	maxBackoffDoublings = 6
 )
 
-// ownsTerm tells whether a term is the one of this attempt or tenure, or the one to which it is being carried over. What
+// ownsTerm reports whether a term is the one of this attempt or tenure, or the one to which it is being carried over. What
 // a voter granted under either binds it to this process alone.
 func (r *request) ownsTerm(term uint64) bool {
 	return term > 0 && (term == r.term || term == r.carryOverTerm)
@@ -93,8 +94,9 @@
 	}
 }
 
-// failAttempt ends an attempt that brought no majority. The next one is when the present holder may have ended, where
-// voters told of one, or else after a growing wait with jitter, which parts candidates whose votes split.
+// failAttempt ends an attempt that brought no majority. If a majority is not free because voters named a holder, the next
+// attempt begins when the holder's grants may have ended; else it begins after a growing wait with jitter, so that
+// candidates whose votes split don't ask at the same time again.
 func (c *Candidate) failAttempt(now int64, r *request) {
 	c.announceRelease(now, r, "")
 	r.phase = waiting
@@ -103,13 +105,14 @@
 	r.requestAt = now + backoff/2 + c.jitter(backoff)
 	if free := c.mayBeFreeAt(r); free > now {
 		free = min(free, now+maxAskInterval)
+		// Up to 50 ms at random, for the same reason as above: less than askTogetherEvery, so that requests still go together.
 		r.requestAt = free - free%askTogetherEvery + askTogetherEvery + c.jitter(firstBackoff)/2
 		r.failures = 0
 	}
 }
 
-// mayBeFreeAt is when a majority of the newest set's voters may have the lease free, by what they answered; 0 where so
-// few told of another holder that the others are a majority.
+// mayBeFreeAt returns when a majority of the newest set's voters may have the lease free, by what they answered. It
+// returns 0 if a majority of the voters did not name another holder.
 func (c *Candidate) mayBeFreeAt(r *request) int64 {
 	newest := c.sets[len(c.sets)-1]
 	var busyUntil []int64
@@ -126,8 +129,9 @@
 	return busyUntil[newest.majority()-free-1]
 }
 
-// handleTurnNotice requests leases of which a voter says that they are free for this process. One voter's notice is not
-// enough while others may still have the lease granted: one that has come back and knows of no holder calls in vain.
+// handleTurnNotice requests leases that a voter says are free for this process. One voter's notice is not enough while a
+// majority may still have granted the lease to another process: a voter that restarted does not know of the present
+// holder and may send a notice too early.
 func (c *Candidate) handleTurnNotice(now int64, voter int, m *TurnNotice) {
 	for _, free := range m.Leases {
 		c.highestTerm = max(c.highestTerm, free.Term)
@@ -142,7 +146,7 @@
 	}
 }
 
-// handleVerdict takes a voter's verdict on one lease. sentAt is when the request went out.
+// handleVerdict handles a voter's verdict on one lease. sentAt is when the request went out.
 func (c *Candidate) handleVerdict(now int64, voter int, sentAt int64, m *GrantResponse, answer LeaseVerdict) {
 	c.highestTerm = max(c.highestTerm, answer.Term)
 	r := c.find(answer.Lease)
@@ -173,6 +177,9 @@
 		if !c.inSet(m.SetNumber, m.From) {
 			v.askAgainAt = now + maxAskInterval
 		}
+	case OutOfBounds, NoCapacity:
+		// Nothing to note: askMissingVotes asks this voter again, as one that did not answer. Other voters may still be a
+		// majority, and the voter has capacity again once it forgets leases.
 	}
 }
 
@@ -228,7 +235,9 @@
 	switch {
 	case r.phase == holding:
 		c.addAction(Extended{Lease: r.Lease, Term: r.term, Until: until})
-	case until-now >= r.Length/2: // full votes, not trials
+	case until-now >= r.Length/2:
+		// These are votes for the whole length. Trials last at most maxTrial, 0.4 s, which is less than half of the shortest
+		// lease: leaseservice refuses lengths under minLeaseLength, 1 s.
 		r.phase = holding
 		r.heldSince = now
 		r.failures = 0
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -69,7 +69,7 @@
 	votes          []vote // by the index of the voter
 }
 
-// active tells whether votes for this request count: it is being requested or held.
+// active reports whether votes for this request count: it is being requested or held.
 func (r *request) active() bool { return r.phase != waiting }
 
 const (
@@ -83,7 +83,7 @@
 	termStep = 1
 )
 
-// NewCandidate makes a process's part. incarnation is a number that no other process of its name has; maxDrift is in
+// NewCandidate makes a process's part. incarnation is a random number that tells this process from others of its name; maxDrift is in
 // parts of a million; setNumber and setNames are the voter set that the operator's file names.
 func NewCandidate(name string, incarnation uint64, maxDrift int64, setNumber uint64, setNames []string) *Candidate {
 	c := &Candidate{
@@ -109,7 +109,7 @@
 
 func (c *Candidate) addAction(a Action) { c.actions = append(c.actions, a) }
 
-// LastRequestID is the number of the newest request to a voter.
+// LastRequestID returns the number of the newest request to a voter. Only the simulation calls it, to plant a mistake.
 func (c *Candidate) LastRequestID() uint64 { return c.lastRequestID }
 
 // jitter draws a number below limit. It is seeded by the incarnation, so that equal calls give equal actions.
@@ -121,7 +121,7 @@
 	return int64(crc32.ChecksumIEEE(b[:])) % max(limit, 1)
 }
 
-// find returns the request for a lease, nil where there is none.
+// find returns the request for a lease, or nil if there is none.
 func (c *Candidate) find(lease string) *request {
 	index, known := c.requestIndex[lease]
 	if !known {
@@ -258,7 +258,7 @@
 	c.addAction(Send{To: c.voters[voter].name, Message: m})
 }
 
-// Receive takes a voter's message.
+// Receive handles a voter's message.
 func (c *Candidate) Receive(now int64, m Message) {
 	voter, known := c.voterIndex[m.Common().From]
 	if !known {
@@ -286,8 +286,8 @@
 	}
 }
 
-// handleResponse takes what every response tells, and finds when its request went out; counts is false where the response is
-// to a former process of this name, or to a request that is too old.
+// handleResponse handles what every response carries, and returns when its request went out. counts is false if the response
+// is to a former process of this name, or to a request that is too old.
 func (c *Candidate) handleResponse(now int64, voter int, m *ResponseHeader) (sentAt int64, counts bool) {
 	if m.Requester != c.incarnation {
 		return 0, false
--- a/internal/lease/candidate_voters.go
+++ b/internal/lease/candidate_voters.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	// requestLifetime is how long the answer to a request counts, in us. A vote counts from its request, so that little of
-	// it would be left, and the request was repeated long since.
+	// requestLifetime is how long the answer to a request counts, in us. A vote counts from its request, so by then it has
+	// little time left and was requested again.
 	requestLifetime = 60_000_000
 	// clockCompareSpan is over which time the rates of two clocks are compared, in us: far over a round trip, whose
 	// length blurs the comparison.
@@ -47,7 +47,7 @@
 	return length - (2*length*drift+million-1)/million
 }
 
-// SetVoters tells of a voter set, from the operator's file or from a voter's answer. The two newest are kept, for a
+// SetVoters hands over a voter set, from the operator's file or from a voter's answer. The two newest are kept, for a
 // change takes a while to reach all voters.
 func (c *Candidate) SetVoters(number uint64, names []string) {
 	if len(names) == 0 || len(names) > MaxVoters {
@@ -82,7 +82,7 @@
 	}
 }
 
-// VoterNames are the voters that are asked.
+// VoterNames returns the voters that are asked.
 func (c *Candidate) VoterNames() (names []string) {
 	for i, voter := range c.voters {
 		if c.inKnownSet(i) {
@@ -92,7 +92,7 @@
 	return names
 }
 
-// inKnownSet tells whether a voter belongs to a voter set that is known.
+// inKnownSet reports whether a voter belongs to a voter set that is known.
 func (c *Candidate) inKnownSet(voter int) bool {
 	for i := range c.sets {
 		if c.sets[i].has(c.voters[voter].name) {
@@ -102,7 +102,7 @@
 	return false
 }
 
-// inSet tells whether a voter set is known and a member votes in it.
+// inSet reports whether a voter set is known and a member votes in it.
 func (c *Candidate) inSet(number uint64, name string) bool {
 	return slices.ContainsFunc(c.sets, func(s adoptedSet) bool { return s.number == number && s.has(name) })
 }
--- a/internal/lease/cooldown.go
+++ b/internal/lease/cooldown.go
@@ -8,7 +8,8 @@
 }
 
 const (
-	// lapseMemory is the time without a lapse after which former ones are forgotten, in us.
+	// lapseMemory is the time without a lapse after which all former lapses are forgotten, in us. It is not a window: lapses
+	// that follow one another within this time add up however long ago the first one was.
 	lapseMemory = 120_000_000
 	// freeLapses is how many lapses cost a holder nothing: a pause of its machine, a cut link.
 	freeLapses = 2
@@ -40,7 +41,7 @@
 	h.coolDownUntil = now + coolDown
 }
 
-// coolDownLeft is for how long a member gets no lease here, in us; 0 or less for not.
+// coolDownLeft returns for how long a member gets no lease here, in us; 0 or less if it is not cooling down.
 func (v *Voter) coolDownLeft(now int64, name string) int64 {
 	h := v.lapses[name]
 	if h == nil {
@@ -49,7 +50,7 @@
 	return h.coolDownUntil - now
 }
 
-// forgetLapses drops histories that matter no more.
+// forgetLapses drops histories whose lapses and cool-down are over.
 func (v *Voter) forgetLapses(now int64) {
 	for name, h := range v.lapses {
 		if now-h.lastAt > lapseMemory && now > h.coolDownUntil {
--- a/internal/lease/eligibility.go
+++ b/internal/lease/eligibility.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Eligible tells whether a member should request a lease: it is one of the first n by rendezvous hashing of its name
+// Eligible reports whether a member should request a lease: it is one of the first n by rendezvous hashing of its name
 // with the lease's, among itself and others. Where any member would do, only a few then burden the voters, and all
 // members that see the same membership agree on who they are.
 func Eligible(self string, others []string, lease string, n int) bool {
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -33,10 +33,10 @@
 	endedAt       int64
 }
 
-// maxWaitersTold is of how many leases a renew response tells who waits: it fits a datagram.
+// maxWaitersTold is the number of leases for which a renew response says who waits, so that it fits a datagram.
 const maxWaitersTold = 24
 
-// session returns that of a process; it is made where the process is new.
+// session returns the session of a process, and begins one if the process has none.
 func (v *Voter) session(now int64, by process) *session {
 	s := v.sessions[by]
 	if s == nil {
@@ -48,8 +48,8 @@
 	return s
 }
 
-// response is the header of the answer to a request. sameSet tells whether the candidate asked under the voter set that
-// this voter goes by and belongs to; else nothing is granted, and the answer names the set.
+// response is the header of the answer to a request. sameSet reports whether the candidate asked under the voter set
+// that this voter goes by and belongs to; if not, nothing is granted, and the answer names the set.
 func (v *Voter) response(now int64, request *RequestHeader) (header ResponseHeader, sameSet bool) {
 	header = ResponseHeader{
 		Header:     v.header(),
@@ -85,13 +85,15 @@
 
 // decide grants, extends or refuses one lease; it is the only way to a grant. There are two ways to Granted: for the
 // process that has a live grant, under the same term or carried over to a later one; and where there is no live grant,
-// under a term that nobody else had here. Every way leads past each of the refusals.
+// under a term that nobody else had here. A live grant is only ever extended for its holder. A new grant must pass the
+// checks of the term, the cool-down and the reservation.
 func (v *Voter) decide(now int64, by process, generation uint64, wanted WantedLease) LeaseVerdict {
 	answer := LeaseVerdict{WantedLease: wanted}
 	switch {
 	case now < v.abstainUntil: // what a former process granted may still run
 		return refuse(answer, Abstaining, v.abstainUntil-now)
-	case len(v.previousNames) > 0: // a majority that goes by the set before the former one may still grant
+	case len(v.previousNames) > 0:
+		// A majority of set number-2 may still go by it, and that majority need not share a voter with one of this set.
 		return refuse(answer, Abstaining, statusInterval)
 	case answer.Length <= 0 || answer.Length > v.longestLease || answer.Lease == "" || len(answer.Lease) > MaxNameLength:
 		return refuse(answer, OutOfBounds, 0)
@@ -193,7 +195,7 @@
 func (v *Voter) answerRenewRequest(now int64, m *RenewRequest) {
 	header, sameSet := v.response(now, &m.RequestHeader)
 	answer := &RenewResponse{ResponseHeader: header}
-	answer.EndedGrants = math.MaxUint64 // no count that the candidate may know
+	answer.EndedGrants = math.MaxUint64 // for a session that is unknown or not renewed; never equal to a real count
 	s := v.sessions[process{m.From, m.Incarnation}]
 	if s != nil && sameSet && now >= v.abstainUntil && len(v.previousNames) == 0 {
 		v.renewAll(now, s, m.Generation, answer)
@@ -220,7 +222,7 @@
 	}
 }
 
-// handleRelease takes back what its holder gives up; whom the holder names goes first in line.
+// handleRelease ends the grants that their holder gives up; the member that the holder names goes first in line.
 func (v *Voter) handleRelease(now int64, m *Release) {
 	by := process{m.From, m.Incarnation}
 	for _, released := range m.Leases {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// handleRenewal takes a voter's answer that it extended all that it granted to this process in full. sentAt is when the
-// request went out. A vote counts as extended only where it must still have been granted at the voter:
+// handleRenewal handles a voter's answer that it extended all that it granted to this process in full. sentAt is when the
+// request went out. A vote counts as extended only if the voter must still have had it granted:
 //   - the same voter process under the same voter set answers, since another one has forgotten or dropped the grant;
 //   - the voter's count of ended grants is as it was, so that none of this process's ended meanwhile;
 //   - the generation is as it was, since others are not extended;
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -11,7 +11,7 @@
 // Header is what every message carries.
 type Header struct {
 	From        string
-	Incarnation uint64 // the sender's process, a number that no other process of its name has
+	Incarnation uint64 // the sender's process, drawn at random, see leaseservice; not the incarnation that membership gives out
 	SetNumber   uint64 // of the voter set that the sender goes by; in requests of the one that the receiver is believed to go by
 }
 
@@ -31,7 +31,7 @@
 	Requester   uint64   // incarnation of the candidate that asked
 	RequestID   uint64   // of the request
 	Generation  uint64   // of the request
-	EndedGrants uint64   // the voter's count of ended grants when one of this candidate's last ended
+	EndedGrants uint64   // value of Voter.endedGrants when this process's most recent grant ended
 	VoterClock  int64    // us
 	SetNames    []string // of the voter's set where the candidate asked under another one, else none
 }
@@ -76,13 +76,14 @@
 	Leases []LeaseVerdict
 }
 
-// LeaseVerdict is a voter's verdict on one lease. It repeats what was asked for; Term is the term in the way where it was
-// refused for another one, and Length what the grant was extended by.
+// LeaseVerdict is a voter's verdict on one lease. It repeats what was asked for, with two exceptions. If the verdict is
+// TermTooLow, Term is the higher of the lease's last term and the voter's term floor; if it is HeldByOther, Term is the
+// holder's. If it is Granted, Length is what the grant was extended by.
 type LeaseVerdict struct {
 	WantedLease
 	Verdict Verdict
 	Holder  string // HeldByOther: who has it
-	Wait    int64  // us that a refused candidate should wait at the most
+	Wait    int64  // us that a refused candidate should wait at most
 }
 
 // RenewResponse is a voter's answer to a RenewRequest.
@@ -98,13 +99,13 @@
 	Term      uint64
 	First     string // member that is first in line
 	Priority  int8   // the first's
-	WaitedFor int64  // us that the first has waited
+	WaitedFor int64  // us that the first has waited; part of the wire form, read by nobody
 }
 
 // TurnNotice tells the first in line that leases are free for it.
 type TurnNotice struct {
 	Header
-	VoterClock int64 // us
+	VoterClock int64 // us; part of the wire form, read by nobody
 	Leases     []FreeLease
 }
 
@@ -117,14 +118,14 @@
 // VoterStatus tells another voter, each second, how its sender stands.
 type VoterStatus struct {
 	Header
-	VoterClock   int64    // us
+	VoterClock   int64    // us; part of the wire form, read by nobody
 	SetNames     []string // of the sender's voter set
 	SetAge       int64    // us since it adopted that
 	TermFloor    uint64   // no term up to this is granted anew
 	LongestLease int64    // us
 }
 
-// ForVoter tells whether a message is for the receiver's voter; the others are for its candidate.
+// ForVoter reports whether a message is for the receiver's voter; the others are for its candidate.
 func ForVoter(m Message) bool {
 	switch m.(type) {
 	case *GrantRequest, *RenewRequest, *Release, *VoterStatus:
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -100,7 +100,7 @@
 	return sent.Message
 }
 
-// answers tells whether an answer is to a request.
+// answers reports whether an answer is to a request.
 func answers(a *ResponseHeader, q *RequestHeader) bool {
 	return a.RequestID == q.RequestID && a.Requester == q.Incarnation && a.Generation == q.Generation
 }
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -20,7 +20,7 @@
 	peers         map[string]peerStatus
 	statusAt      int64 // when it next tells the other voters how it stands
 
-	leases      []*leaseGrant // nil in places whose lease was forgotten; a new one takes the place that was freed last
+	leases      []*leaseGrant // nil at indexes whose lease was forgotten; a new one takes the index that was freed last
 	freeIndexes []int
 	leaseIndex  map[string]int
 	sessions    map[process]*session
@@ -88,7 +88,8 @@
 	return Header{From: v.name, Incarnation: v.incarnation, SetNumber: v.set.number}
 }
 
-// AbstainsFor tells for how long it still abstains, in us.
+// AbstainsFor returns for how long the voter still abstains because it has just started, in us. It does not cover the time
+// in which it abstains until its voter set is settled (previousNames), whose end is not known in advance.
 func (v *Voter) AbstainsFor(now int64) int64 { return max(0, v.abstainUntil-now) }
 
 // TermFloor is the term up to which nothing is granted anew: above it nobody has heard a term from here.
@@ -127,7 +128,7 @@
 	return states
 }
 
-// find returns what is known of a lease, nil for nothing.
+// find returns what is known of a lease, or nil if nothing is.
 func (v *Voter) find(lease string) *leaseGrant {
 	index, known := v.leaseIndex[lease]
 	if !known {
@@ -136,7 +137,7 @@
 	return v.leases[index]
 }
 
-// findOrAdd returns what is known of a lease, or makes room for it; nil where there is no capacity.
+// findOrAdd returns what is known of a lease, or makes room for it; it returns nil if there is no capacity.
 func (v *Voter) findOrAdd(now int64, lease string) *leaseGrant {
 	if g := v.find(lease); g != nil {
 		return g
@@ -157,7 +158,7 @@
 	return g
 }
 
-// forgetEnded forgets leases that ended before a time and tells whether there were any. The term floor rises to their
+// forgetEnded forgets leases that ended before a time and reports whether there were any. The term floor rises to their
 // terms, so that none is granted twice.
 func (v *Voter) forgetEnded(now, before int64) (some bool) {
 	if now < v.abstainUntil {
@@ -177,7 +178,7 @@
 	return some
 }
 
-// Receive takes a message.
+// Receive handles a message from a candidate or another voter.
 func (v *Voter) Receive(now int64, m Message) {
 	switch m := m.(type) {
 	case *GrantRequest:
@@ -213,7 +214,7 @@
 	v.sendStatusToAll(now)
 }
 
-// forgetOld drops what matters no more.
+// forgetOld forgets leases, sessions and lapses that no longer affect a decision.
 func (v *Voter) forgetOld(now int64) {
 	v.forgetEnded(now, now-forgetAfter)
 	for by, s := range v.sessions {
--- a/internal/lease/voter_set.go
+++ b/internal/lease/voter_set.go
@@ -27,7 +27,7 @@
 
 func (s *adoptedSet) majority() int { return len(s.names)/2 + 1 }
 
-// ValidSuccessor tells whether a voter set may follow another: the two differ by exactly one voter. Then a majority of
+// ValidSuccessor reports whether a voter set may follow another: the two differ by exactly one voter. Then a majority of
 // one and a majority of the other always have a voter in common, which never grants a lease to two processes at once.
 // With two voters replaced at a time, each set could have a holder of its own.
 func ValidSuccessor(was, now []string) bool {
@@ -48,7 +48,7 @@
 var (
 	ErrSetNumberReused = errors.New("other voters under the number that is in force")
 	ErrSetOutdated     = errors.New("a later voter set is in force")
-	ErrSetSkipped      = errors.New("one change of voters after another")
+	ErrSetSkipped      = errors.New("one change of voters after another") // the number may only grow by one at a time
 	ErrSetTooDifferent = errors.New("voter sets that differ by more than one voter")
 )
 
@@ -68,7 +68,7 @@
 		return fmt.Sprintf("voters number %d, and number %d is in force", e.Offered, e.InForce)
 	case ErrSetSkipped:
 		return fmt.Sprintf("voters number %d, and number %d is in force: one change after another", e.Offered, e.InForce)
-	default:
+	default: // ErrSetTooDifferent
 		return fmt.Sprintf("voters number %d differ from number %d by more than one", e.Offered, e.InForce)
 	}
 }
--- a/internal/lease/voter_set_change.go
+++ b/internal/lease/voter_set_change.go
@@ -22,13 +22,13 @@
 	maxPeers = 64
 )
 
-// CurrentSet is the number of the voter set that it goes by, and its names.
+// CurrentSet returns the number and the names of the voter set that the voter goes by.
 func (v *Voter) CurrentSet() (number uint64, names []string) { return v.set.number, v.set.names }
 
-// IsMember tells whether it belongs to the voter set that it goes by.
+// IsMember reports whether the voter belongs to the voter set that it goes by.
 func (v *Voter) IsMember() bool { return v.set.has(v.name) }
 
-// SetVoters tells of the voter set that the operator's file names. The next one in number is adopted as soon as the
+// SetVoters hands over the voter set that the operator's file names. The next one in number is adopted as soon as the
 // present one is in force (see inForce): grants under the one before are over by then. The error is a *VoterSetError.
 func (v *Voter) SetVoters(now int64, voters VoterSet) error {
 	refused := func(reason error) error {
@@ -57,7 +57,8 @@
 
 func sorted(names []string) []string { return slices.Sorted(slices.Values(names)) }
 
-// adoptNextSet adopts the next voter set where that is safe, and finds whether the present one is in force.
+// adoptNextSet adopts the next voter set if the present one is in force, see inForce. Before, it ends the abstinence of a
+// process that began with a set which it had not seen in force (previousNames), once that set is in force.
 func (v *Voter) adoptNextSet(now int64) {
 	if len(v.previousNames) > 0 && v.inForce(now, v.previousNames, v.set.number-1) {
 		v.previousNames = nil
@@ -73,7 +74,7 @@
 	v.statusAt = now
 }
 
-// inForce tells whether a majority of a voter set has gone by a number, or by later ones, for the longest lease: no grant
+// inForce reports whether a majority of a voter set has gone by a number, or by later ones, for the longest lease: no grant
 // under a lower number is good any more, and no majority under one can come together. Without this wait two sets two
 // changes apart could each have a holder, for their majorities need not have a voter in common.
 func (v *Voter) inForce(now int64, names []string, number uint64) bool {
@@ -91,7 +92,7 @@
 	return 2*sure > len(names)
 }
 
-// handleVoterStatus takes another voter's status.
+// handleVoterStatus notes another voter's status, and answers a voter that may not know of this one.
 func (v *Voter) handleVoterStatus(now int64, m *VoterStatus) {
 	peer, known := v.peers[m.From]
 	if m.From == v.name || !known && len(v.peers) >= maxPeers {
@@ -109,8 +110,8 @@
 
 // learnWhileAbstaining takes in what a voter that has just started does not know any more: terms that the others have
 // heard of, and how long leases may be that it may have granted before. It believes only voters whose grants may count
-// together with its own. A floor is above its teller's wall clock, and what was learned of any member might not be heard
-// again after the next start: a term would be granted twice.
+// together with its own. If a floor from a non-voter were accepted, this voter could grant terms above its own wall clock,
+// forget them at a restart, and not hear that floor again: a term would be granted twice.
 func (v *Voter) learnWhileAbstaining(now int64, m *VoterStatus) {
 	if now >= v.abstainUntil || !v.set.has(m.From) && !slices.Contains(v.previousNames, m.From) {
 		return
--- a/internal/leaseservice/codec.go
+++ b/internal/leaseservice/codec.go
@@ -256,7 +256,7 @@
 	return nil
 }
 
-// inBounds tells whether a message's fields may be believed, those included that its kind does not have.
+// inBounds reports whether a message's fields may be believed, those included that its kind does not have.
 func (w *wireMessage) inBounds() bool {
 	if w.Kind < kindGrantRequest || w.Kind > kindVoterStatus || len(w.SetNames) > lease.MaxVoters || w.RenewedCount < 0 || w.TermFloor > maxTerm {
 		return false
@@ -274,7 +274,7 @@
 	return within(w.LongestLease, maxLeaseLength) && within(w.SetAge, maxTime) && within(w.VoterClock, maxTime)
 }
 
-// inBounds tells whether what a message says of one lease may be believed.
+// inBounds reports whether what a message says of one lease may be believed.
 func (l *wireLease) inBounds() bool {
 	if l.Lease == "" || len(l.Lease) > lease.MaxNameLength || len(l.Holder) > lease.MaxNameLength {
 		return false
@@ -285,5 +285,5 @@
 	return within(l.Length, maxLeaseLength) && within(l.Wait, maxTime)
 }
 
-// within tells whether a time is from 0 to a bound.
+// within reports whether a time is from 0 to a bound.
 func within(t, bound int64) bool { return t >= 0 && t <= bound }
--- a/internal/leaseservice/service.go
+++ b/internal/leaseservice/service.go
@@ -32,7 +32,7 @@
 	maxLeaseLength = 600_000_000
 )
 
-// ErrAlreadyRequested tells that this instance requests the lease already.
+// ErrAlreadyRequested means that this instance requests the lease already.
 var ErrAlreadyRequested = errors.New("this instance asks for that lease already")
 
 // InvalidRequestError tells that a requested lease's name or length is out of bounds.
@@ -137,7 +137,8 @@
 	return stored, nil
 }
 
-// newIncarnation draws a number that no other process of this name has.
+// newIncarnation draws a random 62-bit number; two processes with the same one are not to be expected. It tells this process
+// from others of its name to the voters, and is unrelated to the incarnation of package membership, a start time.
 func newIncarnation() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
@@ -150,7 +151,7 @@
 	slog.Error("voter out of service", "err", err)
 }
 
-// VoterFault tells why this instance's voter is out of service, nil where it is not.
+// VoterFault returns why this instance's voter is out of service, or nil if it is in service.
 func (s *Service) VoterFault() error {
 	if err := s.voterFailure.Load(); err != nil {
 		return *err
@@ -166,7 +167,7 @@
 	slog.Info("leases", "voters", voters.Names, "number", voters.Number, "votes", slices.Contains(voters.Names, s.self), "stored", s.store != nil)
 }
 
-// Receive takes a member's message; it never blocks.
+// Receive passes on a member's message to the candidate, the voter or a query; it never blocks.
 func (s *Service) Receive(from string, kind uint8, body []byte) {
 	if kind == membership.KindLeaseQuery {
 		s.receiveQuery(from, body)
@@ -182,7 +183,7 @@
 	s.deliver(m)
 }
 
-// deliver hands a message to the candidate or the voter. Where too many wait it is dropped, as if the network had lost it.
+// deliver hands a message to the candidate or the voter. If too many wait it is dropped, as if the network had lost it.
 func (s *Service) deliver(m lease.Message) {
 	inbox := s.candidateInbox
 	if lease.ForVoter(m) {
@@ -238,7 +239,7 @@
 
 // RequestLease begins to request a lease. onEvent is told of each change, on the candidate's goroutine, and must not
 // block; nil lets the guard yield by itself, and acts go through Guard.Do alone. The error is ErrAlreadyRequested or an
-// *InvalidRequestError.
+// *InvalidRequestError. After Stop it is ErrAlreadyRequested for every valid request, although nobody requests the lease.
 func (s *Service) RequestLease(wanted lease.Request, onEvent func(Event)) (*Guard, error) {
 	validName := wanted.Lease != "" && len(wanted.Lease) <= lease.MaxNameLength
 	if !validName || wanted.Length < minLeaseLength || wanted.Length > s.settings.LongestLease {
@@ -272,7 +273,7 @@
 	return err
 }
 
-// MemberGone tells that a member left or failed; it never blocks.
+// MemberGone tells the voter that a member left or failed; it never blocks.
 func (s *Service) MemberGone(name string) {
 	tell := func(now int64) {
 		if s.voter != nil {
--- a/internal/leaseservice/voter_loop.go
+++ b/internal/leaseservice/voter_loop.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// mustBeStored tells whether an action changes what a voter's file holds.
+// mustBeStored reports whether an action changes what a voter's file holds.
 func mustBeStored(action lease.Action) bool {
 	switch action.(type) {
 	case lease.StoreGrant, lease.DeleteGrant, lease.StoreVoterSet:
--- a/internal/leaseservice/voter_query.go
+++ b/internal/leaseservice/voter_query.go
@@ -115,7 +115,7 @@
 	return reports
 }
 
-// take puts a page with the others of its voter, and tells whether the next one is to be asked for. A page that came
+// take puts a page with the others of its voter, and reports whether the next one is to be asked for. A page that came
 // twice, or late, changes nothing.
 func (q *queries) take(from string, page queryMessage) (next bool) {
 	q.mu.Lock()
--- a/internal/supervisor/children.go
+++ b/internal/supervisor/children.go
@@ -15,7 +15,8 @@
 	maxChildChecks = 500
 )
 
-// killGroup kills the command's group, and whoever else has become this process's child, until there is none.
+// killGroup kills the command's process group and all other children of this process, again and again until none is left
+// or maxChildChecks looks are over. group is the process ID of the command too, which leads its group.
 func killGroup(group int) {
 	syscall.Kill(-group, syscall.SIGKILL)
 	for range maxChildChecks {
@@ -31,7 +32,7 @@
 	}
 }
 
-// reapAllExcept takes the ends of children that were left behind; the command itself is waited for elsewhere.
+// reapAllExcept reaps exited children except the command, for which exec.Cmd.Wait waits.
 func reapAllExcept(exceptPID int) {
 	for _, pid := range children() {
 		if pid != exceptPID {
@@ -40,7 +41,7 @@
 	}
 }
 
-// children are this process's children, as the system tells.
+// children returns the process IDs of this process's children, from /proc.
 func children() (pids []int) {
 	threads, _ := os.ReadDir("/proc/self/task")
 	for _, thread := range threads {
--- a/internal/supervisor/doc.go
+++ b/internal/supervisor/doc.go
@@ -1,11 +1,11 @@
 // Package supervisor runs an operator's command under a lease and sees to it that the command is over before the lease
 // can pass on, whatever becomes of who asked for it.
 //
-// Three processes take part. The router holds the lease and tells until when. The asker (cairntiller lease hold,
+// Three processes take part. The router holds the lease and says until when. The asker (cairntiller lease hold,
 // RunWithLease) passes that on. The supervisor (Supervise) is a process between the asker and the command: it is told the
 // end of the command's time over its standard input, and ends the command and all that came of it before that time is
-// over. A timer within the asker would stop with the asker; this one ends the command though both others be stopped or
-// dead, and a command that was stopped is killed all the same.
+// over. A timer within the asker would stop with the asker; this one ends the command even if both others are stopped or
+// dead, and it kills a command that was stopped.
 //
 // The command's states, as the supervisor sees them:
 //
--- a/internal/supervisor/lease.go
+++ b/internal/supervisor/lease.go
@@ -13,10 +13,10 @@
 	"cairntiller/internal/leaseservice"
 )
 
-// defaultLeaseLength is that of a lease which a command holds, unless it is said.
+// defaultLeaseLength is the length of the lease that a command holds, if Options names none.
 const defaultLeaseLength = 10 * time.Second
 
-// ErrRequestEnded tells that the router ended the request before the lease was held.
+// ErrRequestEnded means that the router ended the request before the lease was held.
 var ErrRequestEnded = errors.New("the router ended the request")
 
 // Options are how a command's lease is wanted; zero values stand for the defaults.
@@ -48,7 +48,8 @@
 }
 
 // RunWithLease waits for a lease, runs a command while it is held, and returns the command's exit code or one of the Exit
-// codes. supervise is the program and arguments that start the supervisor's process, which calls Supervise.
+// codes: ExitNotAcquired if options.Wait is over or SIGINT, SIGTERM or SIGHUP comes while the lease is waited for; -1 if the
+// supervisor itself was killed by a signal. If err is not nil the code has no meaning. supervise is the program and arguments that start the supervisor's process, which calls Supervise.
 func RunWithLease(socket, lease string, options Options, supervise, command []string) (code int, err error) {
 	request, err := requestLease(socket, lease, options)
 	if err != nil {
@@ -119,7 +120,7 @@
 	r.call.Close()
 }
 
-// await waits until the lease is held. It returns nil where it was not in time, or a signal came first.
+// await waits until the lease is held. It returns nil if that took longer than most, or a signal came first.
 func (r *leaseRequest) await(most time.Duration, signals <-chan os.Signal) (*leaseservice.HoldUpdate, error) {
 	var timeout <-chan time.Time
 	if most > 0 {
@@ -178,8 +179,8 @@
 	child.tell(endMessage)
 }
 
-// giveUp tells the router that what ran under the lease has ended, and waits until it has taken that: it gives the lease
-// to others at once then, and not after a length.
+// giveUp tells the router that what ran under the lease has ended, so that the router gives the lease to others at once
+// and not after a length. It waits, without a bound, until the router ends the call.
 func (r *leaseRequest) giveUp() {
 	if r.call.Send(leaseservice.CommandEnded{Ended: true}) != nil {
 		return
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -21,7 +21,7 @@
 const (
 	ExitNotAcquired = 123 // the lease was not held in time
 	ExitTimeExpired = 124 // the command was ended, its time was over
-	ExitNotStarted  = 125 // it could not be started
+	ExitNotStarted  = 125 // it could not be started, or ended by a signal although its time was not over
 )
 
 // ExitCode is an exit code without further words, as an error.
@@ -30,8 +30,8 @@
 // Error names the code.
 func (e ExitCode) Error() string { return "exit code " + strconv.Itoa(int(e)) }
 
-// gracePeriodParts is into how many parts the grace period is divided; the command is killed when one is left, so that even a
-// slow kill is over in time.
+// gracePeriodParts is the number of parts into which the grace period is divided. The command gets SIGKILL when one part is
+// left, half a grace period before the end, so that even a slow kill is over in time.
 const gracePeriodParts = 2
 
 // GracePeriod is how long before the end of its time a command is told to end, for a lease of a length; it is killed when
@@ -131,7 +131,7 @@
 	}
 }
 
-// handleLine takes a new end of the command's time, which never moves it back. Any other line ends the command, as the end
+// handleLine handles a line from the asker: a new end of the command's time, which never moves it back. Any other line ends the command, as the end
 // of the input does: nobody is there to speak any more.
 func (s *supervised) handleLine(line string, more bool) {
 	if !more {
@@ -153,7 +153,8 @@
 	s.until = min(s.until, s.clock()+s.gracePeriod.Microseconds())
 }
 
-// exitCode is the command's own, or that its time had expired.
+// exitCode returns the command's own exit code; ExitTimeExpired if it had been told to end; or ExitNotStarted if it ended by a
+// signal, or could not be waited for.
 func (s *supervised) exitCode(err error) int {
 	if s.toldToEnd {
 		return ExitTimeExpired
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// gone tells whether a process that wrote its number to a file is over.
+// gone reports whether a process that wrote its number to a file is over.
 func gone(path string) bool {
 	raw, err := os.ReadFile(path)
 	pid, bad := strconv.Atoi(strings.TrimSpace(string(raw)))
