--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -184,7 +184,7 @@
 	seen.violations = append(seen.violations, session.Violations...)
 }
 
-// record counts an answer, and tells whether it was a good one.
+// record counts an answer, and reports whether it was a good one.
 func (o *observations) record(answer client.Answer, err error) bool {
 	o.Lock()
 	defer o.Unlock()
--- a/internal/assignment/claims.go
+++ b/internal/assignment/claims.go
@@ -41,7 +41,7 @@
 
 func (b *claimBudget) take() { b.tokens-- }
 
-// shouldClaim tells whether this instance is to claim a task that it does not own.
+// shouldClaim reports whether this instance is to claim a task that it does not own.
 func (t *Table) shouldClaim(task *task, now int64) bool {
 	if late := now - task.learnedAt - t.overdueAfter(); late >= 0 {
 		return late >= int64(overdueRankIntervals*float64(t.interval))*int64(t.rank(task))
@@ -84,7 +84,7 @@
 	}
 }
 
-// supersedes tells whether a claim by a member is greater than the one that this instance believes in: the later term
+// supersedes reports whether a claim by a member is greater than the one that this instance believes in: the later term
 // counts, in one term the higher score, and between equal scores the first name.
 func (t *Table) supersedes(task *task, term uint64, claimant *member) bool {
 	if term != task.term {
--- a/internal/assignment/member_health.go
+++ b/internal/assignment/member_health.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// isOverdue tells whether so many of a member's tasks are overdue that it counts as slow.
+// isOverdue reports whether so many of a member's tasks are overdue that it counts as slow.
 func (m *member) isOverdue() bool {
 	return m.owned >= slowMinTasks && float64(m.overdue) > slowOverdueShare*float64(m.owned)
 }
--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -60,7 +60,7 @@
 	return best
 }
 
-// greater tells whether a claim is greater than the one that the model believes in.
+// greater reports whether a claim is greater than the one that the model believes in.
 func (m *model) greater(key string, term uint64, by string) bool {
 	task := m.tasks[key]
 	switch {
--- a/internal/assignment/rejoin.go
+++ b/internal/assignment/rejoin.go
@@ -22,7 +22,7 @@
 	minority   bool // this instance sees less than half of the members that there are
 }
 
-// ClaimsTasks tells whether this instance claims the tasks that it is the target of. One that has just started or rejoined
+// ClaimsTasks reports whether this instance claims the tasks that it is the target of. One that has just started or rejoined
 // does not yet; their owners go on until it does.
 func (t *Table) ClaimsTasks() bool { return t.rejoin.claiming }
 
@@ -62,7 +62,7 @@
 	t.NoteRejoins(now, t.rejoin.rejoins+1)
 }
 
-// isMinority tells whether the live members are less than half of those that there are.
+// isMinority reports whether the live members are less than half of those that there are.
 func (t *Table) isMinority() bool {
 	return 2*t.liveMembers() < max(t.peakMembers, t.config.Instances)
 }
--- a/internal/assignment/rendezvous.go
+++ b/internal/assignment/rendezvous.go
@@ -20,7 +20,7 @@
 	return x ^ x>>31
 }
 
-// precedes tells whether a member comes before another for a task: the higher score, between equal ones the first name.
+// precedes reports whether a member comes before another for a task: the higher score, between equal ones the first name.
 func precedes(a, b *member, task *task) bool {
 	scoreA, scoreB := score(a, task), score(b, task)
 	return scoreA > scoreB || scoreA == scoreB && a.name < b.name
--- a/internal/assignment/table.go
+++ b/internal/assignment/table.go
@@ -202,7 +202,7 @@
 	return count
 }
 
-// Owns tells whether this instance owns a task.
+// Owns reports whether this instance owns a task.
 func (t *Table) Owns(key string) bool {
 	task := t.taskByKey[key]
 	return task != nil && task.owner == t.self
@@ -225,7 +225,7 @@
 	return name, task.term, age
 }
 
-// Delegated tells whether another member owns a task and its updates come in time, so that this instance need not look at
+// Delegated reports whether another member owns a task and its updates come in time, so that this instance need not look at
 // the node itself.
 func (t *Table) Delegated(now int64, key string) bool {
 	task := t.taskByKey[key]
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// call asks for the complete list where none is known, else for the changes after the version that is.
+// call asks for the complete list if none is known, else for the changes after the version that is.
 func (w *watch) call(ctx context.Context) (*http.Response, error) {
 	url := "http://" + w.address + "/api/targets"
 	if w.version != UnknownVersion {
--- a/internal/membership/admission.go
+++ b/internal/membership/admission.go
@@ -123,7 +123,7 @@
 // keepPlace notes that a member was seen.
 func (a *admission) keepPlace(now int64, name string) { a.admitted[name] = now }
 
-// admitDirect tells whether a direct message from a member may be taken. Each member has a rate of its own, so that one
+// admitDirect reports whether a direct message from a member may be taken. Each member has a rate of its own, so that one
 // that floods does not keep the messages of others out.
 func (a *admission) admitDirect(now int64, name string) bool {
 	bucket := a.direct[name]
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,10 +1,11 @@
 // Package membership keeps the list of cooperating instances and carries messages among them, on hashicorp/memberlist
 // over TCP and UDP. Everything is encrypted, with keys that can be replaced in service.
 //
-// What is decided here has no I/O and no clock, and is in three files:
+// What is decided here has no I/O and no clock, and is in four files:
 //
 //   - admission.go: which instance may be a member, and how many messages one may send.
-//   - broadcast.go: which gossip message is new, in which order messages are sent on, how often, and to whom.
+//   - duplicates.go: which gossip message is new.
+//   - broadcast.go: in which order gossip messages are sent on, how often, and to whom.
 //   - missing_members.go: when members that can't be reached are looked for, and where.
 //
 // What is carried is in the others: service.go starts and ends an instance's part, delegate.go holds the calls of the
--- a/internal/membership/duplicates.go
+++ b/internal/membership/duplicates.go
@@ -11,7 +11,7 @@
 	taken       [duplicateWindow / 64]uint64 // a bit for each number up to highest, by number modulo the window
 }
 
-// isNew tells whether a message of an origin's process was not taken before, and notes it as taken. What a former process
+// isNew reports whether a message of an origin's process was not taken before, and notes it as taken. What a former process
 // said counts for nothing once a later one was heard.
 func (f *duplicateFilter) isNew(incarnation, number uint64) bool {
 	if incarnation < f.incarnation {
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -230,7 +230,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record, known := s.records[name]
-	if !known { // records are bounded where members come up
+	if !known { // memberUp bounds the records
 		return
 	}
 	record.Rejoins = times
--- a/internal/serve/cluster_services.go
+++ b/internal/serve/cluster_services.go
@@ -22,7 +22,7 @@
 	OnLeases      func(*leaseservice.Service) // is given the router's lease service, once it runs
 }
 
-// clusterServices are what a router does together with others, and for operators on its machine. Each part is nil where
+// clusterServices are what a router does together with others, and for operators on its machine. Each part is nil if
 // the operator's file does not ask for it.
 type clusterServices struct {
 	name         string // the router's
--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -59,8 +59,8 @@
 	return c, nil
 }
 
-// withEnvironment returns the configuration at start, where the environment stands over the file. It does so no more
-// once the file is reloaded.
+// withEnvironment returns the configuration at start, in which the environment overrides the file. Once the file
+// is reloaded it no longer does.
 func (c platformConfig) withEnvironment() platformConfig {
 	override := func(name string, field *string) {
 		if value := os.Getenv(name); value != "" {
@@ -74,7 +74,7 @@
 }
 
 // reloadConfig reads the platform's configuration again. It returns it as it holds from now on, and the address of
-// discovery where the file names another than before. All else takes a restart, which the log says.
+// discovery if the file names another than before. All else takes a restart, which the log says.
 func reloadConfig(current platformConfig) (effective platformConfig, movedTo string) {
 	loaded, err := loadConfig()
 	fresh := loaded.platform
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -19,7 +19,7 @@
 	acceptWait = 500 * time.Millisecond
 	// readWait is the time for clients to read their last answers.
 	readWait = 300 * time.Millisecond
-	// handoverWait is the time for the other routers to be told, where that takes longer than the last answers.
+	// handoverWait is the time for the other routers to be told, if that takes longer than the last answers.
 	handoverWait = 2 * time.Second
 )
 
--- a/internal/sharedprobes/service.go
+++ b/internal/sharedprobes/service.go
@@ -39,7 +39,7 @@
 	After(in int64, do func(now int64))
 	// ApplyGossip hands on what another instance learned of a node.
 	ApplyGossip(now int64, update routing.GossipUpdate)
-	// DelegateHealthChecks tells whether a peer checks a node.
+	// DelegateHealthChecks tells the engine whether a peer checks a node.
 	DelegateHealthChecks(node string, delegated bool)
 	// CheckHealth checks a node; HealthCheckEnded is called at its end.
 	CheckHealth(node string)
@@ -241,7 +241,7 @@
 	hintNotPrimary = -1
 )
 
-// hintOf returns the hint that stands for a role, 0 where it is unknown.
+// hintOf returns the hint that stands for a role, 0 if it is unknown.
 func hintOf(role routing.Role) int8 {
 	switch role {
 	case routing.Primary:
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -82,7 +82,7 @@
 	resultAttempt    = 6 // number of the attempt
 	resultElapsed    = 7
 	resultNodeStatus = 8 // the node's position and role in one number
-	resultLoadReport = 9 // where the node sent one
+	resultLoadReport = 9 // if the node sent one
 )
 
 // attemptEnded hands the end of an attempt to the module, and what its node told of itself.
@@ -133,7 +133,7 @@
 	checkedNode       = 2
 	checkedElapsed    = 3 // must be a time, and is not used
 	checkedOutcome    = 4
-	checkedLoadReport = 5 // where the node sent one
+	checkedLoadReport = 5 // if the node sent one
 )
 
 // healthCheckEnded hands the end of a health check to the module.
--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -31,7 +31,7 @@
 	reply   []byte // actions of the batch so far
 }
 
-// Serve answers batches until the input ends. The error is an *InputError where the input can't be read.
+// Serve answers batches until the input ends. The error is an *InputError if the input can't be read.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		in:        bufio.NewReaderSize(in, ioBuffer),
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -56,7 +56,7 @@
 // Stream is one connection. Its methods may be called from any goroutine.
 type Stream struct {
 	conn netpoll.Connection
-	fd   int // -1 where the library tells none; the kernel refuses that
+	fd   int // -1 if the library has none; the kernel refuses that
 
 	mu          sync.Mutex
 	queue       []queuedWrite
--- a/internal/versionaudit/auditor.go
+++ b/internal/versionaudit/auditor.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// runAudit makes one audit, if this instance holds the lease, and tells whether it was completed. Each of the looks is an
+// runAudit makes one audit, if this instance holds the lease, and reports whether it was completed. Each of the looks is an
 // act under the lease by itself, so that an instance that loses it between them does not go on beside its successor.
 func (a *Auditor) runAudit(guard *leaseservice.Guard) bool {
 	if term, _ := guard.Held(); term == 0 {
