--- a/internal/lease/acquisition.go
+++ b/internal/lease/acquisition.go
@@ -105,7 +105,8 @@
 	r.requestAt = now + backoff/2 + c.jitter(backoff)
 	if free := c.mayBeFreeAt(r); free > now {
 		free = min(free, now+maxAskInterval)
-		// Up to 50 ms at random, for the same reason as above: less than askTogetherEvery, so that requests still go together.
+		// Up to 50 ms at random, for the same reason as above: less than askTogetherEvery, so that requests still go
+		// together.
 		r.requestAt = free - free%askTogetherEvery + askTogetherEvery + c.jitter(firstBackoff)/2
 		r.failures = 0
 	}
--- a/internal/lease/action.go
+++ b/internal/lease/action.go
@@ -11,23 +11,23 @@
 	Message Message
 }
 
-// StoreGrant stores a lease's last term and holder, where the voter has a file.
+// StoreGrant stores a lease's last term and holder, if the voter has a file.
 type StoreGrant struct{ GrantRecord }
 
-// DeleteGrant removes a lease's stored record; the term floor, stored with it, stands for its term.
+// DeleteGrant removes a lease's stored record; its term is not above the term floor, which is stored with it.
 type DeleteGrant struct{ Lease string }
 
 // StoreVoterSet stores the number of the voter set that the voter goes by.
 type StoreVoterSet struct{ Number uint64 }
 
-// Acquired tells that this process holds a lease from now until Until, in us of its own clock.
+// Acquired says that this process holds a lease from now until Until, in us of its own clock.
 type Acquired struct {
 	Lease string
 	Term  uint64
 	Until int64
 }
 
-// Extended tells that this process holds a lease until Until. Term is a later one than before where the lease was carried
+// Extended says that this process holds a lease until Until. Term is a later one than before if the lease was carried
 // over.
 type Extended struct {
 	Lease string
@@ -35,18 +35,18 @@
 	Until int64
 }
 
-// Lost tells that this process no longer holds a lease.
+// Lost says that this process no longer holds a lease.
 type Lost struct {
 	Lease  string
 	Term   uint64
 	Reason string
 }
 
-// YieldRequested tells that somebody else should have a lease: the holder ends what runs under it and calls Release.
+// YieldRequested says that somebody else should have a lease. The holder must end what runs under it and call Release.
 type YieldRequested struct {
 	Lease  string
 	Term   uint64
-	Next   string // member that waits first, "" where none is known
+	Next   string // member that waits first, "" if none is known
 	Reason string
 }
 
@@ -56,7 +56,7 @@
 	Text  string
 }
 
-// ClockOutOfBound tells that a voter's clock and this one's differ in rate by more than the bound that leases rest on.
+// ClockOutOfBound says that a voter's clock and this one's differ in rate by more than the bound that leases rest on.
 type ClockOutOfBound struct {
 	Voter string
 	Text  string
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -5,8 +5,8 @@
 	"hash/crc32"
 )
 
-// Candidate is one process's part: it requests leases, and holds those that a majority of voters granted. This file is
-// how it is called; acquisition.go is the way to a lease, holder.go what happens while it is held, candidate_voters.go what it
+// Candidate is one process's part: it requests leases, and holds those that a majority of voters granted. This file is how
+// it is called; acquisition.go is the way to a lease, holder.go what happens while it is held, candidate_voters.go what it
 // knows of the voters.
 type Candidate struct {
 	name        string
@@ -29,7 +29,7 @@
 	// one. See newGeneration.
 	generation uint64
 
-	requests     []*request // nil in places whose request was withdrawn; a new one takes the place that was freed last
+	requests     []*request // nil at indexes whose request was withdrawn; a new one takes the index that was freed last
 	freeIndexes  []int
 	requestIndex map[string]int
 	releases     []pendingRelease
@@ -69,22 +69,22 @@
 	votes          []vote // by the index of the voter
 }
 
-// active reports whether votes for this request count: it is being requested or held.
+// active reports whether votes for this request count, that is, whether it is being requested or held.
 func (r *request) active() bool { return r.phase != waiting }
 
 const (
-	// maxConcurrentAttempts is how many leases are requested at a time. Answers to more of them come after their trials
-	// are over where voters have little processor time, and all attempts begin anew.
+	// maxConcurrentAttempts is how many leases are requested at a time. If voters have little processor time, answers to
+	// more of them come after their trials are over, and all attempts begin anew.
 	maxConcurrentAttempts = 128
-	// maxMessagesPerTick is how many grant requests go to one voter in one tick: about 25 kB, which a socket's buffer
-	// takes. What is over goes with the next tick.
+	// maxMessagesPerTick is how many grant requests go to one voter in one tick: about 25 kB, which fits a socket's
+	// buffer. The rest goes with the next tick.
 	maxMessagesPerTick = 24
 	// termStep is how far above the highest known term a new one is.
 	termStep = 1
 )
 
-// NewCandidate makes a process's part. incarnation is a random number that tells this process from others of its name; maxDrift is in
-// parts of a million; setNumber and setNames are the voter set that the operator's file names.
+// NewCandidate makes a process's part. incarnation is a random number that tells this process from others of its name;
+// maxDrift is in parts of a million; setNumber and setNames are the voter set that the operator's file names.
 func NewCandidate(name string, incarnation uint64, maxDrift int64, setNumber uint64, setNames []string) *Candidate {
 	c := &Candidate{
 		name:            name,
@@ -189,7 +189,7 @@
 			attempts++
 		}
 	}
-	shortest := int64(0) // length of a held lease, 0 where none is held
+	shortest := int64(0) // length of a held lease, 0 if none is held
 	for _, r := range c.requests {
 		if r == nil {
 			continue
@@ -243,7 +243,8 @@
 	}
 }
 
-// newRequest is the header of a request to a voter, under a new ID and the number of the voter set that the voter goes by.
+// newRequest returns the header of a request to a voter, under a new ID and the number of the voter set that the voter goes
+// by.
 func (c *Candidate) newRequest(now int64, voter int) RequestHeader {
 	c.lastRequestID++
 	c.requestSentAt[c.lastRequestID] = now
--- a/internal/lease/candidate_voters.go
+++ b/internal/lease/candidate_voters.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// voterView is what a candidate knows of one voter. It keeps its place when the voter set changes.
+// voterView is what a candidate knows of one voter. It keeps its index when the voter set changes.
 type voterView struct {
 	name          string
 	setNumber     uint64        // of the voter set that it goes by, as far as is known
@@ -39,8 +39,8 @@
 	million = 1_000_000 // parts of a drift
 )
 
-// UsableLength is how much of a grant's length a candidate may count, in us of its own clock, from before it asked; drift
-// is the bound on clocks' rates in parts of a million. With every rate between 1-d and 1+d of the true one, a voter's
+// UsableLength returns how much of a grant's length a candidate may count, in us of its own clock, from before it asked;
+// drift is the bound on clocks' rates in parts of a million. With every rate between 1-d and 1+d of the true one, a voter's
 // length L takes L/(1+d) of true time at the least, and a candidate's L(1-2d) takes L(1-2d)/(1-d) at the most, which is
 // less, since (1-2d)(1+d) < 1-d. So the candidate always stops before the voter may grant the lease to another one.
 func UsableLength(length, drift int64) int64 {
@@ -121,7 +121,7 @@
 func (c *Candidate) compareClocks(voter *voterView, reading clockReading) {
 	first := voter.clock
 	if first.voterClock > 0 && reading.requestSentAt < first.receivedAt {
-		return // an answer that came late tells nothing new
+		return // a late answer, whose reading overlaps the first one
 	}
 	if first.voterClock == 0 {
 		voter.clock = reading
--- a/internal/lease/cooldown.go
+++ b/internal/lease/cooldown.go
@@ -17,9 +17,9 @@
 	maxCoolDownDoublings = 5
 )
 
-// noteLapse notes that a holder let a lease run out. One that does so again and again gets no lease for a while, longer
-// each time where others wait: each of its lapses leaves the lease without a holder for a length. Many leases that run
-// out together are one lapse.
+// noteLapse notes that a holder let a lease run out. A holder that does so again and again gets no lease for a while, and
+// for longer each time if others wait, because each of its lapses leaves the lease without a holder for a length. Many
+// leases that run out together are one lapse.
 func (v *Voter) noteLapse(now int64, holder string, length int64, othersWait bool) {
 	h := v.lapses[holder]
 	if h == nil || now-h.lastAt > lapseMemory {
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -39,8 +39,8 @@
 // # Terms
 //
 // A voter begins a grant only under a term above every term that it granted for the lease, and above its term floor.
-// The floor stands for terms that it no longer remembers: it starts above the wall clock's microseconds at the end of
-// the abstinence, or above the stored records where there are any, and other voters' floors are taken in meanwhile.
+// The floor covers the terms that it no longer remembers. It starts above the wall clock's microseconds at the end of
+// the abstinence, or above the stored records if there are any, and rises to other voters' floors during the abstinence.
 //
 // # While a link is cut one way
 //
--- a/internal/lease/eligibility.go
+++ b/internal/lease/eligibility.go
@@ -3,8 +3,8 @@
 import "github.com/cespare/xxhash/v2"
 
 // Eligible reports whether a member should request a lease: it is one of the first n by rendezvous hashing of its name
-// with the lease's, among itself and others. Where any member would do, only a few then burden the voters, and all
-// members that see the same membership agree on who they are.
+// with the lease's, among itself and others. If any member may hold a lease, only a few then burden the voters, and
+// all members that see the same membership agree on which they are.
 func Eligible(self string, others []string, lease string, n int) bool {
 	own := rendezvousScore(self, lease)
 	before := 0
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -48,7 +48,7 @@
 	return s
 }
 
-// response is the header of the answer to a request. sameSet reports whether the candidate asked under the voter set
+// response returns the header of the answer to a request. sameSet reports whether the candidate asked under the voter set
 // that this voter goes by and belongs to; if not, nothing is granted, and the answer names the set.
 func (v *Voter) response(now int64, request *RequestHeader) (header ResponseHeader, sameSet bool) {
 	header = ResponseHeader{
@@ -84,7 +84,7 @@
 }
 
 // decide grants, extends or refuses one lease; it is the only way to a grant. There are two ways to Granted: for the
-// process that has a live grant, under the same term or carried over to a later one; and where there is no live grant,
+// process that has a live grant, under the same term or carried over to a later one; and if there is no live grant,
 // under a term that nobody else had here. A live grant is only ever extended for its holder. A new grant must pass the
 // checks of the term, the cool-down and the reservation.
 func (v *Voter) decide(now int64, by process, generation uint64, wanted WantedLease) LeaseVerdict {
@@ -164,7 +164,7 @@
 	return extend(now, g, generation, answer)
 }
 
-// setHolder notes under which term who has a lease, and lets it be stored.
+// setHolder notes a lease's holder and term, and has them stored if they are new.
 func (v *Voter) setHolder(g *leaseGrant, by process, term uint64) {
 	if g.term != term || g.holder != by {
 		v.addAction(StoreGrant{GrantRecord{Lease: g.lease, Holder: by.name, Term: term, Incarnation: by.incarnation}})
@@ -205,7 +205,8 @@
 	v.send(m.From, answer)
 }
 
-// renewAll extends a process's full grants of a generation and notes in the answer how many there were, and who waits.
+// renewAll extends a process's full grants of a generation and notes in the answer how many there were, and which
+// candidates wait.
 func (v *Voter) renewAll(now int64, s *session, generation uint64, answer *RenewResponse) {
 	for i := len(s.leases) - 1; i >= 0; i-- { // from the end: one that has run out leaves the list
 		g := s.leases[i]
@@ -252,7 +253,7 @@
 	v.endGrant(now, g)
 }
 
-// endGrant ends a grant and gives notice to who waits first. The process's count of ended grants changes, so that its
+// endGrant ends a grant and gives notice to the first in line. The process's count of ended grants changes, so that its
 // renewal requests under way don't count for the grant.
 func (v *Voter) endGrant(now int64, g *leaseGrant) {
 	s := v.sessions[g.holder]
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -27,7 +27,7 @@
 	reasonTurnIsOver     = "it had its turn"
 )
 
-// HeldTerm is under which term a lease is held and until when, on the own clock; 0 where it is not held.
+// HeldTerm returns the term under which a lease is held and until when, on the own clock; 0 if it is not held.
 func (c *Candidate) HeldTerm(lease string) (term uint64, until int64) {
 	r := c.find(lease)
 	if r == nil || r.phase != holding {
@@ -80,7 +80,7 @@
 	}
 }
 
-// yieldIfDue decides whether a holder yields to the first who waits, once a tenure: to a higher priority at once, to
+// yieldIfDue decides whether a holder yields to the first in line, once a tenure: to a higher priority at once, to
 // others after Request.YieldAfter.
 func (c *Candidate) yieldIfDue(now int64, wanted WaitingLease) {
 	r := c.find(wanted.Lease)
@@ -184,7 +184,7 @@
 	r.heldUntil = 0
 	voted := slices.ContainsFunc(r.votes, func(v vote) bool { return v.term == r.term })
 	if !voted && r.phase == requesting {
-		return // nobody is known to have voted; who has all the same keeps a trial grant for a moment
+		return // no voter is known to have granted; one that has, unknown to us, keeps a trial grant for maxTrial at most
 	}
 	c.addRelease(now, r.Lease, r.term, next)
 	if r.carryOverTerm > 0 {
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -33,7 +33,7 @@
 	Generation  uint64   // of the request
 	EndedGrants uint64   // value of Voter.endedGrants when this process's most recent grant ended
 	VoterClock  int64    // us
-	SetNames    []string // of the voter's set where the candidate asked under another one, else none
+	SetNames    []string // of the voter's set if the candidate asked under another one, else none
 }
 
 // GrantRequest asks a voter to grant or extend each of some leases. It answers with a GrantResponse.
@@ -82,7 +82,7 @@
 type LeaseVerdict struct {
 	WantedLease
 	Verdict Verdict
-	Holder  string // HeldByOther: who has it
+	Holder  string // HeldByOther: member that has it
 	Wait    int64  // us that a refused candidate should wait at most
 }
 
@@ -115,13 +115,13 @@
 	Term  uint64
 }
 
-// VoterStatus tells another voter, each second, how its sender stands.
+// VoterStatus is a voter's state, which it sends to the other voters each second.
 type VoterStatus struct {
 	Header
 	VoterClock   int64    // us; part of the wire form, read by nobody
 	SetNames     []string // of the sender's voter set
 	SetAge       int64    // us since it adopted that
-	TermFloor    uint64   // no term up to this is granted anew
+	TermFloor    uint64   // see Voter.TermFloor; that of a receiver that abstains rises to it
 	LongestLease int64    // us
 }
 
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -15,10 +15,10 @@
 	termFloor    uint64
 
 	set           adoptedSet
-	previousNames []string    // the set before, where this process began with the present one and has not seen it in force
+	previousNames []string    // the set before, if this process began with the present one and has not seen it in force
 	nextSet       *adoptedSet // waits until the present one is in force at a majority for long enough
 	peers         map[string]peerStatus
-	statusAt      int64 // when it next tells the other voters how it stands
+	statusAt      int64 // when it next sends its status to the other voters
 
 	leases      []*leaseGrant // nil at indexes whose lease was forgotten; a new one takes the index that was freed last
 	freeIndexes []int
@@ -37,8 +37,8 @@
 	Incarnation uint64
 }
 
-// forgetAfter is how long after its end a lease's own term is remembered, in us; the term floor stands for it later.
-// It bounds the memory that names used once take.
+// forgetAfter is how long after its end a lease's own term is remembered, in us; later the term floor covers it. It bounds
+// the memory for names that were used once.
 const forgetAfter = 600_000_000
 
 // NewVoter makes a voter that has just started. incarnation is its process; longestLease is in us; maxLeases is how many
@@ -62,7 +62,7 @@
 		lapses:        map[string]*lapseHistory{},
 	}
 	for _, record := range stored {
-		v.termFloor = max(v.termFloor, record.Term) // also where there is no capacity for the lease
+		v.termFloor = max(v.termFloor, record.Term) // also if there is no capacity for the lease
 		if g := v.findOrAdd(now, record.Lease); g != nil {
 			g.term = record.Term
 			g.holder = process{record.Holder, record.Incarnation}
@@ -83,7 +83,7 @@
 
 func (v *Voter) send(to string, m Message) { v.addAction(Send{To: to, Message: m}) }
 
-// header is that of a message of this voter.
+// header returns the header of a message of this voter.
 func (v *Voter) header() Header {
 	return Header{From: v.name, Incarnation: v.incarnation, SetNumber: v.set.number}
 }
@@ -92,7 +92,8 @@
 // in which it abstains until its voter set is settled (previousNames), whose end is not known in advance.
 func (v *Voter) AbstainsFor(now int64) int64 { return max(0, v.abstainUntil-now) }
 
-// TermFloor is the term up to which nothing is granted anew: above it nobody has heard a term from here.
+// TermFloor returns the highest term that this voter granted or learned: the higher of its own term floor and the last
+// terms of all its leases. The voter stores it and sends it to the others, whose floors rise to it while they abstain.
 func (v *Voter) TermFloor() uint64 {
 	highest := v.termFloor
 	for _, g := range v.leases {
@@ -192,7 +193,7 @@
 	}
 }
 
-// Tick ends grants whose time is over, gives notice to who waits, and tells the other voters how this one stands. It is
+// Tick ends grants whose time is over, gives notice to those who wait, and sends this voter's status to the others. It is
 // called several times a second.
 func (v *Voter) Tick(now int64) {
 	for _, g := range v.leases {
--- a/internal/lease/voter_set.go
+++ b/internal/lease/voter_set.go
@@ -52,7 +52,7 @@
 	ErrSetTooDifferent = errors.New("voter sets that differ by more than one voter")
 )
 
-// VoterSetError tells why a voter set from the operator's file can't be adopted.
+// VoterSetError says why a voter set from the operator's file can't be adopted.
 type VoterSetError struct {
 	Reason  error  // one of ErrSetNumberReused, ErrSetOutdated, ErrSetSkipped and ErrSetTooDifferent
 	Offered uint64 // number of the refused set
--- a/internal/lease/voter_set_change.go
+++ b/internal/lease/voter_set_change.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// peerStatus is what another voter last told of itself. Times are on this voter's clock.
+// peerStatus is another voter's last status. Times are on this voter's clock.
 type peerStatus struct {
 	setNumber uint64
 	adoptedAt int64 // when it adopted its set
@@ -17,8 +17,8 @@
 	statusInterval = 1_000_000
 	// statusLifetime is how long a status counts for a change of the voter set, in us: three may be lost.
 	statusLifetime = 3_500_000
-	// maxPeers is how many other voters are kept: far over any set with those before and after it. It bounds what a
-	// member that sends status messages under many names can take.
+	// maxPeers is how many other voters are kept: far over any set with those before and after it. It bounds the memory
+	// that a member can use up by status messages under many names.
 	maxPeers = 64
 )
 
@@ -108,8 +108,8 @@
 	v.learnWhileAbstaining(now, m)
 }
 
-// learnWhileAbstaining takes in what a voter that has just started does not know any more: terms that the others have
-// heard of, and how long leases may be that it may have granted before. It believes only voters whose grants may count
+// learnWhileAbstaining lets a voter that has just started learn what it no longer knows: terms that the others have heard
+// of, and how long the leases may be that it granted before. It believes only voters whose grants may count
 // together with its own. If a floor from a non-voter were accepted, this voter could grant terms above its own wall clock,
 // forget them at a restart, and not hear that floor again: a term would be granted twice.
 func (v *Voter) learnWhileAbstaining(now int64, m *VoterStatus) {
@@ -120,7 +120,7 @@
 	v.abstainUntil = max(v.abstainUntil, v.startedAt+m.LongestLease)
 }
 
-// sendStatusToAll tells the voters of the present set, and of those before and after it, how this one stands.
+// sendStatusToAll sends this voter's status to the voters of the present set, and of those before and after it.
 func (v *Voter) sendStatusToAll(now int64) {
 	voters := slices.Concat(v.set.names, v.previousNames)
 	if v.nextSet != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// sendStatus tells another voter how this one stands.
+// sendStatus sends this voter's status to another voter.
 func (v *Voter) sendStatus(now int64, to string) {
 	v.send(to, &VoterStatus{
 		Header:       v.header(),
--- a/internal/leaseservice/candidate_loop.go
+++ b/internal/leaseservice/candidate_loop.go
@@ -7,8 +7,8 @@
 	"cairntiller/internal/lease"
 )
 
-// minCandidateTick is the least time between ticks where messages come, in us: an answer is acted on at once, and many
-// that come together cause one tick.
+// minCandidateTick is the least time between ticks that messages cause, in us. An answer has its effect at once, and many
+// answers that come together cause one tick.
 const minCandidateTick = 5_000
 
 // runCandidate runs the candidate until the end.
@@ -41,7 +41,7 @@
 	}
 }
 
-// carryOutForCandidate does what the candidate asks for, and tells the lease's guard.
+// carryOutForCandidate carries out an action of the candidate, and notifies the lease's guard of a change.
 func (s *Service) carryOutForCandidate(action lease.Action) {
 	switch a := action.(type) {
 	case lease.Send:
@@ -76,7 +76,7 @@
 	}
 }
 
-// requestYield asks who holds a lease here to give it up; it never blocks.
+// requestYield asks the holder of a lease on this instance to give it up; it never blocks.
 func (s *Service) requestYield(lease, reason string) {
 	ask := func(int64) {
 		term, _ := s.candidate.HeldTerm(lease)
--- a/internal/leaseservice/clock_other.go
+++ b/internal/leaseservice/clock_other.go
@@ -6,6 +6,6 @@
 
 var zero = time.Now()
 
-// Clock is a monotonic clock in us. Where it stands still while the machine sleeps, machines that sleep must not hold
+// Clock is a monotonic clock in us. If it stands still while the machine sleeps, machines that sleep must not hold
 // leases.
 func Clock() int64 { return time.Since(zero).Microseconds() + 1 }
--- a/internal/leaseservice/codec.go
+++ b/internal/leaseservice/codec.go
@@ -10,7 +10,7 @@
 )
 
 // The form of messages: CBOR arrays (RFC 8949), described in docs/leases.md. A change that others can't read takes
-// another version, and who can't read a message drops it: to the sender it is as if it were lost.
+// another version, and a member that can't read a message drops it: to the sender it is as if it were lost.
 const (
 	messageVersion = 1
 	// maxLeases is how many leases a message may name: far over what fits a datagram.
@@ -96,7 +96,7 @@
 	return fromWire(from, &w)
 }
 
-// toWire is a message as it is sent. Each kind sends its list of leases, an empty one included.
+// toWire returns a message as it is sent. Each kind sends its list of leases, an empty one included.
 func toWire(message lease.Message) wireMessage {
 	header := message.Common()
 	w := wireMessage{Version: messageVersion, Incarnation: header.Incarnation, SetNumber: header.SetNumber, Leases: []wireLease{}}
@@ -177,7 +177,7 @@
 	}
 }
 
-// fromWire is the message that a member sent.
+// fromWire returns the message that a member sent.
 func fromWire(from string, w *wireMessage) (lease.Message, error) {
 	header := lease.Header{From: from, Incarnation: w.Incarnation, SetNumber: w.SetNumber}
 	request := lease.RequestHeader{Header: header, RequestID: w.RequestID, Generation: w.Generation}
--- a/internal/leaseservice/guard.go
+++ b/internal/leaseservice/guard.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// ErrNotHeld tells that an act may not begin: the lease is not held, or not for as long as the act may take.
+// ErrNotHeld means that an act may not begin: the lease is not held, or not for as long as the act may take.
 var ErrNotHeld = errors.New("the lease is not held for long enough")
 
-// Change is what happened to a lease.
+// Change is the kind of an Event.
 type Change uint8
 
 // The changes.
@@ -22,7 +22,7 @@
 	YieldRequested // somebody else should have it: end what runs under it and call Guard.Release
 )
 
-// String is the change's name as operators' commands read it; they may be of another version, so it stays.
+// String returns the change's name as operators' commands read it. They may be of another version, so the names stay.
 func (c Change) String() string {
 	switch c {
 	case Acquired:
@@ -42,7 +42,7 @@
 	Change Change
 	Term   uint64
 	Until  int64  // Acquired, Extended
-	Next   string // YieldRequested: who waits first, "" where none is known
+	Next   string // YieldRequested: member that waits first, "" if none is known
 	Reason string // Lost, YieldRequested
 }
 
@@ -51,14 +51,14 @@
 type Guard struct {
 	service *Service
 	lease   string
-	onEvent func(Event) // must not block; nil where the guard itself yields
+	onEvent func(Event) // must not block; nil if the guard itself yields
 	held    atomic.Pointer[tenure]
 
 	mu       sync.Mutex
 	closed   bool // no act may begin: the lease is being given up
 	cancels  map[int]context.CancelFunc
 	lastAct  int
-	allEnded chan struct{} // closed when the last running act has ended; nil where nobody waits for it
+	allEnded chan struct{} // closed when the last running act has ended; nil if nobody waits for it
 }
 
 // tenure is until when a lease is held under a term.
@@ -71,7 +71,7 @@
 	return &Guard{service: s, lease: lease, onEvent: onEvent, cancels: map[int]context.CancelFunc{}}
 }
 
-// Held is the term under which the lease is held and until when, in us of the leases' clock; 0 where it is not held any
+// Held returns the term under which the lease is held and until when, in us of the leases' clock; 0 if it is not held any
 // more.
 func (g *Guard) Held() (term uint64, until int64) {
 	if t := g.held.Load(); t != nil && g.service.clock() < t.until {
@@ -81,7 +81,7 @@
 }
 
 // Do runs an act under the lease, if it is held for as long as the act may take at most; else it returns ErrNotHeld. The
-// act gets the term, to be passed on to whoever can check it, and a context that ends at the bound and where the lease is
+// act gets the term, to be passed on to whoever can check it, and a context that ends at the bound and when the lease is
 // lost. What it does must be over then.
 //
 // The check is the last thing before the act. Checked any earlier, a wait in between could let the lease pass on, and two
@@ -117,7 +117,7 @@
 	return g.lastAct, true
 }
 
-// endAct notes that an act has ended, and tells who waits for the last one.
+// endAct notes that an act has ended, and wakes close after the last one.
 func (g *Guard) endAct(number int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -167,8 +167,8 @@
 	g.mu.Unlock()
 }
 
-// Release ends the acts that run and gives the lease up, to the member named where that waits, else to who waits first.
-// The request stays.
+// Release ends the acts that run and gives the lease up to the member next, which the voters put first in line, or to the
+// first in line if next is "". The request stays.
 func (g *Guard) Release(next string) {
 	g.close()
 	g.service.onCandidate(func(now int64) {
--- a/internal/leaseservice/operator_api.go
+++ b/internal/leaseservice/operator_api.go
@@ -17,15 +17,17 @@
 // What operators may ask of a running router; cmd/cairntiller speaks it.
 
 const (
-	// listTimeout is how long a list waits for voters to tell what they know.
+	// listTimeout is how long a list waits for the voters' answers.
 	listTimeout = 5 * time.Second
-	// maxPendingEvents is how many changes wait to be told to a command; extensions are left out first.
+	// maxPendingEvents is how many changes wait to be sent to a command. Extensions are left out while more than half of
+	// that wait.
 	maxPendingEvents = 64
-	// defaultLeaseLength is that of a lease which an operator's command holds, unless it says, in us.
+	// defaultLeaseLength is the length of the lease that an operator's command holds if it names none, in us. A shorter
+	// longest lease bounds it, see docs/leases.md on what the command assumes then.
 	defaultLeaseLength = 10_000_000
 )
 
-// UnknownLeaseError tells that no voter that answered knows a lease.
+// UnknownLeaseError means that no voter that answered knows a lease.
 type UnknownLeaseError struct{ Lease string }
 
 // Error names the lease.
@@ -33,13 +35,13 @@
 	return fmt.Sprintf("no voter that answered knows a lease %q", e.Lease)
 }
 
-// NoHolderError tells that nobody holds a lease that is to be freed.
+// NoHolderError means that nobody holds a lease that is to be freed.
 type NoHolderError struct{ Lease string }
 
 // Error names the lease.
 func (e *NoHolderError) Error() string { return fmt.Sprintf("nobody holds %q", e.Lease) }
 
-// ArgumentError tells that a number in an operator's request is not one, or out of bounds.
+// ArgumentError means that a number in an operator's request is not one, or out of bounds.
 type ArgumentError struct {
 	Name, Value string
 	Min, Max    int64
@@ -61,13 +63,13 @@
 	Answers     int      `json:"of"`     // voters that answered
 }
 
-// VoterStatus is how one voter stands.
+// VoterStatus is one voter's status in a list.
 type VoterStatus struct {
 	Voter      string `json:"voter"`
 	Answers    bool   `json:"answers"`
 	SetNumber  uint64 `json:"set,omitempty"`
 	AbstainsMS int64  `json:"abstains_ms,omitempty"`
-	Reason     string `json:"why,omitempty"` // it is out of service, or told a part
+	Reason     string `json:"why,omitempty"` // it is out of service, or only a part of its answer came
 }
 
 // Overview is the answer to a list.
@@ -76,7 +78,7 @@
 	Leases []LeaseStatus `json:"leases"`
 }
 
-// HoldUpdate is one change told to a command that holds a lease. Until is on the machine's clock since it started, in us.
+// HoldUpdate is one change sent to a command that holds a lease. Until is on the machine's clock since it started, in us.
 type HoldUpdate struct {
 	Change string `json:"change"` // a Change's String: held, extended, lost, wanted
 	Lease  string `json:"lease"`
@@ -91,9 +93,9 @@
 	Ended bool `json:"ended"`
 }
 
-// MergeReports puts together what voters told, by leases' names. Of each lease the holder is whom most of them grant it
-// to, and the one with the higher term where two have as many: a voter that has come back may try another candidate for a
-// moment, under a later term.
+// MergeReports merges the voters' reports, by leases' names. The holder of a lease is the one that most of them grant it to;
+// of two with as many, the one with the higher term: a voter that restarted may have granted a trial to another candidate
+// for a moment, under a later term.
 func MergeReports(reports []VoterReport) (leases []LeaseStatus) {
 	type grant struct {
 		holder string
@@ -147,7 +149,7 @@
 	return o
 }
 
-// voterStatus is how one voter stands, by its report if it answered.
+// voterStatus returns one voter's status, by its report if it answered.
 func (s *Service) voterStatus(name string, reports []VoterReport) VoterStatus {
 	status := VoterStatus{Voter: name}
 	for _, report := range reports {
@@ -167,7 +169,7 @@
 	return status
 }
 
-// listLeases answers with the overview, of one lease where it is named.
+// listLeases answers with the overview, of one lease alone if the request names it.
 func (s *Service) listLeases(ctx context.Context, x *adminsocket.Session) error {
 	o := s.overview(ctx)
 	if x.Name != "" {
@@ -198,7 +200,7 @@
 	return x.Reply(status)
 }
 
-// wholeNumber reads a whole number of a request, 0 where it is not given.
+// wholeNumber reads a whole number of a request, 0 if it is not given.
 func wholeNumber(x *adminsocket.Session, name string, least, most int64) (int64, error) {
 	value := x.Args[name]
 	if value == "" {
@@ -225,8 +227,8 @@
 	return lease.Request{Lease: x.Name, Length: length, YieldAfter: yieldAfter, Priority: int8(priority)}, nil
 }
 
-// holdLease requests a lease on behalf of a command, tells it of each change, and gives the lease up once the command has
-// ended. Where the command vanishes without saying so, the lease runs out by itself: what ran under it may still.
+// holdLease requests a lease on behalf of a command, sends it each change, and gives the lease up once the command has
+// ended. If the connection ends without CommandEnded, the lease is left to run out, because the command may still run.
 func (s *Service) holdLease(ctx context.Context, x *adminsocket.Session) error {
 	wanted, err := s.requestOf(x)
 	if err != nil {
--- a/internal/leaseservice/service.go
+++ b/internal/leaseservice/service.go
@@ -35,7 +35,7 @@
 // ErrAlreadyRequested means that this instance requests the lease already.
 var ErrAlreadyRequested = errors.New("this instance asks for that lease already")
 
-// InvalidRequestError tells that a requested lease's name or length is out of bounds.
+// InvalidRequestError means that a requested lease's name or length is out of bounds.
 type InvalidRequestError struct {
 	Lease     string
 	Length    int64 // us
@@ -48,7 +48,7 @@
 		int64(minLeaseLength), e.MaxLength)
 }
 
-// OutdatedVotersError tells that the operator's file names an earlier voter set than the voter had gone by.
+// OutdatedVotersError means that the operator's file names an earlier voter set than the voter had gone by.
 type OutdatedVotersError struct {
 	Path       string // of the voter's file
 	Stored     uint64 // number of the set in it
@@ -75,8 +75,8 @@
 	candidateCalls chan func(now int64)
 
 	// The voter's goroutine owns these.
-	voter        *lease.Voter // nil where it is out of service
-	store        *store       // nil where all is in memory
+	voter        *lease.Voter // nil if it is out of service
+	store        *store       // nil if all is in memory
 	voterInbox   chan lease.Message
 	voterCalls   chan func(now int64)
 	listing      listing
@@ -121,7 +121,7 @@
 	return s
 }
 
-// openStore opens the voter's file, where the operator's file names a folder for it.
+// openStore opens the voter's file, if the operator's file names a folder for it.
 func (s *Service) openStore(cluster string) (stored storedState, err error) {
 	if s.settings.Folder == "" {
 		return storedState{}, nil
@@ -237,7 +237,7 @@
 	}
 }
 
-// RequestLease begins to request a lease. onEvent is told of each change, on the candidate's goroutine, and must not
+// RequestLease begins to request a lease. onEvent is called with each change, on the candidate's goroutine, and must not
 // block; nil lets the guard yield by itself, and acts go through Guard.Do alone. The error is ErrAlreadyRequested or an
 // *InvalidRequestError. After Stop it is ErrAlreadyRequested for every valid request, although nobody requests the lease.
 func (s *Service) RequestLease(wanted lease.Request, onEvent func(Event)) (*Guard, error) {
--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -78,7 +78,7 @@
 // or a later version's is refused with one of the errors above, and left as it is.
 func openStore(folder, cluster, voter string) (s *store, stored storedState, err error) {
 	path := filepath.Join(folder, storeName)
-	// The library maps the file into memory. Where the file was cut short, reading a page that should be there would end
+	// The library maps the file into memory. If the file was cut short, reading a page that should be there would end
 	// the process; this makes it a panic, as the library's own on pages that can't be.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -179,7 +179,7 @@
 	return stored, err
 }
 
-// getNumber reads a number, 0 where there is none.
+// getNumber reads a number, 0 if there is none.
 func getNumber(b *bbolt.Bucket, key []byte) (n uint64, err error) {
 	raw := b.Get(key)
 	if raw == nil {
--- a/internal/leaseservice/voter_loop.go
+++ b/internal/leaseservice/voter_loop.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// carryOutForVoter does what the voter asks for. Where its records can't be stored nothing goes out, and it votes no more.
+// carryOutForVoter carries out the voter's actions. If its records can't be stored, no message goes out and it votes no
+// more.
 func (s *Service) carryOutForVoter(actions []lease.Action) {
 	if s.store != nil && slices.ContainsFunc(actions, mustBeStored) {
 		if err := s.store.write(actions, s.voter.TermFloor()); err != nil {
--- a/internal/leaseservice/voter_query.go
+++ b/internal/leaseservice/voter_query.go
@@ -52,12 +52,12 @@
 	Waiting   int
 }
 
-// VoterReport is what one voter told.
+// VoterReport is one voter's answer to a query.
 type VoterReport struct {
 	Voter       string
 	SetNumber   uint64 // of the voter set that it goes by
 	AbstainsFor int64  // us for which it still abstains
-	Incomplete  bool   // it has more to tell that did not come
+	Incomplete  bool   // further pages did not come
 	Leases      []lease.LeaseState
 }
 
@@ -72,8 +72,8 @@
 type query struct {
 	number  uint64
 	reports map[string]*VoterReport
-	after   map[string]string // voters that have more to tell, and behind which lease
-	done    chan struct{}     // closed when all have told all
+	after   map[string]string // voters whose further pages are missing, and the lease behind which they begin
+	done    chan struct{}     // closed when all voters' answers are whole
 }
 
 // begin opens a query of some voters.
@@ -95,7 +95,7 @@
 	return opened
 }
 
-// missing are the voters that have more to tell, and behind which lease.
+// missing returns the voters whose further pages are missing, and the lease behind which they begin.
 func (q *queries) missing(of *query) map[string]string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -148,18 +148,18 @@
 	return false
 }
 
-// lastLease is the last of a page, behind which the next one begins.
+// lastLease returns the last lease of a page, behind which the next one begins.
 func (m *queryMessage) lastLease() string { return m.Leases[len(m.Leases)-1].Lease }
 
 // QueryVoters asks every voter what it knows. It returns what came until the context ended, nothing new came for
-// queryPatience, or all had told all.
+// queryPatience, or all answers were whole.
 func (s *Service) QueryVoters(ctx context.Context) []VoterReport {
 	q := s.queries.begin(s.voterNames())
 	s.awaitPages(ctx, q)
 	return s.queries.end(q)
 }
 
-// voterNames are the voters that this instance knows.
+// voterNames returns the voters that this instance knows.
 func (s *Service) voterNames() (names []string) {
 	s.onCandidate(func(int64) { names = s.candidate.VoterNames() })
 	return names
@@ -214,7 +214,7 @@
 	}
 }
 
-// receiveQuery takes a query, a page, or a request to free a lease; it never blocks.
+// receiveQuery handles a query, a page, or a request to free a lease; it never blocks.
 func (s *Service) receiveQuery(from string, body []byte) {
 	var m queryMessage
 	if decoding.Unmarshal(body, &m) != nil || m.Version != queryVersion {
--- a/internal/supervisor/doc.go
+++ b/internal/supervisor/doc.go
@@ -1,5 +1,5 @@
 // Package supervisor runs an operator's command under a lease and sees to it that the command is over before the lease
-// can pass on, whatever becomes of who asked for it.
+// can pass on, whatever becomes of the process that asked for it.
 //
 // Three processes take part. The router holds the lease and says until when. The asker (cairntiller lease hold,
 // RunWithLease) passes that on. The supervisor (Supervise) is a process between the asker and the command: it is told the
--- a/internal/supervisor/lease.go
+++ b/internal/supervisor/lease.go
@@ -27,7 +27,7 @@
 	Priority   int
 }
 
-// length is that of the lease.
+// length returns the lease's length, by default defaultLeaseLength.
 func (o Options) length() time.Duration {
 	if o.Length > 0 {
 		return o.Length
@@ -35,7 +35,7 @@
 	return defaultLeaseLength
 }
 
-// arguments are the options as the router reads them.
+// arguments returns the options as the router reads them.
 func (o Options) arguments() map[string]string {
 	args := map[string]string{"priority": strconv.Itoa(o.Priority)}
 	if o.Length > 0 {
@@ -48,8 +48,9 @@
 }
 
 // RunWithLease waits for a lease, runs a command while it is held, and returns the command's exit code or one of the Exit
-// codes: ExitNotAcquired if options.Wait is over or SIGINT, SIGTERM or SIGHUP comes while the lease is waited for; -1 if the
-// supervisor itself was killed by a signal. If err is not nil the code has no meaning. supervise is the program and arguments that start the supervisor's process, which calls Supervise.
+// codes: ExitNotAcquired if options.Wait is over or SIGINT, SIGTERM or SIGHUP comes while the lease is waited for; -1 if
+// the supervisor itself was killed by a signal. If err is not nil the code has no meaning. supervise is the program and
+// arguments that start the supervisor's process, which calls Supervise.
 func RunWithLease(socket, lease string, options Options, supervise, command []string) (code int, err error) {
 	request, err := requestLease(socket, lease, options)
 	if err != nil {
@@ -81,7 +82,7 @@
 	closed  chan struct{}
 }
 
-// requestLease asks a router for a lease and begins to read what it tells.
+// requestLease asks a router for a lease and begins to read its updates.
 func requestLease(socket, lease string, options Options) (*leaseRequest, error) {
 	call, err := adminsocket.Dial(socket, adminsocket.Request{Command: "lease-hold", Name: lease, Args: options.arguments()})
 	if err != nil {
@@ -98,7 +99,7 @@
 	return r, nil
 }
 
-// read passes on what the router tells, until it or this side ends the call.
+// read passes on the router's updates, until the router or this side ends the call.
 func (r *leaseRequest) read() {
 	for {
 		var update leaseservice.HoldUpdate
@@ -142,8 +143,8 @@
 	}
 }
 
-// follow tells the supervisor what becomes of the lease until the command has ended, and returns its exit code. A router
-// that ends the call does not end the command: what it told last holds until then.
+// follow passes the lease's changes on to the supervisor until the command has ended, and returns its exit code. If the
+// router ends the call, the command goes on until the end of its time that the router sent last.
 func (r *leaseRequest) follow(child *supervisorProcess, term uint64, signals <-chan os.Signal) (code int) {
 	ended := r.ended
 	for {
@@ -163,7 +164,7 @@
 	}
 }
 
-// passOn tells the supervisor of one change. Only an extension gives the command more time; what else happens to a held
+// passOn passes one change on to the supervisor. Only an extension gives the command more time; what else happens to a held
 // lease ends it.
 func (r *leaseRequest) passOn(child *supervisorProcess, term uint64, update leaseservice.HoldUpdate) {
 	switch update.Change {
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -40,7 +40,7 @@
 
 func (p *supervisorProcess) tell(line string) { fmt.Fprintln(p.stdin, line) }
 
-// startSupervisor starts the supervisor's process for a command, and tells it until when the lease is held.
+// startSupervisor starts the supervisor's process for a command, and sends it the time until which the lease is held.
 func startSupervisor(lease string, held leaseservice.HoldUpdate, gracePeriod time.Duration, supervise, command []string) (*supervisorProcess, error) {
 	args := append(append([]string{}, supervise[1:]...), "--room", gracePeriod.String(), "--")
 	c := exec.Command(supervise[0], append(args, command...)...)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -24,7 +24,7 @@
 	ExitNotStarted  = 125 // it could not be started, or ended by a signal although its time was not over
 )
 
-// ExitCode is an exit code without further words, as an error.
+// ExitCode is an exit code as an error that prints no message.
 type ExitCode int
 
 // Error names the code.
@@ -34,16 +34,17 @@
 // left, half a grace period before the end, so that even a slow kill is over in time.
 const gracePeriodParts = 2
 
-// GracePeriod is how long before the end of its time a command is told to end, for a lease of a length; it is killed when
-// half of that is left. A fifth of the length leaves the command the rest for its work; an operator's command gets 200 ms
-// at the least to end by itself, and needs no more than 5 s.
+// GracePeriod returns how long before the end of its time a command is told to end, for a lease of a length; it is killed
+// when half of that is left. A fifth of the length leaves the command the rest for its work; an operator's command gets 200
+// ms at the least to end by itself, and needs no more than 5 s.
 func GracePeriod(length time.Duration) time.Duration {
 	return min(max(length/5, 200*time.Millisecond), 5*time.Second)
 }
 
-// Supervise starts a command and keeps it to the time that lines on in tell: "until T" in us of the clock, "end" to end it
-// at once. gracePeriod is how long before that time the command is told to end; it is killed when half of it is left. The
-// end of in ends the command. It returns the exit code. It is to be called by a process of its own, whose only work it is.
+// Supervise starts a command and ends it in time. The lines on in say until when it may run: "until T" in us of the clock;
+// "end" ends it at once, that is, its grace period begins. gracePeriod is how long before that time the command is told to
+// end; it is killed when half of it is left. The end of in ends the command. It returns the exit code. It is to be called
+// by a process of its own, whose only work it is.
 func Supervise(command []string, in io.Reader, clock func() int64, gracePeriod time.Duration) int {
 	if len(command) > 0 && command[0] == "--" {
 		command = command[1:]
@@ -131,8 +132,8 @@
 	}
 }
 
-// handleLine handles a line from the asker: a new end of the command's time, which never moves it back. Any other line ends the command, as the end
-// of the input does: nobody is there to speak any more.
+// handleLine handles a line from the asker: a new end of the command's time, which never moves it back. Any other line ends
+// the command, as the end of the input does: nobody is there to speak any more.
 func (s *supervised) handleLine(line string, more bool) {
 	if !more {
 		s.lines = nil
@@ -153,8 +154,8 @@
 	s.until = min(s.until, s.clock()+s.gracePeriod.Microseconds())
 }
 
-// exitCode returns the command's own exit code; ExitTimeExpired if it had been told to end; or ExitNotStarted if it ended by a
-// signal, or could not be waited for.
+// exitCode returns the command's own exit code; ExitTimeExpired if it had been told to end; or ExitNotStarted if it ended
+// by a signal, or could not be waited for.
 func (s *supervised) exitCode(err error) int {
 	if s.toldToEnd {
 		return ExitTimeExpired
