--- a/internal/leaseservice/voter_query.go
+++ b/internal/leaseservice/voter_query.go
@@ -115,9 +115,9 @@
 	return reports
 }
 
-// take puts a page with the others of its voter, and reports whether the next one is to be asked for. A page that came
+// addPage adds a page to the others of its voter, and reports whether the next one is to be asked for. A page that came
 // twice, or late, changes nothing.
-func (q *queries) take(from string, page queryMessage) (next bool) {
+func (q *queries) addPage(from string, page queryMessage) (next bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	of := q.open[page.Number]
@@ -222,7 +222,7 @@
 		return
 	}
 	if m.IsPage {
-		if s.queries.take(from, m) {
+		if s.queries.addPage(from, m) {
 			s.askForPage(from, m.Number, m.lastLease())
 		}
 		return
