--- a/internal/routing/command_group.go
+++ b/internal/routing/command_group.go
@@ -30,7 +30,7 @@
 	usualTimeLeftVotes int   // how many more had it than had not
 }
 
-// needsPrimary tells whether requests of the group go to the primary alone.
+// needsPrimary reports whether requests of the group go to the primary alone.
 func (g *commandGroup) needsPrimary() bool {
 	return g.Consistency == Write || g.Consistency == Latest
 }
@@ -81,7 +81,7 @@
 	return tightest
 }
 
-// longRunning tells whether the group's requests take many times longer than the shortest.
+// longRunning reports whether the group's requests take many times longer than the shortest.
 func (r *Router) longRunning(g *commandGroup) bool {
 	return g.usualResponse > longRunningFactor*r.shortestUsualResponse()
 }
--- a/internal/routing/concurrency_limit.go
+++ b/internal/routing/concurrency_limit.go
@@ -33,7 +33,7 @@
 	rateSpan = 2e6
 )
 
-// hasCapacity tells whether a node may be given one more request of a group, within a share of its limit. A node that
+// hasCapacity reports whether a node may be given one more request of a group, within a share of its limit. A node that
 // warms up also needs credit for it.
 func (r *Router) hasCapacity(n *node, share float64, group *commandGroup, now int64) bool {
 	if float64(n.inFlight)+1 > max(1, n.limit*share) {
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -58,13 +58,13 @@
 type AttemptConfig struct {
 	// Max is how many attempts a request may have; at least 1, for with 0 every request is given up on arrival.
 	Max int
-	// Cancelable tells whether the router can stop waiting for an attempt.
+	// Cancelable reports whether the router can stop waiting for an attempt.
 	Cancelable bool
-	// Hedging tells whether two attempts of one request may be in flight at once.
+	// Hedging reports whether two attempts of one request may be in flight at once.
 	Hedging bool
 }
 
-// HealthCheckConfig tells whether nodes may be checked and what their load reports hold.
+// HealthCheckConfig reports whether nodes may be checked and what their load reports hold.
 type HealthCheckConfig struct {
 	Enabled bool
 	// ReportsPosition and ReportsRole tell that a load report holds the node's position, and its role.
--- a/internal/routing/consistency.go
+++ b/internal/routing/consistency.go
@@ -38,7 +38,7 @@
 	n.lag = max(0, newest-n.position)
 }
 
-// freshEnough tells whether a node is known to hold what a request must see.
+// freshEnough reports whether a node is known to hold what a request must see.
 func (r *Router) freshEnough(n *node, req *request, now int64) bool {
 	if n.role == Primary && req.shard.primary == n {
 		return true
@@ -66,7 +66,7 @@
 	req.unsureWrite = firstStarted > 0 && now-firstStarted > answerTransit
 }
 
-// setsToken tells whether a request is a write whose position this router remembers for its session.
+// setsToken reports whether a request is a write whose position this router remembers for its session.
 func (r *Router) setsToken(req *request) bool {
 	return req.group.Consistency == Write && !r.config.ClientsCarryTokens && req.session != ""
 }
--- a/internal/routing/deadlines.go
+++ b/internal/routing/deadlines.go
@@ -58,7 +58,7 @@
 	return proceed
 }
 
-// mustGiveUp tells whether a request may not be sent (any more).
+// mustGiveUp reports whether a request may not be sent (any more).
 func (r *Router) mustGiveUp(req *request, now int64) bool {
 	if now >= req.queueUntil && !req.mayHaveExecuted && req.inFlight == 0 {
 		return true
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// listAllows tells whether the endpoint list lets a node be used.
+// listAllows reports whether the endpoint list lets a node be used.
 func (r *Router) listAllows(n *node) bool {
 	return n.state == Up || n.state == Removed && r.config.UseVanishedNodes
 }
@@ -142,7 +142,7 @@
 	}
 }
 
-// mayForget tells whether a node that left the list can be dropped. Without it memory and sweeps would grow with each
+// mayForget reports whether a node that left the list can be dropped. Without it memory and sweeps would grow with each
 // name that ever was.
 func (r *Router) mayForget(n *node, now int64) bool {
 	return n.removedAt > 0 && now-n.removedAt > removedNodeRetention &&
--- a/internal/routing/gossip.go
+++ b/internal/routing/gossip.go
@@ -49,7 +49,7 @@
 	r.dispatchWaiting(n.shard, now)
 }
 
-// SetCheckedByPeer tells whether another router checks a node while it is silent or lags, so that this one need not.
+// SetCheckedByPeer reports whether another router checks a node while it is silent or lags, so that this one need not.
 func (r *Router) SetCheckedByPeer(name string, checked bool) {
 	if n := r.nodeByName[name]; n != nil {
 		n.checkedByPeer = checked
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -26,7 +26,7 @@
 	r.runStages(req, now)
 }
 
-// mayHedgeInTime tells whether a second attempt beside the first may still begin: in time for the latency objective, and
+// mayHedgeInTime reports whether a second attempt beside the first may still begin: in time for the latency objective, and
 // inside the idempotency window. The window counts for idempotent requests too, so a group without one is never hedged.
 func (r *Router) mayHedgeInTime(req *request, now int64) bool {
 	return now < min(req.sendBefore, req.attempts[0].startedAt+r.usableWindow(req.group))
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -364,7 +364,7 @@
 	c.open++
 }
 
-// freshEnough tells whether a node may serve a request by what it told.
+// freshEnough reports whether a node may serve a request by what it told.
 func (w *world) freshEnough(c *modelRequest, node string) bool {
 	switch c.consistency {
 	case Eventual, Write:
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -92,7 +92,7 @@
 	n.lag = 0
 }
 
-// usable tells whether a node may be sent anything now.
+// usable reports whether a node may be sent anything now.
 func (r *Router) usable(n *node, now int64) bool {
 	return r.listAllows(n) && !n.suspected && now >= n.coolDownUntil
 }
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -27,12 +27,12 @@
 	NotPrimary
 )
 
-// NotExecuted tells whether the outcome proves that the request was not executed.
+// NotExecuted reports whether the outcome proves that the request was not executed.
 func (o Outcome) NotExecuted() bool {
 	return o == Rejected || o == ConnectFailed || o == NotSent || o == NotPrimary
 }
 
-// nodeReplied tells whether the outcome shows that the node's process works.
+// nodeReplied reports whether the outcome shows that the node's process works.
 func (o Outcome) nodeReplied() bool {
 	return o == Answered || o == Errored || o == NotPrimary || o == Rejected
 }
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -73,7 +73,7 @@
 	return r.tightestObjective()
 }
 
-// tellsOverload tells whether the end of an attempt speaks for a lower limit: a late answer or timeout does, unless the
+// tellsOverload reports whether the end of an attempt speaks for a lower limit: a late answer or timeout does, unless the
 // attempt was taken to be lost and so counted as an error already. A client that left, or cancelled, counts as a late answer
 // however soon it left: what it waited for was too late for it.
 func (a *attempt) tellsOverload(outcome Outcome, late bool) bool {
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -131,7 +131,7 @@
 	return proceed
 }
 
-// primaryMissing tells whether a shard's primary must be looked for. One that only cools down between requests is known
+// primaryMissing reports whether a shard's primary must be looked for. One that only cools down between requests is known
 // all the same: to ask for it again would cost health checks and bring nothing.
 func (r *Router) primaryMissing(s *shard, now int64) bool {
 	p := s.primary
@@ -141,7 +141,7 @@
 	return !r.usable(p, now) && (!r.listAllows(p) || p.suspected || p.refusedSince > 0)
 }
 
-// mayAskByWrite tells whether a write may go to a member that may not be the primary, to find out: a node that isn't
+// mayAskByWrite reports whether a write may go to a member that may not be the primary, to find out: a node that isn't
 // refuses it unexecuted. Only one that showed itself alive lately is asked so.
 func (r *Router) mayAskByWrite(req *request, n *node, now int64) bool {
 	return req.group.Consistency == Write &&
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -42,7 +42,7 @@
 }
 
 // sendToReplicaOrPrimary chooses the replica that was found for a read, nil for none, or else the primary.
-// freshWithoutLag tells whether any replica that doesn't lag is fresh enough.
+// freshWithoutLag reports whether any replica that doesn't lag is fresh enough.
 func (r *Router) sendToReplicaOrPrimary(req *request, replica *node, freshWithoutLag bool, now int64) decision {
 	if replica != nil {
 		req.chosen = replica
@@ -58,12 +58,12 @@
 	return enqueue
 }
 
-// mayServeRead tells whether a replica may serve a read, capacity aside.
+// mayServeRead reports whether a replica may serve a read, capacity aside.
 func (r *Router) mayServeRead(n *node, req *request, now int64) bool {
 	return n != req.shard.primary && r.usable(n, now) && r.freshEnough(n, req, now) && !req.inFlightAt(n)
 }
 
-// bestReplica is the replica with capacity and the least expected cost, nil for none. It also tells whether any replica
+// bestReplica is the replica with capacity and the least expected cost, nil for none. It also reports whether any replica
 // that doesn't lag is fresh enough, with capacity or without.
 func (r *Router) bestReplica(req *request, now int64) (best *node, freshWithoutLag bool) {
 	share := 1.0
@@ -122,7 +122,7 @@
 	return cost
 }
 
-// primaryTakesRead tells whether the primary serves a read for which no replica was found: it has answered as the
+// primaryTakesRead reports whether the primary serves a read for which no replica was found: it has answered as the
 // primary (or is known to be fresh enough), has capacity with one place left for a write, and waiting would not help.
 func (r *Router) primaryTakesRead(req *request, freshWithoutLag bool, now int64) bool {
 	p := req.shard.primary
@@ -135,7 +135,7 @@
 	return freshWithoutLag || now >= req.queueUntil-primaryFallbackLead || r.noReplicaInTime(req)
 }
 
-// noReplicaInTime tells whether no replica can be expected to be fresh enough before the read's queueing ends.
+// noReplicaInTime reports whether no replica can be expected to be fresh enough before the read's queueing ends.
 func (r *Router) noReplicaInTime(req *request) bool {
 	for _, n := range req.shard.members {
 		if n.state != Up || n.suspected || n == req.shard.primary {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -72,7 +72,7 @@
 	lost      bool // unanswered for so long that it is taken to be lost: it no longer counts as in flight at its node
 }
 
-// inFlightAt tells whether an attempt of the request is in flight at a node.
+// inFlightAt reports whether an attempt of the request is in flight at a node.
 func (req *request) inFlightAt(n *node) bool {
 	for _, a := range req.attempts {
 		if a.node == n && !a.ended {
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -59,7 +59,7 @@
 	r.finish(req)
 }
 
-// repeatIsHarmless tells whether a client may send the request again, to any node.
+// repeatIsHarmless reports whether a client may send the request again, to any node.
 func (req *request) repeatIsHarmless() bool {
 	if !req.mayHaveExecuted && req.inFlight == 0 {
 		return true
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -35,7 +35,7 @@
 	n.credit = float64(r.random.below(max(1, int(r.shortestUsualResponse()))))
 }
 
-// refillAndCheckCredit tells whether a node that warms up may be sent one more request of a group.
+// refillAndCheckCredit reports whether a node that warms up may be sent one more request of a group.
 func (r *Router) refillAndCheckCredit(n *node, group *commandGroup, warmth float64, now int64) bool {
 	r.refillCredit(n, group, warmth, now)
 	return n.credit >= group.usualResponse
--- a/internal/sexp/part.go
+++ b/internal/sexp/part.go
@@ -25,7 +25,7 @@
 	present   bool
 }
 
-// Present tells whether the part stands in the file.
+// Present reports whether the part stands in the file.
 func (p *Part) Present() bool { return p.present }
 
 // checkNamedList notes a fault where a node is no list that begins with a name.
--- a/internal/simulation/assignmentsim/cluster.go
+++ b/internal/simulation/assignmentsim/cluster.go
@@ -200,7 +200,7 @@
 	return 0
 }
 
-// reaches tells whether what one instance sends reaches another, straight or over a third one.
+// reaches reports whether what one instance sends reaches another, straight or over a third one.
 func (c *Cluster) reaches(from, to int) bool {
 	sender, receiver := c.instances[from], c.instances[to]
 	if !sender.up || !receiver.up || sender.paused || sender.side != receiver.side {
--- a/internal/simulation/assignmentsim/instance.go
+++ b/internal/simulation/assignmentsim/instance.go
@@ -43,7 +43,7 @@
 	sentAt  int64
 }
 
-// running tells whether an instance is up and not paused.
+// running reports whether an instance is up and not paused.
 func (in *instance) running() bool { return in.up && !in.paused }
 
 // clock is an instance's own time.
--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -47,7 +47,7 @@
 func (p *process) clock(now int64) int64    { return p.clockZero + int64(float64(now)*p.rate) }
 func (p *process) trueTime(own int64) int64 { return int64(float64(own-p.clockZero) / p.rate) }
 
-// holds tells whether its guard would let an act begin now.
+// holds reports whether its guard would let an act begin now.
 func (p *process) holds(l int, now int64) bool {
 	return p.up && p.tenures[l].term != 0 && p.clock(now) < p.tenures[l].until
 }
--- a/internal/sql/expressions.go
+++ b/internal/sql/expressions.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// isExpressionKeyword tells whether a word before a text is part of an expression, and names no type.
+// isExpressionKeyword reports whether a word before a text is part of an expression, and names no type.
 func (r *classifier) isExpressionKeyword(all []int32, k int) bool {
 	switch word := r.keywordAt(all[k]); word {
 	case "":
@@ -97,7 +97,7 @@
 	}
 }
 
-// isClauseBy tells whether the BY at an index of a row within brackets belongs to what stands before it.
+// isClauseBy reports whether the BY at an index of a row within brackets belongs to what stands before it.
 func (r *classifier) isClauseBy(all []int32, k int) bool {
 	if k == 0 {
 		return false
@@ -106,7 +106,7 @@
 	return before == "partition" || before == "order" || before == "group"
 }
 
-// endsOperand tells whether an operand ends at an index of a row, so that LIKE behind it is an operator. A bare word is
+// endsOperand reports whether an operand ends at an index of a row, so that LIKE behind it is an operator. A bare word is
 // one only where the caller takes it for a column: it may as well be a key word that an expression follows.
 func (r *classifier) endsOperand(all []int32, k int, columns bool) bool {
 	if k < 0 {
--- a/internal/sql/other_statements.go
+++ b/internal/sql/other_statements.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// explainExecutes tells whether EXPLAIN runs what it explains. Any mention of it counts, whatever value it is given.
+// explainExecutes reports whether EXPLAIN runs what it explains. Any mention of it counts, whatever value it is given.
 func (r *classifier) explainExecutes(all []int32) bool {
 	for _, at := range all {
 		n := &r.tree.nodes[at]
--- a/internal/sql/parse.go
+++ b/internal/sql/parse.go
@@ -149,7 +149,7 @@
 	return kind
 }
 
-// isTrailingWith tells whether the WITH just read belongs to what stands before it, by the word behind it.
+// isTrailingWith reports whether the WITH just read belongs to what stands before it, by the word behind it.
 func (p *parse) isTrailingWith() bool {
 	here := *p.lex
 	t, err := p.lex.Next()
@@ -174,7 +174,7 @@
 	return WORD
 }
 
-// is tells whether a token is a certain word, in whatever case.
+// is reports whether a token is a certain word, in whatever case.
 func (p *parse) is(t Token, word string) bool {
 	if t.Kind != Word || int(t.To-t.From) != len(word) {
 		return false
--- a/internal/sql/tree_walk.go
+++ b/internal/sql/tree_walk.go
@@ -65,7 +65,7 @@
 	return n.kind == nAtom && (n.tok.Kind == Word || n.tok.Kind == Quoted)
 }
 
-// isPunctuation tells whether a node is a certain mark.
+// isPunctuation reports whether a node is a certain mark.
 func (r *classifier) isPunctuation(at int32, text string) bool {
 	n := &r.tree.nodes[at]
 	return n.kind == nAtom && n.tok.Kind == Punctuation && r.tree.lex.Text(n.tok) == text
--- a/internal/testcluster/faultnet/network.go
+++ b/internal/testcluster/faultnet/network.go
@@ -96,7 +96,7 @@
 	return after
 }
 
-// isCut tells whether what comes in, or goes out, is dropped.
+// isCut reports whether what comes in, or goes out, is dropped.
 func (n *Network) isCut() (in, out bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testcluster/faultnet/relays.go
+++ b/internal/testcluster/faultnet/relays.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// isClosed tells whether Close was called.
+// isClosed reports whether Close was called.
 func (r *Relays) isClosed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testcluster/process/random_script.go
+++ b/internal/testcluster/process/random_script.go
@@ -55,7 +55,7 @@
 	d.script = append(d.script, step)
 }
 
-// isFree tells whether a process is neither killed nor stopped at a time, and a fault of a span ends before the script.
+// isFree reports whether a process is neither killed nor stopped at a time, and a fault of a span ends before the script.
 func (d *scriptDrawing) isFree(process int, at, span time.Duration) bool {
 	return at >= d.busyUntil[process] && at+span < d.end
 }
--- a/internal/testcluster/proof/rollout_proof.go
+++ b/internal/testcluster/proof/rollout_proof.go
@@ -168,7 +168,7 @@
 	run.goroutines.Wait()
 }
 
-// pause waits and tells whether the run goes on.
+// pause waits and reports whether the run goes on.
 func (run *rolloutRun) pause(d time.Duration) bool {
 	select {
 	case <-run.ended:
