--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -149,7 +149,8 @@
 	c.fill(request, pgwire.AppendReady(value))
 }
 
-// Reject implements inflight.Client.
+// Reject implements inflight.Client. The message, which the protocol's page gives, says a little more than is sure: an idempotent
+// command may have run, and only sending it again is harmless.
 func (c *session) Reject(request *inflight.Request, retryAfter int64) {
 	c.fill(request, pgwire.AppendError(nil, false, pgwire.CodeRejected, "not now; nothing was done", retryAfter))
 }
--- a/internal/lease/acquisition.go
+++ b/internal/lease/acquisition.go
@@ -56,7 +56,7 @@
 	r.phase = requesting
 	r.term = c.highestTerm
 	r.carryOverTerm = 0
-	r.heldUntil = 0
+	r.majorityUntil = 0
 	r.yieldRequested = false
 	r.attemptEndsAt = now + r.trialLength()
 	for i := range r.votes {
@@ -66,7 +66,7 @@
 
 // askMissingVotes queues requests to the voters whose votes are missing, or can't be extended together with all others.
 func (c *Candidate) askMissingVotes(now int64, r *request) {
-	full := r.phase == holding || r.heldUntil > now
+	full := r.phase == holding || r.majorityUntil > now // it is held, or its trial is won
 	term := max(r.term, r.carryOverTerm)
 	for i := range r.votes {
 		v := &r.votes[i]
@@ -212,7 +212,7 @@
 // set's number from voters of it count together: majorities of one set, or of two sets in a row, have a voter in common,
 // which is bound to one process. What was earned once stays, because the voters keep to it.
 func (c *Candidate) countVotes(now int64, r *request) {
-	until := r.heldUntil
+	until := r.majorityUntil
 	var validUntil [MaxVoters]int64
 	for _, set := range c.sets {
 		n := 0
@@ -229,10 +229,10 @@
 		}
 	}
 	carriedOver := c.finishCarryOver(now, r)
-	if until <= r.heldUntil && !carriedOver {
+	if until <= r.majorityUntil && !carriedOver {
 		return
 	}
-	r.heldUntil = until
+	r.majorityUntil = until
 	switch {
 	case r.phase == holding:
 		c.addAction(Extended{Lease: r.Lease, Term: r.term, Until: until})
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -53,7 +53,7 @@
 	holding
 )
 
-// request is one lease that this process wants or holds.
+// request is one lease that this process wants or holds. It is no message; those are GrantRequest and RenewRequest.
 type request struct {
 	Request
 	phase          phase
@@ -63,7 +63,7 @@
 	attemptEndsAt  int64  // requesting: when this attempt has failed
 	ticket         uint64 // place in line at the voters
 	failures       int    // attempts without a majority in a row
-	heldUntil      int64  // until when a majority's votes are good
+	majorityUntil  int64  // until when a majority's votes are good, trials included
 	heldSince      int64
 	yieldRequested bool
 	votes          []vote // by the index of the voter
@@ -205,7 +205,7 @@
 				c.failAttempt(now, r)
 			}
 		case holding:
-			if now >= r.heldUntil {
+			if now >= r.majorityUntil {
 				c.lose(now, r)
 			} else if shortest == 0 || r.Length < shortest {
 				shortest = r.Length
@@ -231,7 +231,7 @@
 		voter.queue = nil
 		sent := min(len(parts), maxMessagesPerTick)
 		for _, part := range parts[:sent] {
-			c.send(i, &GrantRequest{RequestHeader: c.newRequest(now, i), Leases: part})
+			c.send(i, &GrantRequest{RequestHeader: c.newRequestHeader(now, i), Leases: part})
 		}
 		for _, part := range parts[sent:] {
 			for _, wanted := range part {
@@ -243,9 +243,9 @@
 	}
 }
 
-// newRequest returns the header of a request to a voter, under a new ID and the number of the voter set that the voter goes
+// newRequestHeader returns the header of a request to a voter, under a new ID and the number of the voter set that the voter goes
 // by.
-func (c *Candidate) newRequest(now int64, voter int) RequestHeader {
+func (c *Candidate) newRequestHeader(now int64, voter int) RequestHeader {
 	c.lastRequestID++
 	c.requestSentAt[c.lastRequestID] = now
 	return RequestHeader{
--- a/internal/lease/cooldown.go
+++ b/internal/lease/cooldown.go
@@ -13,7 +13,8 @@
 	lapseMemory = 120_000_000
 	// freeLapses is how many lapses cost a holder nothing: a pause of its machine, a cut link.
 	freeLapses = 2
-	// maxCoolDownDoublings bounds the growth of the cool-down, which is a lease's length at first: 32 lengths.
+	// maxCoolDownDoublings bounds the cool-down: while others wait it doubles with each lapse over freeLapses, from two lengths
+	// to 32; if nobody waits it is one length.
 	maxCoolDownDoublings = 5
 )
 
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -10,7 +10,7 @@
 
 // session is what one process has been granted.
 type session struct {
-	endedGrants uint64 // Voter.endedGrants when one of its own grants last ended
+	endedGrants uint64 // Voter.endedGrants when one of its own grants last ended, or when the session began
 	leases      []*leaseGrant
 	lastRequest int64
 }
@@ -114,6 +114,7 @@
 	if left := v.coolDownLeft(now, by.name); left > 0 {
 		return refuse(answer, CoolingDown, left)
 	}
+	// A holder that carries its lease over still has it at other voters, so nobody's turn has come.
 	reserved := now < g.reservedUntil && len(g.line) > 0 && g.line[0].name != by.name
 	if reserved && !answer.CarryOver {
 		v.enterLine(now, g, by, answer.WantedLease)
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -33,7 +33,7 @@
 	if r == nil || r.phase != holding {
 		return 0, 0
 	}
-	return r.term, r.heldUntil
+	return r.term, r.majorityUntil
 }
 
 // renewIfDue asks all voters to extend what they granted in full. shortest is the length of the shortest lease that is
@@ -45,7 +45,7 @@
 	c.renewAt = now + shortest/renewalsPerLength
 	for i := range c.voters {
 		if c.inKnownSet(i) {
-			c.send(i, &RenewRequest{RequestHeader: c.newRequest(now, i)})
+			c.send(i, &RenewRequest{RequestHeader: c.newRequestHeader(now, i)})
 		}
 	}
 }
@@ -113,7 +113,7 @@
 
 // finishCarryOver goes over to the later term once a majority votes for it while the lease is still held.
 func (c *Candidate) finishCarryOver(now int64, r *request) bool {
-	if r.carryOverTerm == 0 || r.phase != holding || now >= r.heldUntil {
+	if r.carryOverTerm == 0 || r.phase != holding || now >= r.majorityUntil {
 		return false
 	}
 	for _, set := range c.sets {
@@ -139,7 +139,7 @@
 	c.addAction(Lost{Lease: r.Lease, Term: r.term, Reason: reasonTimeRanOut})
 	c.newGeneration(now)
 	r.phase = waiting
-	r.heldUntil = 0
+	r.majorityUntil = 0
 	r.requestAt = now + firstBackoff + c.jitter(firstBackoff)
 	r.ticket = c.highestTerm
 }
@@ -181,7 +181,7 @@
 	if !r.active() {
 		return
 	}
-	r.heldUntil = 0
+	r.majorityUntil = 0
 	voted := slices.ContainsFunc(r.votes, func(v vote) bool { return v.term == r.term })
 	if !voted && r.phase == requesting {
 		return // no voter is known to have granted; one that has, unknown to us, keeps a trial grant for maxTrial at most
@@ -221,7 +221,7 @@
 			continue
 		}
 		for _, part := range splitBySize(due, func(released ReleasedLease) int { return len(released.Lease) + len(released.Next) }) {
-			c.send(i, &Release{RequestHeader: c.newRequest(now, i), Leases: part})
+			c.send(i, &Release{RequestHeader: c.newRequestHeader(now, i), Leases: part})
 		}
 	}
 }
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -31,7 +31,7 @@
 	Requester   uint64   // incarnation of the candidate that asked
 	RequestID   uint64   // of the request
 	Generation  uint64   // of the request
-	EndedGrants uint64   // value of Voter.endedGrants when this process's most recent grant ended
+	EndedGrants uint64   // value of Voter.endedGrants when this process's most recent grant ended or its session began; MaxUint64: nothing was extended
 	VoterClock  int64    // us
 	SetNames    []string // of the voter's set if the candidate asked under another one, else none
 }
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -126,7 +126,8 @@
 
 // checkVoters returns ErrVotersOut if, without this voter, no majority of voters would remember the record. A voter that
 // restarts has forgotten it, and counts as out until it was written to again. Without this check a plan could restart a
-// majority of the voters, and no leader could begin until an operator gives the command begin.
+// majority of the voters, and no leader could begin until an operator gives the command begin. With fewer than three voters
+// none may ever leave by a plan.
 func (l *Leader) checkVoters(name string, u *unavailability) error {
 	canMiss := (len(l.voters) - 1) / 2
 	if l.isVoter(name) && u.voters+1 > canMiss {
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -45,6 +45,8 @@
 // returns a node that is leaving or unavailable at once, and on lack of progress turns every phase with a slot to
 // PhaseStuck.
 //
+// A group of nodes here is a shard of package routing; the operators' word is kept.
+//
 // # Where to look
 //
 //   - plan.go: what an operator asks for, and the defaults; record.go: how plans stand
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -146,7 +146,8 @@
 	}
 	l.replicate(now)
 	if l.committed == nil {
-		if now >= l.nextReadAt { // a voter's former process may have answered late, and nobody reports yet
+		// Writes must name a voter's present process. Until reports come, a read is the only way to learn of a new one.
+		if now >= l.nextReadAt {
 			l.readVoters(now, func(voter string) bool { return l.acknowledged[voter] })
 		}
 		return
--- a/internal/rollout/replication.go
+++ b/internal/rollout/replication.go
@@ -60,7 +60,7 @@
 	}
 	l.voterIncarnations[voter] = state.Incarnation
 	if l.record != nil {
-		return
+		return // it was read for the incarnation alone
 	}
 	l.voterStates[voter] = state
 	l.recoverRecord(now, false)
--- a/internal/rollout/voter.go
+++ b/internal/rollout/voter.go
@@ -17,7 +17,7 @@
 }
 
 // NewVoter makes a voter's part in the process with this incarnation. kept is the record that durable storage holds, nil
-// if there is none.
+// if there is none: a running router stores none and passes nil, the simulation passes one.
 func NewVoter(incarnation uint64, kept *Record) *Voter {
 	v := &Voter{incarnation: incarnation, mayHaveForgotten: kept == nil, record: kept}
 	if kept != nil {
--- a/internal/routing/consistency.go
+++ b/internal/routing/consistency.go
@@ -24,7 +24,7 @@
 }
 
 // observePosition raises a node's position, and measures its lag behind the primary. While no primary is heard of, all
-// positions stand still, and lag is measured against the newest position known.
+// positions stand still, and lag is measured against the moment in which the primary last answered.
 func (r *Router) observePosition(n *node, position, now int64) {
 	if position <= 0 {
 		return
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -8,7 +8,8 @@
 	hedgingBurst = 10.0
 )
 
-// hedge sends a late request once more beside its first attempt. It guards against answers that are lost on the network
+// hedge takes a late request through the stages once more, to send it beside its first attempt; they may also queue it. The
+// budget is charged either way. It guards against answers that are lost on the network
 // and nodes that stopped answering: without it their requests wait until the node is suspected, and miss their
 // objective. Under overload all requests are late and hedges would add to the load, so there are none while reads of
 // the shard are shed or requests are queued there, and at any time no more than the budget allows.
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -23,7 +23,8 @@
 	Canceled
 	// NotSent: the attempt ended before anything was sent.
 	NotSent
-	// NotPrimary: the node refused a write unexecuted because it isn't the primary.
+	// NotPrimary: the node refused the request unexecuted because it isn't the primary, or because its data is too old for the
+	// request. Either way it is no primary.
 	NotPrimary
 )
 
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -24,6 +24,9 @@
 	// rejectionCoolDown is the time, us, for which a node that rejected a request gets none: some of what it has in hand
 	// ends, and to ask again at once only costs it work.
 	rejectionCoolDown = 50_000
+	// connectCoolDownSpread is the chance part, us, of the cool-down after a connection failed, so that routers don't all come
+	// back to a node at once. Half of it is waited in any case.
+	connectCoolDownSpread = 50_000
 	// connectionScarcity is the time, us, for which no connection is kept idle after a live node took none twice.
 	connectionScarcity = 10e6
 )
@@ -104,8 +107,8 @@
 func (r *Router) recordConnectFailure(n *node, now int64) {
 	n.refusedAgain = n.refusedSince > 0
 	n.refusedSince = cmp.Or(n.refusedSince, now)
-	chance := int64(r.random.below(rejectionCoolDown))
-	n.coolDownUntil = now + rejectionCoolDown/2 + chance + (now-n.refusedSince)/2
+	chance := int64(r.random.below(connectCoolDownSpread))
+	n.coolDownUntil = now + connectCoolDownSpread/2 + chance + (now-n.refusedSince)/2
 	r.checkHealth(n, now, 1)
 }
 
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -18,8 +18,8 @@
 	primaryFallbackLead = 2 * sweepInterval
 )
 
-// selectReplica is the stage that chooses the node of a read: a replica that is fresh enough and doesn't lag,
-// in this router's zone first, taking turns among equals. Where none has capacity, or none can become fresh enough in time, the
+// selectReplica is the stage that chooses the node of a read: a replica that is fresh enough,
+// one that lags only if no other has capacity, in this router's zone first, taking turns among equals. Where none has capacity, or none can become fresh enough in time, the
 // primary takes the read. Else it is queued, and a health check may prove a replica fresh enough.
 func (r *Router) selectReplica(req *request, now int64) decision {
 	group := req.group
@@ -124,6 +124,7 @@
 
 // primaryTakesRead reports whether the primary serves a read for which no replica was found: it has answered as the
 // primary (or is known to be fresh enough), has capacity with one place left for a write, and waiting would not help.
+// With a limit under two the primary has no place to spare, and a read may take its only one.
 func (r *Router) primaryTakesRead(req *request, freshWithoutLag bool, now int64) bool {
 	p := req.shard.primary
 	if p == nil || !r.usable(p, now) || !r.freshEnough(p, req, now) || req.inFlightAt(p) {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -40,7 +40,7 @@
 	arrivedAt  int64
 	deadline   int64 // when its client stops waiting
 	sendBefore int64 // sent later, its answer will probably miss the latency objective
-	queueUntil int64 // given up if still unsent then
+	queueUntil int64 // given up from then on, unless an attempt is in flight or may have executed it
 
 	weight          float64 // priority weight: greater ones leave the queue first
 	sessionPosition int64   // position of its session's last write, which a ReadYourWrites read must see; 0 for none
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -40,7 +40,7 @@
 	scarceUntil       int64   // until then nodes' connections are scarce and none is kept idle
 
 	sweeps       int
-	lastSweepAt  int64
+	lastSweepAt  int64 // 0 before the first sweep, which therefore counts as the end of a standstill
 	stallEndedAt int64 // end of this router's last standstill, 0 for none
 }
 
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -7,7 +7,8 @@
 // answered to this router alone: the sum over all routers then stays under the multiple, however traffic is spread.
 
 const (
-	// slowStartShare is the share of SlowStartConfig.OverloadMultiple that is used as warming up begins. The rest is left
+	// slowStartShare is the share of SlowStartConfig.OverloadMultiple that is used at a warmth of none; warmth begins at
+	// InitialCapacity and adds slowStartShareGain times itself. The rest is left
 	// for requests that come or weigh unevenly; they matter most while the node can do little.
 	slowStartShare = 0.45
 	// slowStartShareGain is how much that share grows until the node is warm.
