--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"io"
 	"net"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -166,16 +165,11 @@
 		}
 	}()
 	began := time.Now()
-	var ours atomic.Bool // our end has been read
-	met := make(chan time.Duration, 1)
+	metReset := make(chan time.Time, 1)
 	go func() { // it sends for longer than the linger lasts
-		var since time.Time
 		for {
-			if since.IsZero() && ours.Load() {
-				since = time.Now()
-			}
 			if _, err := peer.Write(make([]byte, 1000)); err != nil {
-				met <- time.Since(since)
+				metReset <- time.Now()
 				return
 			}
 		}
@@ -191,11 +185,11 @@
 			t.Fatalf("it read %q and met %v, not our end", all, err)
 		}
 	}
-	ours.Store(true)
+	endReadAt := time.Now()
 	if string(all) != "the last words" {
 		t.Errorf("it read %q", all)
 	}
-	if after := <-met; after < lingerTimeout/5 || after > time.Hour {
+	if after := (<-metReset).Sub(endReadAt); after < lingerTimeout/5 || after > time.Hour {
 		t.Errorf("it met a reset %v after our end", after)
 	}
 	<-ended
