--- a/internal/engine/client_limits_test.go
+++ b/internal/engine/client_limits_test.go
@@ -14,53 +14,53 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// TestAnswersOwedAreBounded: behind a command in hand a client can pile up errors of ours only to a bound; what was
-// taken is answered first, then the connection ends.
-func TestAnswersOwedAreBounded(t *testing.T) {
+// TestQueuedAnswersLimit checks that the errors queued behind an unanswered command are limited in number. Beyond the
+// limit the commands accepted so far are answered and the connection is closed.
+func TestQueuedAnswersLimit(t *testing.T) {
 	primary := scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := startRouter(t, 9, primary)
 	c := r.dial(t)
-	sendCommand(c, "1", "put", "400") // it has no answer, so the errors wait behind it
+	sendCommand(c, "1", "put", "400") // gets no answer from the node, so the errors queue behind it
 	for range 500 {
 		c.Write(pgwire.AppendQuery(nil, "SELECT 1"))
 	}
 	if got := summary(readUntil(t, c, 'Z')); got != "58000" {
-		t.Errorf("what was taken: %q", got)
+		t.Errorf("accepted command: %q", got)
 	}
 	rest := readUntil(t, c, 0)
 	if n := bytes.Count(rest, []byte("C22023")); n > 128 || !bytes.Contains(rest, []byte("C53300")) {
-		t.Errorf("%d errors", n)
+		t.Errorf("%d errors, or no final 53300", n)
 	}
 }
 
-// TestACrowdOfNoUse guards against those who connect and say nothing, or never say all: usual clients find
-// room among them at once, and each of them is told an error in its time.
-func TestACrowdOfNoUse(t *testing.T) {
+// TestUnusedConnectionsAreEvicted opens connections that send nothing or an incomplete message. A normal client must be
+// served at once beside them, and each of them must get an error within its timeout.
+func TestUnusedConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	r := startRouter(t, 40, scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready))
-	half := pgwire.AppendQuery(nil, "/* id=9,c=look,t=acme,d=900,cluster=0 */ SELECT '"+strings.Repeat("x", 150_000))
-	half = append(pgwire.AppendStartup(nil, "a", "b"), half[:len(half)-9]...)
-	var crowd []net.Conn
+	partial := pgwire.AppendQuery(nil, "/* id=9,c=look,t=acme,d=900,cluster=0 */ SELECT '"+strings.Repeat("x", 150_000))
+	partial = append(pgwire.AppendStartup(nil, "a", "b"), partial[:len(partial)-9]...)
+	var unused []net.Conn
 	for i := range 120 {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(20 * time.Second))
-		if crowd = append(crowd, c); i%4 == 0 { // together these are more than may be in hand
-			c.Write(half)
+		if unused = append(unused, c); i%4 == 0 { // together these exceed the limit on partial messages
+			c.Write(partial)
 		}
 	}
-	usual := r.dial(t)
+	normal := r.dial(t)
 	served := func(id string) {
-		sendCommand(usual, id, "put", "900")
-		if got := summary(readUntil(t, usual, 'Z')); got != "row" {
-			t.Errorf("the usual client: %q", got)
+		sendCommand(normal, id, "put", "900")
+		if got := summary(readUntil(t, normal, 'Z')); got != "row" {
+			t.Errorf("normal client: %q", got)
 		}
 	}
 	served("1")
 	began := time.Now()
-	for i, c := range crowd {
+	for i, c := range unused {
 		all := readUntil(t, c, 'E')
 		if i%4 == 0 && len(all) > 0 && all[0] == 'R' {
 			all = all[bytes.Index(all, []byte(scriptedserver.Ready))+len(scriptedserver.Ready):]
@@ -69,15 +69,15 @@
 			t.Fatalf("%d: %q", i, got)
 		}
 	}
-	if took := time.Since(began); took > 4*time.Second { // 3 s, and a slow machine's share
-		t.Errorf("the last of the crowd was told after %v", took)
+	if took := time.Since(began); took > 4*time.Second { // 3 s, plus a margin for slow machines
+		t.Errorf("the last unused connection got its error after %v", took)
 	}
 	served("2")
 }
 
-// TestNewcomersAmongTheIdle guards against places held by clients that asked once and stayed: many newcomers at a
-// time find room, and do not end one another before they have asked.
-func TestNewcomersAmongTheIdle(t *testing.T) {
+// TestNewConnectionsReplaceIdleOnes guards against clients that send one command and then occupy a session for good. New
+// connections that arrive together must evict idle ones, and not one another before their first command.
+func TestNewConnectionsReplaceIdleOnes(t *testing.T) {
 	t.Parallel()
 	r := startRouter(t, 20, scriptedserver.Start(t, scriptedserver.Welcome, strings.Split(strings.Repeat(scriptedserver.Row+scriptedserver.Ready+";", 40), ";")...))
 	served := func(c net.Conn, id string) {
@@ -88,7 +88,7 @@
 		}
 	}
 	for i := range 20 {
-		served(r.dial(t), fmt.Sprint("stays", i))
+		served(r.dial(t), fmt.Sprint("idle", i))
 	}
 	time.Sleep(2100 * time.Millisecond)
 	var fresh []net.Conn
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestFewStandIdle guards against clients whose own limit is taken by connections that they never use again: all
-// but a sixteenth of the places are freed of them, the longest idle first.
-func TestFewStandIdle(t *testing.T) {
+// TestIdleConnectionsLimit guards against clients that use up their own connection limit with connections that they never
+// use again. Only a sixteenth of the sessions may stay idle; the others are closed, those idle the longest first.
+func TestIdleConnectionsLimit(t *testing.T) {
 	t.Parallel()
 	r := startRouter(t, 32, scriptedserver.Start(t, scriptedserver.Welcome, strings.Split(strings.Repeat(scriptedserver.Row+scriptedserver.Ready+";", 20), ";")...))
 	var conns []net.Conn
@@ -121,20 +121,20 @@
 	}
 	for _, c := range conns[:8] {
 		if got := readUntil(t, c, 0); string(got) != "end" {
-			t.Errorf("a long idle connection: %q", got)
+			t.Errorf("connection idle beyond the limit: %q", got)
 		}
 	}
 	for i, c := range conns[8:] {
 		sendCommand(c, fmt.Sprint("again", i), "put", "900")
 		if got := summary(readUntil(t, c, 'Z')); got != "row" {
-			t.Errorf("one of the few that stay: %q", got)
+			t.Errorf("idle connection within the limit: %q", got)
 		}
 	}
 }
 
-// TestWhatComesAfterAnErrorIsNotKept: the claim of a huge value is answered at once, and what follows is read,
-// so that the error arrives, and thrown away.
-func TestWhatComesAfterAnErrorIsNotKept(t *testing.T) {
+// TestInputAfterFatalErrorIsDiscarded announces a huge message. The error is sent at once; the bytes that follow are read,
+// so that the error reaches the client, but not kept.
+func TestInputAfterFatalErrorIsDiscarded(t *testing.T) {
 	r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome))
 	c := r.dial(t)
 	var before, after runtime.MemStats
@@ -143,11 +143,11 @@
 	io.WriteString(c, "Q\x7f\x00\x00\x00")
 	for sent, chunk := 0, make([]byte, 1<<20); sent < 40<<20; sent += len(chunk) {
 		if _, err := c.Write(chunk); err != nil {
-			break // it has lingered for long enough
+			break // the router stopped reading after its lingering close
 		}
 	}
-	// Twice: what the library has read and given back lies in its pools, and those are emptied by the second one. How
-	// much that is goes by how late its reader gets a core: with 15 ms it was 25 MB, none of it kept.
+	// netpoll returns the buffers that it has read to its pools, which are only emptied by the second collection. Their
+	// size depends on how late the reader gets a core: 25 MB at a delay of 15 ms, none of it retained.
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -155,6 +155,6 @@
 		t.Errorf("%q", got)
 	}
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 1<<20 {
-		t.Errorf("%d bytes more in use", grown)
+		t.Errorf("heap grew by %d bytes", grown)
 	}
 }
--- a/internal/engine/client_protocol_test.go
+++ b/internal/engine/client_protocol_test.go
@@ -11,7 +11,8 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// TestBadInput: each gets its code; the connection lives on unless its stream can't be trusted any more.
+// TestBadInput checks the error code for each invalid message, and that the connection stays open unless the message
+// boundaries are lost.
 func TestBadInput(t *testing.T) {
 	r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready))
 	query := func(s string) string { return string(pgwire.AppendQuery(nil, s)) }
@@ -42,21 +43,21 @@
 		}
 		if !c.lives {
 			if got := readUntil(t, conn, 0); string(got) != "end" {
-				t.Errorf("%q: it goes on with %q", in, got)
+				t.Errorf("%q: the connection stays open and sends %q", in, got)
 			}
 			continue
 		}
 		conn.Write(pgwire.AppendQuery(nil, " ; "))
 		if got := readUntil(t, conn, 'Z'); got[0] != 'I' {
-			t.Errorf("%q: then %q", in, got)
+			t.Errorf("%q: the next query got %q", in, got)
 		}
 	}
 }
 
-// TestOpenings goes through the first messages of a connection, while another keeps one of the two places busy: each gets
-// the answer that the protocol wants. Then both places are busy, and a newcomer is rejected; once one of them has long been
-// idle, it makes room.
-func TestOpenings(t *testing.T) {
+// TestFirstMessages checks the reply to each kind of first message while another connection occupies one of the two
+// sessions. Then both sessions are busy and a new connection is rejected; once one of them has been idle for longer than
+// idleTimeout, it is evicted for a new connection.
+func TestFirstMessages(t *testing.T) {
 	t.Parallel()
 	slow := scriptedserver.Start(t, scriptedserver.Welcome)
 	r := startRouter(t, 2, slow)
@@ -90,26 +91,26 @@
 	second := r.dial(t)
 	sendCommand(second, "2", "put", "5000")
 	<-slow.Queries
-	third, err := net.Dial("tcp", r.addr) // both places are busy
+	third, err := net.Dial("tcp", r.addr) // both sessions are busy
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer third.Close()
 	third.SetDeadline(time.Now().Add(20 * time.Second))
 	if got := summary(readUntil(t, third, 0)); got != "53300" {
-		t.Errorf("one too many: %q", got)
+		t.Errorf("connection beyond the limit: %q", got)
 	}
 	slow.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := summary(readUntil(t, first, 'Z')); got != "row" {
-		t.Errorf("the first connection then said %q", got)
+		t.Errorf("first connection: %q", got)
 	}
 	third.Close()
 	time.Sleep(2100 * time.Millisecond)
-	if r.dial(t); string(readUntil(t, first, 0)) != "end" { // it has had nothing to do for long, and makes room
-		t.Error("the first connection goes on")
+	if r.dial(t); string(readUntil(t, first, 0)) != "end" { // evicted after more than idleTimeout without a command
+		t.Error("the idle connection was not closed")
 	}
 	slow.Opened()[1].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := summary(readUntil(t, second, 'Z')); got != "row" {
-		t.Errorf("the busy connection then said %q", got)
+		t.Errorf("busy connection: %q", got)
 	}
 }
--- a/internal/engine/cluster_services.go
+++ b/internal/engine/cluster_services.go
@@ -12,30 +12,30 @@
 
 var lateAnswers = metrics.New("answers past their objective")
 
-// clusterServices is what the engine does for the cluster's rollouts: it drains nodes for them, and knows what this
-// router has open at each node. A nil one, which stands where rollouts are off, does nothing.
+// clusterServices supports rollouts of the cluster: it drains nodes on their behalf and counts this router's open
+// attempts at each node. A nil *clusterServices, used when rollouts are disabled, does nothing.
 type clusterServices struct {
-	endpoints         map[string]discovery.Endpoint // by name, as the endpoint list last had them
-	drained           map[string]bool               // names of the nodes that rollouts drain
-	openAttempts      map[string]int                // by node; also of nodes that have left the list
+	endpoints         map[string]discovery.Endpoint // by name, from the latest endpoint list
+	drained           map[string]bool               // names of nodes drained by rollouts
+	openAttempts      map[string]int                // by node, including nodes removed from the list
 	answered          map[string]uint64             // attempts answered since this router started, by node
 	latencyObjectives []int64                       // us, by command group
 }
 
-// NodeStatus is one node of the endpoint list: what the list and the routing module have of it, and what this router
-// does there.
+// NodeStatus describes a node of the endpoint list: its state in the list and in the routing module, and this router's
+// attempts there.
 type NodeStatus struct {
 	Name, Zone   string
 	Shard        int
 	Primary      bool
-	Available    bool  // the list calls it up, and it is not suspected
-	Position     int64 // highest replicated position that is proven, us in Unix time
+	Available    bool  // up according to the list, and not suspected
+	Position     int64 // highest confirmed replicated position, us in Unix time
 	OpenAttempts int
 	Answered     uint64 // attempts answered since this router started
 }
 
-// EnableClusterServices keeps from now on what rollouts need. It is called before Run; latencyObjectives are the
-// command groups', in us.
+// EnableClusterServices starts collecting the data that rollouts need. It must be called before Run. latencyObjectives
+// holds the latency objective of each command group, in us.
 func (e *Engine) EnableClusterServices(latencyObjectives []int64) {
 	e.services = &clusterServices{
 		endpoints:         map[string]discovery.Endpoint{},
@@ -46,9 +46,9 @@
 	}
 }
 
-// noteEndpoint notes an endpoint of a list, and returns the state that the routing module is given: a node that a
-// rollout drains is draining even if the list calls it up.
-func (s *clusterServices) noteEndpoint(endpoint discovery.Endpoint) routing.EndpointState {
+// recordEndpoint stores an endpoint of a list and returns the state to pass to the routing module: a node drained by a
+// rollout is draining even if the list reports it up.
+func (s *clusterServices) recordEndpoint(endpoint discovery.Endpoint) routing.EndpointState {
 	if s == nil {
 		return endpoint.State
 	}
@@ -64,8 +64,8 @@
 	return endpoint.State
 }
 
-// SetDrained takes the names of all nodes that rollouts drain. Those that changed are handed on as changes of the
-// endpoint list.
+// SetDrained replaces the set of nodes drained by rollouts. Nodes whose drain state changed are passed on as an
+// incremental endpoint list.
 func (e *Engine) SetDrained(now int64, names []string) {
 	s := e.services
 	before := s.drained
@@ -74,24 +74,24 @@
 		s.drained[name] = true
 	}
 	changes := &discovery.EndpointList{}
-	for _, name := range slices.Sorted(maps.Keys(s.endpoints)) { // sorted: the same events give the module the same order
+	for _, name := range slices.Sorted(maps.Keys(s.endpoints)) { // sorted for a deterministic order of events
 		if before[name] != s.drained[name] {
 			changes.Endpoints = append(changes.Endpoints, s.endpoints[name])
 		}
 	}
 	if len(changes.Endpoints) > 0 {
-		e.distribute(now, changes)
+		e.propagateEndpoints(now, changes)
 	}
 }
 
-// attemptStarted counts an attempt that begins at a node.
+// attemptStarted counts an attempt that starts at a node.
 func (s *clusterServices) attemptStarted(node string) {
 	if s != nil {
 		s.openAttempts[node]++
 	}
 }
 
-// attemptEnded counts an attempt that has ended. Its node may have left the list before.
+// attemptEnded counts an attempt that has ended. Its node may have been removed from the list before.
 func (s *clusterServices) attemptEnded(attempt *inflight.Attempt, outcome routing.Outcome, now int64) {
 	if s == nil {
 		return
@@ -110,11 +110,11 @@
 	}
 }
 
-// LateAnswers is how many answers took longer than their command group's latency objective, since the process started
-// and where rollouts are on.
+// LateAnswers returns how many answers since the start of the process took longer than the latency objective of their
+// command group. They are counted only when rollouts are enabled.
 func LateAnswers() uint64 { return uint64(lateAnswers.Count()) }
 
-// NodeStatuses lists the nodes of the endpoint list, in no order.
+// NodeStatuses returns the nodes of the endpoint list in no particular order.
 func (e *Engine) NodeStatuses() (statuses []NodeStatus) {
 	s := e.services
 	for name, endpoint := range s.endpoints {
@@ -133,8 +133,8 @@
 	return statuses
 }
 
-// isPrimary reports whether a node is its group's primary. The list counts if the routing module has not seen the
-// node's role: a router that sends nothing to a group knows only the list.
+// isPrimary reports whether a node is the primary of its group. The list decides if the routing module has not observed
+// the node's role: a router that sends nothing to a group has no other source.
 func isPrimary(seen routing.Role, endpoint discovery.Endpoint) bool {
 	return seen == routing.Primary || seen == routing.RoleUnknown && endpoint.Primary
 }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,17 +1,17 @@
-// Package engine runs one router's decisions. A single goroutine, Engine.Run, feeds the routing module its events in
-// order, carries out the actions that it asks for, and keeps the timers and the requests in flight. Nothing on that
-// goroutine waits for the network or a disk: sockets, files and dialling live in other packages, which report back through
-// Engine.Post. Log lines alone are written synchronously.
+// Package engine runs the event loop of a router. A single goroutine, Engine.Run, passes events to the routing module in
+// order, carries out the actions that it requests, and holds the timers and the requests in flight. Nothing on that
+// goroutine waits for the network or a disk: sockets, files and dialing belong to other packages, which report back
+// through Engine.Post. Only log lines are written synchronously.
 //
-// The package carries and decides nothing: which node gets a request, when it is retried and what is rejected is
-// package routing's.
+// The package makes no routing decisions: package routing decides which node gets a request, when it is retried and
+// when it is rejected.
 //
-// From a client's command to its answer:
+// The path of a command from the client to its answer:
 //
 //	frontend  --Submit-->                    requests.go        --RequestArrived-->  routing
 //	routing   --StartAttempt-->              router_actions.go  --Send-->            backend
 //	backend   --AttemptEnded-->              requests.go        --AttemptEnded-->    routing
 //	routing   --RejectWithRetry or Fail-->   router_actions.go  --Reject or Fail-->  frontend
 //
-// An answer goes to the client as soon as the first attempt brings one, before the routing module hears of it.
+// The first answer of an attempt is sent to the client at once, before the routing module is notified.
 package engine
--- a/internal/engine/endpoint_list.go
+++ b/internal/engine/endpoint_list.go
@@ -8,15 +8,15 @@
 
 var listsApplied = metrics.New("endpoint lists applied")
 
-// ApplyEndpointList applies a list from discovery: a complete one, or the changed endpoints.
+// ApplyEndpointList applies a list from discovery, which holds either all endpoints or only the changed ones.
 func (e *Engine) ApplyEndpointList(now int64, list *discovery.EndpointList) {
 	listsApplied.Add()
-	e.distribute(now, list)
+	e.propagateEndpoints(now, list)
 }
 
-// distribute hands a list to the connections, the routing module and the shared health checks, with the endpoints that
-// rollouts drain as draining.
-func (e *Engine) distribute(now int64, list *discovery.EndpointList) {
+// propagateEndpoints passes a list to the connections, the routing module and the shared health checks. Endpoints drained
+// by rollouts are passed on as draining.
+func (e *Engine) propagateEndpoints(now int64, list *discovery.EndpointList) {
 	e.router.BeginEndpointList(now, list.Complete)
 	for _, n := range list.Endpoints {
 		if n.State == routing.Removed {
@@ -24,7 +24,7 @@
 		} else {
 			e.connections.SetAddress(n.Name, n.Address)
 		}
-		state := e.services.noteEndpoint(n)
+		state := e.services.recordEndpoint(n)
 		e.router.UpdateEndpoint(now, routing.Endpoint{
 			Name:        n.Name,
 			Zone:        n.Zone,
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -14,48 +14,47 @@
 	maxEventWaitTime = metrics.New("longest event wait, us")
 )
 
-// lateTimerThreshold is how far past its time, in us, a timer is counted as late: a machine without a free core shows
-// in that counter long before clients see it.
+// lateTimerThreshold is the delay, in us, from which a timer counts as late. A shortage of CPU cores shows in that
+// counter long before clients notice it.
 const lateTimerThreshold = 5_000
 
-// NewClock returns a clock in whole microseconds of Unix time that never goes backwards: it reads Unix time once, and
-// the monotonic clock from then on.
+// NewClock returns a clock of Unix time in whole microseconds that never goes backwards: it reads the wall clock once
+// and the monotonic clock from then on.
 func NewClock() func() int64 {
 	start := time.Now()
 	startMicros := start.UnixMicro()
 	return func() int64 { return startMicros + time.Since(start).Microseconds() }
 }
 
-// SharedProbes shares health checks with other routers of the cluster. Its methods are called on the engine's
-// goroutine.
+// SharedProbes shares health checks with other routers of the cluster. Its methods are called on the engine's goroutine.
 type SharedProbes interface {
-	// EndpointListed reports one endpoint of a list that the router applies, and ListApplied the list's end. A complete list
-	// names all endpoints that there are.
+	// EndpointListed reports one endpoint of a list that the router applies; ListApplied reports the end of the list. A
+	// complete list names all existing endpoints.
 	EndpointListed(now int64, name string, state routing.EndpointState, started int64)
 	ListApplied(now int64, complete bool)
-	// HealthCheckEnded reports the outcome of a health check, whoever asked for it, with the replicated position (us in
-	// Unix time, 0 where unknown) and the role that the node reported. load is its load report as it came.
+	// HealthCheckEnded reports the outcome of a health check, whoever requested it, with the replicated position (us in
+	// Unix time, 0 if unknown) and the role that the node reported. load is its unparsed load report.
 	HealthCheckEnded(now int64, node string, outcome routing.Outcome, position int64, role routing.Role, load string)
 }
 
-// Engine runs one router's decisions. Create it with New, wire it with Attach, start it with go Run. Submit, ClientGone,
-// Post, Stop, GiveUpAll, Unanswered and AllAnswered may be called from any goroutine; all other methods run on the
-// engine's own, that is within a function given to Post or After, or before Run.
+// Engine is the event loop of a router. Create it with New, connect it with Attach, and start it with go Run. Submit,
+// ClientGone, Post, Stop, GiveUpAll, Unanswered and AllAnswered may be called from any goroutine; all other methods must
+// be called on the engine's goroutine, that is from a function passed to Post or After, or before Run.
 type Engine struct {
 	now          func() int64 // the router's clock, us in Unix time
 	router       *routing.Router
 	connections  inflight.NodeConnections
-	sharedProbes SharedProbes     // nil where no health checks are shared
-	services     *clusterServices // nil where rollouts are off
+	sharedProbes SharedProbes     // nil if health checks are not shared
+	services     *clusterServices // nil if rollouts are disabled
 
-	requests   map[string]*inflight.Request // in flight, by the id of their command
+	requests   map[string]*inflight.Request // requests in flight, by command id
 	unanswered unansweredCount
 	queue      eventQueue
 	timers     timerQueue
-	eventTime  int64 // time of the event that is being handled; never goes backwards
+	eventTime  int64 // time of the current event; never goes backwards
 }
 
-// New makes an engine on a clock of microseconds; Attach completes it.
+// New returns an engine that uses the given clock (us in Unix time). Attach must be called before Run.
 func New(now func() int64) *Engine {
 	return &Engine{
 		now:        now,
@@ -65,27 +64,27 @@
 	}
 }
 
-// Attach sets the routing module, made with the engine's Actions, and the connections to the nodes. It is called before
-// Run.
+// Attach sets the routing module, which must have been created with the engine's Actions, and the connections to the
+// nodes. It must be called before Run.
 func (e *Engine) Attach(router *routing.Router, connections inflight.NodeConnections) {
 	e.router = router
 	e.connections = connections
 }
 
-// SetSharedProbes lets health checks be shared with other routers. It is called before Run.
+// SetSharedProbes enables sharing health checks with other routers. It must be called before Run.
 func (e *Engine) SetSharedProbes(probes SharedProbes) { e.sharedProbes = probes }
 
-// Post hands an event, which happened at a time, to the engine's goroutine. It never blocks.
+// Post queues an event that happened at the given time for the engine's goroutine. It never blocks.
 func (e *Engine) Post(at int64, handle func(now int64)) { e.queue.post(event{at, handle}) }
 
-// After calls a function on the engine's goroutine once a delay in us has passed.
+// After calls a function on the engine's goroutine after a delay in us.
 func (e *Engine) After(delay int64, handle func(now int64)) {
 	e.timers.add(event{max(e.eventTime, e.now()) + delay, handle})
 }
 
-// Run handles events and timers until Stop.
+// Run handles events and timers until Stop is called.
 func (e *Engine) Run() {
-	alarm := time.NewTimer(0)
+	wakeup := time.NewTimer(0)
 	for {
 		events, stopped := e.queue.take()
 		if stopped {
@@ -97,19 +96,19 @@
 		}
 		e.fireTimers()
 		if len(events) > 0 {
-			continue // what was posted meanwhile comes before sleep
+			continue // handle events posted in the meantime before waiting
 		}
 		if e.timers.Len() > 0 {
-			alarm.Reset(time.Duration(max(0, e.timers.next()-e.now())) * time.Microsecond)
+			wakeup.Reset(time.Duration(max(0, e.timers.next()-e.now())) * time.Microsecond)
 		}
 		select {
 		case <-e.queue.posted:
-		case <-alarm.C:
+		case <-wakeup.C:
 		}
 	}
 }
 
-// fireTimers handles the timers that are due now.
+// fireTimers handles the timers that are due.
 func (e *Engine) fireTimers() {
 	now := e.now()
 	for e.timers.Len() > 0 && e.timers.next() <= now {
@@ -122,23 +121,23 @@
 	}
 }
 
-// handle gives an event its time. Events of several goroutines may be posted out of order; the routing module's clock
-// never goes backwards.
+// handle runs an event. Goroutines may post events out of order, so the event time is raised to the latest time seen:
+// the routing module's clock must not go backwards.
 func (e *Engine) handle(ev event) {
 	e.eventTime = max(e.eventTime, ev.at)
 	ev.handle(e.eventTime)
 }
 
-// GiveUpAll ends every request that has no answer yet: rejected where a repeat is harmless, failed otherwise.
+// GiveUpAll ends every unanswered request: it is rejected if repeating it is harmless, and failed otherwise.
 func (e *Engine) GiveUpAll() {
 	e.Post(e.now(), func(int64) { e.router.Shutdown() })
 }
 
-// Stop ends Run; what is posted from then on is not handled.
+// Stop ends Run. Events posted afterwards are not handled.
 func (e *Engine) Stop() { e.queue.stop() }
 
-// Unanswered is the number of requests without their final answer.
+// Unanswered returns the number of requests without a final answer.
 func (e *Engine) Unanswered() int { return e.unanswered.value() }
 
-// AllAnswered receives a value whenever the last request without an answer has had one.
+// AllAnswered returns a channel that receives a value whenever the last unanswered request has been answered.
 func (e *Engine) AllAnswered() <-chan struct{} { return e.unanswered.reachedZero }
--- a/internal/engine/event_queue.go
+++ b/internal/engine/event_queue.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// event is one call on the engine's goroutine.
+// event is a call to be made on the engine's goroutine.
 type event struct {
-	at     int64 // us: when it happened, or when a timer is due
+	at     int64 // us: when the event happened, or when the timer is due
 	handle func(now int64)
 }
 
-// eventQueue passes events from any goroutine to the engine's, in the order in which they were posted.
+// eventQueue passes events from any goroutine to the engine's goroutine in the order in which they were posted.
 type eventQueue struct {
 	mu      sync.Mutex
 	events  []event
 	stopped bool
-	posted  chan struct{} // holds a value while something was posted that was not taken
+	posted  chan struct{} // holds a value if events may have been posted since the last take
 }
 
 // post adds an event; it never blocks.
@@ -27,7 +27,7 @@
 	q.wake()
 }
 
-// take removes all events.
+// take removes and returns all events.
 func (q *eventQueue) take() (events []event, stopped bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -36,7 +36,7 @@
 	return events, q.stopped
 }
 
-// stop makes every later take return stopped.
+// stop makes all later calls of take report stopped.
 func (q *eventQueue) stop() {
 	q.mu.Lock()
 	q.stopped = true
@@ -47,12 +47,12 @@
 func (q *eventQueue) wake() {
 	select {
 	case q.posted <- struct{}{}:
-	default: // the engine is being woken already
+	default: // a wakeup is pending already
 	}
 }
 
-// timerQueue holds the events that are due later, as a heap with the earliest first. Len, Less, Swap, Push and Pop are
-// for container/heap alone.
+// timerQueue is a heap of events that are due later, earliest first. Len, Less, Swap, Push and Pop are called only by
+// container/heap.
 type timerQueue []event
 
 func (t *timerQueue) add(timer event) { heap.Push(t, timer) }
@@ -60,7 +60,7 @@
 // pop removes the earliest timer; there must be one.
 func (t *timerQueue) pop() event { return heap.Pop(t).(event) }
 
-// next is when the earliest timer is due; there must be one.
+// next returns the time at which the earliest timer is due; there must be one.
 func (t timerQueue) next() int64 { return t[0].at }
 
 // Len implements heap.Interface.
@@ -79,16 +79,16 @@
 func (t *timerQueue) Pop() any {
 	last := len(*t) - 1
 	timer := (*t)[last]
-	(*t)[last] = event{} // lets go of what its function holds
+	(*t)[last] = event{} // releases what the function references
 	*t = (*t)[:last]
 	return timer
 }
 
-// unansweredCount counts the requests without their final answer.
+// unansweredCount counts the requests without a final answer.
 type unansweredCount struct {
 	mu          sync.Mutex
 	count       int
-	reachedZero chan struct{} // holds a value once the count has come down to zero
+	reachedZero chan struct{} // holds a value once the count has dropped to zero
 }
 
 func (c *unansweredCount) value() int {
@@ -107,6 +107,6 @@
 	}
 	select {
 	case c.reachedZero <- struct{}{}:
-	default: // nobody has looked since it was zero before
+	default: // the previous value has not been received yet
 	}
 }
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -9,17 +9,17 @@
 	"cairntiller/internal/routing"
 )
 
-// What is learnt of a node: its status beside an answer, its load report, the outcome of a health check, and gossip of
-// other routers.
+// Sources of node state: the status sent with a reply, load reports, the outcomes of health checks, and gossip from other
+// routers.
 
 var impossibleReports = metrics.New("load reports impossible")
 
-// positionResolution is the step in us in which nodes report positions, rounded either way: a position may lie so far
-// past the clock and be true.
+// positionResolution is the resolution, in us, of the positions that nodes report. They are rounded up or down, so a
+// valid position may be ahead of the clock by this much.
 const positionResolution = 1_000
 
-// reportedPrimary is the least value of a load report's primary figure, in millionths, that says "primary".
-const reportedPrimary = 500_000
+// primaryThreshold is the smallest value, in millionths, of a load report's primary field that means "primary".
+const primaryThreshold = 500_000
 
 // HealthCheckEnded implements inflight.ResultHandler.
 func (e *Engine) HealthCheckEnded(now int64, node string, outcome routing.Outcome, load string) {
@@ -30,10 +30,11 @@
 	}
 }
 
-// CheckHealth asks a node for its load report; the outcome comes to HealthCheckEnded.
+// CheckHealth requests a node's load report; HealthCheckEnded receives the outcome.
 func (e *Engine) CheckHealth(node string) { e.connections.CheckHealth(node) }
 
-// ApplyGossip hands the routing module what another router learnt of a node. A position that can't be true is left out.
+// ApplyGossip passes another router's observation of a node to the routing module, without its position if that is
+// implausible.
 func (e *Engine) ApplyGossip(now int64, update routing.GossipUpdate) {
 	if !plausiblePosition(now, update.Position) {
 		update.Position = 0
@@ -41,12 +42,12 @@
 	e.router.GossipReceived(now, update)
 }
 
-// DelegateHealthChecks tells the routing module whether another router checks a node's health.
+// DelegateHealthChecks sets whether another router checks a node's health on behalf of this one.
 func (e *Engine) DelegateHealthChecks(node string, delegated bool) {
 	e.router.SetCheckedByPeer(node, delegated)
 }
 
-// applyReplyStatus passes on what a node told of itself beside an answer.
+// applyReplyStatus passes the role, position and load report in a reply to the routing module.
 func (e *Engine) applyReplyStatus(now int64, node string, reply *pgwire.Reply) {
 	role := routing.RoleUnknown
 	if reply.Primary {
@@ -61,8 +62,8 @@
 	e.applyLoadReport(now, node, reply.Load)
 }
 
-// applyLoadReport passes on the figures of a node's load report, all or none: where one can't be read the report is
-// worth nothing. It returns the position (us in Unix time, 0 where unknown) and the role that the report tells.
+// applyLoadReport passes the position and the role in a load report to the routing module. A report with any malformed
+// field is discarded as a whole. It returns the position (us in Unix time, 0 if unknown) and the role.
 func (e *Engine) applyLoadReport(now int64, node, load string) (position int64, role routing.Role) {
 	if load == "" {
 		return 0, routing.RoleUnknown
@@ -75,7 +76,7 @@
 			return 0, routing.RoleUnknown
 		}
 		switch name {
-		case pgwire.LoadPosition: // seconds of Unix time on sockets
+		case pgwire.LoadPosition: // seconds of Unix time in the wire protocol
 			position = millionths
 		case pgwire.LoadPrimary:
 			role = reportedRole(millionths)
@@ -93,10 +94,10 @@
 	return position, role
 }
 
-// reportedRole reads a load report's primary figure; one below zero says nothing.
+// reportedRole converts a load report's primary field to a role; a negative value means unknown.
 func reportedRole(millionths int64) routing.Role {
 	switch {
-	case millionths >= reportedPrimary:
+	case millionths >= primaryThreshold:
 		return routing.Primary
 	case millionths >= 0:
 		return routing.Replica
@@ -104,8 +105,8 @@
 	return routing.RoleUnknown
 }
 
-// plausiblePosition reports whether a position can be true: positions are times of commits, so none is later than the
-// clock that all machines read. One that is would make every replica look too old for a read.
+// plausiblePosition reports whether a position can be valid. Positions are commit times, so none can be later than the
+// machines' common clock; a later one would make every replica look too old to read from.
 func plausiblePosition(now, position int64) bool {
 	if position > now+positionResolution {
 		impossibleReports.Add()
--- a/internal/engine/node_reports_test.go
+++ b/internal/engine/node_reports_test.go
@@ -8,20 +8,20 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// TestReportsThatCantBeTrue: a position later than the clock, or a report of which a part can't be read, proves
-// nothing, and the answer beside it stands.
-func TestReportsThatCantBeTrue(t *testing.T) {
-	told := func(late time.Duration) (millis, seconds string) {
+// TestImplausibleReports checks that a position later than the clock and a load report with a malformed field are
+// discarded, and that the answer sent with them is still used.
+func TestImplausibleReports(t *testing.T) {
+	report := func(late time.Duration) (millis, seconds string) {
 		at := time.Now().Add(late).UnixMilli()
 		return fmt.Sprint(at), fmt.Sprintf("%d.%03d", at/1000, at%1000)
 	}
 	for name, c := range map[string]struct {
-		late  time.Duration
-		load  string
-		wants int64
-	}{"true": {-time.Second, "x0=%s,x1=0", 0}, "later than now": {time.Hour, "x0=%s,x1=0", 2},
-		"noise behind": {-time.Second, "x0=%s,x1=?", 1}} {
-		millis, seconds := told(c.late)
+		offset time.Duration
+		load   string
+		want   int64
+	}{"valid": {-time.Second, "x0=%s,x1=0", 0}, "later than the clock": {time.Hour, "x0=%s,x1=0", 2},
+		"malformed field": {-time.Second, "x0=%s,x1=?", 1}} {
+		millis, seconds := report(c.offset)
 		r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome,
 			scriptedserver.Status("role", "replica")+scriptedserver.Status("applied_ms", millis)+scriptedserver.Status("load", fmt.Sprintf(c.load, seconds))+scriptedserver.Row+scriptedserver.Ready))
 		before := counterValue("load reports impossible")
@@ -30,8 +30,8 @@
 		if got := summary(readUntil(t, conn, 'Z')); got != "row" {
 			t.Errorf("%s: %q", name, got)
 		}
-		if got := counterValue("load reports impossible") - before; got != c.wants {
-			t.Errorf("%s: %d taken for untrue", name, got)
+		if got := counterValue("load reports impossible") - before; got != c.want {
+			t.Errorf("%s: %d discarded as implausible", name, got)
 		}
 	}
 }
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/race_conditions_test.go
@@ -13,9 +13,9 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// Each test here makes two events meet in their bad order; docs/crossings.md has the table.
+// Tests of race conditions: each test forces the problematic order of two events. docs/crossings.md lists them.
 
-// errorCode is an error's.
+// errorCode returns the SQLSTATE of an error reply, or the summary of another reply.
 func errorCode(p []byte) string {
 	if _, rest, found := strings.Cut(string(p), "\x00VERROR\x00C"); found {
 		return rest[:5]
@@ -23,10 +23,10 @@
 	return summary(p)
 }
 
-// cancelKey is what a welcome tells, to cancel a connection's commands by.
+// cancelKey opens a connection and returns it with its cancel key (BackendKeyData).
 func cancelKey(t *testing.T, r *testRouter) (c net.Conn, key []byte) {
 	t.Helper()
-	r.dial(t).Close() // it is ready
+	r.dial(t).Close() // waits until the router is ready
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -52,60 +52,60 @@
 	}
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	c.Write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key...))
-	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 { // read and carried out, once it ends
-		t.Errorf("a cancel was told %q, %v", rest, err)
+	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 { // the cancel has been handled once the connection closes
+		t.Errorf("reply to a cancel: %q, %v", rest, err)
 	}
 	c.Close()
 }
 
-// TestCancel: the key of its connection ends the command in hand at once, at its node too; no other key does anything,
-// nor does one whose connection has ended. The connection lives on.
+// TestCancel checks that a cancel with the right key ends the command in flight at once, at its node too, and leaves the
+// connection open. Any other key, including that of a closed connection, has no effect.
 func TestCancel(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "", scriptedserver.Row+scriptedserver.Ready)
 	r := startRouter(t, 9, primary, replica)
-	gone, old := cancelKey(t, r)
-	gone.Close()
-	c, right := cancelKey(t, r)
-	other, others := cancelKey(t, r)
-	if binary.BigEndian.Uint32(right[4:]) == binary.BigEndian.Uint32(others[4:]) {
-		t.Errorf("two connections have one key: %x, %x", right, others)
+	closed, closedKey := cancelKey(t, r)
+	closed.Close()
+	c, key := cancelKey(t, r)
+	other, otherKey := cancelKey(t, r)
+	if binary.BigEndian.Uint32(key[4:]) == binary.BigEndian.Uint32(otherKey[4:]) {
+		t.Errorf("two connections have the same secret: %x, %x", key, otherKey)
 	}
 	sendCommand(c, "1", "look", "15000")
 	<-replica.Queries
-	wrong := append([]byte(nil), right...)
-	wrong[7]++
-	for _, k := range [][]byte{old, wrong, others, make([]byte, 8), append(right[:4:4], 0, 0, 0, 0)} {
+	wrongKey := append([]byte(nil), key...)
+	wrongKey[7]++
+	for _, k := range [][]byte{closedKey, wrongKey, otherKey, make([]byte, 8), append(key[:4:4], 0, 0, 0, 0)} {
 		r.cancel(t, nil, k)
 	}
 	if n := r.engine.Unanswered(); n != 1 {
-		t.Fatalf("%d commands owed after cancels with wrong keys", n)
+		t.Fatalf("%d unanswered commands after cancels with wrong keys", n)
 	}
-	r.cancel(t, nil, right)
+	r.cancel(t, nil, key)
 	if got := errorCode(readUntil(t, c, 'Z')); got != "57014" {
-		t.Errorf("cancelled: %q", got)
+		t.Errorf("cancelled command: %q", got)
 	}
 	<-replica.Ended
 	sendCommand(c, "2", "look", "900")
 	if got := summary(readUntil(t, c, 'Z')); got != "row" {
-		t.Errorf("the next command: %q", got)
+		t.Errorf("next command: %q", got)
 	}
-	r.cancel(t, nil, right) // nothing is in hand
+	r.cancel(t, nil, key) // no command is in flight
 	other.Write(pgwire.AppendQuery(nil, ""))
 	if got := readUntil(t, other, 'Z'); got[0] != 'I' {
-		t.Errorf("another connection: %q", got)
+		t.Errorf("other connection: %q", got)
 	}
 }
 
-// TestACancelThatCrossesItsAnswer hits no later command: its connection is there before the next command comes, and
-// what it says is read behind that.
-func TestACancelThatCrossesItsAnswer(t *testing.T) {
+// TestCancelRacesWithAnswer guards against a late cancel that ends the wrong command. Its connection opens during the
+// first command, and its message arrives during the second one, which must not be cancelled.
+func TestCancelRacesWithAnswer(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, "")
 	r := startRouter(t, 9, primary, replica)
 	c, k := cancelKey(t, r)
 	sendCommand(c, "1", "look", "900")
 	<-replica.Queries
 	before := counterValue("client connections ")
-	late, err := net.Dial("tcp", r.addr)
+	cancelConn, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,35 +117,35 @@
 	}
 	sendCommand(c, "2", "look", "15000")
 	<-replica.Queries
-	r.cancel(t, late, k)
+	r.cancel(t, cancelConn, k)
 	if n := r.engine.Unanswered(); n != 1 {
-		t.Fatal("the command that came behind the cancelled one was hit")
+		t.Fatal("the cancel ended a later command")
 	}
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := summary(readUntil(t, c, 'Z')); got != "row" {
-		t.Errorf("the later command: %q", got)
+		t.Errorf("later command: %q", got)
 	}
 }
 
-// TestACrowdThatLeaves guards against what is sent on for clients that have gone: hundreds wait for one connection that
-// comes up late, then leave in each way there is; nothing is written for them.
-func TestACrowdThatLeaves(t *testing.T) {
+// TestClientsDisconnectBeforeSend guards against sending commands of disconnected clients to a node. Two hundred clients
+// wait for a node connection that opens late, then disconnect in each of four ways; none of their commands may be sent.
+func TestClientsDisconnectBeforeSend(t *testing.T) {
 	node := scriptedserver.StartHeld(t)
 	r := startRouter(t, 999, &scriptedserver.Node{Addr: node.Addr})
-	const crowd = 200
-	over := func() int64 { // a few may have had their attempts before their clients went
+	const clients = 200
+	concluded := func() int64 { // some may be rejected before their clients disconnect
 		return counterValue("commands abandoned by clients") + counterValue("commands rejected")
 	}
-	before := over()
+	before := concluded()
 	var all []net.Conn
-	for range crowd {
+	for range clients {
 		c, _ := cancelKey(t, r)
 		all = append(all, c)
 	}
 	for i, c := range all {
 		sendCommand(c, fmt.Sprint("x", i), "put", "15000")
 	}
-	conn := <-node.Startups // the limit lets a few go out; the rest wait in the module
+	conn := <-node.Startups // a limit lets a few attempts start; the rest queue in the routing module
 	for i, c := range all {
 		switch i % 4 {
 		case 0:
@@ -159,7 +159,7 @@
 			c.Write([]byte("X\x00\x00\x00\x04"))
 		}
 	}
-	for r.engine.Unanswered() > 0 || over() < before+crowd {
+	for r.engine.Unanswered() > 0 || concluded() < before+clients {
 		time.Sleep(time.Millisecond)
 	}
 	node.Complete(conn)
@@ -169,26 +169,26 @@
 		}
 	}()
 	c, _ := cancelKey(t, r)
-	sendCommand(c, "stays", "put", "5000")
+	sendCommand(c, "connected", "put", "5000")
 	if got := summary(readUntil(t, c, 'Z')); got != "row" {
-		t.Errorf("who stays: %q", got)
+		t.Errorf("connected client: %q", got)
 	}
 	for len(node.Queries) > 0 {
-		if q := <-node.Queries; !strings.Contains(q, "id=stays") {
-			t.Errorf("sent on for a client that has gone: %q", q)
+		if q := <-node.Queries; !strings.Contains(q, "id=connected") {
+			t.Errorf("sent for a disconnected client: %q", q)
 		}
 	}
 }
 
-// TestACommandBehindTheLastAnswer: while the router leaves, what a client sends behind a command in hand is turned away
-// in its turn and nothing is lost; the connection ends behind it.
-func TestACommandBehindTheLastAnswer(t *testing.T) {
+// TestCommandWhileDraining checks that while the router drains, commands sent after one in flight are rejected in order,
+// none goes unanswered, and the connection is closed after the last answer.
+func TestCommandWhileDraining(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := startRouter(t, 9, primary, replica)
 	c := r.dial(t)
 	sendCommand(c, "1", "look", "5000")
 	<-replica.Queries
-	r.front.BeginDrain()
+	r.frontend.BeginDrain()
 	before := counterValue("commands while draining")
 	for i := range 3 {
 		sendCommand(c, fmt.Sprint("late", i), "look", "5000")
@@ -203,43 +203,44 @@
 		}
 	}
 	if n := len(replica.Queries) + len(primary.Queries); n > 0 {
-		t.Errorf("%d more were sent on", n)
+		t.Errorf("%d more were sent to nodes", n)
 	}
 }
 
-// TestStoppedWhileNodesHang: what is owed when the router must be gone is answered then.
-func TestStoppedWhileNodesHang(t *testing.T) {
+// TestShutdownWithHangingNodes checks that GiveUpAll answers every command in flight even if no node replies.
+func TestShutdownWithHangingNodes(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome, ""), scriptedserver.Start(t, scriptedserver.Welcome)
 	r := startRouter(t, 9, primary, replica)
-	write, waits := r.dial(t), r.dial(t)
+	write, queued := r.dial(t), r.dial(t)
 	sendCommand(write, "1", "put", "60000")
 	<-primary.Queries
-	for i := range 30 { // most wait unsent behind a limit
-		sendCommand(waits, fmt.Sprint("w", i), "put", "60000")
+	for i := range 30 { // a limit keeps most of them queued
+		sendCommand(queued, fmt.Sprint("w", i), "put", "60000")
 	}
 	for r.engine.Unanswered() < 31 {
 		time.Sleep(time.Millisecond)
 	}
 	r.engine.GiveUpAll()
 	if got := summary(readUntil(t, write, 'Z')); got != "58000" {
-		t.Errorf("a write that may have run: %q", got)
+		t.Errorf("write that may have run: %q", got)
 	}
 	for i := range 30 {
-		if got := summary(readUntil(t, waits, 'Z')); got != "58000" && got != "53300" {
+		if got := summary(readUntil(t, queued, 'Z')); got != "58000" && got != "53300" {
 			t.Errorf("%d: %q", i, got)
 		}
 	}
 	if n := r.engine.Unanswered(); n > 0 {
-		t.Errorf("%d still owed", n)
+		t.Errorf("%d still unanswered", n)
 	}
 }
 
-// TestComeWhileLeaving: one that has just come brings its command with its startup, in one segment, and is served once.
-func TestComeWhileLeaving(t *testing.T) {
+// TestConnectionWhileDraining checks that a client that connects during a drain and sends its startup and a command in one
+// segment gets the answer before the connection is closed.
+func TestConnectionWhileDraining(t *testing.T) {
 	replica := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), replica)
 	r.dial(t).Close()
-	r.front.BeginDrain()
+	r.frontend.BeginDrain()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -7,7 +7,7 @@
 	"cairntiller/internal/routing"
 )
 
-// Events of requests: one arrives, its client goes, one of its attempts ends.
+// Request events: a request arrives, its client disconnects or cancels, one of its attempts ends.
 
 var (
 	commandsAccepted = metrics.New("commands accepted")
@@ -28,12 +28,12 @@
 // Submit implements inflight.Intake.
 func (e *Engine) Submit(at int64, request *inflight.Request) {
 	e.unanswered.add(1)
-	e.Post(at, func(now int64) { e.arrive(now, request) })
+	e.Post(at, func(now int64) { e.startRequest(now, request) })
 }
 
-// arrive hands a request to the routing module. A second command under the id of one in flight is failed: the module
-// knows requests by their id, so the two could not be told apart.
-func (e *Engine) arrive(now int64, request *inflight.Request) {
+// startRequest passes a request to the routing module. A command with the id of one in flight is failed: the module
+// identifies requests by id and could not distinguish the two.
+func (e *Engine) startRequest(now int64, request *inflight.Request) {
 	command := request.Command
 	if e.requests[command.ID] != nil {
 		duplicateIDs.Add()
@@ -43,7 +43,7 @@
 	}
 	commandsAccepted.Add()
 	e.requests[command.ID] = request
-	sinceCommit := int64(0) // us since the session's last commit, 0 for none
+	sinceCommit := int64(0) // us since the session's last commit, 0 if none
 	if command.LastCommit > 0 {
 		sinceCommit = max(1, now-command.LastCommit)
 	}
@@ -63,13 +63,13 @@
 	e.Post(at, func(now int64) {
 		if request.ClientGone() {
 			e.router.ClientGone(now, request.Command.ID)
-			e.concluded(request)
+			e.requestConcluded(request)
 		}
 	})
 }
 
-// AttemptEnded implements inflight.ResultHandler. The client has its answer, and the routing module what the node
-// reported beside it, before the module hears the attempt's outcome.
+// AttemptEnded implements inflight.ResultHandler. The client gets its answer first; then the routing module gets the
+// status that came with the reply, and after that the outcome of the attempt.
 func (e *Engine) AttemptEnded(now int64, attempt *inflight.Attempt, outcome routing.Outcome, reply *pgwire.Reply) {
 	request := attempt.Request
 	if !request.EndAttempt(attempt) {
@@ -94,8 +94,8 @@
 	e.removeIfDone(request)
 }
 
-// abandonAttempt stops waiting for an attempt. The routing module learns of it as an event of its own, after the end
-// of the attempt's connection, so that no second attempt can reach a node while the first is open.
+// abandonAttempt stops waiting for an attempt. The routing module is notified in a separate event, after the attempt's
+// connection has been shut down, so that no second attempt can reach a node while the first is open.
 func (e *Engine) abandonAttempt(attempt *inflight.Attempt, outcome routing.Outcome) {
 	if attempt.Ended || attempt.Abandoned {
 		return
@@ -107,13 +107,13 @@
 	e.Post(e.now(), func(now int64) { e.AttemptEnded(now, attempt, outcome, nil) })
 }
 
-// concluded notes a request's final answer, or that none is needed any more.
-func (e *Engine) concluded(request *inflight.Request) {
+// requestConcluded updates the engine's state once a request has its final answer or needs none.
+func (e *Engine) requestConcluded(request *inflight.Request) {
 	e.unanswered.add(-1)
 	e.removeIfDone(request)
 }
 
-// removeIfDone forgets a request that is concluded, once none of its attempts is open.
+// removeIfDone removes a request that is concluded and has no open attempts.
 func (e *Engine) removeIfDone(request *inflight.Request) {
 	id := request.Command.ID
 	if request.Concluded() && request.OpenAttempts == 0 && e.requests[id] == request {
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -9,20 +9,21 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// TestOneAnswerUnderEveryEnding: whatever the nodes do, each command has one answer, and the next one its own.
-func TestOneAnswerUnderEveryEnding(t *testing.T) {
+// TestOneAnswerPerCommand checks that a command gets exactly one answer whatever the nodes do, and that the next command
+// on the connection gets its own.
+func TestOneAnswerPerCommand(t *testing.T) {
 	bad, good := scriptedserver.Failure("XX000"), scriptedserver.Row+scriptedserver.Ready
 	for name, c := range map[string]struct {
 		group, want      string
 		primary, replica []string
 	}{
 		"answered":                      {"put", "row", []string{good}, nil},
-		"a write that may have run":     {"put", "58000", []string{"!", good}, nil},
-		"a write with no end":           {"put", "58000", []string{"", good}, nil},
-		"a write turned away once":      {"put", "row", []string{scriptedserver.Failure("53300"), good}, nil},
-		"a read that broke goes again":  {"look", "row", []string{good}, []string{"!", good}},
-		"a read with no end":            {"look", "53300", nil, nil},
-		"a read that meets errors only": {"look", "53300", []string{bad, bad, bad}, []string{bad, bad, bad}},
+		"write, connection lost":        {"put", "58000", []string{"!", good}, nil},
+		"write, no reply":               {"put", "58000", []string{"", good}, nil},
+		"write rejected once":           {"put", "row", []string{scriptedserver.Failure("53300"), good}, nil},
+		"read retried after disconnect": {"look", "row", []string{good}, []string{"!", good}},
+		"read, no reply":                {"look", "53300", nil, nil},
+		"read, errors only":             {"look", "53300", []string{bad, bad, bad}, []string{bad, bad, bad}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -34,7 +35,7 @@
 			}
 			conn.Write(pgwire.AppendQuery(nil, ""))
 			if got := readUntil(t, conn, 'Z'); got[0] != 'I' {
-				t.Errorf("after its answer the connection said %q", got)
+				t.Errorf("reply to the next query: %q", got)
 			}
 			for r.engine.Unanswered() > 0 {
 				<-r.engine.AllAnswered()
@@ -43,7 +44,7 @@
 	}
 }
 
-// TestPipelinedAnswersKeepTheirOrder: the second is answered first, and waits for its turn.
+// TestPipelinedAnswersKeepTheirOrder checks that an answer that is ready early waits for those of earlier commands.
 func TestPipelinedAnswersKeepTheirOrder(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Failure("XX000")), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	r := startRouter(t, 9, primary, replica)
@@ -58,8 +59,9 @@
 	}
 }
 
-// TestClientGone: its command's attempt is cancelled, and the router owes nothing.
-func TestClientGone(t *testing.T) {
+// TestClientDisconnect checks that a client's disconnect cancels the attempt of its command, which then no longer counts as
+// unanswered.
+func TestClientDisconnect(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := startRouter(t, 9, primary, replica)
 	c := r.dial(t)
@@ -72,25 +74,26 @@
 	<-replica.Ended
 }
 
-// TestEndBetweenCommands is a planned restart: what is taken is answered, then each connection ends.
-func TestEndBetweenCommands(t *testing.T) {
+// TestDrainClosesBetweenCommands drains the router, as in a planned restart: accepted commands are answered, and each
+// connection is closed once no answer is pending.
+func TestDrainClosesBetweenCommands(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := startRouter(t, 9, primary, replica)
 	busy, idle := r.dial(t), r.dial(t)
 	sendCommand(busy, "1", "look", "900")
 	<-replica.Queries
-	r.front.BeginDrain()
+	r.frontend.BeginDrain()
 	if got := readUntil(t, idle, 'Z'); string(got) != "end" {
-		t.Errorf("between commands: %q", got)
+		t.Errorf("idle connection: %q", got)
 	}
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := summary(readUntil(t, busy, 'Z')); got != "row" {
-		t.Errorf("taken before: %q", got)
+		t.Errorf("command accepted before the drain: %q", got)
 	}
 	if got := readUntil(t, busy, 'Z'); string(got) != "end" {
-		t.Errorf("after its answer: %q", got)
+		t.Errorf("busy connection after its answer: %q", got)
 	}
-	late, err := net.Dial("tcp", r.addr) // the front has not moved away: its command comes with its startup
+	late, err := net.Dial("tcp", r.addr) // the load balancer still sends connections here
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,10 +105,10 @@
 	<-replica.Queries
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
 	if got := summary(readUntil(t, late, 'Z')); got != "row" {
-		t.Errorf("come while leaving: %q", got)
+		t.Errorf("connection opened during the drain: %q", got)
 	}
 	late.Close()
 	busy.Close()
 	idle.Close()
-	r.front.WaitClosed(5*time.Second, time.Now().Add(5*time.Second))
+	r.frontend.WaitClosed(5*time.Second, time.Now().Add(5*time.Second))
 }
--- a/internal/engine/router_actions.go
+++ b/internal/engine/router_actions.go
@@ -6,11 +6,11 @@
 	"cairntiller/internal/routing"
 )
 
-// routerActions carries out what the routing module asks for. The module calls it on the engine's goroutine, while it
-// handles an event.
+// routerActions carries out the actions that the routing module requests. The module calls it on the engine's goroutine
+// while handling an event.
 type routerActions struct{ engine *Engine }
 
-// Actions returns what the routing module is made with.
+// Actions returns the implementation of routing.Actions with which to create the routing module.
 func (e *Engine) Actions() routing.Actions { return routerActions{e} }
 
 // StartAttempt implements routing.Actions.
@@ -31,7 +31,7 @@
 	request := a.engine.requests[requestID]
 	if invariant.That(request != nil, "a rejected request is in flight") {
 		request.Reject(retryAfter)
-		a.engine.concluded(request)
+		a.engine.requestConcluded(request)
 	}
 }
 
@@ -40,7 +40,7 @@
 	request := a.engine.requests[requestID]
 	if invariant.That(request != nil, "a failed request is in flight") {
 		request.Fail()
-		a.engine.concluded(request)
+		a.engine.requestConcluded(request)
 	}
 }
 
@@ -69,7 +69,8 @@
 // ForgetNode implements routing.Actions.
 func (a routerActions) ForgetNode(node string) { a.engine.connections.Remove(node) }
 
-// WatchEndpoints implements routing.Actions; a router on sockets always follows the endpoint list.
+// WatchEndpoints implements routing.Actions. It does nothing: outside the simulation a router always follows the
+// endpoint list.
 func (routerActions) WatchEndpoints() {}
 
 var _ inflight.Intake = (*Engine)(nil)
--- a/internal/engine/router_harness_test.go
+++ b/internal/engine/router_harness_test.go
@@ -19,15 +19,15 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// testRouter is the whole router but for discovery, in front of scripted nodes; the first is the primary.
+// testRouter is a router without discovery that is connected to scripted nodes; the first node is the primary.
 type testRouter struct {
-	addr   string
-	engine *engine.Engine
-	front  *frontend.Server
+	addr     string
+	engine   *engine.Engine
+	frontend *frontend.Server
 }
 
-// startRouter runs a router that takes so many clients at most.
-func startRouter(t *testing.T, most int, placed ...*scriptedserver.Node) *testRouter {
+// startRouter runs a router that accepts at most maxConnections clients.
+func startRouter(t *testing.T, maxConnections int, nodes ...*scriptedserver.Node) *testRouter {
 	t.Helper()
 	now := engine.NewClock()
 	e := engine.New(now)
@@ -43,14 +43,14 @@
 	r.Configure(config)
 	pool := backend.New(now, e.Post, e.After, e, backend.Config{ConnectTimeout: 250_000, IdleLimit: 15_000_000, MaxConnections: 99})
 	e.Attach(r, pool)
-	front := frontend.New(now, e, frontend.Config{GroupNumbers: catalog.GroupNumbers, TenantNumbers: catalog.TenantNumbers, MaxConnections: most,
+	front := frontend.New(now, e, frontend.Config{GroupNumbers: catalog.GroupNumbers, TenantNumbers: catalog.TenantNumbers, MaxConnections: maxConnections,
 		MemoryLimit: 32 << 20})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	list := &discovery.EndpointList{Version: 1, Complete: true}
-	for i, s := range placed {
+	for i, s := range nodes {
 		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: fmt.Sprint("n", i), Address: s.Addr, Zone: "a",
 			Kind: "m", Primary: i == 0})
 	}
@@ -65,7 +65,7 @@
 	return &testRouter{ln.Addr().String(), e, front}
 }
 
-// dial opens a client's connection and waits until the router is ready.
+// dial opens a client connection once the router is ready.
 func (r *testRouter) dial(t *testing.T) net.Conn {
 	t.Helper()
 	for {
@@ -79,11 +79,12 @@
 		if got := readUntil(t, c, 'Z'); got[0] == 'I' {
 			return c
 		}
-		c.Close() // still starting
+		c.Close() // the router is still starting up
 	}
 }
 
-// readUntil reads messages up to one of a type, or the end, and returns them in a row.
+// readUntil reads messages up to the first one of the given type, or up to the end of the connection, which adds "end". It
+// returns them concatenated.
 func readUntil(t *testing.T, c net.Conn, last byte) (all []byte) {
 	t.Helper()
 	for {
@@ -97,7 +98,7 @@
 	}
 }
 
-// summary names an answer: the row, or the error's code.
+// summary describes an answer: "row" for the expected row, the SQLSTATE for an error, and otherwise the bytes.
 func summary(p []byte) string {
 	if i := bytes.Index(p, []byte("\x00C")); i >= 0 && p[0] == 'E' {
 		return string(p[i+2 : i+7])
@@ -108,12 +109,12 @@
 	return string(p)
 }
 
-// sendCommand writes a command of a group with a client timeout in ms.
-func sendCommand(c net.Conn, id, group, d string) {
-	c.Write(pgwire.AppendQuery(nil, "/* id="+id+",c="+group+",t=acme,d="+d+",cluster=0 */ SELECT '"+id+"'"))
+// sendCommand sends a command of the given group with a client timeout in ms.
+func sendCommand(c net.Conn, id, group, timeoutMillis string) {
+	c.Write(pgwire.AppendQuery(nil, "/* id="+id+",c="+group+",t=acme,d="+timeoutMillis+",cluster=0 */ SELECT '"+id+"'"))
 }
 
-// counterValue is a counter's figure as it is printed.
+// counterValue returns the value of a counter from the printed metrics.
 func counterValue(name string) (n int64) {
 	var all bytes.Buffer
 	metrics.Print(&all)
