--- a/internal/inflight/doc.go
+++ b/internal/inflight/doc.go
@@ -1,15 +1,14 @@
-// Package inflight holds one request between its client and the nodes: its attempts and its one final answer. Client
-// side and server side meet only here. It carries and decides nothing; a Request and its Attempts belong to the engine's
-// goroutine.
+// Package inflight tracks requests between the clients and the nodes: the attempts of each request and its single final
+// answer. It is the only interface between the client side (package frontend) and the server side (package backend). It
+// makes no routing decisions. A Request and its Attempts may only be used on the engine's goroutine.
 //
-// A request is open until it is concluded, once and for good, by the first of
+// A request is open until it is concluded, exactly once, by the first of
 //
-//	Answer      a node's value went to the client
-//	Reject      sending it again is harmless; the client was told when to
-//	Fail        it may have run, and a repeat could do harm; the client was told no more than that
-//	ClientGone  the client has left or cancelled, and is told nothing
+//	Answer      a node's value was sent to the client
+//	Reject      repeating the command is harmless; the client was told when to retry
+//	Fail        the command may have run, and a repeat could do harm; the client only learns that it failed
+//	ClientGone  the client has disconnected or cancelled, and gets no answer
 //
-// An attempt is started, then either ends with the outcome that its node or its connection gave, or is abandoned by the
-// router and ends as that. Attempts may end after their request is concluded: an answer that comes then is counted and
-// dropped.
+// An attempt is started and then ends: either with the outcome reported for its node or connection, or because the router
+// abandoned it. Attempts may end after their request is concluded; an answer that arrives then is counted and dropped.
 package inflight
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -14,27 +14,27 @@
 	lateAnswers       = metrics.New("answers after the final one")
 )
 
-// Request is one command of a client, from its arrival to its last attempt's end.
+// Request is a client's command, from its arrival until its last attempt has ended.
 type Request struct {
 	Command       *pgwire.Command
-	Group, Tenant int        // numbers under which the routing module knows them; Tenant is -1 for none
-	Deadline      int64      // us on the router's clock: when the client gives up
-	Attempts      []*Attempt // by their number
+	Group, Tenant int        // numbers used by the routing module; Tenant is -1 for none
+	Deadline      int64      // us on the router's clock: when the client times out
+	Attempts      []*Attempt // indexed by Attempt.Number
 	OpenAttempts  int        // attempts that have not ended
 	client        Client
 	concluded     bool
 }
 
-// NewRequest makes the request of a command that has arrived at a time, us on the router's clock.
+// NewRequest returns a request for a command. arrived is its arrival time, us on the router's clock.
 func NewRequest(command *pgwire.Command, client Client, group, tenant int, arrived int64) *Request {
 	return &Request{Command: command, Group: group, Tenant: tenant, Deadline: arrived + command.Timeout, client: client}
 }
 
-// ArrivedAt is when the request's command arrived, us on the router's clock.
+// ArrivedAt returns when the request's command arrived, us on the router's clock.
 func (r *Request) ArrivedAt() int64 { return r.Deadline - r.Command.Timeout }
 
-// StartAttempt adds an attempt at a node. timeout is how long the router waits for its end, and startWithin how long it
-// may take to begin, both in us; 0 leaves it to the request's deadline.
+// StartAttempt adds an attempt at a node. timeout is how long the router waits for the outcome, and startWithin how long
+// the attempt may wait before it is sent, both in us; if one is 0, only the request's deadline applies.
 func (r *Request) StartAttempt(node string, now, timeout, startWithin int64) *Attempt {
 	deadline := r.Deadline
 	if timeout > 0 {
@@ -57,7 +57,7 @@
 	return attempt
 }
 
-// EndAttempt closes an attempt of the request. It returns false where the attempt had ended before.
+// EndAttempt marks an attempt of the request as ended. It returns false if the attempt had already ended.
 func (r *Request) EndAttempt(attempt *Attempt) bool {
 	if !invariant.That(!attempt.Ended, "an attempt ends once") {
 		return false
@@ -67,11 +67,11 @@
 	return true
 }
 
-// Concluded reports whether the client has had its final answer, or needs none any more.
+// Concluded reports whether the client has received its final answer or no longer needs one.
 func (r *Request) Concluded() bool { return r.concluded }
 
-// Answer gives the client a node's value, and returns whether the client still waited for one. A value that comes
-// later, from another attempt, is counted and dropped.
+// Answer sends the client a node's value and returns whether the request was still open. A later value from another
+// attempt is counted and dropped.
 func (r *Request) Answer(value []byte) bool {
 	if r.concluded {
 		lateAnswers.Add()
@@ -83,7 +83,7 @@
 	return true
 }
 
-// Reject tells the client that it may send the command again, and after how many us.
+// Reject tells the client that it may send the command again after retryAfter us.
 func (r *Request) Reject(retryAfter int64) {
 	if invariant.That(!r.concluded, "a request is rejected before it is concluded") {
 		r.concluded = true
@@ -92,7 +92,7 @@
 	}
 }
 
-// Fail tells the client that the command failed, and nothing else.
+// Fail tells the client that the command failed, without details.
 func (r *Request) Fail() {
 	if invariant.That(!r.concluded, "a request fails before it is concluded") {
 		r.concluded = true
@@ -101,7 +101,8 @@
 	}
 }
 
-// ClientGone notes that the client has left or cancelled. It returns whether it still waited for an answer.
+// ClientGone records that the client has disconnected or cancelled. It returns whether the client was still waiting for an
+// answer.
 func (r *Request) ClientGone() (waited bool) {
 	if r.concluded {
 		return false
@@ -111,10 +112,10 @@
 	return true
 }
 
-// Totals are the requests that were concluded since the process started, but for those whose clients have gone.
+// Totals counts the requests concluded since the process started, except those abandoned by their clients.
 type Totals struct{ Answered, Failed, Rejected uint64 }
 
-// ReadTotals reads the totals.
+// ReadTotals returns the current totals.
 func ReadTotals() Totals {
 	return Totals{
 		Answered: uint64(answeredRequests.Count()),
