--- a/internal/backend/connect.go
+++ b/internal/backend/connect.go
@@ -9,10 +9,10 @@
 	"cairntiller/internal/stream"
 )
 
-// maxReplyBytes bounds one message of a node: a value of 64 KiB, and room for one in text.
+// maxReplyBytes limits the size of a message from a node: a value of 64 KiB, with room for its text encoding.
 const maxReplyBytes = 1 << 17
 
-// connectError is why a connection did not come up.
+// connectError is the reason why a connection could not be established.
 type connectError string
 
 // Error implements error.
@@ -24,11 +24,12 @@
 	errEnded   connectError = "the connection ended"
 )
 
-// needsConnection reports whether more queries wait than connections are being opened or are resting.
-func (n *node) needsConnection() bool { return len(n.waiting) > n.connecting+n.resting }
+// needsConnection reports whether there are more waiting queries than connections that are being opened or are in their
+// quiet period.
+func (n *node) needsConnection() bool { return len(n.waiting) > n.connecting+n.inQuietPeriod }
 
-// openForWaiting opens connections until each waiting query can expect one. If there is no descriptor left, and no idle
-// connection to close for one, the query that came last is ended.
+// openForWaiting opens connections until each waiting query can expect one. If no descriptor is left and no idle
+// connection can be closed to free one, the most recent query is ended.
 func (p *Pool) openForWaiting(n *node) {
 	for n.needsConnection() {
 		if p.descriptors.hasRoom() || p.closeOldestIdle() {
@@ -37,12 +38,12 @@
 		}
 		attemptsWithoutDescriptor.Add()
 		last := len(n.waiting) - 1
-		p.endLater(n.waiting[last], routing.ConnectFailed)
+		p.postQueryEnd(n.waiting[last], routing.ConnectFailed)
 		n.waiting = n.waiting[:last]
 	}
 }
 
-// open opens a connection on a goroutine of its own.
+// open opens a connection on a new goroutine.
 func (p *Pool) open(n *node) {
 	n.connecting++
 	p.descriptors.open++
@@ -58,13 +59,13 @@
 			if c.state == connecting {
 				c.state = ready
 			}
-			p.useOrKeep(now, c)
+			p.reuseOrKeepIdle(now, c)
 		})
 	}()
 }
 
 // connectFailed ends the query that has waited longest, unless enough other connections are being opened. c is nil if
-// nothing was connected; code is the node's SQLSTATE if it sent one.
+// dialing failed; code is the node's SQLSTATE if it sent one.
 func (p *Pool) connectFailed(now int64, n *node, c *connection, code string, err error) {
 	if c == nil {
 		p.descriptors.open--
@@ -72,7 +73,7 @@
 		p.markDropped(c)
 	}
 	failedConnections.Add()
-	slog.Debug("no connection", "node", n.name, "err", err, "code", code)
+	slog.Debug("connecting to a node failed", "node", n.name, "err", err, "code", code)
 	if !n.needsConnection() {
 		return
 	}
@@ -80,11 +81,12 @@
 	if code == pgwire.CodeRejected {
 		outcome = routing.Rejected
 	}
-	p.end(now, n.takeWaiting(), outcome, nil)
+	p.endQuery(now, n.takeWaiting(), outcome, nil)
 }
 
-// useOrKeep gives a connection without a query its next one, or keeps it as idle.
-func (p *Pool) useOrKeep(now int64, c *connection) {
+// reuseOrKeepIdle gives a connection the query that has waited longest, or else adds it to the idle connections. An
+// unusable connection is dropped.
+func (p *Pool) reuseOrKeepIdle(now int64, c *connection) {
 	n := c.node
 	c.query = nil
 	c.idleSince = now
@@ -93,20 +95,20 @@
 		p.drop(c)
 	case len(n.waiting) > 0:
 		p.write(c, n.takeWaiting())
-	case p.nodes[n.name] != n: // the node has another address meanwhile
+	case p.nodes[n.name] != n: // the node's address has changed in the meantime
 		p.drop(c)
 	default:
 		n.idle = append(n.idle, c)
 	}
 }
 
-// startup is how a connection's startup ended; code is the node's own error, "" where it took the connection.
+// startup is the result of a connection's startup; code is the node's SQLSTATE, "" if it accepted the connection.
 type startup struct {
 	code string
 	err  error
 }
 
-// connect opens a connection to a node and completes the startup, or fails within the connect timeout; it blocks.
+// connect opens a connection to a node and completes the startup, or fails within the connect timeout. It blocks.
 func connect(n *node, p *Pool) (c *connection, code string, err error) {
 	began := time.Now()
 	timeout := time.Duration(p.connectTimeout) * time.Microsecond
@@ -115,10 +117,10 @@
 		return nil, "", err
 	}
 	c = newConnection(n, p, stream.New(conn))
-	c.stream.Start(stream.Events{Received: c.receive, Closed: c.ended})
+	c.stream.Start(stream.Events{Received: c.receive, Closed: c.handleStreamEnd})
 	c.stream.Write(pgwire.AppendStartup(nil, pgwire.User, pgwire.Database), nil)
-	left := time.NewTimer(timeout - time.Since(began))
-	defer left.Stop()
+	timer := time.NewTimer(timeout - time.Since(began))
+	defer timer.Stop()
 	select {
 	case result := <-c.startupEnded:
 		code = result.code
@@ -126,7 +128,7 @@
 		if err == nil && code != "" {
 			err = errRefused
 		}
-	case <-left.C:
+	case <-timer.C:
 		err = errTimeout
 	}
 	if err != nil {
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// replyRest, us, is how long a connection rests after a reply before it carries the next query: much longer than the
-	// gap between two writes of one process, so that surplus bytes have arrived, and much shorter than any response time.
-	replyRest = 1_000
-	// replyPart is the part of the connect timeout, one in so many, in which a reply that has begun must be complete.
-	replyPart = 4
+	// replyQuietPeriod, us, is how long a connection is left unused after a reply before it may carry the next query. It is
+	// much longer than the gap between two writes of a process, so that trailing bytes have arrived, and much shorter
+	// than any response time.
+	replyQuietPeriod = 1_000
+	// A reply that has begun must be complete within the connect timeout divided by replyTimeoutDivisor.
+	replyTimeoutDivisor = 4
 )
 
-// connectionState is how far a connection has come.
+// connectionState is the state of a connection's life cycle; the package comment describes it.
 type connectionState int
 
 const (
 	connecting connectionState = iota
-	ready                      // idle, resting, or with a query
-	dropped                    // of no more use
+	ready                      // idle, in its quiet period, or with a query
+	dropped                    // not to be used again
 )
 
 // connection is one connection to a node.
@@ -30,27 +31,27 @@
 	pool   *Pool
 	stream *stream.Stream
 
-	// The engine's goroutine alone uses these.
-	query             *query
-	state             connectionState
-	closed            bool  // it has given its descriptor back
-	idleSince         int64 // us
-	repliesHandled    int64
-	lostBeforeWritten bool          // it ended before it was known whether its query was written
-	lastReply         *pgwire.Reply // what had come by then
+	// Used only on the engine's goroutine.
+	query                   *query
+	state                   connectionState
+	closed                  bool  // its descriptor has been released
+	idleSince               int64 // us
+	repliesHandled          int64
+	lostBeforeWriteFinished bool          // it ended before the result of writing its query was known
+	lastReply               *pgwire.Reply // what had been received by then
 
 	queriesWritten atomic.Int64
-	hasEnded       atomic.Bool
-	distrusted     atomic.Bool // it broke the protocol: nothing more of it is used
+	streamEnded    atomic.Bool
+	untrusted      atomic.Bool // it violated the protocol or timed out; further input is ignored
 
-	// The reader's goroutine alone uses these.
-	frames       *pgwire.Splitter
-	startup      *pgwire.StartupReply // nil once the startup has ended
-	reply        *pgwire.Reply        // that is being put together
-	repliesRead  int64
-	partialReply int64 // the last reply that was seen to have begun, by its number
+	// Used only on the reader's goroutine.
+	frames             *pgwire.Splitter
+	startup            *pgwire.StartupReply // nil once the startup has ended
+	reply              *pgwire.Reply        // the reply being assembled
+	repliesRead        int64
+	partialReplyNumber int64 // number of the latest reply that has a timeout
 
-	startupEnded chan startup // holds how the startup ended
+	startupEnded chan startup // holds the result of the startup
 }
 
 func newConnection(n *node, p *Pool, s *stream.Stream) *connection {
@@ -65,21 +66,22 @@
 	}
 }
 
-// usable reports whether the connection may carry a query: it is alive, has not been idle for too long, and holds no
-// unread bytes, which would be taken for the answer.
+// usable reports whether the connection may carry a query: it is open, has not been idle for too long, and has no unread
+// bytes, which would be mistaken for the reply.
 func (c *connection) usable(now int64) bool {
-	return c.state == ready && !c.hasEnded.Load() && !c.distrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Quiet()
+	return c.state == ready && !c.streamEnded.Load() && !c.untrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Quiet()
 }
 
-// rest lets a connection rest after a reply. If its node's idle connections were closed meanwhile it is closed too.
-func (p *Pool) rest(c *connection) {
+// startQuietPeriod keeps a connection unused for a short time after a reply. If its node's idle connections are closed in
+// the meantime, it is closed too.
+func (p *Pool) startQuietPeriod(c *connection) {
 	n := c.node
-	n.resting++
-	idleClosings := n.idleClosings
-	p.after(replyRest, func(now int64) {
-		n.resting--
-		if n.idleClosings == idleClosings {
-			p.useOrKeep(now, c)
+	n.inQuietPeriod++
+	idleClosings := n.idleCloseCount
+	p.after(replyQuietPeriod, func(now int64) {
+		n.inQuietPeriod--
+		if n.idleCloseCount == idleClosings {
+			p.reuseOrKeepIdle(now, c)
 		} else {
 			p.drop(c)
 		}
@@ -87,33 +89,34 @@
 	})
 }
 
-// expectComplete closes the connection if a reply that has begun is not complete in time: it would hold its query until the
-// client's deadline. If unread bytes are waiting it was this router that did not read, and the reply gets more time.
-func (p *Pool) expectComplete(c *connection, number int64) {
-	p.after(p.connectTimeout/replyPart, func(int64) {
+// startReplyTimeout closes the connection if a reply that has begun is not complete in time, since its query would
+// otherwise wait until the client's deadline. If there are unread bytes, this router is the slow side, and the timeout is
+// extended.
+func (p *Pool) startReplyTimeout(c *connection, number int64) {
+	p.after(p.connectTimeout/replyTimeoutDivisor, func(int64) {
 		switch {
 		case c.repliesHandled >= number || c.state != ready:
 		case c.stream.Quiet():
-			distrustedConnections.Add()
-			c.distrusted.Store(true)
-			c.stream.Close() // its query ends with it
+			untrustedConnections.Add()
+			c.untrusted.Store(true)
+			c.stream.Close() // this also ends its query
 		default:
-			p.expectComplete(c, number)
+			p.startReplyTimeout(c, number)
 		}
 	})
 }
 
-// receive assembles replies from the bytes that arrive, and passes on complete ones.
+// receive assembles replies from the received bytes and passes on complete ones.
 func (c *connection) receive(p []byte) {
-	if c.distrusted.Load() {
+	if c.untrusted.Load() {
 		return
 	}
 	at := c.pool.now()
 	c.frames.Feed(p)
-	for !c.distrusted.Load() {
+	for !c.untrusted.Load() {
 		frame, complete, err := c.frames.Next()
 		if err == nil && !complete {
-			c.notePartialReply(at)
+			c.recordPartialReply(at)
 			return
 		}
 		refused := false
@@ -125,7 +128,7 @@
 			err = c.receiveReply(at, frame)
 		}
 		if err != nil {
-			c.distrust(at, err)
+			c.closeUntrusted(at, err)
 			return
 		}
 		if refused {
@@ -134,18 +137,18 @@
 	}
 }
 
-// notePartialReply starts the deadline of a reply that has begun, once per reply.
-func (c *connection) notePartialReply(at int64) {
+// recordPartialReply starts the timeout of a reply that has begun, once per reply.
+func (c *connection) recordPartialReply(at int64) {
 	number := c.repliesRead + 1
 	begun := c.frames.Buffered() > 0 || c.reply.Begun()
-	if c.startup != nil || c.partialReply == number || !begun {
+	if c.startup != nil || c.partialReplyNumber == number || !begun {
 		return
 	}
-	c.partialReply = number
-	c.pool.post(at, func(int64) { c.pool.expectComplete(c, number) })
+	c.partialReplyNumber = number
+	c.pool.post(at, func(int64) { c.pool.startReplyTimeout(c, number) })
 }
 
-// receiveStartup takes a message of the startup; refused reports that the node has ended it.
+// receiveStartup handles a message of the startup; refused reports that the node has rejected the connection.
 func (c *connection) receiveStartup(frame pgwire.Frame) (refused bool, err error) {
 	done, err := c.startup.Add(frame)
 	if !done || err != nil {
@@ -160,7 +163,7 @@
 	return code != "", nil
 }
 
-// endStartup reports the startup's result to connect; only the first one counts.
+// endStartup reports the result of the startup to connect; only the first result is used.
 func (c *connection) endStartup(result startup) {
 	select {
 	case c.startupEnded <- result:
@@ -168,7 +171,7 @@
 	}
 }
 
-// receiveReply takes a message of a reply, and passes on a complete one. A reply that nobody asked for is an error.
+// receiveReply handles a message of a reply and passes on the reply once it is complete. An unsolicited reply is an error.
 func (c *connection) receiveReply(at int64, frame pgwire.Frame) error {
 	done, err := c.reply.Add(frame)
 	if err != nil {
@@ -183,31 +186,32 @@
 	c.repliesRead++
 	reply := c.reply
 	c.reply = &pgwire.Reply{}
-	if c.frames.Buffered() > 0 { // the reply is good, but the surplus must not be read as the next one
+	if c.frames.Buffered() > 0 { // the reply is valid, but the trailing bytes must not be read as the next one
 		repliesWithTrailingBytes.Add()
-		c.distrusted.Store(true)
+		c.untrusted.Store(true)
 	}
-	c.pool.post(at, func(now int64) { c.pool.replied(now, c, reply) })
+	c.pool.post(at, func(now int64) { c.pool.replyReceived(now, c, reply) })
 	return nil
 }
 
-// distrust closes a connection that broke the protocol. Its query may have run.
-func (c *connection) distrust(at int64, err error) {
-	distrustedConnections.Add()
-	c.distrusted.Store(true)
+// closeUntrusted closes a connection that violated the protocol. Its query may have run.
+func (c *connection) closeUntrusted(at int64, err error) {
+	untrustedConnections.Add()
+	c.untrusted.Store(true)
 	c.endStartup(startup{err: err})
 	c.reply = &pgwire.Reply{}
 	c.stream.Close()
-	c.pool.post(at, func(now int64) { c.pool.lost(now, c, nil) })
+	c.pool.post(at, func(now int64) { c.pool.connectionLost(now, c, nil) })
 }
 
-// ended is called once the connection has ended. A row or an error that arrived completely before that still counts.
-func (c *connection) ended() {
-	c.hasEnded.Store(true)
+// handleStreamEnd is called once the connection has ended. A row or an error that was received completely before that is
+// still used.
+func (c *connection) handleStreamEnd() {
+	c.streamEnded.Store(true)
 	c.endStartup(startup{err: errEnded})
 	reply := c.reply
 	c.pool.post(c.pool.now(), func(now int64) {
 		c.pool.markClosed(c)
-		c.pool.lost(now, c, reply)
+		c.pool.connectionLost(now, c, reply)
 	})
 }
--- a/internal/backend/descriptors.go
+++ b/internal/backend/descriptors.go
@@ -1,29 +1,31 @@
 package backend
 
 const (
-	// closingPart is the part of the connections, one in so many, that may be closing beside those in use, and minClosing
-	// the least number: what is spared for the process's own descriptors covers that.
-	closingPart = 16
-	minClosing  = 8
+	// One in closingDivisor connections may be closing without counting against the limit, and at least
+	// minClosingAllowance; that minimum is covered by the descriptors reserved for the process itself.
+	closingDivisor      = 16
+	minClosingAllowance = 8
 )
 
-// descriptorBudget bounds the descriptors that connections to nodes hold. A connection that was dropped holds its own
-// until it is closed, so those count too, but for a few.
+// descriptorBudget limits the file descriptors used by connections to nodes. A dropped connection holds its descriptor
+// until it is closed, so closing connections beyond a small allowance count as well.
 type descriptorBudget struct {
-	limit   int // of connections that are open or being opened
-	spared  int // closing connections that do not count
-	open    int // connections that are open or being opened
-	closing int // connections that were dropped and are not closed yet
+	limit            int // limit on open connections plus closing ones beyond the allowance
+	closingAllowance int // closing connections that do not count against the limit
+	open             int // connections that are open or being opened
+	closing          int // connections that were dropped but are not closed yet
 }
 
 func newDescriptorBudget(connections int) descriptorBudget {
-	return descriptorBudget{limit: connections - connections/closingPart, spared: max(minClosing, connections/closingPart)}
+	return descriptorBudget{limit: connections - connections/closingDivisor, closingAllowance: max(minClosingAllowance, connections/closingDivisor)}
 }
 
 // hasRoom reports whether one more connection may be opened.
-func (b *descriptorBudget) hasRoom() bool { return b.open+max(0, b.closing-b.spared) < b.limit }
+func (b *descriptorBudget) hasRoom() bool {
+	return b.open+max(0, b.closing-b.closingAllowance) < b.limit
+}
 
-// closeOldestIdle drops the connection that has been idle longest, of all nodes; it returns false where none is idle.
+// closeOldestIdle drops the connection that has been idle the longest, of all nodes; it returns false if none is idle.
 func (p *Pool) closeOldestIdle() bool {
 	var oldest *node
 	for _, n := range p.nodes {
@@ -39,13 +41,13 @@
 	return true
 }
 
-// drop closes a connection that is of no more use.
+// drop closes a connection that will not be used again.
 func (p *Pool) drop(c *connection) {
 	p.markDropped(c)
 	c.stream.Close()
 }
 
-// markDropped notes that a connection is of no more use.
+// markDropped marks a connection as not to be used again.
 func (p *Pool) markDropped(c *connection) {
 	if c.state == dropped {
 		return
@@ -57,7 +59,7 @@
 	}
 }
 
-// markClosed notes that a connection has given its descriptor back.
+// markClosed records that a connection has released its descriptor.
 func (p *Pool) markClosed(c *connection) {
 	c.closed = true
 	if c.state == dropped {
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,24 +1,23 @@
-// Package backend is the server side: the connections to nodes, the attempts and health checks that they carry, and what
-// came of each. It decides nothing about requests: when an attempt ends it reports an outcome, and package routing says
-// what that means.
+// Package backend is the server side of the router: it manages the connections to nodes, sends attempts and health checks
+// on them, and reports the outcome of each. It makes no decisions about requests: package routing interprets the outcomes.
 //
-// A Pool, its nodes, connections and queries belong to the engine's goroutine. Only dialling, reading and writing run elsewhere;
-// they report back through post.
+// A Pool, its nodes, connections and queries may only be used on the engine's goroutine. Only dialing, reading and writing
+// run on other goroutines, which report back through post.
 //
-// A query is an attempt or a health check. It waits for a connection, is written, and ends once, with an outcome:
+// A query is an attempt or a health check. It waits for a connection, is written, and ends exactly once, with an outcome:
 //
-//	ConnectFailed         no connection came up in time, or there was no descriptor for one; nothing was written
-//	NotSent               it was too late to start, or its node may not be used any more; nothing was written
-//	Rejected              the node answered, to the startup or the query, that it is full; nothing ran
+//	ConnectFailed         no connection was established in time, or no descriptor was left; nothing was written
+//	NotSent               it was too late to start, or its node may no longer be used; nothing was written
+//	Rejected              the node replied to the startup or the query that it is full; nothing ran
 //	NotPrimary            the node is not the primary, or its data is too old for the query; nothing ran
-//	Answered              a complete row arrived
-//	Errored               the node answered with an error; it may have run
-//	ConnectionLost        the connection ended, or what came can't be trusted; it may have run
-//	TimedOut              a health check had no answer in time
+//	Answered              a complete row was received
+//	Errored               the node replied with an error; the query may have run
+//	ConnectionLost        the connection ended, or the reply was invalid; the query may have run
+//	TimedOut              a health check got no reply in time
 //
-// An attempt has no time limit here: the engine cancels it, and then no outcome is reported.
+// The pool sets no time limit on attempts: the engine cancels them, and then no outcome is reported.
 //
-// A connection is connecting, then ready (idle, resting or carrying one query), then dropped: it is not used again, but
-// holds its descriptor until it is closed. It rests for a moment after each reply and is checked before each query, because
-// bytes that a node wrongly sends after an answer must never be taken for the answer to the next query.
+// A connection is connecting, then ready (idle, in its quiet period, or carrying one query), then dropped: it is not used
+// again, but holds its descriptor until it is closed. It is left unused for a quiet period after each reply and checked
+// before each query, because bytes that a faulty node sends after a reply must never be taken for the next reply.
 package backend
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -14,28 +14,28 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// poolHarness collects what a pool reports, in place of an engine.
+// poolHarness takes the place of the engine and collects the outcomes that a pool reports.
 type poolHarness struct {
 	now     func() int64
-	mu      sync.Mutex // stands in for the engine's one goroutine, with queue for what is posted
+	mu      sync.Mutex // held while calling the pool, in place of the engine's single goroutine
 	queue   chan func()
 	results chan result
 }
 
-// result is how one attempt or health check ended.
+// result is the outcome of an attempt or a health check.
 type result struct {
 	outcome routing.Outcome
 	reply   *pgwire.Reply
 	load    string
 }
 
-// stayingClient is a client that stays, whatever it is told.
-type stayingClient struct{}
+// connectedClient is a client that stays connected and ignores its answers.
+type connectedClient struct{}
 
-func (stayingClient) Answer(*inflight.Request, []byte) {}
-func (stayingClient) Reject(*inflight.Request, int64)  {}
-func (stayingClient) Fail(*inflight.Request)           {}
-func (stayingClient) Connected() bool                  { return true }
+func (connectedClient) Answer(*inflight.Request, []byte) {}
+func (connectedClient) Reject(*inflight.Request, int64)  {}
+func (connectedClient) Fail(*inflight.Request)           {}
+func (connectedClient) Connected() bool                  { return true }
 
 func (h *poolHarness) AttemptEnded(_ int64, _ *inflight.Attempt, o routing.Outcome, r *pgwire.Reply) {
 	h.results <- result{outcome: o, reply: r}
@@ -59,32 +59,32 @@
 	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { h.post(h.now(), do) })
 }
 
-// startPool makes a pool of so many connections at most, with scripted nodes under the names n0, n1 and so on.
-func startPool(t *testing.T, most int, placed ...*scriptedserver.Node) (*backend.Pool, *poolHarness) {
-	e := &poolHarness{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
-	go e.run()
-	p := backend.New(e.now, e.post, e.after, e, backend.Config{ConnectTimeout: 500_000, IdleLimit: 15_000_000, MaxConnections: most})
-	for i, s := range placed {
+// startPool returns a pool with a limit on its connections, for scripted nodes named n0, n1 and so on.
+func startPool(t *testing.T, maxConnections int, nodes ...*scriptedserver.Node) (*backend.Pool, *poolHarness) {
+	h := &poolHarness{now: engine.NewClock(), queue: make(chan func(), 999), results: make(chan result, 99)}
+	go h.run()
+	p := backend.New(h.now, h.post, h.after, h, backend.Config{ConnectTimeout: 500_000, IdleLimit: 15_000_000, MaxConnections: maxConnections})
+	for i, s := range nodes {
 		p.SetAddress(fmt.Sprint("n", i), s.Addr)
 	}
-	return p, e
+	return p, h
 }
 
-// send gives the pool an attempt for a client that stays.
+// send starts an attempt for a connected client.
 func (h *poolHarness) send(p *backend.Pool, node string, timeout int64) *inflight.Attempt {
-	return h.dispatch(p, node, stayingClient{}, timeout, 0)
+	return h.sendFor(p, node, connectedClient{}, timeout, 0)
 }
 
-// dispatch gives the pool a command's first attempt, with what its client says and how soon it must begin.
-func (h *poolHarness) dispatch(p *backend.Pool, node string, client inflight.Client, timeout, within int64) *inflight.Attempt {
-	c, err := pgwire.DecodeCommand([]byte("/* id=1,c=look,d=1000,cluster=0 */ SELECT '1'"))
+// sendFor starts the first attempt of a request from the given client, with the attempt's timeout and start window in us.
+func (h *poolHarness) sendFor(p *backend.Pool, node string, client inflight.Client, timeout, startWithin int64) *inflight.Attempt {
+	command, err := pgwire.DecodeCommand([]byte("/* id=1,c=look,d=1000,cluster=0 */ SELECT '1'"))
 	if err != nil {
 		panic(err)
 	}
 	now := h.now()
-	d := inflight.NewRequest(c, client, 0, -1, now).StartAttempt(node, now, timeout, within)
+	attempt := inflight.NewRequest(command, client, 0, -1, now).StartAttempt(node, now, timeout, startWithin)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p.Send(d)
-	return d
+	p.Send(attempt)
+	return attempt
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// idleMargin, us, is how long before a node's idle limit a connection is closed: two sweeps. Where the limit is
-	// short, half of it is left.
+	// idleMargin, us, is how long before a node's idle limit the router closes a connection: two sweep intervals. If the
+	// limit is short, connections are closed after half of it.
 	idleMargin = 1_000_000
-	// sweepInterval, us, is the time between looks for connections that have been idle for too long.
+	// sweepInterval, us, is the interval between checks for connections that have been idle for too long.
 	sweepInterval = 500_000
 )
 
-// Post hands what happened at a time, us, to the engine's goroutine; it never blocks.
+// Post queues an event that happened at the given time, us, for the engine's goroutine. It never blocks.
 type Post func(at int64, handle func(now int64))
 
-// After calls a function on the engine's goroutine once a delay in us has passed.
+// After calls a function on the engine's goroutine after a delay in us.
 type After func(delay int64, handle func(now int64))
 
 // Pool holds the connections to all nodes. It implements inflight.NodeConnections.
@@ -27,32 +27,32 @@
 	post           Post
 	after          After
 	results        inflight.ResultHandler
-	connectTimeout int64 // us in which a connection must be up, and a health check answered
-	idleTimeout    int64 // us after which a connection without a query is closed
+	connectTimeout int64 // us: for establishing a connection, and for the reply to a health check
+	idleTimeout    int64 // us: a connection idle for longer is closed
 	descriptors    descriptorBudget
 	nodes          map[string]*node             // by name
-	attempts       map[*inflight.Attempt]*query // those that have not ended
+	attempts       map[*inflight.Attempt]*query // attempts that have not ended
 }
 
-// node is one node's connections, and the queries that wait for one. A node whose address changes is followed by a new
-// one under its name.
+// node holds the connections to a node and the queries that wait for one. When the address of a node changes, a new value
+// replaces it under the same name.
 type node struct {
-	name, address string
-	idle          []*connection // the latest used last
-	waiting       []*query      // the oldest first
-	connecting    int           // connections that are being opened
-	resting       int           // connections that have just brought a reply
-	idleClosings  int           // how often the idle connections were closed: one that rests meanwhile is closed too
+	name, address  string
+	idle           []*connection // the most recently used last
+	waiting        []*query      // the oldest first
+	connecting     int           // connections that are being opened
+	inQuietPeriod  int           // connections that are in the quiet period after a reply
+	idleCloseCount int           // how often the idle connections were closed; used to close those in their quiet period too
 }
 
-// Config is what a pool is made with.
+// Config configures a pool.
 type Config struct {
-	ConnectTimeout int64 // us in which a connection must be up, and a health check answered
-	IdleLimit      int64 // us after which nodes close idle connections
-	MaxConnections int   // to all nodes together
+	ConnectTimeout int64 // us: for establishing a connection, and for the reply to a health check
+	IdleLimit      int64 // us: nodes close connections that are idle for longer
+	MaxConnections int   // total over all nodes
 }
 
-// New makes a pool on the router's clock, us. Its methods are called on the goroutine that runs what is posted.
+// New returns a pool that uses the router's clock, us. Its methods must be called on the goroutine that runs posted events.
 func New(now func() int64, post Post, after After, results inflight.ResultHandler, config Config) *Pool {
 	p := &Pool{
 		now:            now,
@@ -70,7 +70,7 @@
 }
 
 // SetAddress implements inflight.NodeConnections. Connections to a former address are closed once their queries have
-// ended; queries that wait for one go on at the new address.
+// ended; waiting queries are sent to the new address.
 func (p *Pool) SetAddress(name, address string) {
 	former := p.nodes[name]
 	if former != nil && former.address == address {
@@ -95,7 +95,7 @@
 	if n == nil {
 		return
 	}
-	n.idleClosings++
+	n.idleCloseCount++
 	for _, c := range n.idle {
 		p.drop(c)
 	}
@@ -110,7 +110,7 @@
 	}
 	for _, q := range n.waiting {
 		if q.attempt != nil {
-			p.endLater(q, routing.NotSent)
+			p.postQueryEnd(q, routing.NotSent)
 		}
 	}
 	n.waiting = slices.DeleteFunc(n.waiting, func(q *query) bool { return q.attempt != nil })
@@ -126,11 +126,11 @@
 func (p *Pool) Send(attempt *inflight.Attempt) {
 	q := &query{attempt: attempt}
 	p.attempts[attempt] = q
-	p.begin(q, attempt.Node)
+	p.startQuery(q, attempt.Node)
 }
 
 // CheckHealth implements inflight.NodeConnections.
-func (p *Pool) CheckHealth(name string) { p.begin(&query{}, name) }
+func (p *Pool) CheckHealth(name string) { p.startQuery(&query{}, name) }
 
 // Cancel implements inflight.NodeConnections.
 func (p *Pool) Cancel(attempt *inflight.Attempt) (mayHaveRun bool) {
@@ -149,8 +149,8 @@
 	return true
 }
 
-// sweep closes the connections that have been idle for too long, before their nodes do: a query that is written while the
-// node closes the connection counts as one that may have run.
+// sweep closes the connections that have been idle for too long before their nodes do: a query written while the node
+// closes the connection would count as one that may have run.
 func (p *Pool) sweep(now int64) {
 	for _, n := range p.nodes {
 		kept := n.idle[:0]
@@ -173,15 +173,15 @@
 	}
 }
 
-// takeWaiting removes the query that has waited longest; there must be one.
+// takeWaiting removes and returns the query that has waited longest; there must be one.
 func (n *node) takeWaiting() *query {
 	first := n.waiting[0]
 	n.waiting = n.waiting[1:]
 	return first
 }
 
-// takeIdle removes and returns the connection used last, or returns nil. Taking the latest lets surplus connections grow
-// old and be closed by sweep.
+// takeIdle removes and returns the most recently used idle connection, or returns nil. This order leaves surplus
+// connections unused until sweep closes them.
 func (n *node) takeIdle() *connection {
 	last := len(n.idle) - 1
 	if last < 0 {
--- a/internal/backend/query.go
+++ b/internal/backend/query.go
@@ -9,24 +9,24 @@
 	"cairntiller/internal/stream"
 )
 
-// loadStatement is what a health check asks.
+// loadStatement is the statement sent by health checks.
 const loadStatement = "SHOW load"
 
-// query is what a connection carries, one at a time: an attempt, or a health check if attempt is nil.
+// query is an attempt, or a health check if attempt is nil. A connection carries one query at a time.
 type query struct {
-	attempt      *inflight.Attempt
-	node         *node
-	conn         *connection // that carries it, nil while it waits for one
-	writeSettled bool        // it is known whether the kernel took all of it
-	ended        bool
+	attempt       *inflight.Attempt
+	node          *node
+	conn          *connection // the connection that carries it; nil while it waits for one
+	writeFinished bool        // the write has succeeded or failed
+	ended         bool
 }
 
-// begin gives a query an idle connection, or lets it wait for one.
-func (p *Pool) begin(q *query, name string) {
+// startQuery sends a query on an idle connection, or queues it until there is one.
+func (p *Pool) startQuery(q *query, name string) {
 	n := p.nodes[name]
-	if n == nil { // it is listed without a usable address
+	if n == nil { // the node has no usable address
 		q.node = &node{name: name}
-		p.endLater(q, routing.ConnectFailed)
+		p.postQueryEnd(q, routing.ConnectFailed)
 		return
 	}
 	q.node = n
@@ -39,31 +39,31 @@
 	}
 	n.waiting = append(n.waiting, q)
 	p.openForWaiting(n)
-	p.after(p.connectTimeout, func(now int64) { p.giveUpWaiting(now, q) })
+	p.after(p.connectTimeout, func(now int64) { p.connectionWaitTimedOut(now, q) })
 }
 
-// giveUpWaiting ends a query that has had no connection in time.
-func (p *Pool) giveUpWaiting(now int64, q *query) {
+// connectionWaitTimedOut ends a query that has not got a connection in time.
+func (p *Pool) connectionWaitTimedOut(now int64, q *query) {
 	if q.conn == nil && !q.ended {
 		q.node.removeWaiting(q)
-		p.end(now, q, routing.ConnectFailed, nil)
+		p.endQuery(now, q, routing.ConnectFailed, nil)
 	}
 }
 
-// write writes a query to a connection, unless it is an attempt that may not start any more: much may have changed while
-// it waited for the connection.
+// write writes a query to a connection, unless it is an attempt that may no longer start: its client, request or deadline
+// may have changed state while it waited for the connection.
 func (p *Pool) write(c *connection, q *query) {
 	var message []byte
 	if q.attempt == nil {
 		healthChecksSent.Add()
 		message = pgwire.AppendQuery(nil, loadStatement)
-		p.after(p.connectTimeout, func(now int64) { p.timeOut(now, c, q) })
+		p.after(p.connectTimeout, func(now int64) { p.healthCheckTimedOut(now, c, q) })
 	} else {
 		now := p.now()
 		if !q.attempt.MayStart(now) {
 			attemptsTooLate.Add()
-			p.endLater(q, routing.NotSent)
-			p.useOrKeep(now, c)
+			p.postQueryEnd(q, routing.NotSent)
+			p.reuseOrKeepIdle(now, c)
 			return
 		}
 		attemptsSent.Add()
@@ -77,66 +77,67 @@
 	})
 }
 
-// timeOut ends a health check that has had no answer in time.
-func (p *Pool) timeOut(now int64, c *connection, q *query) {
+// healthCheckTimedOut ends a health check that has got no reply in time.
+func (p *Pool) healthCheckTimedOut(now int64, c *connection, q *query) {
 	if !q.ended {
 		p.drop(c)
-		p.end(now, q, routing.TimedOut, nil)
+		p.endQuery(now, q, routing.TimedOut, nil)
 	}
 }
 
-// writeEnded learns whether the kernel took all of a query.
+// writeEnded handles the result of writing a query to the kernel.
 func (p *Pool) writeEnded(now int64, c *connection, q *query, err error) {
-	q.writeSettled = true
+	q.writeFinished = true
 	switch {
 	case errors.Is(err, stream.ErrUnwritten):
 		p.drop(c)
-		p.end(now, q, routing.ConnectFailed, nil)
+		p.endQuery(now, q, routing.ConnectFailed, nil)
 	case err != nil:
 		p.drop(c)
-		p.end(now, q, routing.ConnectionLost, nil)
-	case c.lostBeforeWritten && c.query == q:
-		p.lost(now, c, c.lastReply)
+		p.endQuery(now, q, routing.ConnectionLost, nil)
+	case c.lostBeforeWriteFinished && c.query == q:
+		p.connectionLost(now, c, c.lastReply)
 	}
 }
 
-// replied ends the query of a connection and lets the connection rest before its next one.
-func (p *Pool) replied(now int64, c *connection, reply *pgwire.Reply) {
+// replyReceived ends the query of a connection and starts the connection's quiet period.
+func (p *Pool) replyReceived(now int64, c *connection, reply *pgwire.Reply) {
 	q := c.query
 	c.query = nil
 	c.repliesHandled++
-	if reply.Fatal || c.state != ready || c.distrusted.Load() {
+	if reply.Fatal || c.state != ready || c.untrusted.Load() {
 		p.drop(c)
 	} else {
-		p.rest(c)
+		p.startQuietPeriod(c)
 	}
 	if q != nil {
-		p.end(now, q, outcomeOf(reply), reply)
+		p.endQuery(now, q, outcomeOf(reply), reply)
 	}
 }
 
-// lost ends the query of a connection that has ended. reply is what had arrived; it counts if it is complete.
-func (p *Pool) lost(now int64, c *connection, reply *pgwire.Reply) {
+// connectionLost ends the query of a connection that has ended. reply holds what was received; it is used if it is
+// complete.
+func (p *Pool) connectionLost(now int64, c *connection, reply *pgwire.Reply) {
 	p.drop(c)
 	q := c.query
 	if q == nil {
 		return
 	}
-	if !q.writeSettled { // whether it may have run is known once its write has ended
-		c.lostBeforeWritten = true
+	if !q.writeFinished { // only the result of the write tells whether the query may have run
+		c.lostBeforeWriteFinished = true
 		c.lastReply = reply
 		return
 	}
 	c.query = nil
 	if reply != nil && (reply.Complete() || reply.Code != "") {
-		p.end(now, q, outcomeOf(reply), reply)
+		p.endQuery(now, q, outcomeOf(reply), reply)
 	} else {
-		p.end(now, q, routing.ConnectionLost, nil)
+		p.endQuery(now, q, routing.ConnectionLost, nil)
 	}
 }
 
-// end reports how a query ended, once.
-func (p *Pool) end(now int64, q *query, outcome routing.Outcome, reply *pgwire.Reply) {
+// endQuery reports the outcome of a query, once.
+func (p *Pool) endQuery(now int64, q *query, outcome routing.Outcome, reply *pgwire.Reply) {
 	if q.ended {
 		return
 	}
@@ -153,14 +154,14 @@
 	p.results.HealthCheckEnded(now, q.node.name, outcome, load)
 }
 
-// endLater ends a query in an event of its own, after the current call has returned: the routing module must not hear of
-// an attempt's end while it is still starting it.
-func (p *Pool) endLater(q *query, outcome routing.Outcome) {
-	p.post(p.now(), func(now int64) { p.end(now, q, outcome, nil) })
+// postQueryEnd ends a query in a separate event, after the current call has returned: the routing module must not be
+// notified of an attempt's end while it is still starting the attempt.
+func (p *Pool) postQueryEnd(q *query, outcome routing.Outcome) {
+	p.post(p.now(), func(now int64) { p.endQuery(now, q, outcome, nil) })
 }
 
-// outcomeOf translates a reply's error code. After part of a row no code proves that nothing ran: the node had begun to
-// answer.
+// outcomeOf converts a reply's SQLSTATE to an outcome. An error after part of a row is always Errored: the node had begun
+// to answer, so no code proves that nothing ran.
 func outcomeOf(reply *pgwire.Reply) routing.Outcome {
 	if reply.Code != "" && len(reply.RowMessages) > 0 {
 		return routing.Errored
