--- a/internal/frontend/cancel.go
+++ b/internal/frontend/cancel.go
@@ -2,8 +2,8 @@
 
 import "cairntiller/internal/pgwire"
 
-// cancel ends the command that is next to be answered on a session, by the key that its client was given. cancelledAt is
-// when the cancel's own connection came.
+// cancel ends the next command to be answered on the session with the given cancel key. cancelledAt is the time at which
+// the connection of the cancel request was accepted.
 func (s *Server) cancel(number, secret uint32, cancelledAt int64) {
 	s.mu.Lock()
 	c := s.sessions[number]
@@ -13,8 +13,8 @@
 	}
 }
 
-// cancelNext ends the command that is next to be answered, and returns whether there was one. A command that arrived after
-// the cancel's connection is not meant: the cancel was for an earlier command, whose answer it crossed on the way.
+// cancelNext ends the next command to be answered and returns whether there was one. A command that arrived after the
+// cancel's connection is left alone: the cancel was meant for an earlier command, which was answered in the meantime.
 func (c *session) cancelNext(cancelledAt int64) bool {
 	c.mu.Lock()
 	if len(c.answers) == 0 || c.answers[0].request == nil || c.answers[0].arrivedAt >= cancelledAt {
@@ -27,6 +27,6 @@
 	c.flush()
 	c.mu.Unlock()
 	cancelledCommands.Add()
-	c.server.intake.ClientGone(c.server.now(), next.request)
+	c.server.requests.ClientGone(c.server.now(), next.request)
 	return true
 }
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,23 +1,24 @@
-// Package frontend is the client side: it accepts connections, reads commands, and gives each command its one answer, in
-// the order in which the commands came on their connection. It knows nothing of nodes; requests go to an inflight.Intake,
-// and come back through the methods of inflight.Client.
+// Package frontend is the client side of the router: it accepts connections, reads commands, and sends each command
+// exactly one answer, in the order in which the commands arrived on their connection. It has no knowledge of nodes: it
+// passes requests to an inflight.Intake and receives the answers through the methods of inflight.Client.
 //
-// A session is one connection. Its phases, and what leads from one to the next:
+// A session is a client connection. Its phases and their transitions:
 //
-//	phaseNew      no command has been taken yet; also during startup, and after queries that were refused
-//	phaseBusy     an answer is owed to a command
-//	phaseIdle     it has had commands, and all of them have their answers
-//	phaseClosing  the router has ended its side; what the client still sends is read and dropped
+//	phaseNew      no command has been accepted yet; also during startup, and after rejected queries
+//	phaseBusy     a command has not been answered yet
+//	phaseIdle     all accepted commands have been answered
+//	phaseClosing  the router has closed its side; further input is read and discarded
 //
-//	new -> busy            a command is taken
-//	busy -> idle -> busy   the last answer owed is written; the next command is taken
+//	new -> busy            a command is accepted
+//	busy -> idle -> busy   the last pending answer is written; the next command is accepted
 //	any -> closing         a fatal error was written, a limit was reached, or the router drains
 //
-// A session whose client has ended leaves the server's list in whatever phase it is. Between the decision to end a session
-// and its last answer nothing more is taken (session.closing).
+// A session whose client has disconnected is removed from the server's list in any phase. Once the router has decided to
+// close a session, no further commands are accepted on it (session.closing), even if answers are still pending.
 //
-// Where the limit of connections is reached a newcomer needs another's place. Sessions in phaseClosing hold none, only a
-// descriptor. Of the others one is closed, in this order: the oldest that had 0.1 s and sent no command, the one that has
-// been idle longest if that is over 2 s, the oldest newcomer. A session with a command in flight is never closed for
-// another; if there are only such, and ones idle for a moment, the newcomer is rejected. limits.go has the rules.
+// When the limit on sessions is reached, a new connection needs the place of another. Sessions in phaseClosing do not
+// count against the limit; they only hold a descriptor. Of the others one is evicted, in this order: the oldest that has
+// sent no command within 0.1 s; the one idle the longest, if for more than 2 s; the oldest other new one. A session
+// with a command in flight is never evicted. If all sessions have a command in flight or became idle less than 2 s ago,
+// the new connection is rejected. limits.go implements these rules.
 package frontend
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// closePoll is the time between looks whether all sessions have ended.
-const closePoll = 5 * time.Millisecond
+// closePollInterval is the interval between checks whether all sessions have ended.
+const closePollInterval = 5 * time.Millisecond
 
-// BeginDrain closes each session as soon as no answer is owed on it. Commands that come after one in flight are
-// rejected from now on.
+// BeginDrain closes each session as soon as it has no pending answers. From then on, commands that arrive after the first
+// one of their session are rejected.
 func (s *Server) BeginDrain() {
 	s.draining.Store(true)
 	for _, c := range s.allSessions() {
@@ -14,26 +14,26 @@
 	}
 }
 
-// WaitClosed returns once clients have ended all connections, but grace after the last answer has left at the latest,
-// and never later than a deadline.
+// WaitClosed returns once clients have closed all connections, at the latest when the grace period after the last written
+// answer has passed, and never after the deadline.
 func (s *Server) WaitClosed(grace time.Duration, deadline time.Time) {
 	graceEnd := time.Now().Add(grace)
 	for {
 		now := time.Now()
 		all := s.allSessions()
 		for _, c := range all {
-			if c.owesWrites() {
+			if c.hasPendingWrites() {
 				graceEnd = now.Add(grace)
 			}
 		}
 		if len(all) == 0 || now.After(graceEnd) || now.After(deadline) {
 			return
 		}
-		time.Sleep(closePoll)
+		time.Sleep(closePollInterval)
 	}
 }
 
-// owesWrites reports whether something is still to be written. A client that never asked anything is owed nothing.
-func (c *session) owesWrites() bool {
+// hasPendingWrites reports whether answers may still have to be written. It is false for a session that has sent no command.
+func (c *session) hasPendingWrites() bool {
 	return !c.stream.WriteSideClosed() && c.currentPhase() != phaseNew
 }
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -2,7 +2,7 @@
 
 import "cairntiller/internal/metrics"
 
-// The counters of this package, in the order in which they are printed.
+// Counters, in the order in which they are printed.
 var (
 	acceptedConnections   = metrics.New("client connections")
 	evictedConnections    = metrics.New("client connections evicted")
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -13,37 +13,37 @@
 	"cairntiller/internal/pgwire"
 )
 
-// Server accepts clients' connections. Its methods may be called from any goroutine.
+// Server accepts client connections. Its methods may be called from any goroutine.
 type Server struct {
 	now           func() int64 // the router's clock, us
-	intake        inflight.Intake
-	groupNumbers  map[string]int // command groups by name
-	tenantNumbers map[string]int // tenants by name
+	requests      inflight.Intake
+	groupNumbers  map[string]int // command group numbers by name
+	tenantNumbers map[string]int // tenant numbers by name
 	limits        limits
 
 	ready    atomic.Bool
-	draining atomic.Bool // the router is about to end
+	draining atomic.Bool // the router is shutting down
 
 	inFlightBytes atomic.Int64 // of commands and answers on all connections
-	partialBytes  atomic.Int64 // of messages that have begun to arrive, on all connections
+	partialBytes  atomic.Int64 // of incomplete messages on all connections
 
 	mu         sync.Mutex
 	sessions   map[uint32]*session // by number
 	lastNumber uint32
 }
 
-// Config is what a server is made with.
+// Config configures a server.
 type Config struct {
-	GroupNumbers, TenantNumbers map[string]int // the routing module's numbers, by the names that commands give
-	MaxConnections              int            // connections held at a time
-	MemoryLimit                 int64          // of the process, bytes: a part of it may be used for what is in flight
+	GroupNumbers, TenantNumbers map[string]int // numbers in the routing module, by the names used in commands
+	MaxConnections              int            // maximum number of open connections
+	MemoryLimit                 int64          // of the process, bytes; fractions of it limit the data in flight
 }
 
-// New makes a server on the router's clock, us, that hands its requests to an intake.
-func New(now func() int64, intake inflight.Intake, config Config) *Server {
+// New returns a server that uses the router's clock, us, and passes its requests to the given handler.
+func New(now func() int64, requests inflight.Intake, config Config) *Server {
 	return &Server{
 		now:           now,
-		intake:        intake,
+		requests:      requests,
 		groupNumbers:  config.GroupNumbers,
 		tenantNumbers: config.TenantNumbers,
 		limits:        newLimits(config.MaxConnections, config.MemoryLimit),
@@ -51,16 +51,16 @@
 	}
 }
 
-// SetReady lets commands be taken from now on. Before, each is rejected as the router is starting up.
+// SetReady starts accepting commands. Before, they are rejected because the router is starting up.
 func (s *Server) SetReady() { s.ready.Store(true) }
 
-// Serve accepts connections; it returns only when that fails.
+// Serve accepts connections. It returns only on failure.
 func (s *Server) Serve(ln net.Listener) error {
 	accept := func(c netpoll.Connection) context.Context {
 		s.accept(c)
 		return context.Background()
 	}
-	ignoreRequest := func(context.Context, netpoll.Connection) error { return nil } // sessions read for themselves
+	ignoreRequest := func(context.Context, netpoll.Connection) error { return nil } // sessions do their own reading
 	loop, err := netpoll.NewEventLoop(ignoreRequest, netpoll.WithOnPrepare(accept))
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return loop.Serve(ln)
 }
 
-// sweepUntil sweeps at intervals until the server has ended.
+// sweepUntil calls sweep at intervals until ended is closed.
 func (s *Server) sweepUntil(ended <-chan struct{}) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -85,32 +85,32 @@
 	}
 }
 
-// accept takes a new connection. Where all places are taken it closes another session for it; where none may be closed
-// the newcomer is rejected.
+// accept handles a new connection. If the session limit is reached, it evicts another session; if none may be evicted, the
+// new connection is rejected.
 func (s *Server) accept(nc netpoll.Connection) {
 	acceptedConnections.Add()
-	newcomer := newSession(s, nc)
+	c := newSession(s, nc)
 	s.mu.Lock()
 	s.lastNumber++
-	newcomer.number = s.lastNumber
-	room := s.findRoom()
-	s.sessions[newcomer.number] = newcomer
+	c.number = s.lastNumber
+	choice := s.chooseEviction()
+	s.sessions[c.number] = c
 	s.mu.Unlock()
-	if room.closeEnded != nil {
-		room.closeEnded.stream.Close()
+	if choice.closeLingering != nil {
+		choice.closeLingering.stream.Close()
 	}
-	if room.evict != nil {
+	if choice.evict != nil {
 		evictedConnections.Add()
-		room.evict.evict()
+		choice.evict.evict()
 	}
-	newcomer.start()
-	if room.none {
+	c.start()
+	if choice.rejectNew {
 		connectionsOverLimit.Add()
-		newcomer.sendFatalError(pgwire.CodeRejected, "too many connections")
+		c.sendFatalError(pgwire.CodeRejected, "too many connections")
 	}
 }
 
-// allSessions lists the sessions.
+// allSessions returns all sessions in no particular order.
 func (s *Server) allSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +121,8 @@
 	return all
 }
 
-// forget takes a session that has ended off the list.
-func (s *Server) forget(number uint32) {
+// removeSession removes a session that has ended from the list.
+func (s *Server) removeSession(number uint32) {
 	s.mu.Lock()
 	delete(s.sessions, number)
 	s.mu.Unlock()
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -12,7 +12,7 @@
 	"cairntiller/internal/stream"
 )
 
-// phase is how far a session has come; the package comment shows what leads from one to the next.
+// phase is the phase of a session's life cycle; the package comment describes the transitions.
 type phase int32
 
 const (
@@ -22,26 +22,26 @@
 	phaseBusy
 )
 
-// session is one connection of a client.
+// session is a client connection.
 type session struct {
 	server *Server
 	stream *stream.Stream
-	number uint32 // with secret the key by which a client cancels the session's commands
+	number uint32 // with secret, the key with which the client can cancel the session's commands
 	secret uint32
 
-	phase        atomic.Int32 // a phase; read by currentPhase, set by enter
-	phaseSince   atomic.Int64 // us
-	partialSince atomic.Int64 // us: when a message began to arrive that is still incomplete, 0 for none
+	phase        atomic.Int32 // a phase; read by currentPhase, set by setPhase
+	phaseSince   atomic.Int64 // us: start of the phase
+	partialSince atomic.Int64 // us: when the first bytes of an incomplete message arrived, 0 for none
 
-	// The reader's goroutine alone uses these.
-	frames          *pgwire.Splitter // nil once nothing more is taken
-	started         bool             // its startup message has come
+	// Used only on the reader's goroutine.
+	frames          *pgwire.Splitter // nil once input is discarded
+	started         bool             // the startup message has been handled
 	encryptionAsked bool
-	partialBytes    int64 // bytes of a message that is still incomplete
+	partialBytes    int64 // received bytes of an incomplete message
 
 	mu      sync.Mutex
-	answers []*answer // owed, in the order of their commands
-	closing bool      // nothing more is taken, and the session ends after the queued answers; never reset
+	answers []*answer // pending answers in the order of their commands
+	closing bool      // no more commands are accepted, and the session closes after the queued answers; never reset
 }
 
 func newSession(s *Server, conn netpoll.Connection) *session {
@@ -49,32 +49,32 @@
 	var secret [4]byte
 	rand.Read(secret[:])
 	c.secret = binary.BigEndian.Uint32(secret[:])
-	c.enter(phaseNew)
+	c.setPhase(phaseNew)
 	return c
 }
 
-// start begins to read; events may come before it returns.
+// start starts reading; events may occur before it returns.
 func (c *session) start() {
-	c.stream.Start(stream.Events{Received: c.receive, Closed: c.ended})
+	c.stream.Start(stream.Events{Received: c.receive, Closed: c.handleStreamEnd})
 }
 
-// enter notes that the session comes to a phase.
-func (c *session) enter(p phase) {
+// setPhase records the start of a phase.
+func (c *session) setPhase(p phase) {
 	c.phaseSince.Store(c.server.now())
 	c.phase.Store(int32(p))
 }
 
 func (c *session) currentPhase() phase { return phase(c.phase.Load()) }
 
-// isClosing reports whether nothing more is taken.
+// isClosing reports whether the session accepts no more commands.
 func (c *session) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-// receive takes the bytes that have arrived. After the router has closed its side they are still read and dropped:
-// closing a socket with unread bytes sends a reset, which would take the last answer away from the client.
+// receive handles received bytes. After the router has closed its side, they are still read and discarded: closing a
+// socket with unread bytes sends a reset, which could destroy the last answer before the client reads it.
 func (c *session) receive(p []byte) {
 	at := c.server.now()
 	if !c.isClosing() {
@@ -88,7 +88,7 @@
 			break
 		}
 		if !complete {
-			c.notePartial(at, int64(c.frames.Buffered()))
+			c.recordPartial(at, int64(c.frames.Buffered()))
 			return
 		}
 		c.partialSince.Store(0)
@@ -100,11 +100,11 @@
 	}
 	readsAfterClose.Add()
 	c.frames = nil
-	c.notePartial(at, 0)
+	c.recordPartial(at, 0)
 }
 
-// handleFirstMessage handles the messages before a session is up: a request for encryption, which is declined, then a
-// startup or a cancel.
+// handleFirstMessage handles the messages before the startup is complete: an encryption request, which is declined, and
+// then a startup or a cancel request.
 func (c *session) handleFirstMessage(frame pgwire.Frame) {
 	opening := pgwire.DecodeOpening(frame)
 	switch {
@@ -115,7 +115,7 @@
 		if process, secret, ok := pgwire.DecodeCancel(frame); ok {
 			c.server.cancel(process, secret, c.phaseSince.Load())
 		}
-		c.queueLast(nil) // a cancel never gets an answer
+		c.queueLast(nil) // a cancel request gets no reply
 	case opening == pgwire.OpenStartup || opening == pgwire.OpenStartupNewer:
 		c.started = true
 		c.frames.ExpectTyped(maxQueryBytes)
@@ -126,7 +126,7 @@
 	}
 }
 
-// handleMessage handles one message of a session that is up.
+// handleMessage handles a message after the startup.
 func (c *session) handleMessage(at int64, frame pgwire.Frame) {
 	switch frame.Type {
 	case 'Q': // Query
@@ -153,10 +153,10 @@
 	}
 }
 
-// ended is called once the connection has ended, whichever side closed it: the client of its requests has gone.
-func (c *session) ended() {
+// handleStreamEnd is called once the connection has ended, whichever side closed it, and abandons its requests.
+func (c *session) handleStreamEnd() {
 	at := c.server.now()
-	c.server.forget(c.number)
-	c.notePartial(at, 0)
+	c.server.removeSession(c.number)
+	c.recordPartial(at, 0)
 	c.abandonAnswers(at)
 }
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -11,24 +11,24 @@
 	"cairntiller/internal/pgwire"
 )
 
-// scriptedIntake gives each command the ending that its id names, at once.
-type scriptedIntake struct{}
+// scriptedHandler immediately concludes each request in the way that its command id names.
+type scriptedHandler struct{}
 
-func (scriptedIntake) Submit(_ int64, x *inflight.Request) {
-	switch x.Command.ID {
+func (scriptedHandler) Submit(_ int64, request *inflight.Request) {
+	switch request.Command.ID {
 	case "answer":
-		x.Answer([]byte("T\x00\x00\x00\x1d\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00D\x00\x00\x00\x0d\x00\x01\x00\x00\x00\x03abcC\x00\x00\x00\x0dSELECT 1\x00"))
+		request.Answer([]byte("T\x00\x00\x00\x1d\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00D\x00\x00\x00\x0d\x00\x01\x00\x00\x00\x03abcC\x00\x00\x00\x0dSELECT 1\x00"))
 	case "throttle":
-		x.Reject(1_500_250)
+		request.Reject(1_500_250)
 	case "fail":
-		x.Fail()
+		request.Fail()
 	}
 }
 
-func (scriptedIntake) ClientGone(int64, *inflight.Request) {}
+func (scriptedHandler) ClientGone(int64, *inflight.Request) {}
 
-// wireBytes is what a client receives on one connection, recorded from the code as it was before its rewrite for
-// readability; the eight bytes of the cancel key are random and stand as zeros.
+// wireBytes are the bytes that a client receives on one connection, recorded before a refactoring that had to preserve
+// them. The cancel key is random; its eight bytes are replaced by zeros.
 const wireBytes = "R\x00\x00\x00\b\x00\x00\x00\x00S\x00\x00\x00\x18server_version\x0015.0\x00S\x00\x00\x00\x19server_encoding\x00UTF8\x00S\x00\x00\x00\x19client_encoding\x00UTF8\x00S\x00\x00\x00#standard_conforming_strings\x00on\x00K\x00\x00\x00\f\x00\x00\x00\x00\x00\x00\x00\x00Z\x00\x00\x00\x05I" +
 	"T\x00\x00\x00\x1d\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00D\x00\x00\x00\r\x00\x01\x00\x00\x00\x03abcC\x00\x00\x00\rSELECT 1\x00Z\x00\x00\x00\x05I" +
 	"E\x00\x00\x00;SERROR\x00VERROR\x00C53300\x00Mnot now; nothing was done\x00D1501\x00\x00Z\x00\x00\x00\x05I" +
@@ -42,20 +42,20 @@
 	"Z\x00\x00\x00\x05I" +
 	"E\x00\x00\x009SFATAL\x00VFATAL\x00C08P01\x00Minvalid frontend message type\x00\x00"
 
-// TestBytesThatAClientReceives: a client sends one of each kind of message in one go: a command that is answered, one
-// that is rejected with a time to come again, one that fails, queries that can't be taken, an empty one and a message
-// out of place. What it receives is the same to the byte as ever.
-func TestBytesThatAClientReceives(t *testing.T) {
+// TestWireFormat guards against unintended changes of the bytes on the wire. A client sends one message of each kind: a
+// command that is answered, one that is rejected with a retry time, one that fails, invalid queries, an empty one and an
+// unexpected message. The bytes that it receives must equal the recorded ones.
+func TestWireFormat(t *testing.T) {
 	start := time.Now()
 	now := func() int64 { return time.Since(start).Microseconds() + 1 }
-	f := New(now, scriptedIntake{}, Config{GroupNumbers: map[string]int{"look": 0}, TenantNumbers: map[string]int{"acme": 0}, MaxConnections: 32,
+	server := New(now, scriptedHandler{}, Config{GroupNumbers: map[string]int{"look": 0}, TenantNumbers: map[string]int{"acme": 0}, MaxConnections: 32,
 		MemoryLimit: 32 << 20})
-	f.SetReady()
+	server.SetReady()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go f.Serve(ln)
+	go server.Serve(ln)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
