--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -38,7 +38,7 @@
 }
 
 // Engine is the event loop of a router. Create it with New, connect it with Attach, and start it with go Run. Submit,
-// ClientGone, Post, Stop, GiveUpAll, Unanswered and AllAnswered may be called from any goroutine; all other methods must
+// ClientGone, Post, Stop, AbortRequests, Unanswered and AllAnswered may be called from any goroutine; all other methods must
 // be called on the engine's goroutine, that is from a function passed to Post or After, or before Run.
 type Engine struct {
 	now          func() int64 // the router's clock, us in Unix time
@@ -128,8 +128,8 @@
 	ev.handle(e.eventTime)
 }
 
-// GiveUpAll ends every unanswered request: it is rejected if repeating it is harmless, and failed otherwise.
-func (e *Engine) GiveUpAll() {
+// AbortRequests ends every unanswered request: it is rejected if repeating it is harmless, and failed otherwise.
+func (e *Engine) AbortRequests() {
 	e.Post(e.now(), func(int64) { e.router.Shutdown() })
 }
 
--- a/internal/engine/race_conditions_test.go
+++ b/internal/engine/race_conditions_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// TestShutdownWithHangingNodes checks that GiveUpAll answers every command in flight even if no node replies.
+// TestShutdownWithHangingNodes checks that AbortRequests answers every command in flight even if no node replies.
 func TestShutdownWithHangingNodes(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome, ""), scriptedserver.Start(t, scriptedserver.Welcome)
 	r := startRouter(t, 9, primary, replica)
@@ -220,7 +220,7 @@
 	for r.engine.Unanswered() < 31 {
 		time.Sleep(time.Millisecond)
 	}
-	r.engine.GiveUpAll()
+	r.engine.AbortRequests()
 	if got := summary(readUntil(t, write, 'Z')); got != "58000" {
 		t.Errorf("write that may have run: %q", got)
 	}
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -58,7 +58,7 @@
 		case <-r.engine.AllAnswered():
 		case <-alarm.C:
 			late := time.Since(deadline) >= answerMargin/2
-			r.engine.GiveUpAll()
+			r.engine.AbortRequests()
 			if late {
 				return
 			}
