--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -25,7 +25,7 @@
 	}
 )
 
-// Submit implements inflight.Intake.
+// Submit implements inflight.RequestHandler.
 func (e *Engine) Submit(at int64, request *inflight.Request) {
 	e.unanswered.add(1)
 	e.Post(at, func(now int64) { e.startRequest(now, request) })
@@ -58,7 +58,7 @@
 	})
 }
 
-// ClientGone implements inflight.Intake.
+// ClientGone implements inflight.RequestHandler.
 func (e *Engine) ClientGone(at int64, request *inflight.Request) {
 	e.Post(at, func(now int64) {
 		if request.ClientGone() {
--- a/internal/engine/router_actions.go
+++ b/internal/engine/router_actions.go
@@ -73,5 +73,5 @@
 // endpoint list.
 func (routerActions) WatchEndpoints() {}
 
-var _ inflight.Intake = (*Engine)(nil)
+var _ inflight.RequestHandler = (*Engine)(nil)
 var _ inflight.ResultHandler = (*Engine)(nil)
--- a/internal/frontend/commands_test.go
+++ b/internal/frontend/commands_test.go
@@ -16,13 +16,13 @@
 // would run, but its answer could not be delivered.
 func TestNoCommandAcceptedWhileClosing(t *testing.T) {
 	for _, closed := range []bool{false, true} {
-		intake := &countingHandler{}
-		server := New(func() int64 { return 1 }, intake, Config{GroupNumbers: map[string]int{"look": 0}, MaxConnections: 9, MemoryLimit: 1 << 20})
+		handler := &countingHandler{}
+		server := New(func() int64 { return 1 }, handler, Config{GroupNumbers: map[string]int{"look": 0}, MaxConnections: 9, MemoryLimit: 1 << 20})
 		server.SetReady()
 		c := &session{server: server, closing: closed}
 		c.handleQuery(1, []byte("/* id=1,c=look,d=9,cluster=0 */ SELECT 1"))
-		if intake.submitted == 1 == closed {
-			t.Errorf("closing %v, submitted %d", closed, intake.submitted)
+		if handler.submitted == 1 == closed {
+			t.Errorf("closing %v, submitted %d", closed, handler.submitted)
 		}
 	}
 }
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,6 +1,6 @@
 // Package frontend is the client side of the router: it accepts connections, reads commands, and sends each command
 // exactly one answer, in the order in which the commands arrived on their connection. It has no knowledge of nodes: it
-// passes requests to an inflight.Intake and receives the answers through the methods of inflight.Client.
+// passes requests to an inflight.RequestHandler and receives the answers through the methods of inflight.Client.
 //
 // A session is a client connection. Its phases and their transitions:
 //
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -16,7 +16,7 @@
 // Server accepts client connections. Its methods may be called from any goroutine.
 type Server struct {
 	now           func() int64 // the router's clock, us
-	requests      inflight.Intake
+	requests      inflight.RequestHandler
 	groupNumbers  map[string]int // command group numbers by name
 	tenantNumbers map[string]int // tenant numbers by name
 	limits        limits
@@ -40,7 +40,7 @@
 }
 
 // New returns a server that uses the router's clock, us, and passes its requests to the given handler.
-func New(now func() int64, requests inflight.Intake, config Config) *Server {
+func New(now func() int64, requests inflight.RequestHandler, config Config) *Server {
 	return &Server{
 		now:           now,
 		requests:      requests,
--- a/internal/inflight/interfaces.go
+++ b/internal/inflight/interfaces.go
@@ -14,14 +14,14 @@
 	Reject(request *Request, retryAfter int64)
 	// Fail tells the client that the command failed; it may have run.
 	Fail(request *Request)
-	// Connected reports whether the client is still connected. If it is not, Intake.ClientGone is called for all of its
+	// Connected reports whether the client is still connected. If it is not, RequestHandler.ClientGone is called for all of its
 	// requests.
 	Connected() bool
 }
 
-// Intake receives requests and cancellations from clients. Its methods may be called from any goroutine; at is the time
+// RequestHandler receives requests and cancellations from clients. Its methods may be called from any goroutine; at is the time
 // of the event, us.
-type Intake interface {
+type RequestHandler interface {
 	Submit(at int64, request *Request)
 	ClientGone(at int64, request *Request)
 }
