--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// replyQuietPeriod, us, is how long a connection is left unused after a reply before it may carry the next query. It is
-	// much longer than the gap between two writes of a process, so that trailing bytes have arrived, and much shorter
-	// than any response time.
+	// replyQuietPeriod, us, is how long a connection is left unused after a reply before it may carry the next query.
+	// It is much longer than the gap between two writes of a process, so that trailing bytes have arrived, and much
+	// shorter than any response time.
 	replyQuietPeriod = 1_000
 	// A reply that has begun must be complete within the connect timeout divided by replyTimeoutDivisor.
 	replyTimeoutDivisor = 4
@@ -66,14 +66,14 @@
 	}
 }
 
-// usable reports whether the connection may carry a query: it is open, has not been idle for too long, and has no unread
-// bytes, which would be mistaken for the reply.
+// usable reports whether the connection may carry a query: it is open, has not been idle for too long, and has no
+// unread bytes, which would be mistaken for the reply.
 func (c *connection) usable(now int64) bool {
 	return c.state == ready && !c.streamEnded.Load() && !c.untrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Quiet()
 }
 
-// startQuietPeriod keeps a connection unused for a short time after a reply. If its node's idle connections are closed in
-// the meantime, it is closed too.
+// startQuietPeriod keeps a connection unused for a short time after a reply. If its node's idle connections are closed
+// in the meantime, it is closed too.
 func (p *Pool) startQuietPeriod(c *connection) {
 	n := c.node
 	n.inQuietPeriod++
@@ -90,8 +90,8 @@
 }
 
 // startReplyTimeout closes the connection if a reply that has begun is not complete in time, since its query would
-// otherwise wait until the client's deadline. If there are unread bytes, this router is the slow side, and the timeout is
-// extended.
+// otherwise wait until the client's deadline. If there are unread bytes, this router is the slow side, and the timeout
+// is extended.
 func (p *Pool) startReplyTimeout(c *connection, number int64) {
 	p.after(p.connectTimeout/replyTimeoutDivisor, func(int64) {
 		switch {
@@ -171,7 +171,8 @@
 	}
 }
 
-// receiveReply handles a message of a reply and passes on the reply once it is complete. An unsolicited reply is an error.
+// receiveReply handles a message of a reply and passes on the reply once it is complete. An unsolicited reply is an
+// error.
 func (c *connection) receiveReply(at int64, frame pgwire.Frame) error {
 	done, err := c.reply.Add(frame)
 	if err != nil {
@@ -204,8 +205,8 @@
 	c.pool.post(at, func(now int64) { c.pool.connectionLost(now, c, nil) })
 }
 
-// handleStreamEnd is called once the connection has ended. A row or an error that was received completely before that is
-// still used.
+// handleStreamEnd is called once the connection has ended. A row or an error that was received completely before that
+// is still used.
 func (c *connection) handleStreamEnd() {
 	c.streamEnded.Store(true)
 	c.endStartup(startup{err: errEnded})
--- a/internal/backend/harness_test.go
+++ b/internal/backend/harness_test.go
@@ -75,7 +75,8 @@
 	return h.sendFor(p, node, connectedClient{}, timeout, 0)
 }
 
-// sendFor starts the first attempt of a request from the given client, with the attempt's timeout and start window in us.
+// sendFor starts the first attempt of a request from the given client, with the attempt's timeout and start window in
+// us.
 func (h *poolHarness) sendFor(p *backend.Pool, node string, client inflight.Client, timeout, startWithin int64) *inflight.Attempt {
 	command, err := pgwire.DecodeCommand([]byte("/* id=1,c=look,d=1000,cluster=0 */ SELECT '1'"))
 	if err != nil {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// idleMargin, us, is how long before a node's idle limit the router closes a connection: two sweep intervals. If the
-	// limit is short, connections are closed after half of it.
+	// idleMargin, us, is how long before a node's idle limit the router closes a connection: two sweep intervals. If
+	// the limit is short, connections are closed after half of it.
 	idleMargin = 1_000_000
 	// sweepInterval, us, is the interval between checks for connections that have been idle for too long.
 	sweepInterval = 500_000
@@ -34,8 +34,8 @@
 	attempts       map[*inflight.Attempt]*query // attempts that have not ended
 }
 
-// node holds the connections to a node and the queries that wait for one. When the address of a node changes, a new value
-// replaces it under the same name.
+// node holds the connections to a node and the queries that wait for one. When the address of a node changes, a new
+// value replaces it under the same name.
 type node struct {
 	name, address  string
 	idle           []*connection // the most recently used last
@@ -52,7 +52,8 @@
 	MaxConnections int   // total over all nodes
 }
 
-// New returns a pool that uses the router's clock, us. Its methods must be called on the goroutine that runs posted events.
+// New returns a pool that uses the router's clock, us. Its methods must be called on the goroutine that runs posted
+// events.
 func New(now func() int64, post Post, after After, results inflight.ResultHandler, config Config) *Pool {
 	p := &Pool{
 		now:            now,
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestTrailingBytesAfterReply checks that a reply followed by further bytes is used and that its connection is not reused,
-// also if those bytes arrive in a segment of their own.
+// TestTrailingBytesAfterReply checks that a reply followed by further bytes is used and that its connection is not
+// reused, also if those bytes arrive in a segment of their own.
 func TestTrailingBytesAfterReply(t *testing.T) {
 	for _, trailing := range []string{scriptedserver.Row + scriptedserver.Ready, "noise", "\x00"} {
 		for tries := 1; ; tries++ {
@@ -121,25 +121,25 @@
 	}
 }
 
-// TestConnectionReuseReleaseAndLimit checks that consecutive queries share a connection, that an attempt fails once hung
-// attempts use up the connection limit, and that cancelling attempts, CloseIdle and Remove release connections.
+// TestConnectionReuseReleaseAndLimit checks that consecutive queries share a connection, that an attempt fails once
+// hung attempts use up the connection limit, and that cancelling attempts, CloseIdle and Remove release connections.
 func TestConnectionReuseReleaseAndLimit(t *testing.T) {
 	a, b := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, scriptedserver.Row+scriptedserver.Ready, "", scriptedserver.Row+scriptedserver.Ready), scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready, "")
 	p, harness := startPool(t, 2, a, b)
-	answered := func(node string) {
+	checkAnswered := func(node string) {
 		t.Helper()
 		harness.send(p, node, 0)
 		if got := <-harness.results; got.outcome != routing.Answered {
 			t.Fatalf("%s: outcome %d", node, got.outcome)
 		}
 	}
-	answered("n0")
-	answered("n0")
+	checkAnswered("n0")
+	checkAnswered("n0")
 	if n := len(a.Opened()); n != 1 {
 		t.Errorf("%d connections for two consecutive queries", n)
 	}
 	hung := harness.send(p, "n0", 0) // no reply: it holds the first connection
-	answered("n1")
+	checkAnswered("n1")
 	hungOther := harness.send(p, "n1", 0)                     // holds the second connection, which reaches the limit
 	for _, s := range []*scriptedserver.Node{a, a, a, b, b} { // all queries have been written
 		<-s.Queries
@@ -155,7 +155,7 @@
 		}
 	}
 	harness.mu.Unlock()
-	answered("n0")
+	checkAnswered("n0")
 	harness.mu.Lock()
 	p.CloseIdle("n0")
 	harness.mu.Unlock()
@@ -171,7 +171,8 @@
 	}
 }
 
-// TestHealthCheck checks the outcomes of health checks that are answered with a load report, with an error, and not at all.
+// TestHealthCheck checks the outcomes of health checks that are answered with a load report, with an error, and not at
+// all.
 func TestHealthCheck(t *testing.T) {
 	value := "x0=17.5,x1=1,inflight=7"
 	cell := fmt.Sprintf("\x00\x01\x00\x00\x00%c%s", len(value), value)
--- a/internal/backend/query.go
+++ b/internal/backend/query.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// write writes a query to a connection, unless it is an attempt that may no longer start: its client, request or deadline
-// may have changed state while it waited for the connection.
+// write writes a query to a connection, unless it is an attempt that may no longer start: its client, request or
+// deadline may have changed state while it waited for the connection.
 func (p *Pool) write(c *connection, q *query) {
 	var message []byte
 	if q.attempt == nil {
@@ -160,8 +160,8 @@
 	p.post(p.now(), func(now int64) { p.endQuery(now, q, outcome, nil) })
 }
 
-// outcomeOf converts a reply's SQLSTATE to an outcome. An error after part of a row is always Errored: the node had begun
-// to answer, so no code proves that nothing ran.
+// outcomeOf converts a reply's SQLSTATE to an outcome. An error after part of a row is always Errored: the node had
+// begun to answer, so no code proves that nothing ran.
 func outcomeOf(reply *pgwire.Reply) routing.Outcome {
 	if reply.Code != "" && len(reply.RowMessages) > 0 {
 		return routing.Errored
--- a/internal/backend/race_conditions_test.go
+++ b/internal/backend/race_conditions_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestAddressChangeWhileWaiting checks that an attempt that waits for a connection is sent to the node's new address, and
-// that nothing is sent on the connection that opens late at the old one.
+// TestAddressChangeWhileWaiting checks that an attempt that waits for a connection is sent to the node's new address,
+// and that nothing is sent on the connection that opens late at the old one.
 func TestAddressChangeWhileWaiting(t *testing.T) {
 	before, after := scriptedserver.StartHeld(t), scriptedserver.StartHeld(t)
 	p, harness := startPool(t, 9, &scriptedserver.Node{Addr: before.Addr})
--- a/internal/engine/client_limits_test.go
+++ b/internal/engine/client_limits_test.go
@@ -52,13 +52,13 @@
 		}
 	}
 	normal := r.dial(t)
-	served := func(id string) {
+	checkServed := func(id string) {
 		sendCommand(normal, id, "put", "900")
 		if got := summary(readUntil(t, normal, 'Z')); got != "row" {
 			t.Errorf("normal client: %q", got)
 		}
 	}
-	served("1")
+	checkServed("1")
 	began := time.Now()
 	for i, c := range unused {
 		all := readUntil(t, c, 'E')
@@ -72,15 +72,15 @@
 	if took := time.Since(began); took > 4*time.Second { // 3 s, plus a margin for slow machines
 		t.Errorf("the last unused connection got its error after %v", took)
 	}
-	served("2")
+	checkServed("2")
 }
 
-// TestNewConnectionsReplaceIdleOnes guards against clients that send one command and then occupy a session for good. New
-// connections that arrive together must evict idle ones, and not one another before their first command.
+// TestNewConnectionsReplaceIdleOnes guards against clients that send one command and then occupy a session for good.
+// New connections that arrive together must evict idle ones, and not one another before their first command.
 func TestNewConnectionsReplaceIdleOnes(t *testing.T) {
 	t.Parallel()
 	r := startRouter(t, 20, scriptedserver.Start(t, scriptedserver.Welcome, strings.Split(strings.Repeat(scriptedserver.Row+scriptedserver.Ready+";", 40), ";")...))
-	served := func(c net.Conn, id string) {
+	checkServed := func(c net.Conn, id string) {
 		t.Helper()
 		sendCommand(c, id, "put", "900")
 		if got := summary(readUntil(t, c, 'Z')); got != "row" {
@@ -88,10 +88,10 @@
 		}
 	}
 	for i := range 20 {
-		served(r.dial(t), fmt.Sprint("idle", i))
+		checkServed(r.dial(t), fmt.Sprint("idle", i))
 	}
 	time.Sleep(2100 * time.Millisecond)
-	var fresh []net.Conn
+	var added []net.Conn
 	for range 5 {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
@@ -99,16 +99,16 @@
 		}
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		c.Write(pgwire.AppendStartup(nil, "a", "b"))
-		fresh = append(fresh, c)
+		added = append(added, c)
 	}
-	for i, c := range fresh {
+	for i, c := range added {
 		readUntil(t, c, 'Z')
-		served(c, fmt.Sprint("new", i))
+		checkServed(c, fmt.Sprint("new", i))
 	}
 }
 
-// TestIdleConnectionsLimit guards against clients that use up their own connection limit with connections that they never
-// use again. Only a sixteenth of the sessions may stay idle; the others are closed, those idle the longest first.
+// TestIdleConnectionsLimit guards against clients that use up their own connection limit with connections that they
+// never use again. Only a sixteenth of the sessions may stay idle; the others are closed, those idle the longest first.
 func TestIdleConnectionsLimit(t *testing.T) {
 	t.Parallel()
 	r := startRouter(t, 32, scriptedserver.Start(t, scriptedserver.Welcome, strings.Split(strings.Repeat(scriptedserver.Row+scriptedserver.Ready+";", 20), ";")...))
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestInputAfterFatalErrorIsDiscarded announces a huge message. The error is sent at once; the bytes that follow are read,
-// so that the error reaches the client, but not kept.
+// TestInputAfterFatalErrorIsDiscarded announces a huge message. The error is sent at once; the bytes that follow are
+// read, so that the error reaches the client, but not kept.
 func TestInputAfterFatalErrorIsDiscarded(t *testing.T) {
 	r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome))
 	c := r.dial(t)
--- a/internal/engine/client_protocol_test.go
+++ b/internal/engine/client_protocol_test.go
@@ -17,8 +17,8 @@
 	r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready))
 	query := func(s string) string { return string(pgwire.AppendQuery(nil, s)) }
 	for in, c := range map[string]struct {
-		code  string
-		lives bool
+		code      string
+		staysOpen bool
 	}{
 		query("SELECT 1"):                                      {"22023", true},
 		query("/* id=1,c=none,d=9,cluster=0 */ x"):             {"22023", true},
@@ -35,13 +35,13 @@
 		conn := r.dial(t)
 		io.WriteString(conn, in)
 		last := byte('Z')
-		if !c.lives {
+		if !c.staysOpen {
 			last = 'E'
 		}
 		if got := summary(readUntil(t, conn, last)); got != c.code {
 			t.Errorf("%q: %q, want %q", in, got, c.code)
 		}
-		if !c.lives {
+		if !c.staysOpen {
 			if got := readUntil(t, conn, 0); string(got) != "end" {
 				t.Errorf("%q: the connection stays open and sends %q", in, got)
 			}
@@ -55,8 +55,8 @@
 }
 
 // TestFirstMessages checks the reply to each kind of first message while another connection occupies one of the two
-// sessions. Then both sessions are busy and a new connection is rejected; once one of them has been idle for longer than
-// idleTimeout, it is evicted for a new connection.
+// sessions. Then both sessions are busy and a new connection is rejected; once one of them has been idle for longer
+// than idleTimeout, it is evicted for a new connection.
 func TestFirstMessages(t *testing.T) {
 	t.Parallel()
 	slow := scriptedserver.Start(t, scriptedserver.Welcome)
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,5 +1,5 @@
-// Package engine runs the event loop of a router. A single goroutine, Engine.Run, passes events to the routing module in
-// order, carries out the actions that it requests, and holds the timers and the requests in flight. Nothing on that
+// Package engine runs the event loop of a router. A single goroutine, Engine.Run, passes events to the routing module
+// in order, carries out the actions that it requests, and holds the timers and the requests in flight. Nothing on that
 // goroutine waits for the network or a disk: sockets, files and dialing belong to other packages, which report back
 // through Engine.Post. Only log lines are written synchronously.
 //
--- a/internal/engine/endpoint_list.go
+++ b/internal/engine/endpoint_list.go
@@ -14,8 +14,8 @@
 	e.propagateEndpoints(now, list)
 }
 
-// propagateEndpoints passes a list to the connections, the routing module and the shared health checks. Endpoints drained
-// by rollouts are passed on as draining.
+// propagateEndpoints passes a list to the connections, the routing module and the shared health checks. Endpoints
+// drained by rollouts are passed on as draining.
 func (e *Engine) propagateEndpoints(now int64, list *discovery.EndpointList) {
 	e.router.BeginEndpointList(now, list.Complete)
 	for _, n := range list.Endpoints {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -26,7 +26,8 @@
 	return func() int64 { return startMicros + time.Since(start).Microseconds() }
 }
 
-// SharedProbes shares health checks with other routers of the cluster. Its methods are called on the engine's goroutine.
+// SharedProbes shares health checks with other routers of the cluster. Its methods are called on the engine's
+// goroutine.
 type SharedProbes interface {
 	// EndpointListed reports one endpoint of a list that the router applies; ListApplied reports the end of the list. A
 	// complete list names all existing endpoints.
@@ -38,8 +39,8 @@
 }
 
 // Engine is the event loop of a router. Create it with New, connect it with Attach, and start it with go Run. Submit,
-// ClientGone, Post, Stop, AbortRequests, Unanswered and AllAnswered may be called from any goroutine; all other methods must
-// be called on the engine's goroutine, that is from a function passed to Post or After, or before Run.
+// ClientGone, Post, Stop, AbortRequests, Unanswered and AllAnswered may be called from any goroutine; all other methods
+// must be called on the engine's goroutine, that is from a function passed to Post or After, or before Run.
 type Engine struct {
 	now          func() int64 // the router's clock, us in Unix time
 	router       *routing.Router
--- a/internal/engine/node_reports.go
+++ b/internal/engine/node_reports.go
@@ -9,8 +9,8 @@
 	"cairntiller/internal/routing"
 )
 
-// Sources of node state: the status sent with a reply, load reports, the outcomes of health checks, and gossip from other
-// routers.
+// Sources of node state: the status sent with a reply, load reports, the outcomes of health checks, and gossip from
+// other routers.
 
 var impossibleReports = metrics.New("load reports impossible")
 
--- a/internal/engine/race_conditions_test.go
+++ b/internal/engine/race_conditions_test.go
@@ -58,8 +58,8 @@
 	c.Close()
 }
 
-// TestCancel checks that a cancel with the right key ends the command in flight at once, at its node too, and leaves the
-// connection open. Any other key, including that of a closed connection, has no effect.
+// TestCancel checks that a cancel with the right key ends the command in flight at once, at its node too, and leaves
+// the connection open. Any other key, including that of a closed connection, has no effect.
 func TestCancel(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "", scriptedserver.Row+scriptedserver.Ready)
 	r := startRouter(t, 9, primary, replica)
@@ -127,8 +127,9 @@
 	}
 }
 
-// TestClientsDisconnectBeforeSend guards against sending commands of disconnected clients to a node. Two hundred clients
-// wait for a node connection that opens late, then disconnect in each of four ways; none of their commands may be sent.
+// TestClientsDisconnectBeforeSend guards against sending commands of disconnected clients to a node. Two hundred
+// clients wait for a node connection that opens late, then disconnect in each of four ways; none of their commands may
+// be sent.
 func TestClientsDisconnectBeforeSend(t *testing.T) {
 	node := scriptedserver.StartHeld(t)
 	r := startRouter(t, 999, &scriptedserver.Node{Addr: node.Addr})
@@ -180,8 +181,8 @@
 	}
 }
 
-// TestCommandWhileDraining checks that while the router drains, commands sent after one in flight are rejected in order,
-// none goes unanswered, and the connection is closed after the last answer.
+// TestCommandWhileDraining checks that while the router drains, commands sent after one in flight are rejected in
+// order, none goes unanswered, and the connection is closed after the last answer.
 func TestCommandWhileDraining(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := startRouter(t, 9, primary, replica)
@@ -211,8 +212,8 @@
 func TestShutdownWithHangingNodes(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome, ""), scriptedserver.Start(t, scriptedserver.Welcome)
 	r := startRouter(t, 9, primary, replica)
-	write, queued := r.dial(t), r.dial(t)
-	sendCommand(write, "1", "put", "60000")
+	writer, queued := r.dial(t), r.dial(t)
+	sendCommand(writer, "1", "put", "60000")
 	<-primary.Queries
 	for i := range 30 { // a limit keeps most of them queued
 		sendCommand(queued, fmt.Sprint("w", i), "put", "60000")
@@ -221,7 +222,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	r.engine.AbortRequests()
-	if got := summary(readUntil(t, write, 'Z')); got != "58000" {
+	if got := summary(readUntil(t, writer, 'Z')); got != "58000" {
 		t.Errorf("write that may have run: %q", got)
 	}
 	for i := range 30 {
@@ -234,8 +235,8 @@
 	}
 }
 
-// TestConnectionWhileDraining checks that a client that connects during a drain and sends its startup and a command in one
-// segment gets the answer before the connection is closed.
+// TestConnectionWhileDraining checks that a client that connects during a drain and sends its startup and a command in
+// one segment gets the answer before the connection is closed.
 func TestConnectionWhileDraining(t *testing.T) {
 	replica := scriptedserver.Start(t, scriptedserver.Welcome, scriptedserver.Row+scriptedserver.Ready)
 	r := startRouter(t, 9, scriptedserver.Start(t, scriptedserver.Welcome), replica)
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -9,8 +9,8 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// TestOneAnswerPerCommand checks that a command gets exactly one answer whatever the nodes do, and that the next command
-// on the connection gets its own.
+// TestOneAnswerPerCommand checks that a command gets exactly one answer whatever the nodes do, and that the next
+// command on the connection gets its own.
 func TestOneAnswerPerCommand(t *testing.T) {
 	bad, good := scriptedserver.Failure("XX000"), scriptedserver.Row+scriptedserver.Ready
 	for name, c := range map[string]struct {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestClientDisconnect checks that a client's disconnect cancels the attempt of its command, which then no longer counts as
-// unanswered.
+// TestClientDisconnect checks that a client's disconnect cancels the attempt of its command, which then no longer
+// counts as unanswered.
 func TestClientDisconnect(t *testing.T) {
 	primary, replica := scriptedserver.Start(t, scriptedserver.Welcome), scriptedserver.Start(t, scriptedserver.Welcome, "")
 	r := startRouter(t, 9, primary, replica)
@@ -93,21 +93,21 @@
 	if got := readUntil(t, busy, 'Z'); string(got) != "end" {
 		t.Errorf("busy connection after its answer: %q", got)
 	}
-	late, err := net.Dial("tcp", r.addr) // the load balancer still sends connections here
+	added, err := net.Dial("tcp", r.addr) // the load balancer still sends connections here
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer late.Close()
-	late.SetDeadline(time.Now().Add(20 * time.Second))
-	late.Write(pgwire.AppendStartup(nil, "portal", "crm"))
-	readUntil(t, late, 'Z')
-	sendCommand(late, "2", "look", "900")
+	defer added.Close()
+	added.SetDeadline(time.Now().Add(20 * time.Second))
+	added.Write(pgwire.AppendStartup(nil, "portal", "crm"))
+	readUntil(t, added, 'Z')
+	sendCommand(added, "2", "look", "900")
 	<-replica.Queries
 	replica.Opened()[0].Write([]byte(scriptedserver.Row + scriptedserver.Ready))
-	if got := summary(readUntil(t, late, 'Z')); got != "row" {
+	if got := summary(readUntil(t, added, 'Z')); got != "row" {
 		t.Errorf("connection opened during the drain: %q", got)
 	}
-	late.Close()
+	added.Close()
 	busy.Close()
 	idle.Close()
 	r.frontend.WaitClosed(5*time.Second, time.Now().Add(5*time.Second))
--- a/internal/engine/router_harness_test.go
+++ b/internal/engine/router_harness_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// readUntil reads messages up to the first one of the given type, or up to the end of the connection, which adds "end". It
-// returns them concatenated.
+// readUntil reads messages up to the first one of the given type, or up to the end of the connection, which adds "end".
+// It returns them concatenated.
 func readUntil(t *testing.T, c net.Conn, last byte) (all []byte) {
 	t.Helper()
 	for {
--- a/internal/frontend/cancel.go
+++ b/internal/frontend/cancel.go
@@ -2,8 +2,8 @@
 
 import "cairntiller/internal/pgwire"
 
-// cancel ends the next command to be answered on the session with the given cancel key. cancelledAt is the time at which
-// the connection of the cancel request was accepted.
+// cancel ends the next command to be answered on the session with the given cancel key. cancelledAt is the time at
+// which the connection of the cancel request was accepted.
 func (s *Server) cancel(number, secret uint32, cancelledAt int64) {
 	s.mu.Lock()
 	c := s.sessions[number]
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -13,12 +13,12 @@
 //	busy -> idle -> busy   the last pending answer is written; the next command is accepted
 //	any -> closing         a fatal error was written, a limit was reached, or the router drains
 //
-// A session whose client has disconnected is removed from the server's list in any phase. Once the router has decided to
-// close a session, no further commands are accepted on it (session.closing), even if answers are still pending.
+// A session whose client has disconnected is removed from the server's list in any phase. Once the router has decided
+// to close a session, no further commands are accepted on it (session.closing), even if answers are still pending.
 //
 // When the limit on sessions is reached, a new connection needs the place of another. Sessions in phaseClosing do not
-// count against the limit; they only hold a descriptor. Of the others one is evicted, in this order: the oldest that has
-// sent no command within 0.1 s; the one idle the longest, if for more than 2 s; the oldest other new one. A session
+// count against the limit; they only hold a descriptor. Of the others one is evicted, in this order: the oldest that
+// has sent no command within 0.1 s; the one idle the longest, if for more than 2 s; the oldest other new one. A session
 // with a command in flight is never evicted. If all sessions have a command in flight or became idle less than 2 s ago,
 // the new connection is rejected. limits.go implements these rules.
 package frontend
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -5,8 +5,8 @@
 // closePollInterval is the interval between checks whether all sessions have ended.
 const closePollInterval = 5 * time.Millisecond
 
-// BeginDrain closes each session as soon as it has no pending answers. From then on, commands that arrive after the first
-// one of their session are rejected.
+// BeginDrain closes each session as soon as it has no pending answers. From then on, commands that arrive after the
+// first one of their session are rejected.
 func (s *Server) BeginDrain() {
 	s.draining.Store(true)
 	for _, c := range s.allSessions() {
@@ -14,8 +14,8 @@
 	}
 }
 
-// WaitClosed returns once clients have closed all connections, at the latest when the grace period after the last written
-// answer has passed, and never after the deadline.
+// WaitClosed returns once clients have closed all connections, at the latest when the grace period after the last
+// written answer has passed, and never after the deadline.
 func (s *Server) WaitClosed(grace time.Duration, deadline time.Time) {
 	graceEnd := time.Now().Add(grace)
 	for {
@@ -33,7 +33,8 @@
 	}
 }
 
-// hasPendingWrites reports whether answers may still have to be written. It is false for a session that has sent no command.
+// hasPendingWrites reports whether answers may still have to be written. It is false for a session that has sent no
+// command.
 func (c *session) hasPendingWrites() bool {
 	return !c.stream.WriteSideClosed() && c.currentPhase() != phaseNew
 }
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestEvictionChoice checks which session is closed for a new connection. Lingering sessions hold descriptors but do not
-// count against the session limit; they are kept for as long as there are descriptors, so that their last answer arrives.
+// TestEvictionChoice checks which session is closed for a new connection. Lingering sessions hold descriptors but do
+// not count against the session limit; they are kept for as long as there are descriptors, so that their last answer
+// arrives.
 func TestEvictionChoice(t *testing.T) {
 	for name, c := range map[string]struct {
 		phases                        []phase // of 32 connections, two of them reserved for lingering sessions; oldest first
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// accept handles a new connection. If the session limit is reached, it evicts another session; if none may be evicted, the
-// new connection is rejected.
+// accept handles a new connection. If the session limit is reached, it evicts another session; if none may be evicted,
+// the new connection is rejected.
 func (s *Server) accept(nc netpoll.Connection) {
 	acceptedConnections.Add()
 	c := newSession(s, nc)
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -43,8 +43,8 @@
 	"E\x00\x00\x009SFATAL\x00VFATAL\x00C08P01\x00Minvalid frontend message type\x00\x00"
 
 // TestWireFormat guards against unintended changes of the bytes on the wire. A client sends one message of each kind: a
-// command that is answered, one that is rejected with a retry time, one that fails, invalid queries, an empty one and an
-// unexpected message. The bytes that it receives must equal the recorded ones.
+// command that is answered, one that is rejected with a retry time, one that fails, invalid queries, an empty one and
+// an unexpected message. The bytes that it receives must equal the recorded ones.
 func TestWireFormat(t *testing.T) {
 	start := time.Now()
 	now := func() int64 { return time.Since(start).Microseconds() + 1 }
@@ -62,7 +62,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	out := pgwire.AppendStartup(nil, pgwire.User, pgwire.Database)
+	messages := pgwire.AppendStartup(nil, pgwire.User, pgwire.Database)
 	for _, statement := range []string{
 		"/* id=answer,c=look,t=acme,d=900,cluster=0 */ SELECT '1'",
 		"/* id=throttle,c=look,t=acme,d=900,cluster=0 */ SELECT '1'",
@@ -73,10 +73,10 @@
 		"SELECT 1",
 		" ; ",
 	} {
-		out = pgwire.AppendQuery(out, statement)
+		messages = pgwire.AppendQuery(messages, statement)
 	}
-	out = append(out, "P\x00\x00\x00\x08\x00\x00\x00\x00S\x00\x00\x00\x04?\x00\x00\x00\x04"...)
-	if _, err := c.Write(out); err != nil {
+	messages = append(messages, "P\x00\x00\x00\x08\x00\x00\x00\x00S\x00\x00\x00\x04?\x00\x00\x00\x04"...)
+	if _, err := c.Write(messages); err != nil {
 		t.Fatal(err)
 	}
 	got, err := io.ReadAll(c)
--- a/internal/inflight/attempt.go
+++ b/internal/inflight/attempt.go
@@ -12,10 +12,10 @@
 	Ended       bool
 }
 
-// MayStart reports whether an attempt that has obtained a connection may still be sent: its latest start has not passed,
-// its request is not concluded, and its client is still connected. All three held when the routing module decided on the
-// attempt, but may have changed while it waited for the connection. Sending it regardless could run a command whose
-// result nobody reads, or repeat one after the window in which repeating it is safe.
+// MayStart reports whether an attempt that has obtained a connection may still be sent: its latest start has not
+// passed, its request is not concluded, and its client is still connected. All three held when the routing module
+// decided on the attempt, but may have changed while it waited for the connection. Sending it regardless could run a
+// command whose result nobody reads, or repeat one after the window in which repeating it is safe.
 func (a *Attempt) MayStart(now int64) bool {
 	return now <= a.LatestStart && !a.Request.concluded && a.Request.client.Connected()
 }
--- a/internal/inflight/doc.go
+++ b/internal/inflight/doc.go
@@ -9,6 +9,7 @@
 //	Fail        the command may have run, and a repeat could do harm; the client only learns that it failed
 //	ClientGone  the client has disconnected or cancelled, and gets no answer
 //
-// An attempt is started and then ends: either with the outcome reported for its node or connection, or because the router
-// abandoned it. Attempts may end after their request is concluded; an answer that arrives then is counted and dropped.
+// An attempt is started and then ends: either with the outcome reported for its node or connection, or because the
+// router abandoned it. Attempts may end after their request is concluded; an answer that arrives then is counted and
+// dropped.
 package inflight
--- a/internal/inflight/interfaces.go
+++ b/internal/inflight/interfaces.go
@@ -14,20 +14,20 @@
 	Reject(request *Request, retryAfter int64)
 	// Fail tells the client that the command failed; it may have run.
 	Fail(request *Request)
-	// Connected reports whether the client is still connected. If it is not, RequestHandler.ClientGone is called for all of its
-	// requests.
+	// Connected reports whether the client is still connected. If it is not, RequestHandler.ClientGone is called for
+	// all of its requests.
 	Connected() bool
 }
 
-// RequestHandler receives requests and cancellations from clients. Its methods may be called from any goroutine; at is the time
-// of the event, us.
+// RequestHandler receives requests and cancellations from clients. Its methods may be called from any goroutine; at is
+// the time of the event, us.
 type RequestHandler interface {
 	Submit(at int64, request *Request)
 	ClientGone(at int64, request *Request)
 }
 
-// NodeConnections sends attempts and health checks to the nodes. Its methods are called on the engine's goroutine and must
-// not block.
+// NodeConnections sends attempts and health checks to the nodes. Its methods are called on the engine's goroutine and
+// must not block.
 type NodeConnections interface {
 	// SetAddress sets the address at which a node listens.
 	SetAddress(node, address string)
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -33,8 +33,8 @@
 // ArrivedAt returns when the request's command arrived, us on the router's clock.
 func (r *Request) ArrivedAt() int64 { return r.Deadline - r.Command.Timeout }
 
-// StartAttempt adds an attempt at a node. timeout is how long the router waits for the outcome, and startWithin how long
-// the attempt may wait before it is sent, both in us; if one is 0, only the request's deadline applies.
+// StartAttempt adds an attempt at a node. timeout is how long the router waits for the outcome, and startWithin how
+// long the attempt may wait before it is sent, both in us; if one is 0, only the request's deadline applies.
 func (r *Request) StartAttempt(node string, now, timeout, startWithin int64) *Attempt {
 	deadline := r.Deadline
 	if timeout > 0 {
@@ -101,8 +101,8 @@
 	}
 }
 
-// ClientGone records that the client has disconnected or cancelled. It returns whether the client was still waiting for an
-// answer.
+// ClientGone records that the client has disconnected or cancelled. It returns whether the client was still waiting for
+// an answer.
 func (r *Request) ClientGone() (waited bool) {
 	if r.concluded {
 		return false
--- a/internal/inflight/request_test.go
+++ b/internal/inflight/request_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestMayStart checks that an attempt may be sent only until its latest start, which is before its own deadline and that of
-// its request, and only while the request is open and the client connected.
+// TestMayStart checks that an attempt may be sent only until its latest start, which is before its own deadline and
+// that of its request, and only while the request is open and the client connected.
 func TestMayStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		timeout, startWithin, deadline, latestStart int64
