--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -1,29 +1,32 @@
 package routing
 
-// Actions is how the Router acts. Every call takes effect at the time of the event being handled, and none calls back
-// into the Router. Each protocol implements it; the Router knows no other way out.
+// Actions carries out the Router's decisions. Every call takes effect at the time of the event being handled, and no
+// implementation may call back into the Router. Each protocol has its own implementation; the Router has no other
+// outputs.
 type Actions interface {
-	// StartAttempt sends a request to a node. A request's attempts are numbered from 0 in the order of these calls. A
-	// timeout of 0 means until the client's deadline. The attempt must begin within startWithin, where that isn't 0;
-	// one that does not begin ends as NotSent.
+	// StartAttempt sends a request to a node. The attempts of a request are numbered from 0 in the order of these
+	// calls. A timeout of 0 means the client's deadline. If startWithin isn't 0, the attempt must start within that
+	// many microseconds; otherwise it ends as NotSent.
 	StartAttempt(requestID, node string, timeout, startWithin int64)
-	// RejectWithRetry is a final answer: the client may send the request again after retryAfter, because no attempt can have
-	// executed it, or because a repeat has no further effect.
+	// RejectWithRetry is a final answer that lets the client send the request again after retryAfter: either no attempt
+	// can have executed it, or a repeat has no further effect.
 	RejectWithRetry(requestID string, retryAfter int64)
-	// Fail is a final answer that promises nothing: the request may have been executed, and a repeat could do harm.
+	// Fail is a final answer without a retry hint: the request may have been executed, and repeating it could be
+	// harmful.
 	Fail(requestID string)
-	// CancelAttempt stops waiting for one attempt of a request, which ends as Canceled unless it ends otherwise first.
+	// CancelAttempt stops waiting for an attempt. The attempt ends as Canceled unless it ends in another way first.
 	CancelAttempt(requestID string, attempt int)
-	// SetTimer asks for one call of Router.TimerFired after a delay.
+	// SetTimer schedules one call of Router.TimerFired after a delay.
 	SetTimer(delay int64)
-	// CheckHealth asks a node for its load report; Router.HealthChecked gets its end.
+	// CheckHealth requests a load report from a node; Router.HealthChecked receives the result.
 	CheckHealth(node string)
 	// CloseIdleConnections closes the connections to a node that no attempt uses.
 	CloseIdleConnections(node string)
-	// StopNewAttempts keeps attempts that have not begun at a node from beginning there; they end as NotSent.
+	// StopNewAttempts prevents attempts that have not yet started at a node from starting; they end as NotSent.
 	StopNewAttempts(node string)
-	// ForgetNode releases what is kept of a node. It is not named again, unless the endpoint list names it anew.
+	// ForgetNode releases the resources kept for a node. The node isn't used again unless the endpoint list adds it
+	// again.
 	ForgetNode(node string)
-	// WatchEndpoints asks for the endpoint list, and for its changes from now on.
+	// WatchEndpoints requests the endpoint list and its subsequent changes.
 	WatchEndpoints()
 }
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -1,33 +1,33 @@
 package routing
 
-// What is admitted: tenants' quotas, and load shedding of reads.
+// Admission control: tenant quotas and load shedding of reads.
 
 const (
-	// quotaBurst is how many requests a tenant may save up at least: where routers are many, its part of the quota at one
-	// of them may be a fraction of a request a second.
+	// quotaBurst is the minimum burst size of a tenant, in requests. With many routers, a router's share of the quota
+	// may be a fraction of a request per second.
 	quotaBurst = 3.0
-	// ownShardGain is what an answer in time adds to its shard's admission probability: after an overload clients get all
-	// their reads through again within seconds.
+	// ownShardGain is added to the admission probability of its shard by an answer in time, so that all reads are
+	// admitted again within seconds of an overload.
 	ownShardGain = 0.06
-	// otherShardGain is what it adds to the other shards'. An overload mostly hits the whole fleet, and one shard alone
-	// gives a router among hundreds too few answers to go by.
+	// otherShardGain is added to the other shards' admission probabilities by an answer in time. An overload usually
+	// affects the whole fleet, and with hundreds of routers a single shard gives each router too few answers to act on.
 	otherShardGain = 0.02
-	// lateAnswerWeight is how many times the gain a late answer takes off, times the present probability: about one answer
-	// in five may be late before reads are shed.
+	// lateAnswerWeight multiplies the gain, and the current probability, when a late answer lowers the probability:
+	// about one answer in five may be late before reads are shed.
 	lateAnswerWeight = 4.0
-	// leastAdmitProbability is the share of reads that is always admitted: only their answers show that the overload is
-	// over.
-	leastAdmitProbability = 0.05
+	// minAdmitProbability is the share of reads that is always admitted, because only their answers show that the
+	// overload is over.
+	minAdmitProbability = 0.05
 )
 
-// tenant is one tenant's quota at this router: a token bucket.
+// tenant holds a tenant's quota at this router as a token bucket.
 type tenant struct {
-	quota    float64 // requests a second over all routers, 0 for no quota
-	tokens   float64 // requests that it may still send
-	tokensAt int64   // when that was last brought up to date
+	quota    float64 // requests per second over all routers, 0 for no quota
+	tokens   float64 // requests that may still be sent
+	tokensAt int64   // when tokens was last updated
 }
 
-// tenantAt is the tenant with a number, nil where there is none.
+// tenantAt returns the tenant with the given index, or nil if there is none.
 func (r *Router) tenantAt(number int) *tenant {
 	if number < 0 || number >= len(r.tenants) {
 		return nil
@@ -35,13 +35,14 @@
 	return r.tenants[number]
 }
 
-// admit is the stage that a request passes once.
+// admit is the admission stage; each request passes it once.
 //
-// A request over its tenant's quota loses weight. This guards against a tenant whose flood makes all others wait: the
-// request then stands behind theirs in the queue, and, as a read, may use only lowWeightShare of a replica's limit. Each router holds
-// an equal part of the quota, so a tenant whose requests reach the routers unevenly can meet it early at one of them.
+// A request that exceeds its tenant's quota gets a lower weight, so that one tenant's burst can't delay all the others:
+// the request queues behind theirs and, if it is a read, may use only lowWeightShare of a replica's limit. Each router
+// holds an equal share of the quota, so a tenant whose requests are spread unevenly over the routers can exceed its
+// share at one of them early.
 //
-// A read is then admitted with its shard's admission probability, or rejected at once (adjustAdmission).
+// A read is then admitted with its shard's admission probability, or rejected immediately (see adjustAdmission).
 func (r *Router) admit(req *request, now int64) decision {
 	if req.admitted {
 		return proceed
@@ -49,14 +50,14 @@
 	req.admitted = true
 	req.weight = req.group.Weight
 	r.chargeQuota(req, now)
-	if !req.group.needsPrimary() && !req.shard.takeAdmission() {
+	if !req.group.needsPrimary() && !req.shard.takeAdmissionCredit() {
 		r.giveUp(req)
 		return stop
 	}
 	return proceed
 }
 
-// chargeQuota takes a request out of its tenant's quota, or cuts its weight where nothing is left.
+// chargeQuota charges a request to its tenant's quota, or lowers its weight if the quota is used up.
 func (r *Router) chargeQuota(req *request, now int64) {
 	t := req.tenant
 	if t == nil || t.quota <= 0 {
@@ -70,18 +71,19 @@
 		return
 	}
 	t.tokens--
-	req.tookQuota = true
+	req.quotaCharged = true
 }
 
-// refundQuota gives an unsent request's part back, for the client's next attempt.
+// refundQuota returns the quota of a request that was never sent, for the client's next attempt.
 func (req *request) refundQuota() {
-	if len(req.attempts) == 0 && req.tookQuota {
+	if len(req.attempts) == 0 && req.quotaCharged {
 		req.tenant.tokens++
 	}
 }
 
-// takeAdmission admits reads evenly, as many as the shard's probability says.
-func (s *shard) takeAdmission() bool {
+// takeAdmissionCredit reports whether the next read is admitted. It spaces admitted reads evenly at the shard's
+// admission probability.
+func (s *shard) takeAdmissionCredit() bool {
 	s.admitCredit += s.admitProbability
 	if s.admitCredit < 1 {
 		return false
@@ -90,12 +92,13 @@
 	return true
 }
 
-// adjustAdmission is the stage that moves the shards' admission probabilities by the outcome of a read: up by an answer
-// in time, down by one past its latency objective, or by a client that left while it waited.
+// adjustAdmission is the outcome function of the admission stage. It adjusts the shards' admission probabilities by the
+// outcome of a read: up for an answer in time, down for one past its latency objective or when the client disconnected
+// while waiting.
 //
-// It guards against an overload by hundreds of routers, each of which sends a node too little for a concurrency limit to
-// tell on it: answers come late although hardly anything of this router's is in flight. So it counts only answers of
-// nodes that this router seldom uses; elsewhere the concurrency limit holds the load down, and node by node.
+// It handles overload caused by hundreds of routers, each of which sends a node too little for a concurrency limit to
+// take effect: answers are late although this router has hardly anything in flight. It therefore counts only answers of
+// nodes that this router seldom uses; for the others the concurrency limit bounds the load per node.
 func (r *Router) adjustAdmission(a *attempt, outcome Outcome, took, now int64) {
 	group := a.request.group
 	_, seldomUsed := r.limitInUse(a.node, group, now)
@@ -117,6 +120,6 @@
 		if late {
 			gain *= -lateAnswerWeight * s.admitProbability
 		}
-		s.admitProbability = min(1, max(leastAdmitProbability, s.admitProbability+gain))
+		s.admitProbability = min(1, max(minAdmitProbability, s.admitProbability+gain))
 	}
 }
--- a/internal/routing/command_group.go
+++ b/internal/routing/command_group.go
@@ -1,78 +1,82 @@
 package routing
 
-// What a command group's requests usually take, and whether a client's attempt is its first.
+// Statistics of a command group: its average response time, and the time left that distinguishes a client's first
+// attempt from later ones.
 
 const (
-	// initialUsualResponse is the share of the latency objective supposed as a response time before any answer was seen.
-	initialUsualResponse = 0.25
-	// initialUsualSamples is the weight of that initial value, in answers.
-	initialUsualSamples = 4.0
-	// usualResponseGain is the least weight of one more answer in the usual response time: an average over about 50.
-	usualResponseGain = 0.02
-	// usualResponseClip is how many times the usual response one answer counts at most: a few huge requests must not
-	// hide how long most take.
-	usualResponseClip = 10.0
-	// longRunningFactor is how many times the shortest usual response of any group makes a group long-running: such a
-	// read can keep a replica from applying its log for as long.
+	// initialResponseTimeShare is the share of the latency objective that is assumed as the average response time
+	// before the first answer.
+	initialResponseTimeShare = 0.25
+	// initialResponseTimeWeight is the weight of that initial value, in answers.
+	initialResponseTimeWeight = 4.0
+	// minResponseTimeGain is the minimum weight of an answer in the average response time: a moving average over about
+	// 50 answers.
+	minResponseTimeGain = 0.02
+	// responseTimeClip caps a single answer at this multiple of the average response time, so that a few very large
+	// requests don't distort the average.
+	responseTimeClip = 10.0
+	// longRunningFactor is the multiple of the shortest average response time of any group above which a group counts
+	// as long-running: one of its reads can keep a replica from applying its log for that long.
 	longRunningFactor = 5.0
-	// maxUsualTimeLeftVotes caps the votes for the usual time left, so that a changed client timeout is recognised after as
+	// maxTimeLeftVotes caps the votes for majorityTimeLeft, so that a changed client timeout is recognized after that
 	// many requests.
-	maxUsualTimeLeftVotes = 50
+	maxTimeLeftVotes = 50
 )
 
-// commandGroup is one kind of request: its settings and what was learnt of it.
+// commandGroup holds the settings and statistics of a command group.
 type commandGroup struct {
 	CommandGroupConfig
-	usualResponse float64 // us, averaged
-	answers       float64 // how many of them were seen
+	avgResponseTime float64 // moving average, in microseconds
+	answers         float64 // number of answers in the average
 
-	usualTimeLeft      int64 // the time left, us, that most requests arrive with, as clients' first attempts do
-	usualTimeLeftVotes int   // how many more had it than had not
+	majorityTimeLeft      int64 // time left, in microseconds, with which most requests arrive: that of clients' first attempts
+	majorityTimeLeftVotes int   // votes for it minus votes against it
 }
 
-// needsPrimary reports whether requests of the group go to the primary alone.
+// needsPrimary reports whether requests of the group go only to the primary.
 func (g *commandGroup) needsPrimary() bool {
 	return g.Consistency == Write || g.Consistency == Latest
 }
 
-// recordResponse moves the usual response time by one answer.
+// recordResponse updates the average response time with one answer.
 func (g *commandGroup) recordResponse(took int64) {
 	g.answers++
-	counted := min(float64(took), usualResponseClip*g.usualResponse)
-	g.usualResponse += max(usualResponseGain, 1/(g.answers+initialUsualSamples)) * (counted - g.usualResponse)
+	clipped := min(float64(took), responseTimeClip*g.avgResponseTime)
+	g.avgResponseTime += max(minResponseTimeGain, 1/(g.answers+initialResponseTimeWeight)) * (clipped - g.avgResponseTime)
 }
 
-// noteTimeLeft counts the time that a request leaves, and returns whether the request is its client's first attempt: a later
-// one leaves another time than most do. The time that most leave is kept by the majority vote of Boyer and Moore, since
-// first attempts may leave less than the whole timeout, and last ones whatever is left of it.
-func (r *Router) noteTimeLeft(g *commandGroup, timeLeft int64) bool {
-	difference := max(timeLeft-g.usualTimeLeft, g.usualTimeLeft-timeLeft)
+// recordTimeLeft records the time left of a new request and reports whether the request is its client's first attempt;
+// later attempts arrive with a different time left than most requests. The most frequent value is tracked with the
+// Boyer-Moore majority vote, because first attempts may arrive with less than the whole timeout, and last attempts with
+// whatever remains of it.
+func (r *Router) recordTimeLeft(g *commandGroup, timeLeft int64) bool {
+	difference := max(timeLeft-g.majorityTimeLeft, g.majorityTimeLeft-timeLeft)
 	if difference <= 2*r.config.TimeResolution {
-		g.usualTimeLeftVotes = min(g.usualTimeLeftVotes+1, maxUsualTimeLeftVotes)
+		g.majorityTimeLeftVotes = min(g.majorityTimeLeftVotes+1, maxTimeLeftVotes)
 		return true
 	}
-	if g.usualTimeLeftVotes > 0 {
-		g.usualTimeLeftVotes--
+	if g.majorityTimeLeftVotes > 0 {
+		g.majorityTimeLeftVotes--
 		return false
 	}
-	g.usualTimeLeft = timeLeft
-	g.usualTimeLeftVotes = 1
+	g.majorityTimeLeft = timeLeft
+	g.majorityTimeLeftVotes = 1
 	return true
 }
 
-// shortestUsualResponse is that of the group that is answered soonest; 0 without groups.
-func (r *Router) shortestUsualResponse() float64 {
+// shortestAvgResponseTime returns the lowest average response time of any group; 0 without groups.
+func (r *Router) shortestAvgResponseTime() float64 {
 	if len(r.groups) == 0 {
 		return 0
 	}
-	shortest := r.groups[0].usualResponse
+	shortest := r.groups[0].avgResponseTime
 	for _, g := range r.groups {
-		shortest = min(shortest, g.usualResponse)
+		shortest = min(shortest, g.avgResponseTime)
 	}
 	return shortest
 }
 
-// tightestObjective is the least latency objective of any group.
+// tightestObjective returns the lowest latency objective of any group.
 func (r *Router) tightestObjective() int64 {
 	tightest := r.groups[0].LatencyObjective
 	for _, g := range r.groups {
@@ -81,7 +85,7 @@
 	return tightest
 }
 
-// longRunning reports whether the group's requests take many times longer than the shortest.
+// longRunning reports whether the group's average response time is more than longRunningFactor times the shortest one.
 func (r *Router) longRunning(g *commandGroup) bool {
-	return g.usualResponse > longRunningFactor*r.shortestUsualResponse()
+	return g.avgResponseTime > longRunningFactor*r.shortestAvgResponseTime()
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -2,125 +2,132 @@
 
 import "strconv"
 
-// Config is what a Router decides by; it doesn't change after Configure.
+// Config is the configuration of a Router; it doesn't change after Configure.
 type Config struct {
-	// Zone is the zone the router runs in; reads prefer nodes of it. Empty for none.
+	// Zone is the zone the router runs in; reads prefer nodes of the same zone. Empty if there is none.
 	Zone string
-	// Routers is how many routers, this one included, share the nodes; below 1 counts as 1.
+	// Routers is the number of routers, including this one, that share the nodes; values below 1 count as 1.
 	Routers int
-	// TimeResolution is the step, us, to which the times in events may be rounded; 0 for exact ones.
+	// TimeResolution is the step, in microseconds, to which event times may be rounded; 0 if they are exact.
 	TimeResolution int64
-	// CommandGroups are the kinds of request; requests name them by index.
+	// CommandGroups are the command groups; requests refer to them by index.
 	CommandGroups []CommandGroupConfig
-	// Tenants are those with a quota; requests name them by index.
+	// Tenants are the tenants with a quota; requests refer to them by index.
 	Tenants []TenantConfig
-	// OverQuotaWeight multiplies the priority weight of a request over its tenant's quota; 0 to 1.
+	// OverQuotaWeight, from 0 to 1, is multiplied into the priority weight of a request that exceeds its tenant's
+	// quota.
 	OverQuotaWeight float64
 	Attempts        AttemptConfig
 	HealthChecks    HealthCheckConfig
 	SlowStart       SlowStartConfig
-	// ClientsCarryTokens tells that requests bring the age of their session's last write; else the router remembers it.
+	// ClientsCarryTokens reports whether requests carry the age of their session's last write. Otherwise the router
+	// keeps session tokens itself.
 	ClientsCarryTokens bool
-	// UseVanishedNodes lets a node that left the endpoint list without draining be used further.
+	// UseVanishedNodes keeps a node in use that left the endpoint list without draining.
 	UseVanishedNodes bool
-	// PollEndpoints tells that the endpoint list comes only when asked for, by Actions.WatchEndpoints.
+	// PollEndpoints reports whether the endpoint list must be requested through Actions.WatchEndpoints.
 	PollEndpoints bool
 }
 
-// CommandGroupConfig describes one kind of request.
+// CommandGroupConfig describes one command group.
 type CommandGroupConfig struct {
 	Idempotency Idempotency
-	// DeduplicatedEverywhere tells that any node drops repeats by their key, not only those of the same shard.
+	// DeduplicatedEverywhere reports whether every node deduplicates requests by their key, not only the nodes of the
+	// same shard.
 	DeduplicatedEverywhere bool
 	Consistency            Consistency
-	// MaxStaleness is how old, us, the data of a BoundedStaleness read may be when it is sent.
+	// MaxStaleness is the maximum age, in microseconds, of the data that a BoundedStaleness read may see, relative to
+	// the time it is sent.
 	MaxStaleness int64
-	// IdempotencyWindow is how long, us, a node remembers the key of an IdempotentWithKey request. It bounds hedging of
-	// Idempotent requests too: 0 means none.
+	// IdempotencyWindow is how long, in microseconds, a node remembers the key of an IdempotentWithKey request. It also
+	// limits hedging of Idempotent requests: with 0 they are never hedged.
 	IdempotencyWindow int64
-	// LatencyObjective is the time, us, within which an answer has its full weight.
+	// LatencyObjective is the response time, in microseconds, up to which an answer has its full weight.
 	LatencyObjective int64
-	// Timeout is how long, us, a client waits in all, over its own attempts.
+	// Timeout is the total time, in microseconds, that a client waits, over all of its own attempts.
 	Timeout int64
-	// Weight is the priority weight of a request that is answered in time; queues serve the greatest first.
+	// Weight is the priority weight of a request answered in time; queues are ordered by descending weight.
 	Weight float64
-	// LateWeight multiplies Weight where the answer comes after the latency objective; 0 to 1, 0 where it is worth nothing.
+	// LateWeight, from 0 to 1, is multiplied into Weight once the latency objective is missed; 0 if a late answer is
+	// worthless.
 	LateWeight float64
 }
 
 // TenantConfig describes one tenant.
 type TenantConfig struct {
-	// Quota is how many requests a second the tenant may send over all routers; 0 for no quota.
+	// Quota is the number of requests per second that the tenant may send through all routers; 0 for no quota.
 	Quota float64
 }
 
-// AttemptConfig tells what a request's attempts may do.
+// AttemptConfig limits the attempts of a request.
 type AttemptConfig struct {
-	// Max is how many attempts a request may have; at least 1, for with 0 every request is given up on arrival.
+	// Max is the maximum number of attempts per request. It must be at least 1; with 0 every request is given up on
+	// arrival.
 	Max int
-	// Cancelable reports whether the router can stop waiting for an attempt.
+	// Cancelable reports whether the router can cancel an attempt.
 	Cancelable bool
 	// Hedging reports whether two attempts of one request may be in flight at once.
 	Hedging bool
 }
 
-// HealthCheckConfig reports whether nodes may be checked and what their load reports hold.
+// HealthCheckConfig reports whether nodes may be health-checked and what their load reports contain.
 type HealthCheckConfig struct {
 	Enabled bool
-	// ReportsPosition and ReportsRole tell that a load report holds the node's position, and its role.
+	// ReportsPosition and ReportsRole report whether a load report contains the node's position and its role.
 	ReportsPosition, ReportsRole bool
 }
 
-// SlowStartConfig describes how nodes warm up after a start. The zero value means that they start warm.
+// SlowStartConfig describes how nodes warm up after a start. With the zero value nodes have full capacity immediately.
 type SlowStartConfig struct {
-	// Duration is how long, us, warming up takes.
+	// Duration is the warm-up time in microseconds.
 	Duration int64
-	// InitialCapacity is the share of its full capacity that a node has as it starts; 0 to 1.
+	// InitialCapacity is the share of its full capacity, from 0 to 1, that a node has when it starts.
 	InitialCapacity float64
-	// OverloadMultiple is the multiple of its present capacity that breaks a node when it is sent within OverloadWindow.
+	// OverloadMultiple is the multiple of a node's current capacity that makes it fail when sent within OverloadWindow.
 	OverloadMultiple float64
-	OverloadWindow   int64 // us
+	OverloadWindow   int64 // in microseconds
 }
 
-// Idempotency tells how far a request may be executed more than once.
+// Idempotency describes whether a request may be executed more than once.
 type Idempotency uint8
 
 const (
-	// Idempotent requests may be repeated at will.
+	// Idempotent requests may be repeated any number of times.
 	Idempotent Idempotency = iota
-	// IdempotentWithKey requests carry a key by which their shard recognises a repeat, for the idempotency window.
+	// IdempotentWithKey requests carry a key by which their shard detects duplicates during the idempotency window.
 	IdempotentWithKey
 	// NotIdempotent requests must not be sent again once they may have been executed.
 	NotIdempotent
 )
 
-// String names the level for logs and tests.
+// String returns the name of the idempotency level, for logs and tests.
 func (i Idempotency) String() string {
 	return enumName([]string{"idempotent", "idempotent with key", "not idempotent"}, int(i))
 }
 
-// Consistency is how new the data must be that a read sees; writes are a level of their own.
+// Consistency is the freshness that a read requires of its data; writes are a level of their own.
 type Consistency uint8
 
 const (
-	// Eventual reads take any data.
+	// Eventual reads accept data of any age.
 	Eventual Consistency = iota
-	// BoundedStaleness reads take data up to the command group's MaxStaleness old.
+	// BoundedStaleness reads accept data up to the command group's MaxStaleness old.
 	BoundedStaleness
-	// ReadYourWrites reads take data that holds the last write of their session.
+	// ReadYourWrites reads require data that includes the last write of their session.
 	ReadYourWrites
-	// Latest reads go to a node that answered as the primary, or reported to be it while no answer has shown its role.
+	// Latest reads go to a node that answered as the primary, or that reported to be the primary while no answer has
+	// shown its role.
 	Latest
-	// Write is no read: it goes to the primary alone.
+	// Write marks a command group of writes, which go only to the primary.
 	Write
 )
 
-// String names the level for logs and tests.
+// String returns the name of the consistency level, for logs and tests.
 func (c Consistency) String() string {
 	return enumName([]string{"eventual", "bounded staleness", "read your writes", "latest", "write"}, int(c))
 }
 
-// enumName is the name at an index, or the number itself where there is none.
+// enumName returns the name at index i, or the decimal index if it has no name.
 func enumName(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
--- a/internal/routing/consistency.go
+++ b/internal/routing/consistency.go
@@ -1,30 +1,32 @@
 package routing
 
-// Which data a read must see, and which node is known to hold it.
+// Read consistency: which data a read must see, and which nodes are known to hold it.
 //
-// A node's position is the time, us of Unix time, up to which it holds all commits. Only positions that nodes reported
-// count. The position of a session's last write is its token; a read of the session must go where that was reached.
+// A node's position is the Unix time, in microseconds, up to which it holds all commits. Only positions reported by
+// nodes count. The position of a session's last write is the session's token; reads of the session must go to a node
+// that has reached it.
 
 const (
-	// maxSessionTokens is how many sessions are remembered in each of two generations: some MiB at the most.
+	// maxSessionTokens is the number of sessions remembered in each of two generations, which takes a few MiB at most.
 	maxSessionTokens = 50_000
-	// answerTransit is the longest time, us, that an answer is on its way. A write in flight for longer may have been
-	// answered, and its client told by other means, though the network lost the answer on its way here.
-	answerTransit = 100_000
-	// primarySilence is the time, us, without an answer of a primary from which positions are taken to stand still: shorter
-	// ones are pauses of the primary, or of the traffic.
-	primarySilence = 250_000
+	// maxReplyTransit is the maximum time, in microseconds, that an answer takes from a node to the client. A write in
+	// flight for longer may have been answered, and its client may know the result from another source, although the
+	// answer was lost on its way to this router.
+	maxReplyTransit = 100_000
+	// primarySilenceThreshold is the time without an answer of a primary, in microseconds, after which positions are
+	// assumed to stand still. Shorter gaps are pauses of the primary or of the traffic.
+	primarySilenceThreshold = 250_000
 )
 
-// ReportedPosition takes a node's position from its load report.
+// ReportedPosition processes the position in a node's load report.
 func (r *Router) ReportedPosition(now int64, name string, position int64) {
 	if n := r.nodeByName[name]; n != nil {
 		r.observePosition(n, position, now)
 	}
 }
 
-// observePosition raises a node's position, and measures its lag behind the primary. While no primary is heard of, all
-// positions stand still, and lag is measured against the moment in which the primary last answered.
+// observePosition raises a node's position and computes its lag behind the primary. While no primary answers, no
+// position advances, so lag is measured against the time of the primary's last answer.
 func (r *Router) observePosition(n *node, position, now int64) {
 	if position <= 0 {
 		return
@@ -32,13 +34,13 @@
 	n.position = max(n.position, position)
 	n.positionAt = now
 	newest := now
-	if now-n.shard.primarySeenAt > primarySilence {
+	if now-n.shard.primarySeenAt > primarySilenceThreshold {
 		newest = max(n.shard.primarySeenAt, n.position)
 	}
 	n.lag = max(0, newest-n.position)
 }
 
-// freshEnough reports whether a node is known to hold what a request must see.
+// freshEnough reports whether a node is known to hold the data that a request must see.
 func (r *Router) freshEnough(n *node, req *request, now int64) bool {
 	if n.role == Primary && req.shard.primary == n {
 		return true
@@ -46,33 +48,35 @@
 	return req.group.Consistency != Latest && n.position >= r.requiredPosition(req, now)
 }
 
-// requiredPosition is the position that a read sent at a time must find; 0 where any will do.
+// requiredPosition returns the minimum position that a read sent at sentAt requires; 0 if any position suffices.
 func (r *Router) requiredPosition(req *request, sentAt int64) int64 {
 	if req.group.Consistency == BoundedStaleness {
 		return sentAt - req.group.MaxStaleness
 	}
-	if req.unsureWrite {
-		return max(req.sessionPosition, sentAt-answerTransit)
+	if req.possiblyAnsweredWrite {
+		return max(req.sessionPosition, sentAt-maxReplyTransit)
 	}
 	return req.sessionPosition
 }
 
-// recallSession finds the position that a ReadYourWrites read needs now, where the router remembers tokens. While a
-// write of its session has been in flight for longer than an answer travels, that write may have been answered, so the
-// read needs what is as new as such an answer: a replica heard of just now, or the primary.
-func (r *Router) recallSession(req *request, now int64) {
-	firstStarted := r.sessions.writing[req.session].firstStartedAt
+// lookUpSessionPosition sets the position that a ReadYourWrites read requires now, when the router keeps the session
+// tokens. A write of the session that has been in flight for longer than maxReplyTransit may already have been
+// answered, so the read then requires data as new as such an answer: a replica that reported its position just now, or
+// the primary.
+func (r *Router) lookUpSessionPosition(req *request, now int64) {
+	firstStarted := r.sessions.writesInFlight[req.session].firstStartedAt
 	req.sessionPosition = r.sessions.position(req.session)
-	req.unsureWrite = firstStarted > 0 && now-firstStarted > answerTransit
+	req.possiblyAnsweredWrite = firstStarted > 0 && now-firstStarted > maxReplyTransit
 }
 
-// setsToken reports whether a request is a write whose position this router remembers for its session.
+// setsToken reports whether a request is a write whose position this router keeps as its session's token.
 func (r *Router) setsToken(req *request) bool {
 	return req.group.Consistency == Write && !r.config.ClientsCarryTokens && req.session != ""
 }
 
-// recordWritePosition is the stage that keeps a write's position as its session's token. Where the node reported none,
-// because the answer was cut off before it or never came, the present stands for it: no commit that was answered is later.
+// recordWritePosition is the outcome function that stores a write's position as its session's token. If the node
+// reported no position, because the answer was cut off or never came, the current time is used: no commit that was
+// answered is later.
 func (r *Router) recordWritePosition(a *attempt, outcome Outcome, _, now int64) {
 	req := a.request
 	if !r.setsToken(req) {
@@ -89,46 +93,46 @@
 	r.sessions.raise(req.session, position)
 }
 
-// sessionTokens remembers the position of each session's last write, in two generations. The highest position that fell
-// out of the older one stands for all sessions that aren't found: their reads may need more than they must, never less. A
-// restart loses all of it; a session's reads need see only writes that were answered since the router started.
+// sessionTokens stores the position of each session's last write in two generations. Sessions that aren't found get the
+// highest position dropped from the older generation, so their reads may require more than necessary but never less. A
+// restart loses all tokens: reads are then guaranteed to see only the session's writes answered since the restart.
 type sessionTokens struct {
-	recent, older map[string]int64
-	floor         int64
-	writing       map[string]openWrites // sessions with writes in flight
+	recent, older  map[string]int64
+	floor          int64
+	writesInFlight map[string]pendingWrites // by session
 }
 
-// openWrites are a session's writes in flight.
-type openWrites struct {
+// pendingWrites counts a session's writes in flight.
+type pendingWrites struct {
 	attempts       int
-	firstStartedAt int64 // start of the first since none was in flight
+	firstStartedAt int64 // start of the first one since none was in flight
 }
 
-// writeStarted notes that an attempt of a session's write is in flight.
+// writeStarted records that an attempt of a session's write is in flight.
 func (t *sessionTokens) writeStarted(session string, now int64) {
-	if t.writing == nil {
-		t.writing = make(map[string]openWrites)
+	if t.writesInFlight == nil {
+		t.writesInFlight = make(map[string]pendingWrites)
 	}
-	open := t.writing[session]
+	open := t.writesInFlight[session]
 	open.attempts++
 	if open.firstStartedAt == 0 {
 		open.firstStartedAt = now
 	}
-	t.writing[session] = open
+	t.writesInFlight[session] = open
 }
 
-// writeEnded notes that one is in flight no longer.
+// writeEnded records that an attempt of a session's write has ended.
 func (t *sessionTokens) writeEnded(session string) {
-	open := t.writing[session]
+	open := t.writesInFlight[session]
 	if open.attempts <= 1 {
-		delete(t.writing, session)
+		delete(t.writesInFlight, session)
 		return
 	}
 	open.attempts--
-	t.writing[session] = open
+	t.writesInFlight[session] = open
 }
 
-// raise sets a session's position, where it isn't higher already.
+// raise sets a session's position unless it is already higher.
 func (t *sessionTokens) raise(session string, position int64) {
 	if t.recent == nil || len(t.recent) >= maxSessionTokens {
 		for _, p := range t.older {
@@ -140,7 +144,7 @@
 	t.recent[session] = max(position, t.recent[session])
 }
 
-// position is the position that a session's reads must see; 0 for any.
+// position returns the position that a session's reads must see; 0 if any.
 func (t *sessionTokens) position(session string) int64 {
 	return max(t.floor, t.recent[session], t.older[session])
 }
--- a/internal/routing/consistency_test.go
+++ b/internal/routing/consistency_test.go
@@ -2,97 +2,99 @@
 
 import "testing"
 
-// A session reads what it has just written, and the replica was last heard of before the write. The read waits until the
-// replica has told a position behind it.
-func TestSessionReadWaitsForProof(t *testing.T) {
-	w := newShard(t, 1, 2)
-	w.seen("g0n1", Replica, w.now-300_000)
-	w.seen("g0n0", Primary, 0)
-	w.arrive("c", sessionRead, 0, 1e6, 250_000)
-	if len(w.inFlight) != 0 {
-		t.Fatal("sent unproven")
+// Guards against a session missing its own write: the replica last reported its position before the write, so the
+// session's read must wait until the replica reports a position that includes the write.
+func TestSessionReadWaitsForReplicaPosition(t *testing.T) {
+	h := newShardHarness(t, 1, 2)
+	h.observeReply("g0n1", Replica, h.now-300_000)
+	h.observeReply("g0n0", Primary, 0)
+	h.sendRequest("c", sessionRead, 0, 1e6, 250_000)
+	if len(h.inFlight) != 0 {
+		t.Fatal("read sent to a replica before it reported the required position")
 	}
-	required := w.requests["c"].required
-	w.step(1_000)
-	w.tell("g0n1", Replica, required)
-	w.r.ReportedPosition(w.now, "g0n1", required)
-	w.r.HealthChecked(w.now, "g0n1", Answered)
-	if w.sentTo() != "g0n1" {
-		t.Fatal("not sent to the proven replica but", w.sentTo())
+	required := h.requests["c"].required
+	h.advance(1_000)
+	h.recordReply("g0n1", Replica, required)
+	h.r.ReportedPosition(h.now, "g0n1", required)
+	h.r.HealthChecked(h.now, "g0n1", Answered)
+	if h.soleTarget() != "g0n1" {
+		t.Fatal("read not sent to the replica with the required position, but to:", h.soleTarget())
 	}
 }
 
-// A primary hangs, is replaced, goes on, and answers what it held as a primary. Its data has stood still as well, so a
-// bounded read may go there only for a position that it told.
-func TestHungPrimaryProvesNothing(t *testing.T) {
-	w := newShard(t, 1, 1)
-	w.seen("g0n0", Primary, w.now)
-	w.arrive("w", plainWrite, 0, 4e6, 0)
-	w.sweeps(150)                                  // it hangs for three seconds
-	w.answer(0, Errored, Primary, w.now-3_000_000) // and then answers
-	w.seen("g0n0", Replica, 0)                     // before it has heard that it is the primary no more
-	w.arrive("r", boundedRead, 0, 1e6, 0)
-	if w.sweeps(1); len(w.inFlight) > 0 {
-		t.Error("sent on no proof")
+// Guards against stale bounded reads from a former primary: a primary hangs, is replaced, and answers its pending
+// request as the primary when it resumes. Its data is as old as the pause, so it may serve a bounded read only after it
+// reports a position.
+func TestReplyOfHungPrimaryDoesNotRaisePosition(t *testing.T) {
+	h := newShardHarness(t, 1, 1)
+	h.observeReply("g0n0", Primary, h.now)
+	h.sendRequest("w", plainWrite, 0, 4e6, 0)
+	h.runSweeps(150)                                   // it hangs for three seconds
+	h.endAttempt(0, Errored, Primary, h.now-3_000_000) // then answers as the primary
+	h.observeReply("g0n0", Replica, 0)                 // before it reports that it no longer is
+	h.sendRequest("r", boundedRead, 0, 1e6, 0)
+	if h.runSweeps(1); len(h.inFlight) > 0 {
+		t.Error("read sent before the node reported its position")
 	}
-	w.seen("g0n0", Replica, w.now-100_000)
-	if w.sweeps(1); len(w.inFlight) != 1 {
-		t.Error("not sent on a proof")
+	h.observeReply("g0n0", Replica, h.now-100_000)
+	if h.runSweeps(1); len(h.inFlight) != 1 {
+		t.Error("read not sent after the node reported its position")
 	}
 }
 
-// A write's answer is cut off before it told a position. The session's token must then be no earlier than the answer,
-// or its next read could miss the write.
-func TestWriteWithoutPosition(t *testing.T) {
-	w := newShard(t, 1, 1)
-	w.r.config.ClientsCarryTokens = false
-	w.seen("g0n0", Primary, w.now-500_000)
-	w.step(10_000)
-	write := &request{group: w.r.groups[plainWrite], session: "s"}
-	a := &attempt{request: write, node: w.known("g0n0")}
-	if w.r.recordWritePosition(a, Answered, 0, w.now); w.r.sessions.position("s") != w.now {
-		t.Errorf("token %d us before the answer", w.now-w.r.sessions.position("s"))
+// Guards against a session token that is too old: if a write's answer was cut off before the node's position, the token
+// must not be earlier than the answer, or the session's next read could miss the write.
+func TestTokenOfWriteWithoutPosition(t *testing.T) {
+	h := newShardHarness(t, 1, 1)
+	h.r.config.ClientsCarryTokens = false
+	h.observeReply("g0n0", Primary, h.now-500_000)
+	h.advance(10_000)
+	write := &request{group: h.r.groups[plainWrite], session: "s"}
+	a := &attempt{request: write, node: h.node("g0n0")}
+	if h.r.recordWritePosition(a, Answered, 0, h.now); h.r.sessions.position("s") != h.now {
+		t.Errorf("token is %d us older than the answer", h.now-h.r.sessions.position("s"))
 	}
-	w.seen("g0n0", Primary, w.now-1_000)
+	h.observeReply("g0n0", Primary, h.now-1_000)
 	write.session = "t"
-	if w.r.recordWritePosition(a, Answered, 0, w.now); w.r.sessions.position("t") > w.now-1_000 {
-		t.Error("the position that its answer told does not count")
+	if h.r.recordWritePosition(a, Answered, 0, h.now); h.r.sessions.position("t") > h.now-1_000 {
+		t.Error("token ignores the position reported in the answer")
 	}
 }
 
-// The network swallows a write's answer on its way through here, but the client may have had it. A replica that was
-// proven before is too old for the session then, until the write has ended and after it.
-func TestReadBesideWriteInFlight(t *testing.T) {
-	w := newShard(t, 2, 2)
-	w.remember()
-	w.seen("g0n0", Primary, 0)
-	w.seen("g0n1", Replica, w.now-20_000)
-	w.arrive("w", keyedWrite, 0, 4e6, 0)
-	w.sweeps(4)
-	w.arrive("soon", sessionRead, 0, 1e6, 0) // an answer given since may still be on its way
-	if n := len(w.inFlight); n != 2 || w.inFlight[1].node != "g0n1" {
-		t.Fatalf("beside a write just sent: %+v", w.inFlight)
+// Guards against reads that miss a write whose answer was lost on the way to this router but may have reached the
+// client. While the write is in flight and after it ended, a replica whose position was fresh enough before is too old
+// for the session.
+func TestSessionReadDuringWriteInFlight(t *testing.T) {
+	h := newShardHarness(t, 2, 2)
+	h.keepTokensInRouter()
+	h.observeReply("g0n0", Primary, 0)
+	h.observeReply("g0n1", Replica, h.now-20_000)
+	h.sendRequest("w", keyedWrite, 0, 4e6, 0)
+	h.runSweeps(4)
+	h.sendRequest("soon", sessionRead, 0, 1e6, 0) // an answer sent meanwhile may still be in transit
+	if n := len(h.inFlight); n != 2 || h.inFlight[1].node != "g0n1" {
+		t.Fatalf("read shortly after the write was sent: attempts in flight: %+v", h.inFlight)
 	}
-	w.sweeps(10)
-	w.inFlight = w.inFlight[:1]
-	w.seen("g0n1", Replica, w.now-120_000)
-	w.arrive("late", sessionRead, 0, 1e6, 0)
-	if len(w.inFlight) != 1 {
-		t.Fatalf("beside a write long sent: %+v", w.inFlight[1])
+	h.runSweeps(10)
+	h.inFlight = h.inFlight[:1]
+	h.observeReply("g0n1", Replica, h.now-120_000)
+	h.sendRequest("late", sessionRead, 0, 1e6, 0)
+	if len(h.inFlight) != 1 {
+		t.Fatalf("read sent to a stale replica during a write: %+v", h.inFlight[1])
 	}
-	w.seen("g0n1", Replica, w.now-10_000)
-	if w.sweeps(1); len(w.inFlight) != 2 || w.inFlight[1].node != "g0n1" {
-		t.Fatalf("on a proof as new as any answer: %+v", w.inFlight)
+	h.observeReply("g0n1", Replica, h.now-10_000)
+	if h.runSweeps(1); len(h.inFlight) != 2 || h.inFlight[1].node != "g0n1" {
+		t.Fatalf("read after the replica reported a recent position: attempts in flight: %+v", h.inFlight)
 	}
-	w.inFlight[0].canceled = true
-	w.answer(0, ConnectionLost, RoleUnknown, 0)
-	if w.token != w.now || w.r.sessions.position("s") != w.now {
-		t.Errorf("after a write that may have been executed: token %d us ago", w.now-w.r.sessions.position("s"))
+	h.inFlight[0].canceled = true
+	h.endAttempt(0, ConnectionLost, RoleUnknown, 0)
+	if h.sessionToken != h.now || h.r.sessions.position("s") != h.now {
+		t.Errorf("token is %d us old after a write that may have been executed", h.now-h.r.sessions.position("s"))
 	}
-	for len(w.inFlight) > 0 { // its repeat too
-		w.answer(0, Answered, RoleUnknown, 0)
+	for len(h.inFlight) > 0 { // including the retry of the write
+		h.endAttempt(0, Answered, RoleUnknown, 0)
 	}
-	if n := len(w.r.sessions.writing); n > 0 {
-		t.Errorf("%d writes are taken to be in flight", n)
+	if n := len(h.r.sessions.writesInFlight); n > 0 {
+		t.Errorf("%d sessions still have writes in flight", n)
 	}
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,43 +1,43 @@
-// Package routing decides what becomes of every request: whether it is admitted, which node serves it, how long it may
-// wait, when it is retried, hedged or given up, and what is believed of each node meanwhile.
+// Package routing decides what happens to every request: whether it is admitted, which node serves it, how long it may
+// be queued, and when it is retried, hedged or given up. It also tracks the state of every node.
 //
-// The package is a deterministic state machine. It does no I/O, reads no clock, starts no goroutine, and draws chance
-// from a seed, so the same events give the same actions. Its caller reports each event by one method of Router, with
-// the time of the event, and carries out what the Router asks for through Actions. All times are whole microseconds of
-// Unix time, all spans whole microseconds, unless a comment says otherwise. A Router isn't safe for concurrent use.
+// The package is a deterministic state machine. It does no I/O, reads no clock, starts no goroutines, and derives random
+// numbers from a seed, so equal events give equal actions. The caller reports each event by one method of Router, with
+// the time of the event, and carries out the decisions through Actions. All times are Unix times in whole microseconds
+// and all durations are whole microseconds, unless a comment says otherwise. A Router isn't safe for concurrent use.
 //
-// # Life of a request
+// # Request processing
 //
-// A request passes these stages in order (Router.Start). Each lets it proceed, puts it into its shard's queue, or
-// stops it with a final answer:
+// A request passes these stages in order (Router.Start). Each stage lets it proceed, puts it into its shard's queue, or
+// stops it, usually with a final answer:
 //
-//	checkDeadline    deadlines.go           gives up what can't be answered in time any more
-//	admit            admission.go           tenant quota and the shard's admission probability, once a request
-//	routeToPrimary   primary.go             writes, and reads of the latest data, go to the believed primary
-//	selectReplica    replica_selection.go   other reads go to the best replica that is fresh enough
-//	startAttempt     retry.go               sends it
+//	checkDeadline    deadlines.go           gives up requests that can no longer be answered in time
+//	admit            admission.go           checks tenant quota and admission probability, once per request
+//	routeToPrimary   primary.go             sends writes, and reads of the latest data, to the believed primary
+//	selectReplica    replica_selection.go   sends other reads to the best replica that is fresh enough
+//	startAttempt     retry.go               starts the attempt
 //
-// A queued request goes through all stages again after each event that may let it proceed (dispatchWaiting in
-// request.go). The outcome of an attempt passes the stages in the opposite order:
+// A queued request passes all stages again after each event that may let it proceed (dispatchQueued in request.go). The
+// outcome of an attempt passes the stages in reverse order:
 //
-//	closeAttempt           request.go              the node has one attempt fewer in flight
-//	recordOutcome          outlier_detection.go    pace, errors, concurrency limit, cool-down
-//	recordWritePosition    consistency.go          the session's token
-//	adjustAdmission        admission.go            the shard's admission probability
-//	handleAttemptFailure   retry.go                another attempt, or the final answer
+//	closeAttempt           request.go              removes the attempt from those in flight at the node
+//	recordOutcome          outlier_detection.go    updates slowdown, error rate, concurrency limit and cool-down
+//	recordWritePosition    consistency.go          updates the session's token
+//	adjustAdmission        admission.go            updates the admission probabilities
+//	handleAttemptFailure   retry.go                starts another attempt or gives the final answer
 //
-// A request has exactly one final answer: an answer of a node, Actions.RejectWithRetry (sending it again is harmless),
-// Actions.Fail (it may have been executed, and a repeat could do harm), or none because its client left.
+// A request has exactly one final answer: a node's answer, Actions.RejectWithRetry (sending it again is harmless),
+// Actions.Fail (it may have been executed, and a repeat could be harmful), or none because its client disconnected.
 //
-//	arrived -> queued <-> in flight (one attempt, or two while hedged) -> final answer -> gone once no attempt is open
+//	arrived -> queued <-> in flight (one attempt, or two while hedged) -> final answer -> deleted once no attempt is open
 //
-// # States of a node
+// # Node states
 //
-//	listed up     may be used (Router.usable), subject to what follows
-//	draining      gets nothing new; only an "up" entry of the endpoint list opens it again
-//	removed       gets nothing new, unless Config.UseVanishedNodes; forgotten after removedNodeRetention
-//	suspected     nothing came back for too long (outlier_detection.go); an answer or a health check ends it
-//	cooling down  rejected work, refused a connection, or has a concurrency limit under one; ends by itself
-//	warming up    started lately and may do only a part of its work (slow_start.go)
-//	lagging       a replica too far behind the primary; used only where the others have no capacity
+//	listed up     may be used (Router.usable), subject to the states below
+//	draining      receives nothing new; only an "up" entry of the endpoint list ends this state
+//	removed       receives nothing new, unless Config.UseVanishedNodes; forgotten after removedNodeRetention
+//	suspected     gave no answer for too long (outlier_detection.go); an answer or a health check ends this state
+//	cooling down  rejected a request, failed a connection, or has a concurrency limit below 1; ends by itself
+//	warming up    started recently and may do only a part of its work (slow_start.go)
+//	lagging       a replica too far behind the primary; used only if no other has capacity
 package routing
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -1,53 +1,55 @@
 package routing
 
 const (
-	// removedNodeRetention is how long, us, a node that left the endpoint list is remembered: a list may err, and a node
-	// that comes back soon should not start as an unknown one.
+	// removedNodeRetention is how long, in microseconds, the state of a node is kept after it left the endpoint list. A
+	// list may be wrong, and a node that comes back soon should not start without statistics.
 	removedNodeRetention = 3e6
-	// endpointPollDelay is the time, us, before a list that failed is asked for again: its source may be overloaded.
+	// endpointPollDelay is the delay, in microseconds, before a failed list is requested again, because its source may
+	// be overloaded.
 	endpointPollDelay = 1e6
 )
 
-// EndpointState is what the endpoint list says of a node. The zero value is Up.
+// EndpointState is the state of a node in the endpoint list. The zero value is Up.
 type EndpointState uint8
 
-// The states of an entry.
+// The endpoint states.
 const (
 	Up EndpointState = iota
 	Draining
 	Removed
 )
 
-// String names the state for logs and tests.
+// String returns the state's name, for logs and tests.
 func (s EndpointState) String() string {
 	return enumName([]string{"up", "draining", "removed"}, int(s))
 }
 
-// Endpoint is one entry of the endpoint list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	Name        string
 	Zone        string
-	MachineKind string // nodes of one kind can do as much as each other
+	MachineKind string // nodes of one type have equal capacity
 	Shard       int
 	State       EndpointState
 	Primary     bool  // the list marks it as its shard's primary
 	StartedAt   int64 // when its process started, 0 for long ago
 }
 
-// endpointListState is where the Router stands with the endpoint list.
+// endpointListState tracks the processing of endpoint lists.
 type endpointListState struct {
-	number int   // lists read so far, the one being read included
-	full   bool  // the list being read names all nodes that there are
-	pollAt int64 // when to ask for the list again, 0 for not
+	number int   // lists received so far, including the current one
+	full   bool  // the current list contains all nodes
+	pollAt int64 // when to request the list again, 0 for never
 }
 
-// BeginEndpointList starts a list: a full one drops the nodes that it doesn't name, another one holds changes alone.
+// BeginEndpointList starts a list. A full list removes the nodes that it doesn't contain; otherwise the list contains
+// only changes.
 func (r *Router) BeginEndpointList(_ int64, full bool) {
 	r.endpointList.full = full
 	r.endpointList.number++
 }
 
-// UpdateEndpoint takes one entry of a list.
+// UpdateEndpoint processes one entry of a list.
 func (r *Router) UpdateEndpoint(now int64, e Endpoint) {
 	s := r.shardFor(e.Shard)
 	n, known := r.nodeByName[e.Name]
@@ -58,32 +60,33 @@
 		n.moveToShard(s)
 	}
 	if e.StartedAt != n.startedAt {
-		r.noteRestart(n, e.StartedAt, known, now)
+		r.handleRestart(n, e.StartedAt, known, now)
 	}
 	state := e.State
 	n.removedAt = 0
 	if state == Removed {
 		n.removedAt = now
 		if n.state == Draining {
-			state = Draining // a node that drained stays closed when it is gone
+			state = Draining // a drained node stays unusable after its removal
 		}
 	}
-	newlyPrimary := e.Primary && !n.listedPrimary
-	couldServe := known && r.listAllows(n)
+	newlyMarkedPrimary := e.Primary && !n.listedPrimary
+	wasAllowed := known && r.listAllows(n)
 	n.zone = e.Zone
-	n.machineKind = e.MachineKind
+	n.machineType = e.MachineKind
 	n.state = state
 	n.listNumber = r.endpointList.number
 	n.listedPrimary = e.Primary
-	r.stopAttemptsIfClosed(n, couldServe)
-	if newlyPrimary { // the mark counts when it is new: one that just stays may be long out of date
-		r.hintPrimary(n, now)
+	r.stopNewAttemptsIfDisallowed(n, wasAllowed)
+	if newlyMarkedPrimary { // only a new mark counts: an unchanged one may be long out of date
+		r.applyPrimaryHint(n, now)
 	}
 }
 
-// noteRestart takes a node whose process started anew. Its suspicion, errors and limit are reset, and it is no primary until
-// it says so. Its pace fades by itself, and its position stays: a node keeps what it has applied over a restart.
-func (r *Router) noteRestart(n *node, startedAt int64, known bool, now int64) {
+// handleRestart processes the restart of a node's process. The node's suspicion, error rate and limit are reset, and it
+// isn't considered the primary until it reports so. Its slowdown decays by itself, and its position is kept because a
+// node keeps what it has applied across a restart.
+func (r *Router) handleRestart(n *node, startedAt int64, known bool, now int64) {
 	n.startedAt = startedAt
 	r.beginSlowStart(n, now)
 	n.suspected = false
@@ -94,7 +97,7 @@
 	}
 }
 
-// EndEndpointList ends a list: a full one has now named all nodes.
+// EndEndpointList ends a list. Nodes missing from a full list are removed.
 func (r *Router) EndEndpointList(now int64) {
 	if r.endpointList.full {
 		for _, n := range r.nodes {
@@ -103,25 +106,26 @@
 			}
 		}
 	}
-	r.dispatchAllWaiting(now)
+	r.dispatchAllQueued(now)
 }
 
-// removeUnlisted takes a node that a full list doesn't name any more as removed; one that drained stays draining.
+// removeUnlisted marks a node that is missing from a full list as removed; a drained node stays draining.
 func (r *Router) removeUnlisted(n *node, now int64) {
-	couldServe := r.listAllows(n)
+	wasAllowed := r.listAllows(n)
 	if n.removedAt == 0 {
 		n.removedAt = now
 	}
 	if n.state != Draining {
 		n.state = Removed
 	}
-	r.stopAttemptsIfClosed(n, couldServe)
+	r.stopNewAttemptsIfDisallowed(n, wasAllowed)
 }
 
-// EndpointListFailed tells that the list can't be followed. The last one stays in force, and is asked for again.
+// EndpointListFailed reports that the list is unavailable. The last list stays in effect, and the list is requested
+// again later.
 func (r *Router) EndpointListFailed(now int64) { r.endpointList.pollAt = now + endpointPollDelay }
 
-// pollEndpoints asks for the list again when it is time.
+// pollEndpoints requests the list again when it is due.
 func (r *Router) pollEndpoints(now int64) {
 	if r.endpointList.pollAt > 0 && now >= r.endpointList.pollAt {
 		r.endpointList.pollAt = 0
@@ -129,22 +133,22 @@
 	}
 }
 
-// listAllows reports whether the endpoint list lets a node be used.
+// listAllows reports whether the endpoint list permits the use of a node.
 func (r *Router) listAllows(n *node) bool {
 	return n.state == Up || n.state == Removed && r.config.UseVanishedNodes
 }
 
-// stopAttemptsIfClosed keeps attempts that wait for a connection to a node from beginning there once the list no longer
-// lets it be used. Without it a node that drains would still be sent what was decided before.
-func (r *Router) stopAttemptsIfClosed(n *node, couldServe bool) {
-	if couldServe && !r.listAllows(n) {
+// stopNewAttemptsIfDisallowed prevents attempts that wait for a connection to a node from starting once the list no
+// longer permits its use. Otherwise a draining node would still receive requests routed to it earlier.
+func (r *Router) stopNewAttemptsIfDisallowed(n *node, wasAllowed bool) {
+	if wasAllowed && !r.listAllows(n) {
 		r.actions.StopNewAttempts(n.name)
 	}
 }
 
-// mayForget reports whether a node that left the list can be dropped. Without it memory and sweeps would grow with each
-// name that ever was.
-func (r *Router) mayForget(n *node, now int64) bool {
+// canForget reports whether a node that left the list can be dropped. Otherwise memory and the cost of sweeps would
+// grow with every node name ever listed.
+func (r *Router) canForget(n *node, now int64) bool {
 	return n.removedAt > 0 && now-n.removedAt > removedNodeRetention &&
 		len(n.attempts) == 0 && !n.checkPending && !r.listAllows(n)
 }
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -6,34 +6,34 @@
 	"testing"
 )
 
-// The settings say that a list which calls a node gone isn't believed, so an empty list doesn't stop the work. A node
-// that drained before stays closed all the same.
-func TestRemovedAfterDrainStaysClosed(t *testing.T) {
-	w := newWorld(t, 1)
-	w.r.config.UseVanishedNodes = true
-	w.list(1, 3)
+// With UseVanishedNodes, removed nodes stay in use, so an empty list must not stop all work. A node that drained before
+// it was removed must stay unused.
+func TestDrainedNodeStaysUnusedAfterRemoval(t *testing.T) {
+	h := newHarness(t, 1)
+	h.r.config.UseVanishedNodes = true
+	h.sendFullList(1, 3)
 	for _, state := range []EndpointState{Draining, Removed} {
-		w.r.BeginEndpointList(w.now, false)
-		w.r.UpdateEndpoint(w.now, endpoint("g0n1", 0, state))
-		w.r.EndEndpointList(w.now)
+		h.r.BeginEndpointList(h.now, false)
+		h.r.UpdateEndpoint(h.now, endpoint("g0n1", 0, state))
+		h.r.EndEndpointList(h.now)
 	}
-	w.draining["g0n1"] = true
-	w.r.BeginEndpointList(w.now, true)
-	w.r.EndEndpointList(w.now)
+	h.draining["g0n1"] = true
+	h.r.BeginEndpointList(h.now, true)
+	h.r.EndEndpointList(h.now)
 	for i := range 12 {
-		w.arrive(fmt.Sprint("c", i), eventualRead, 0, 1e6, 0)
+		h.sendRequest(fmt.Sprint("c", i), eventualRead, 0, 1e6, 0)
 	}
-	if len(w.inFlight) == 0 {
-		t.Fatal("an empty list stopped all work")
+	if len(h.inFlight) == 0 {
+		t.Fatal("no requests sent after an empty list")
 	}
 }
 
-// A shard's nodes are replaced all day, each by one with a new name. What is kept must not grow with the names that ever
-// were, and a primary is found among the present nodes at once.
-func TestNodesReplacedAllDay(t *testing.T) {
-	w := newWorld(t, 1)
+// Guards against unbounded growth when a shard's nodes are continually replaced under new names. The state kept must
+// not grow with the number of names, and the primary must be found among the current nodes without delay.
+func TestReplacedNodesAreForgotten(t *testing.T) {
+	h := newHarness(t, 1)
 	for i := range 300 {
-		w.r.BeginEndpointList(w.now, i%2 == 0)
+		h.r.BeginEndpointList(h.now, i%2 == 0)
 		for j := max(0, i-3); j <= i; j++ {
 			state := Up
 			if j == i-2 {
@@ -42,76 +42,77 @@
 				state = Removed
 			}
 			if i%2 > 0 || state != Removed {
-				w.r.UpdateEndpoint(w.now, endpoint(fmt.Sprint("n", j), 0, state))
+				h.r.UpdateEndpoint(h.now, endpoint(fmt.Sprint("n", j), 0, state))
 			}
 		}
-		w.r.EndEndpointList(w.now)
+		h.r.EndEndpointList(h.now)
 		for range 100 {
-			w.step(20_000)
+			h.advance(20_000)
 		}
 	}
-	if slots, members := len(w.r.nodes), len(w.r.shards[0].members); slots > 8 || members > 8 {
-		t.Errorf("%d slots and %d members for three nodes", slots, members)
+	if slots, members := len(h.r.nodes), len(h.r.shards[0].members); slots > 8 || members > 8 {
+		t.Errorf("got %d slots and %d members for three nodes", slots, members)
 	}
-	w.shard["n299"] = 0
-	w.checks = nil
-	w.arrive("a", plainWrite, 0, 4e6, 0)
-	for range 2 { // one question for each present node
-		w.sweeps(3)
-		for _, n := range w.checks {
-			w.tell(n, RoleUnknown, 0)
-			w.r.ReportedRole(w.now, n, n == "n299")
-			w.r.HealthChecked(w.now, n, Answered)
+	h.shardOf["n299"] = 0
+	h.healthChecks = nil
+	h.sendRequest("a", plainWrite, 0, 4e6, 0)
+	for range 2 { // one query for each current node
+		h.runSweeps(3)
+		for _, n := range h.healthChecks {
+			h.recordReply(n, RoleUnknown, 0)
+			h.r.ReportedRole(h.now, n, n == "n299")
+			h.r.HealthChecked(h.now, n, Answered)
 		}
-		w.checks = nil
+		h.healthChecks = nil
 	}
-	if w.sentTo() != "n299" {
-		t.Error("no primary found among the present nodes but", w.sentTo())
+	if h.soleTarget() != "n299" {
+		t.Error("write not sent to the current primary, but to:", h.soleTarget())
 	}
 }
 
-// An attempt waits for its connection while its node drains, ends, or is left out of a full list. What has not begun
-// there must not begin any more; that is told once.
-func TestAttemptMayWaitWhileItsNodeDrains(t *testing.T) {
-	for name, happens := range map[string]func(w *world){
-		"it drains": func(w *world) { w.draining["g0n1"] = true; w.change("g0n1"); w.change("g0n1") },
-		"it is gone": func(w *world) {
-			w.r.BeginEndpointList(w.now, false)
-			w.r.UpdateEndpoint(w.now, endpoint("g0n1", 0, Removed))
-			w.r.EndEndpointList(w.now)
+// Guards against attempts that start at a node after the list disallowed it: an attempt may wait for a connection while
+// its node drains, is removed, or is missing from a full list. The Router must call StopNewAttempts exactly once.
+func TestNewAttemptsStopWhenNodeIsDisallowed(t *testing.T) {
+	for name, happens := range map[string]func(h *harness){
+		"node drains": func(h *harness) { h.draining["g0n1"] = true; h.sendListChange("g0n1"); h.sendListChange("g0n1") },
+		"node is removed": func(h *harness) {
+			h.r.BeginEndpointList(h.now, false)
+			h.r.UpdateEndpoint(h.now, endpoint("g0n1", 0, Removed))
+			h.r.EndEndpointList(h.now)
 		},
-		"it is not named": func(w *world) { w.list(1, 1); w.list(1, 1) },
+		"node is missing from a full list": func(h *harness) { h.sendFullList(1, 1); h.sendFullList(1, 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newShard(t, 1, 2)
-			if len(w.stopped) > 0 {
-				t.Errorf("stopped at the start: %v", w.stopped)
+			h := newShardHarness(t, 1, 2)
+			if len(h.stopped) > 0 {
+				t.Errorf("StopNewAttempts called before the list changed: %v", h.stopped)
 			}
-			if happens(w); !slices.Equal(w.stopped, []string{"g0n1"}) {
-				t.Errorf("stopped: %v", w.stopped)
+			if happens(h); !slices.Equal(h.stopped, []string{"g0n1"}) {
+				t.Errorf("StopNewAttempts called for %v, want one call for g0n1", h.stopped)
 			}
 		})
 	}
 }
 
-// The list puts a node into another shard. What it proved, and that it was the primary, was about the other one's data.
-func TestNodeMovesToAnotherShard(t *testing.T) {
-	w := newWorld(t, 1)
-	w.list(2, 2)
-	w.seen("g0n1", Replica, w.now)
-	w.seen("g0n0", Primary, 0)
+// Guards against reusing a node's position and primary role after the list moves it to another shard: both applied to
+// the other shard's data.
+func TestNodeMovedToAnotherShardLosesState(t *testing.T) {
+	h := newHarness(t, 1)
+	h.sendFullList(2, 2)
+	h.observeReply("g0n1", Replica, h.now)
+	h.observeReply("g0n0", Primary, 0)
 	for _, name := range []string{"g0n0", "g0n1"} {
-		w.shard[name] = 1
-		w.pos[name] = 0
-		w.leads[name] = false
-		w.change(name)
+		h.shardOf[name] = 1
+		h.positions[name] = 0
+		h.reportedPrimary[name] = false
+		h.sendListChange(name)
 	}
-	w.arrive("a", boundedRead, 0, 1e6, 0) // nobody is left there
-	w.arrive("b", boundedRead, 1, 1e6, 0) // nobody is proven here; the model would complain
-	if w.sweeps(4); len(w.inFlight) > 0 {
-		t.Errorf("sent to %s", w.inFlight[0].node)
+	h.sendRequest("a", boundedRead, 0, 1e6, 0) // the shard has no nodes left
+	h.sendRequest("b", boundedRead, 1, 1e6, 0) // no node has reported a position here; the model would fail the test
+	if h.runSweeps(4); len(h.inFlight) > 0 {
+		t.Errorf("read sent to %s", h.inFlight[0].node)
 	}
-	if p := w.primary(0); p != "" {
-		t.Errorf("%s is the primary of a shard that it left", p)
+	if p := h.primary(0); p != "" {
+		t.Errorf("%s is still the primary of its former shard", p)
 	}
 }
--- a/internal/routing/gossip.go
+++ b/internal/routing/gossip.go
@@ -1,24 +1,24 @@
 package routing
 
-// GossipUpdate is what another router learnt of a node.
+// GossipUpdate is the state of a node as observed by another router.
 type GossipUpdate struct {
 	Node     string
 	LearntAt int64
-	// Position is the node's position then, 0 for unknown. It must be of the process that the endpoint list names: one of
-	// an earlier process of that node proves nothing.
+	// Position is the node's position at that time, 0 if unknown. It must come from the process that the endpoint list
+	// names: a position of an earlier process of that node proves nothing.
 	Position int64
-	Role     Role // Replica for a node that said it isn't the primary
-	Silent   bool // the other router had no answer of it
-	Alive    bool // the other router had an answer of it
+	Role     Role // Replica for a node that reported not to be the primary
+	Silent   bool // the other router received no answer from the node
+	Alive    bool // the other router received an answer from the node
 }
 
-// GossipReceived takes what another router learnt of a node.
+// GossipReceived processes another router's observation of a node.
 //
-//   - A position stays true of the process that reported it, however old the gossip is.
-//   - A role is a hint, and counts only where no answer has shown the role since.
-//   - Silence only puts the node behind the others for reads (expectedCost), because the other router may be the one that
-//     is cut off.
-//   - An answer doesn't end a suspicion here, for the same reason; this router then checks the node for itself.
+//   - A position stays valid for the process that reported it, however old the gossip is.
+//   - A role is only a hint and counts only if no later answer has shown the role.
+//   - Silence only ranks the node behind the others for reads (see expectedCost), because the other router may be the
+//     one that is disconnected.
+//   - An answer doesn't end a suspicion here, for the same reason; this router checks the node itself instead.
 func (r *Router) GossipReceived(now int64, u GossipUpdate) {
 	n := r.nodeByName[u.Node]
 	if n == nil {
@@ -32,9 +32,9 @@
 	if u.LearntAt > n.roleAt {
 		switch u.Role {
 		case Primary:
-			r.hintPrimary(n, now)
+			r.applyPrimaryHint(n, now)
 		case Replica:
-			r.hintNotPrimary(n, now)
+			r.applyNotPrimaryHint(n, now)
 		}
 	}
 	switch {
@@ -42,14 +42,14 @@
 		n.peerSilentAt = max(n.peerSilentAt, u.LearntAt)
 	case u.Alive && u.LearntAt > n.peerSilentAt:
 		n.peerSilentAt = 0
-		if n.suspected && now-n.checkedAt > rejoinCheckInterval {
-			r.checkHealth(n, now, spareHealthChecks)
+		if n.suspected && now-n.checkedAt > recoveryCheckInterval {
+			r.checkHealth(n, now, backgroundCheckReserve)
 		}
 	}
-	r.dispatchWaiting(n.shard, now)
+	r.dispatchQueued(n.shard, now)
 }
 
-// SetCheckedByPeer reports whether another router checks a node while it is silent or lags, so that this one need not.
+// SetCheckedByPeer sets whether another router checks a node while it is silent or lags, so that this router need not.
 func (r *Router) SetCheckedByPeer(name string, checked bool) {
 	if n := r.nodeByName[name]; n != nil {
 		n.checkedByPeer = checked
--- a/internal/routing/health_check.go
+++ b/internal/routing/health_check.go
@@ -1,31 +1,33 @@
 package routing
 
-// When a node is asked for its load report. Such health checks cost the node work, so there is a budget, to which each
-// request adds a part of a check.
+// Health checks request a node's load report. They cost the node work, so they are limited by a budget that every
+// request increases by a fraction of a check.
 
 const (
-	// healthChecksPerRequest is what one request adds to the budget: checks then take nodes less than a third of the
-	// requests that they serve.
+	// healthChecksPerRequest is what each request adds to the budget. Health checks then cost nodes less than a third
+	// of the requests that they serve.
 	healthChecksPerRequest = 0.3
-	// healthCheckBurst is how many checks may be saved up, and are there at the start: a look at a small fleet.
+	// healthCheckBurst is the maximum and the initial budget, in health checks: enough to check every node of a small
+	// fleet.
 	healthCheckBurst = 10.0
-	// spareHealthChecks is what a check that no request waits for must find in the budget, so that half of it is left for
-	// checks that one does wait for.
-	spareHealthChecks = healthCheckBurst / 2
-	// readCheckInterval is the time, us, between two checks of a replica for queued reads: several fit into the time for
-	// which a read is queued.
+	// backgroundCheckReserve is the budget required for a health check that no request waits for. It leaves half of the
+	// budget for checks that requests do wait for.
+	backgroundCheckReserve = healthCheckBurst / 2
+	// readCheckInterval is the minimum interval, in microseconds, between two health checks of a replica for queued
+	// reads. Several fit into the time for which a read is queued.
 	readCheckInterval = 30_000
-	// rejoinCheckInterval is the time, us, between two checks of a node that is suspected or lags: about as long as a
-	// connection attempt takes to fail.
-	rejoinCheckInterval = 250_000
-	// equalLag is the difference in lag, us, up to which two replicas are equally likely to be fresh.
-	equalLag = 250_000
+	// recoveryCheckInterval is the minimum interval, in microseconds, between two health checks of a node that is
+	// suspected or lags: about the time that a failing connection attempt takes.
+	recoveryCheckInterval = 250_000
+	// lagTolerance is the difference in lag, in microseconds, up to which two replicas are considered equally likely to
+	// be fresh.
+	lagTolerance = 250_000
 )
 
-// checkHealth checks a node, unless a check of it is pending, the endpoint list doesn't let it be used, or the budget
-// holds less than needed.
-func (r *Router) checkHealth(n *node, now int64, needed float64) {
-	if !r.config.HealthChecks.Enabled || n.checkPending || !r.listAllows(n) || r.healthCheckBudget < needed {
+// checkHealth checks a node unless a check is pending, the endpoint list doesn't permit its use, or the budget is below
+// minBudget.
+func (r *Router) checkHealth(n *node, now int64, minBudget float64) {
+	if !r.config.HealthChecks.Enabled || n.checkPending || !r.listAllows(n) || r.healthCheckBudget < minBudget {
 		return
 	}
 	r.healthCheckBudget--
@@ -34,77 +36,82 @@
 	r.actions.CheckHealth(n.name)
 }
 
-// checkForReturn checks a suspected or lagging node now and then, unless another router does.
-func (r *Router) checkForReturn(n *node, now int64) {
-	if now-n.checkedAt > rejoinCheckInterval && !n.checkedByPeer {
-		r.checkHealth(n, now, spareHealthChecks)
+// checkRecovery checks a suspected or lagging node every recoveryCheckInterval, unless another router does.
+func (r *Router) checkRecovery(n *node, now int64) {
+	if now-n.checkedAt > recoveryCheckInterval && !n.checkedByPeer {
+		r.checkHealth(n, now, backgroundCheckReserve)
 	}
 }
 
-// checkLikeliestReplica checks the replica that is most likely to have become fresh enough for a queued read.
-func (r *Router) checkLikeliestReplica(req *request, now int64) {
+// checkLikelyFreshReplica checks the replica that is most likely to have become fresh enough for a queued read.
+func (r *Router) checkLikelyFreshReplica(req *request, now int64) {
 	required := r.requiredPosition(req, now)
-	var likeliest *node
+	var candidate *node
 	for i := range req.shard.members {
-		n := req.shard.memberInTurn(i)
+		n := req.shard.rotatedMember(i)
 		if n == req.shard.primary || !r.usable(n, now) || n.checkPending || now-n.checkedAt < readCheckInterval {
 			continue
 		}
 		missing := required + n.lag - now
-		// Replicas are assumed to catch up by half a second a second at most: one that needs longer can't be there yet.
+		// Replicas are assumed to catch up by at most half a second per second, so one that needs more time can't be
+		// fresh yet.
 		if missing > 0 && 2*missing > now-n.positionAt {
 			continue
 		}
-		if likeliest == nil || n.lag+equalLag < likeliest.lag {
-			likeliest = n
+		if candidate == nil || n.lag+lagTolerance < candidate.lag {
+			candidate = n
 		}
 	}
-	if likeliest != nil {
-		r.checkHealth(likeliest, now, 1)
+	if candidate != nil {
+		r.checkHealth(candidate, now, 1)
 	}
 }
 
-// HealthChecked takes the end of a node's health check; ReportedPosition and ReportedRole take its load report before.
+// HealthChecked processes the result of a health check; ReportedPosition and ReportedRole process its load report
+// first.
 //
-//   - No answer: a node that also refused connections is suspected now. When it answers later it is merely back, and its
-//     refusals don't count as scarcity.
-//   - An answer, though connections failed again and again: the node lives and has no place for more (noteScarcity).
-//   - Any other answer of a suspected node ends the suspicion. It may have lost one answer, so what is in flight there gets as
-//     long again; or it may be overloaded, so a router that seldom uses it cuts its limit.
+//   - No answer: a node that also failed connections is now suspected. When it answers later, it has recovered, and
+//     its failed connections don't count as connection scarcity.
+//   - An answer although connections failed repeatedly: the node is alive but has no free connections (see
+//     recordConnectionScarcity).
+//   - Any other answer of a suspected node ends the suspicion. The node may have lost a single answer, so its
+//     attempts in flight get the full silence threshold again. Or it may be overloaded, so a router that seldom uses
+//     it lowers its limit.
 func (r *Router) HealthChecked(now int64, name string, outcome Outcome) {
 	n := r.nodeByName[name]
 	if n == nil {
 		return
 	}
 	n.checkPending = false
-	refuses := n.refusedSince > 0
+	connectFailing := n.connectFailingSince > 0
 	switch {
 	case outcome != Answered:
-		n.suspected = n.suspected || refuses
-		n.refusedSince = 0
-	case refuses && n.refusedAgain:
-		n.refusedSince = 0
-		r.noteScarcity(now)
+		n.suspected = n.suspected || connectFailing
+		n.connectFailingSince = 0
+	case connectFailing && n.connectFailedAgain:
+		n.connectFailingSince = 0
+		r.recordConnectionScarcity(now)
 	case n.suspected:
 		n.suspected = false
-		n.answeredAt = now
-		// Any group serves here: only its usual response time counts, and hardly matters beside the router's part of the limit.
+		n.lastReplyAt = now
+		// Any group will do: only its average response time is used, and it hardly matters next to the router's share
+		// of initialLimit.
 		if inUse, seldomUsed := r.limitInUse(n, r.groups[0], now); seldomUsed {
-			n.limit = max(r.leastLimit(), inUse*rejectionCut)
+			n.limit = max(r.minLimit(), inUse*rejectionFactor)
 		}
 	}
-	r.dispatchWaiting(n.shard, now)
+	r.dispatchQueued(n.shard, now)
 }
 
-// noteScarcity closes all idle connections, and keeps none for a while. It guards against routers that hold idle
-// connections to a node with few places and so shut other routers out: those see connections fail at a node that answers
-// health checks. Two failures are needed, because one connection may be reset by chance, and without idle connections
-// each request costs a handshake.
-func (r *Router) noteScarcity(now int64) {
-	if now >= r.scarceUntil {
+// recordConnectionScarcity closes all idle connections and keeps none for a while. Otherwise routers that hold idle
+// connections to a node with few connection slots could lock out other routers, which see connections fail at a node
+// that answers health checks. It requires two failures because a single connection may be reset by chance, and without
+// idle connections every request costs a handshake.
+func (r *Router) recordConnectionScarcity(now int64) {
+	if now >= r.connectionsScarceUntil {
 		for _, n := range r.nodes {
 			r.actions.CloseIdleConnections(n.name)
 		}
 	}
-	r.scarceUntil = now + connectionScarcity
+	r.connectionsScarceUntil = now + connectionScarcityPeriod
 }
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -1,18 +1,18 @@
 package routing
 
 const (
-	// hedgesPerRequest is what one request adds to the budget for hedged attempts: with more they cost nodes more than
-	// they bring.
+	// hedgesPerRequest is what each request adds to the hedging budget; beyond this, hedged attempts cost nodes more
+	// than they gain.
 	hedgesPerRequest = 0.3
-	// hedgingBurst is how many may be saved up: enough for the requests that one node holds when it stops answering.
+	// hedgingBurst is the maximum hedging budget: enough for the requests in flight at one node that stops answering.
 	hedgingBurst = 10.0
 )
 
-// hedge takes a late request through the stages once more, to send it beside its first attempt; they may also queue it. It
-// guards against answers that are lost on the network
-// and nodes that stopped answering: without it their requests wait until the node is suspected, and miss their
-// objective. Under overload all requests are late and hedges would add to the load, so there are none while reads of
-// the shard are shed or requests are queued there, and at any time no more than the budget allows.
+// hedge passes a late request through the stages again to send a second attempt next to the first; the stages may also
+// queue it. Hedging covers answers lost on the network and nodes that stopped answering: without it their requests
+// would wait until the node is suspected and miss their objective. Under overload all requests are late and hedges
+// would add to the load, so none are sent while the shard sheds reads or has queued requests, and never more than the
+// budget allows.
 func (r *Router) hedge(req *request, now int64) {
 	if !r.config.Attempts.Hedging || req.group.Idempotency == NotIdempotent {
 		return
@@ -26,9 +26,9 @@
 	r.runStages(req, now)
 }
 
-// mayHedge reports whether a second attempt beside the first may still begin: within the budget, in time for the latency
-// objective, and inside the idempotency window. The window counts for idempotent requests too, so a group without one is
-// never hedged. A hedge that was queued is looked at again when it could be sent.
+// mayHedge reports whether a second attempt may still start next to the first: within the budget, in time for the
+// latency objective, and within the idempotency window. The window applies to idempotent requests too, so a group
+// without one is never hedged. A queued hedge is checked again when it could be sent.
 func (r *Router) mayHedge(req *request, now int64) bool {
-	return r.hedgingBudget >= 1 && now < min(req.sendBefore, req.attempts[0].startedAt+r.usableWindow(req.group))
+	return r.hedgingBudget >= 1 && now < min(req.sendBefore, req.attempts[0].startedAt+r.retryWindow(req.group))
 }
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -2,111 +2,113 @@
 
 import "testing"
 
-// A request is late. It is sent once more, at another node. Health checks, which share their way of being paid for, stop
-// when no request pays.
+// A late request is hedged at another node. Health checks have a budget of the same kind and must stop when no requests
+// refill it.
 func TestHedgeAndHealthCheckBudget(t *testing.T) {
-	w := newShard(t, 2, 3)
-	w.r.hedgingBudget = 1
-	w.r.groups[eventualRead].usualResponse = 20_000
-	w.arrive("c", eventualRead, 0, 1e6, 0)
-	w.sweeps(7)
-	if len(w.inFlight) != 2 || w.inFlight[0].node == w.inFlight[1].node {
-		t.Fatal("in flight:", w.inFlight)
+	h := newShardHarness(t, 2, 3)
+	h.r.hedgingBudget = 1
+	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.sendRequest("c", eventualRead, 0, 1e6, 0)
+	h.runSweeps(7)
+	if len(h.inFlight) != 2 || h.inFlight[0].node == h.inFlight[1].node {
+		t.Fatal("in flight:", h.inFlight)
 	}
 	for i := range 30 {
-		n := w.r.nodes[i%3]
-		w.r.checkHealth(n, w.now, 1)
+		n := h.r.nodes[i%3]
+		h.r.checkHealth(n, h.now, 1)
 		n.checkPending = false
 	}
-	if len(w.checks) > healthCheckBurst {
-		t.Fatal("unpaid health checks:", len(w.checks))
+	if len(h.healthChecks) > healthCheckBurst {
+		t.Fatal("health checks beyond the budget:", len(h.healthChecks))
 	}
 }
 
-// A read is hedged in the very sweep in which its first attempt is taken to be lost, because the budget allowed no hedge
-// before. The node must give up its place in flight once: counted down again in each later sweep, it would seem to have
-// capacity that it hasn't.
-func TestLostAttemptThatIsHedgedCountsOnce(t *testing.T) {
-	w := newShard(t, 2, 3)
-	w.r.groups[longRead].usualResponse = 50_000
-	w.sweeps(1) // the first one counts as the end of a standstill
-	w.arrive("c", longRead, 0, 6e6, 0)
-	first := w.known(w.sentTo())
-	sent := w.now
+// Guards against counting a lost attempt down repeatedly: a read is hedged in the same sweep in which its first attempt
+// is considered lost, because the budget allowed no hedge before. If every later sweep released the attempt's slot
+// again, the node would appear to have capacity that it lacks.
+func TestHedgedLostAttemptIsCountedOnce(t *testing.T) {
+	h := newShardHarness(t, 2, 3)
+	h.r.groups[longRead].avgResponseTime = 50_000
+	h.runSweeps(1) // the first sweep counts as the end of a stall
+	h.sendRequest("c", longRead, 0, 6e6, 0)
+	first := h.node(h.soleTarget())
+	sent := h.now
 	for range 30 {
-		if w.now+20_000-sent > 8*50_000 {
-			w.r.hedgingBudget = 1
+		if h.now+20_000-sent > 8*50_000 {
+			h.r.hedgingBudget = 1
 		}
-		first.answeredAt = w.now // it answers other routers' requests meanwhile
-		w.sweeps(1)
+		first.lastReplyAt = h.now // it answers other requests meanwhile
+		h.runSweeps(1)
 	}
-	if len(w.inFlight) != 2 || first.inFlight != 0 {
-		t.Fatal("in flight:", len(w.inFlight), "counted at the first node:", first.inFlight)
+	if len(h.inFlight) != 2 || first.inFlight != 0 {
+		t.Fatal("in flight:", len(h.inFlight), "counted as in flight at the first node:", first.inFlight)
 	}
-	w.serve(nil)
-	for _, n := range w.r.nodes {
+	h.answerAll(nil)
+	for _, n := range h.r.nodes {
 		if n.inFlight != 0 {
-			t.Errorf("%d counted as in flight at %s after all has ended", n.inFlight, n.name)
+			t.Errorf("%d attempts counted as in flight at %s after all have ended", n.inFlight, n.name)
 		}
 	}
 }
 
-// A read is late in its last attempt, and the budget allows a hedge. There is no attempt left for one, so the attempt in
-// flight must go on: it may be answered within the deadline. Seen: the read is given up and its attempt canceled.
-func TestHedgeLeavesLastAttemptAlone(t *testing.T) {
-	w := newShard(t, 2, 3)
-	w.r.config.Attempts.Max = 1
-	w.r.groups[eventualRead].usualResponse = 20_000
-	w.sweeps(1)
-	w.r.hedgingBudget = 1
-	w.arrive("c", eventualRead, 0, 1e6, 0)
-	w.sweeps(7)
-	if len(w.inFlight) != 1 || w.requests["c"].finished || w.inFlight[0].canceled {
-		t.Fatalf("in flight: %+v, given up: %v", w.inFlight, w.requests["c"].finished)
+// Guards against giving up a read that is late in its last attempt: no attempt is left for a hedge although the budget
+// allows one, and the attempt in flight may still be answered before the deadline. In an earlier version the read was
+// given up and its attempt canceled.
+func TestHedgeDoesNotCancelLastAttempt(t *testing.T) {
+	h := newShardHarness(t, 2, 3)
+	h.r.config.Attempts.Max = 1
+	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.runSweeps(1)
+	h.r.hedgingBudget = 1
+	h.sendRequest("c", eventualRead, 0, 1e6, 0)
+	h.runSweeps(7)
+	if len(h.inFlight) != 1 || h.requests["c"].finished || h.inFlight[0].canceled {
+		t.Fatalf("in flight: %+v, given up: %v", h.inFlight, h.requests["c"].finished)
 	}
 }
 
-// A late read finds no node for its hedge, because none has capacity, and is queued. Only a hedge that is sent may be paid
-// for: seen, each of them took one out of the budget, which was empty when a node could have answered.
-func TestHedgeIsPaidForWhenSent(t *testing.T) {
-	w := newShard(t, 2, 2)
-	w.r.groups[eventualRead].usualResponse = 20_000
-	w.sweeps(1)
-	primary := w.known("g0n0")
-	primary.coolDownUntil = w.now + 9e6
-	w.r.hedgingBudget = 1
-	w.arrive("c", eventualRead, 0, 1e6, 0)
-	w.sweeps(7)
-	if c := w.requests["c"]; c.sent != 1 || w.r.hedgingBudget < 1 {
-		t.Fatalf("sent %d times, budget %v, before any node can take the hedge", c.sent, w.r.hedgingBudget)
+// Guards against charging the budget for hedges that aren't sent: a late read is queued because no node has capacity
+// for its hedge. In an earlier version each such hedge was charged, and the budget was empty when a node could have
+// answered.
+func TestHedgingBudgetIsChargedWhenSent(t *testing.T) {
+	h := newShardHarness(t, 2, 2)
+	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.runSweeps(1)
+	primary := h.node("g0n0")
+	primary.coolDownUntil = h.now + 9e6
+	h.r.hedgingBudget = 1
+	h.sendRequest("c", eventualRead, 0, 1e6, 0)
+	h.runSweeps(7)
+	if c := h.requests["c"]; c.started != 1 || h.r.hedgingBudget < 1 {
+		t.Fatalf("sent %d times, budget %v, before any node has capacity for the hedge", c.started, h.r.hedgingBudget)
 	}
 	primary.coolDownUntil = 0
-	w.sweeps(1)
-	if c := w.requests["c"]; c.sent != 2 || w.r.hedgingBudget >= 1 {
-		t.Fatalf("sent %d times, budget %v, once a node can take the hedge", c.sent, w.r.hedgingBudget)
+	h.runSweeps(1)
+	if c := h.requests["c"]; c.started != 2 || h.r.hedgingBudget >= 1 {
+		t.Fatalf("sent %d times, budget %v, once a node has capacity for the hedge", c.started, h.r.hedgingBudget)
 	}
 }
 
-// Two late reads are queued for a hedge while the budget allows one. The second stays with its first attempt: the budget
-// bounds what hedges cost, however long they were queued.
-func TestQueuedHedgesStayWithinTheBudget(t *testing.T) {
-	w := newShard(t, 2, 2)
-	w.r.groups[eventualRead].usualResponse = 20_000
-	w.sweeps(1)
-	primary := w.known("g0n0")
-	primary.coolDownUntil = w.now + 9e6
-	w.known("g0n1").limit = 8
-	w.r.hedgingBudget = 0.5
-	w.arrive("a", eventualRead, 0, 1e6, 0)
-	w.arrive("b", eventualRead, 0, 1e6, 0)
+// Guards against queued hedges exceeding the budget: two late reads are queued for a hedge while the budget allows one.
+// The second one must keep only its first attempt, however long the hedges were queued.
+func TestQueuedHedgesStayWithinBudget(t *testing.T) {
+	h := newShardHarness(t, 2, 2)
+	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.runSweeps(1)
+	primary := h.node("g0n0")
+	primary.coolDownUntil = h.now + 9e6
+	h.node("g0n1").limit = 8
+	h.r.hedgingBudget = 0.5
+	h.sendRequest("a", eventualRead, 0, 1e6, 0)
+	h.sendRequest("b", eventualRead, 0, 1e6, 0)
 	for _, id := range []string{"a", "b"} {
-		w.r.requests[id].shard.enqueue(w.r.requests[id])
+		h.r.requests[id].shard.enqueue(h.r.requests[id])
 	}
-	w.known("g0n1").suspected = true // no replica will take them, so the primary does
+	h.node("g0n1").suspected = true // no replica can take them, so the primary does
 	primary.coolDownUntil = 0
 	primary.limit = 8
-	w.step(20_000)
-	if sent := w.requests["a"].sent + w.requests["b"].sent; sent != 3 || w.r.hedgingBudget < 0 {
-		t.Fatalf("%d attempts of two reads, budget %v", sent, w.r.hedgingBudget)
+	h.advance(20_000)
+	if sent := h.requests["a"].started + h.requests["b"].started; sent != 3 || h.r.hedgingBudget < 0 {
+		t.Fatalf("%d attempts for two reads, budget %v", sent, h.r.hedgingBudget)
 	}
 }
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -5,37 +5,37 @@
 	"testing"
 )
 
-// world plays the Router's caller, and is the slow, plain model of the rules: it keeps of every request and node what
-// the rules need, and fails the test at the first action that they don't allow.
-type world struct {
+// harness calls the Router and implements its Actions. It contains a simple reference model of the rules: it tracks
+// every request and node as far as the rules need it, and fails the test at the first action that they don't allow.
+type harness struct {
 	t   testing.TB
 	r   *Router
-	now int64 // us
-
-	// What the model knows of the nodes, by name.
-	draining     map[string]bool
-	started      map[string]int64
-	pos          map[string]int64   // highest position told
-	leads        map[string]bool    // told to be the primary, and not told otherwise since
-	shard        map[string]int     // number of its shard
-	warmingSends map[string][]int64 // times of attempts sent to a node that warms up
-
-	// What it knows of the requests.
-	requests   map[string]*modelRequest // all that the present Router ever took
-	inFlight   []modelAttempt
-	ending     bool  // the process is about to be ended, so even what is in flight is given up
-	remembered bool  // the Router keeps session tokens; the model has one session
-	token      int64 // what a write of the session that ended was at, at the latest
-
-	// What the Router asked for.
-	checks      []string // nodes whose health was asked for
-	timers      []int64
-	idleClosed  []string // nodes whose idle connections were closed
-	stopped     []string // nodes at which nothing more may begin
-	startWithin int64    // the last attempt's bound
+	now int64 // in microseconds
+
+	// Model of the nodes, by name.
+	draining        map[string]bool
+	startedAt       map[string]int64
+	positions       map[string]int64   // highest position reported
+	reportedPrimary map[string]bool    // it reported to be the primary and hasn't contradicted it since
+	shardOf         map[string]int     // number of its shard
+	slowStartSends  map[string][]int64 // start times of attempts at a node that warms up
+
+	// Model of the requests.
+	requests          map[string]*modelRequest // all requests sent to the current Router
+	inFlight          []modelAttempt
+	shuttingDown      bool  // the process is about to exit, so requests in flight are given up too
+	routerKeepsTokens bool  // the Router keeps session tokens; the model has a single session
+	sessionToken      int64 // highest position that an ended write of the session may have
+
+	// Actions of the Router.
+	healthChecks []string // nodes to be health-checked
+	timers       []int64
+	idleClosed   []string // nodes whose idle connections were closed
+	stopped      []string // nodes at which no new attempt may start
+	startWithin  int64    // limit of the last attempt
 }
 
-// modelRequest is a request that the Router took.
+// modelRequest is a request sent to the Router.
 type modelRequest struct {
 	idempotency     Idempotency
 	consistency     Consistency
@@ -43,35 +43,35 @@
 	arrived         int64
 	deadline        int64
 	required        int64 // position that it must see
-	sent            int   // attempts started
-	open            int   // attempts in flight
+	started         int   // attempts started
+	inFlight        int   // attempts in flight
 	mayHaveExecuted bool
 	firstExecuted   int64 // start of the first attempt that may have executed it
 	answered        bool  // by a node
-	finished        bool  // by the Router, or its client left
+	finished        bool  // by the Router, or its client disconnected
 }
 
-// modelAttempt is one attempt in flight.
+// modelAttempt is an attempt in flight.
 type modelAttempt struct {
 	request, node string
-	n             int // its number within the request
-	sent          int64
-	due           int64 // when a node that works answers it
+	number        int // its number within the request
+	sentAt        int64
+	dueAt         int64 // when a working node answers it
 	canceled      bool
 }
 
 const (
-	modelWindow = 3_000_000  // us for which a shard knows a key
-	modelBound  = 1_000_000  // us that a bounded read's data may be old
-	modelCold   = 10_000_000 // us that warming up takes
-	modelFrom   = 0.2        // share of its capacity that a node starts with
-	modelFall   = 2_000_000  // us within which a node that warms up breaks
-	modelAnswer = 100_000    // us that an answer is on its way at most
-	modelRate   = 50.0       // requests a second that a warm node of the model can do
-	modelStep   = 5_000      // us to which times are rounded
+	modelIdempotencyWindow = 3_000_000  // time for which a shard remembers a key, in microseconds
+	modelMaxStaleness      = 1_000_000  // maximum staleness of a bounded read, in microseconds
+	modelWarmUp            = 10_000_000 // warm-up time, in microseconds
+	modelInitialCapacity   = 0.2        // share of its capacity that a node starts with
+	modelOverloadWindow    = 2_000_000  // window of OverloadMultiple for a node that warms up, in microseconds
+	modelReplyTransit      = 100_000    // maximum time that an answer takes to arrive, in microseconds
+	modelNodeRate          = 50.0       // capacity of a warm node, in requests per second
+	modelTimeResolution    = 5_000      // resolution of event times, in microseconds
 )
 
-// The command groups of the model, by number.
+// The command groups of the model, by index.
 const (
 	eventualRead = iota
 	boundedRead
@@ -82,7 +82,7 @@
 	longRead
 )
 
-// modelGroups are their settings.
+// modelGroups returns the settings of the command groups.
 func modelGroups() []CommandGroupConfig {
 	groups := []CommandGroupConfig{
 		eventualRead: {Idempotency: Idempotent, Consistency: Eventual, Timeout: 1e6},
@@ -95,8 +95,8 @@
 	}
 	for i := range groups {
 		g := &groups[i]
-		g.MaxStaleness = modelBound
-		g.IdempotencyWindow = modelWindow
+		g.MaxStaleness = modelMaxStaleness
+		g.IdempotencyWindow = modelIdempotencyWindow
 		g.LatencyObjective = g.Timeout / 4
 		g.Weight = 1
 		g.LateWeight = 0.5
@@ -104,142 +104,143 @@
 	return groups
 }
 
-// newWorld is a world without nodes.
-func newWorld(t testing.TB, seed uint64) *world {
-	w := &world{
-		t:        t,
-		now:      1_000_000_000,
-		draining: map[string]bool{},
-		started:  map[string]int64{},
-		shard:    map[string]int{},
-	}
-	w.restart(seed)
-	return w
+// newHarness returns a harness without nodes.
+func newHarness(t testing.TB, seed uint64) *harness {
+	h := &harness{
+		t:         t,
+		now:       1_000_000_000,
+		draining:  map[string]bool{},
+		startedAt: map[string]int64{},
+		shardOf:   map[string]int{},
+	}
+	h.restart(seed)
+	return h
 }
 
-// newShard is a world of one shard.
-func newShard(t testing.TB, seed uint64, members int) *world {
-	w := newWorld(t, seed)
-	w.list(1, members)
-	return w
+// newShardHarness returns a harness with one shard.
+func newShardHarness(t testing.TB, seed uint64, members int) *harness {
+	h := newHarness(t, seed)
+	h.sendFullList(1, members)
+	return h
 }
 
-// remember lets the Router keep the session's token.
-func (w *world) remember() {
-	w.remembered = true
-	w.r.config.ClientsCarryTokens = false
+// keepTokensInRouter makes the Router keep the session's token.
+func (h *harness) keepTokensInRouter() {
+	h.routerKeepsTokens = true
+	h.r.config.ClientsCarryTokens = false
 }
 
-// restart replaces the Router; what the old one had in hand is no longer its duty.
-func (w *world) restart(seed uint64) {
-	w.requests = map[string]*modelRequest{}
-	w.inFlight = nil
-	w.checks = nil
-	w.timers = nil
-	w.token = 0
-	w.pos = map[string]int64{}
-	w.leads = map[string]bool{}
-	w.warmingSends = map[string][]int64{}
-	w.r = New(seed, w)
-	w.r.Configure(Config{
+// restart replaces the Router and discards the requests of the old one.
+func (h *harness) restart(seed uint64) {
+	h.requests = map[string]*modelRequest{}
+	h.inFlight = nil
+	h.healthChecks = nil
+	h.timers = nil
+	h.sessionToken = 0
+	h.positions = map[string]int64{}
+	h.reportedPrimary = map[string]bool{}
+	h.slowStartSends = map[string][]int64{}
+	h.r = New(seed, h)
+	h.r.Configure(Config{
 		Zone:               "here",
 		Routers:            1,
-		TimeResolution:     modelStep,
+		TimeResolution:     modelTimeResolution,
 		CommandGroups:      modelGroups(),
 		Attempts:           AttemptConfig{Max: 6, Cancelable: true, Hedging: seed%2 == 0},
 		HealthChecks:       HealthCheckConfig{Enabled: true, ReportsPosition: true, ReportsRole: true},
-		ClientsCarryTokens: !w.remembered,
-		SlowStart: SlowStartConfig{Duration: modelCold, InitialCapacity: modelFrom, OverloadMultiple: 2,
-			OverloadWindow: modelFall},
+		ClientsCarryTokens: !h.routerKeepsTokens,
+		SlowStart: SlowStartConfig{Duration: modelWarmUp, InitialCapacity: modelInitialCapacity, OverloadMultiple: 2,
+			OverloadWindow: modelOverloadWindow},
 	})
-	w.r.Start(w.now)
+	h.r.Start(h.now)
 }
 
-// known is what the Router keeps of a node.
-func (w *world) known(name string) *node {
-	n := w.r.nodeByName[name]
+// node returns the Router's state of a node.
+func (h *harness) node(name string) *node {
+	n := h.r.nodeByName[name]
 	if n == nil {
-		w.t.Fatalf("%s is not known", name)
+		h.t.Fatalf("node %s is unknown", name)
 	}
 	return n
 }
 
-// primary is the name of the node that the Router believes to be a shard's primary; empty for none.
-func (w *world) primary(shard int) string {
-	if p := w.r.shards[shard].primary; p != nil {
+// primary returns the name of the node that the Router believes to be a shard's primary, or an empty string.
+func (h *harness) primary(shard int) string {
+	if p := h.r.shards[shard].primary; p != nil {
 		return p.name
 	}
 	return ""
 }
 
-// list tells the full endpoint list: nodes n0, n1, ... of each shard, the first marked as its primary.
-func (w *world) list(shards, members int) {
-	w.r.BeginEndpointList(w.now, true)
+// sendFullList sends a full endpoint list. It contains nodes g0n0, g0n1, ... of shard 0, and so on; the first node of
+// each shard is marked as its primary.
+func (h *harness) sendFullList(shards, members int) {
+	h.r.BeginEndpointList(h.now, true)
 	for s := range shards {
 		for m := range members {
 			name := fmt.Sprintf("g%dn%d", s, m)
-			w.shard[name] = s
-			w.entry(name, m == 0)
+			h.shardOf[name] = s
+			h.sendEndpoint(name, m == 0)
 		}
 	}
-	w.r.EndEndpointList(w.now)
+	h.r.EndEndpointList(h.now)
 }
 
-// entry tells one entry of a list that has begun.
-func (w *world) entry(name string, primary bool) {
-	e := endpoint(name, w.shard[name], Up)
-	if w.draining[name] {
+// sendEndpoint sends one entry of a list that has begun.
+func (h *harness) sendEndpoint(name string, primary bool) {
+	e := endpoint(name, h.shardOf[name], Up)
+	if h.draining[name] {
 		e.State = Draining
 	}
 	e.Primary = primary
-	e.StartedAt = w.started[name]
-	w.r.UpdateEndpoint(w.now, e)
+	e.StartedAt = h.startedAt[name]
+	h.r.UpdateEndpoint(h.now, e)
 }
 
-// endpoint is an entry without a mark.
+// endpoint returns an entry without a primary mark.
 func endpoint(name string, shard int, state EndpointState) Endpoint {
-	return Endpoint{Name: name, Zone: "here", MachineKind: "kind", Shard: shard, State: state}
+	return Endpoint{Name: name, Zone: "here", MachineKind: "type", Shard: shard, State: state}
 }
 
-// change tells one changed entry.
-func (w *world) change(name string) {
-	w.r.BeginEndpointList(w.now, false)
-	w.entry(name, false)
-	w.r.EndEndpointList(w.now)
+// sendListChange sends a list with one changed entry.
+func (h *harness) sendListChange(name string) {
+	h.r.BeginEndpointList(h.now, false)
+	h.sendEndpoint(name, false)
+	h.r.EndEndpointList(h.now)
 }
 
-// arrive lets a request come; since is how long ago its session wrote, 0 for never.
-func (w *world) arrive(id string, group, shard int, left, since int64) *modelRequest {
+// sendRequest sends a request to the Router. The argument since is the time since its session's last write, 0 for none.
+func (h *harness) sendRequest(id string, group, shard int, left, since int64) *modelRequest {
 	settings := modelGroups()[group]
 	c := &modelRequest{
 		idempotency: settings.Idempotency,
 		consistency: settings.Consistency,
 		shard:       shard,
-		arrived:     w.now,
-		deadline:    w.now + left,
+		arrived:     h.now,
+		deadline:    h.now + left,
 	}
-	if c.consistency == ReadYourWrites && since > 0 && !w.remembered {
-		c.required = w.now - since
+	if c.consistency == ReadYourWrites && since > 0 && !h.routerKeepsTokens {
+		c.required = h.now - since
 	}
-	w.requests[id] = c
-	w.r.RequestArrived(w.now, Request{ID: id, Group: group, Tenant: -1, Session: "s", TimeLeft: left, Shard: shard,
+	h.requests[id] = c
+	h.r.RequestArrived(h.now, Request{ID: id, Group: group, Tenant: -1, Session: "s", TimeLeft: left, Shard: shard,
 		SinceWrite: since})
 	return c
 }
 
-// answer ends the attempt at an index; role and pos are what the node tells of itself.
-func (w *world) answer(i int, o Outcome, role Role, pos int64) {
-	a := w.inFlight[i]
-	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
-	c := w.requests[a.request]
-	c.open--
+// endAttempt ends the attempt at index i; role and pos are what the node reports about itself.
+func (h *harness) endAttempt(i int, o Outcome, role Role, pos int64) {
+	a := h.inFlight[i]
+	h.inFlight = append(h.inFlight[:i:i], h.inFlight[i+1:]...)
+	c := h.requests[a.request]
+	c.inFlight--
 	c.mayHaveExecuted = c.mayHaveExecuted || !o.NotExecuted()
 	if c.consistency == Write && !o.NotExecuted() {
-		at := w.now
+		at := h.now
 		if o == Answered && pos > 0 && role != RoleUnknown {
 			at = pos
 		}
-		w.token = max(w.token, at)
+		h.sessionToken = max(h.sessionToken, at)
 	}
 	done := c.finished || c.answered
 	if o == Answered && !done {
@@ -247,222 +248,222 @@
 		done = true
 	}
 	if o != TimedOut && o != ConnectFailed && o != ConnectionLost && o != Canceled && o != NotSent {
-		w.seen(a.node, role, pos)
+		h.observeReply(a.node, role, pos)
 	}
-	w.r.AttemptEnded(w.now, AttemptResult{RequestID: a.request, Attempt: a.n, Outcome: o, Took: w.now - a.sent,
+	h.r.AttemptEnded(h.now, AttemptResult{RequestID: a.request, Attempt: a.number, Outcome: o, Took: h.now - a.sentAt,
 		RequestDone: done})
 }
 
-// seen tells the model and the Router what a node said of itself in an answer.
-func (w *world) seen(node string, role Role, pos int64) {
-	w.tell(node, role, pos)
-	w.r.ObserveReply(w.now, node, role, pos)
+// observeReply passes a node's reported role and position to the model and the Router.
+func (h *harness) observeReply(node string, role Role, pos int64) {
+	h.recordReply(node, role, pos)
+	h.r.ObserveReply(h.now, node, role, pos)
 }
 
-// tell tells the model alone.
-func (w *world) tell(node string, role Role, pos int64) {
-	w.pos[node] = max(w.pos[node], pos)
+// recordReply passes a node's reported role and position to the model only.
+func (h *harness) recordReply(node string, role Role, pos int64) {
+	h.positions[node] = max(h.positions[node], pos)
 	if role != RoleUnknown {
-		w.leads[node] = role == Primary
+		h.reportedPrimary[node] = role == Primary
 	}
 }
 
-// step lets time pass, fires timers and checks that no request is overdue.
-func (w *world) step(d int64) {
-	w.now += d
+// advance moves the clock, fires due timers and checks that no request is overdue.
+func (h *harness) advance(d int64) {
+	h.now += d
 	fired := 0
-	for _, at := range w.timers {
-		if at <= w.now {
+	for _, at := range h.timers {
+		if at <= h.now {
 			fired++
 		}
 	}
-	w.timers = w.timers[fired:]
+	h.timers = h.timers[fired:]
 	for range fired {
-		w.r.TimerFired(w.now)
+		h.r.TimerFired(h.now)
 	}
-	for i := len(w.inFlight) - 1; i >= 0; i-- {
-		if i < len(w.inFlight) && w.now >= w.requests[w.inFlight[i].request].deadline {
-			w.answer(i, TimedOut, RoleUnknown, 0)
+	for i := len(h.inFlight) - 1; i >= 0; i-- {
+		if i < len(h.inFlight) && h.now >= h.requests[h.inFlight[i].request].deadline {
+			h.endAttempt(i, TimedOut, RoleUnknown, 0)
 		}
 	}
-	for id, c := range w.requests {
-		if !c.answered && !c.finished && w.now > c.deadline+20_000 {
-			w.t.Fatalf("lost: %s unanswered %d us after its timeout: %+v", id, w.now-c.deadline, c)
+	for id, c := range h.requests {
+		if !c.answered && !c.finished && h.now > c.deadline+20_000 {
+			h.t.Fatalf("no final answer: %s unanswered %d us after its deadline: %+v", id, h.now-c.deadline, c)
 		}
 	}
 }
 
-// sweeps lets some of the Router's sweeps pass, each in time.
-func (w *world) sweeps(n int) {
+// runSweeps runs n sweeps of the Router on time.
+func (h *harness) runSweeps(n int) {
 	for range n {
-		w.step(20_000)
+		h.advance(20_000)
 	}
 }
 
-// serve answers all that is in flight, each replica telling its position behind the present.
-func (w *world) serve(lag map[string]int64) {
-	for len(w.inFlight) > 0 {
-		n := w.inFlight[0].node
-		if w.leads[n] {
-			w.answer(0, Answered, Primary, 0)
+// answerAll answers all attempts in flight. Each replica reports a position that lags by the given time.
+func (h *harness) answerAll(lag map[string]int64) {
+	for len(h.inFlight) > 0 {
+		n := h.inFlight[0].node
+		if h.reportedPrimary[n] {
+			h.endAttempt(0, Answered, Primary, 0)
 		} else {
-			w.answer(0, Answered, Replica, w.now-lag[n])
+			h.endAttempt(0, Answered, Replica, h.now-lag[n])
 		}
 	}
 }
 
-// sentTo is the node of the only attempt in flight.
-func (w *world) sentTo() string {
-	if len(w.inFlight) == 1 {
-		return w.inFlight[0].node
+// soleTarget returns the node of the only attempt in flight.
+func (h *harness) soleTarget() string {
+	if len(h.inFlight) == 1 {
+		return h.inFlight[0].node
 	}
-	return fmt.Sprint(len(w.inFlight), " attempts")
+	return fmt.Sprint(len(h.inFlight), " attempts")
 }
 
-// final checks that a final answer by the Router is the only one, and promises nothing that may be wrong.
-func (w *world) final(id string, rejected bool) {
-	c := w.requests[id]
+// checkFinalAnswer checks that the Router's final answer is the only one and that a permitted retry is harmless.
+func (h *harness) checkFinalAnswer(id string, rejected bool) {
+	c := h.requests[id]
 	if c == nil || c.finished || c.answered {
-		w.t.Fatalf("lost: second final answer for %s", id)
+		h.t.Fatalf("second final answer for %s", id)
 	}
-	for _, a := range w.inFlight {
-		if a.request == id && !a.canceled && !w.ending {
-			w.t.Fatalf("given up: %s with attempt %d in flight at %s, %d us before its deadline", id, a.n, a.node, c.deadline-w.now)
+	for _, a := range h.inFlight {
+		if a.request == id && !a.canceled && !h.shuttingDown {
+			h.t.Fatalf("%s given up with attempt %d in flight at %s, %d us before its deadline", id, a.number, a.node, c.deadline-h.now)
 		}
 	}
-	if rejected && c.idempotency != Idempotent && (c.mayHaveExecuted || c.open > 0) {
-		w.t.Fatalf("effect: %s rejected though it may have been executed", id)
+	if rejected && c.idempotency != Idempotent && (c.mayHaveExecuted || c.inFlight > 0) {
+		h.t.Fatalf("unsafe retry: %s rejected although it may have been executed", id)
 	}
 	c.finished = true
 }
 
-// StartAttempt implements Actions; it checks every rule on sending.
-func (w *world) StartAttempt(id, node string, _, startWithin int64) {
-	c := w.requests[id]
-	w.startWithin = startWithin
-	repeat := c != nil && (c.mayHaveExecuted || c.open > 0)
+// StartAttempt implements Actions; it checks all rules on sending.
+func (h *harness) StartAttempt(id, node string, _, startWithin int64) {
+	c := h.requests[id]
+	h.startWithin = startWithin
+	repeat := c != nil && (c.mayHaveExecuted || c.inFlight > 0)
 	switch {
 	case c == nil || c.finished || c.answered:
-		w.t.Fatalf("lost: %s sent after its end", id)
-	case w.shard[node] != c.shard:
-		w.t.Fatalf("%s sent outside its shard", id)
-	case w.draining[node]:
-		w.t.Fatalf("drain: %s sent to %s", id, node)
-	case c.open > 0 && !w.r.config.Attempts.Hedging:
-		w.t.Fatalf("effect: %s hedged", id)
+		h.t.Fatalf("%s sent after its final answer", id)
+	case h.shardOf[node] != c.shard:
+		h.t.Fatalf("%s sent to a node outside its shard", id)
+	case h.draining[node]:
+		h.t.Fatalf("%s sent to draining node %s", id, node)
+	case c.inFlight > 0 && !h.r.config.Attempts.Hedging:
+		h.t.Fatalf("%s hedged although hedging is disabled", id)
 	case c.idempotency == NotIdempotent && repeat:
-		w.t.Fatalf("effect: %s, not idempotent, sent twice", id)
-	case c.idempotency == IdempotentWithKey && repeat && w.now > c.firstExecuted+modelWindow:
-		w.t.Fatalf("effect: %s, with a key, sent after its window", id)
+		h.t.Fatalf("duplicate execution: non-idempotent request %s sent twice", id)
+	case c.idempotency == IdempotentWithKey && repeat && h.now > c.firstExecuted+modelIdempotencyWindow:
+		h.t.Fatalf("duplicate execution: %s sent after its idempotency window", id)
 	case c.idempotency == IdempotentWithKey && repeat &&
-		(startWithin <= 0 || w.now+startWithin > c.firstExecuted+modelWindow):
-		w.t.Fatalf("effect: %s, with a key, may begin within %d us, after its window", id, startWithin)
+		(startWithin <= 0 || h.now+startWithin > c.firstExecuted+modelIdempotencyWindow):
+		h.t.Fatalf("duplicate execution: %s may start within %d us, which is after its idempotency window", id, startWithin)
 	}
-	if !w.freshEnough(c, node) {
-		w.t.Fatalf("stale: %s sent to %s, proven to %d, needs %d", id, node, w.pos[node], c.required)
+	if !h.freshEnough(c, node) {
+		h.t.Fatalf("stale read: %s sent to %s at position %d, requires %d", id, node, h.positions[node], c.required)
 	}
-	w.checkWarming(node)
-	w.inFlight = append(w.inFlight, modelAttempt{request: id, node: node, n: c.sent, sent: w.now, due: w.now + 20_000})
+	h.checkSlowStart(node)
+	h.inFlight = append(h.inFlight, modelAttempt{request: id, node: node, number: c.started, sentAt: h.now, dueAt: h.now + 20_000})
 	if !repeat {
-		c.firstExecuted = w.now
+		c.firstExecuted = h.now
 	}
-	c.sent++
-	c.open++
+	c.started++
+	c.inFlight++
 }
 
-// freshEnough reports whether a node may serve a request by what it told.
-func (w *world) freshEnough(c *modelRequest, node string) bool {
+// freshEnough reports whether a node may serve a request according to its reports.
+func (h *harness) freshEnough(c *modelRequest, node string) bool {
 	switch c.consistency {
 	case Eventual, Write:
 		return true
 	case ReadYourWrites:
-		if w.remembered { // each write in flight may have been answered, but for the last moment
-			c.required = w.token
-			for _, a := range w.inFlight {
-				if w.requests[a.request].consistency == Write && w.now-a.sent > modelAnswer {
-					c.required = max(c.required, w.now-modelAnswer)
+		if h.routerKeepsTokens { // any write in flight may have been answered, except in the last modelReplyTransit
+			c.required = h.sessionToken
+			for _, a := range h.inFlight {
+				if h.requests[a.request].consistency == Write && h.now-a.sentAt > modelReplyTransit {
+					c.required = max(c.required, h.now-modelReplyTransit)
 				}
 			}
 		}
-		return w.leads[node] || c.required == 0 || w.pos[node] >= c.required
+		return h.reportedPrimary[node] || c.required == 0 || h.positions[node] >= c.required
 	case BoundedStaleness:
-		return w.leads[node] || w.pos[node] >= w.now-modelBound
+		return h.reportedPrimary[node] || h.positions[node] >= h.now-modelMaxStaleness
 	}
-	return w.leads[node]
+	return h.reportedPrimary[node]
 }
 
-// checkWarming checks that a node that warms up is sent no more than it can do.
-func (w *world) checkWarming(node string) {
-	started := w.started[node]
-	if started <= 0 || w.now >= started+modelCold {
+// checkSlowStart checks that a node that warms up is sent no more than its capacity allows.
+func (h *harness) checkSlowStart(node string) {
+	started := h.startedAt[node]
+	if started <= 0 || h.now >= started+modelWarmUp {
 		return
 	}
-	w.warmingSends[node] = append(w.warmingSends[node], w.now)
-	n, warmth := 0, modelFrom+(1-modelFrom)*float64(w.now-started)/modelCold
-	for _, at := range w.warmingSends[node] {
-		if at > w.now-modelFall {
+	h.slowStartSends[node] = append(h.slowStartSends[node], h.now)
+	n, capacityShare := 0, modelInitialCapacity+(1-modelInitialCapacity)*float64(h.now-started)/modelWarmUp
+	for _, at := range h.slowStartSends[node] {
+		if at > h.now-modelOverloadWindow {
 			n++
 		}
 	}
-	if float64(n) > 2*warmth*modelRate*modelFall/1e6 {
-		w.t.Fatalf("cold: %d sent to %s in a window at warmth %.2f", n, node, warmth)
+	if float64(n) > 2*capacityShare*modelNodeRate*modelOverloadWindow/1e6 {
+		h.t.Fatalf("slow start: %d requests sent to %s in one window at capacity share %.2f", n, node, capacityShare)
 	}
 }
 
 // RejectWithRetry implements Actions.
-func (w *world) RejectWithRetry(id string, _ int64) { w.final(id, true) }
+func (h *harness) RejectWithRetry(id string, _ int64) { h.checkFinalAnswer(id, true) }
 
 // Fail implements Actions.
-func (w *world) Fail(id string) { w.final(id, false) }
+func (h *harness) Fail(id string) { h.checkFinalAnswer(id, false) }
 
 // CancelAttempt implements Actions.
-func (w *world) CancelAttempt(id string, n int) {
-	w.checkCancel(id, n)
-	for i := range w.inFlight {
-		if w.inFlight[i].request == id && w.inFlight[i].n == n {
-			w.inFlight[i].canceled = true
+func (h *harness) CancelAttempt(id string, n int) {
+	h.checkCancel(id, n)
+	for i := range h.inFlight {
+		if h.inFlight[i].request == id && h.inFlight[i].number == n {
+			h.inFlight[i].canceled = true
 		}
 	}
 }
 
-// checkCancel checks that a request that is owed an answer can still get one after an attempt is canceled: from another in
-// flight, or from one to come.
-func (w *world) checkCancel(id string, n int) {
-	c := w.requests[id]
+// checkCancel checks that a request without a final answer can still be answered after an attempt is canceled: by
+// another attempt in flight or by a later one.
+func (h *harness) checkCancel(id string, n int) {
+	c := h.requests[id]
 	if c.finished || c.answered {
 		return
 	}
-	for _, a := range w.inFlight {
-		if a.request == id && a.n != n && !a.canceled {
+	for _, a := range h.inFlight {
+		if a.request == id && a.number != n && !a.canceled {
 			return
 		}
 	}
-	windowOver := c.idempotency == IdempotentWithKey && w.now >= c.firstExecuted+modelWindow
-	if c.sent >= w.r.config.Attempts.Max || w.now >= c.deadline-deadlineMargin || windowOver {
-		w.t.Fatalf("canceled: attempt %d of %s, the last that may be answered, %d us before its deadline", n, id, c.deadline-w.now)
+	windowOver := c.idempotency == IdempotentWithKey && h.now >= c.firstExecuted+modelIdempotencyWindow
+	if c.started >= h.r.config.Attempts.Max || h.now >= c.deadline-deadlineMargin || windowOver {
+		h.t.Fatalf("attempt %d of %s canceled although no other can be answered, %d us before its deadline", n, id, c.deadline-h.now)
 	}
 }
 
 // SetTimer implements Actions.
-func (w *world) SetTimer(delay int64) { w.timers = append(w.timers, w.now+delay) }
+func (h *harness) SetTimer(delay int64) { h.timers = append(h.timers, h.now+delay) }
 
 // CheckHealth implements Actions.
-func (w *world) CheckHealth(node string) { w.checks = append(w.checks, node) }
+func (h *harness) CheckHealth(node string) { h.healthChecks = append(h.healthChecks, node) }
 
 // CloseIdleConnections implements Actions.
-func (w *world) CloseIdleConnections(node string) { w.idleClosed = append(w.idleClosed, node) }
+func (h *harness) CloseIdleConnections(node string) { h.idleClosed = append(h.idleClosed, node) }
 
 // StopNewAttempts implements Actions.
-func (w *world) StopNewAttempts(node string) { w.stopped = append(w.stopped, node) }
+func (h *harness) StopNewAttempts(node string) { h.stopped = append(h.stopped, node) }
 
 // ForgetNode implements Actions.
-func (w *world) ForgetNode(node string) {
-	for _, a := range w.inFlight {
+func (h *harness) ForgetNode(node string) {
+	for _, a := range h.inFlight {
 		if a.node == node {
-			w.t.Fatalf("%s forgotten with %s in flight", node, a.request)
+			h.t.Fatalf("node %s forgotten with request %s in flight", node, a.request)
 		}
 	}
 }
 
 // WatchEndpoints implements Actions.
-func (w *world) WatchEndpoints() {}
+func (h *harness) WatchEndpoints() {}
--- a/internal/routing/names_test.go
+++ b/internal/routing/names_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Logs and test failures print these enums. Each value must have its own name, and a number that is none must not panic.
+// Logs and test failures print these enums. Each value must have a unique name, and an out-of-range value must not
+// panic.
 func TestEnumsHaveNames(t *testing.T) {
 	for name, values := range map[string][]fmt.Stringer{
 		"outcomes": {Errored, Answered, Rejected, TimedOut, ConnectFailed, ConnectionLost, Canceled, NotSent, NotPrimary,
@@ -20,7 +21,7 @@
 			seen := map[string]bool{}
 			for _, value := range values {
 				if text := value.String(); text == "" || seen[text] {
-					t.Errorf("%d of them is called %q", len(seen), text)
+					t.Errorf("value %d has the empty or duplicate name %q", len(seen), text)
 				} else {
 					seen[text] = true
 				}
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -1,49 +1,49 @@
 package routing
 
-// node is one node of the endpoint list and all that is known of it.
+// node is a node of the endpoint list and the state known about it.
 type node struct {
 	name        string
 	zone        string
-	machineKind string // nodes of one kind can do as much as each other
+	machineType string // nodes of one type have equal capacity
 	slot        int    // index in Router.nodes
 	shard       *shard
 
-	// What the endpoint list says (endpoints.go).
+	// State from the endpoint list (endpoints.go).
 	state         EndpointState
-	listNumber    int   // number of the last list that named it
+	listNumber    int   // number of the last list that contained it
 	listedPrimary bool  // the list marks it as its shard's primary
 	startedAt     int64 // when its process started, 0 for long ago
-	removedAt     int64 // when it left the list, 0 for not
-	forgotten     bool  // its name was dropped; only its warmRate still counts, until its slot is reused
+	removedAt     int64 // when it left the list, 0 if it is listed
+	forgotten     bool  // its name was dropped; only its warmRate is still used, until its slot is reused
 
-	// What it showed of itself (primary.go, consistency.go).
+	// State observed from the node itself (primary.go, consistency.go).
 	role       Role
-	roleAt     int64 // when it last showed its role in an answer, 0 for never
-	position   int64 // up to which it is known to hold all commits, us in Unix time
-	positionAt int64 // when that was last learnt
-	lag        int64 // how far, us, it was behind the primary then
+	roleAt     int64 // when an answer last showed its role, 0 if never
+	position   int64 // it holds all commits up to this Unix time, in microseconds
+	positionAt int64 // when position was last learned
+	lag        int64 // replication lag at that time, in microseconds
 
-	// Attempts and how they end (outlier_detection.go).
-	attempts      []*attempt // in flight, the oldest first
-	inFlight      int        // those of them not taken to be lost
-	slowdown      float64    // its response time as a multiple of the usual one, averaged
-	errorRate     float64    // share of its attempts that failed, averaged; 0 to 1
-	answeredAt    int64      // when it last showed that its process works
-	refusedSince  int64      // first failed connection since it last answered, 0 for none
-	refusedAgain  bool       // that was not the only one
-	suspected     bool       // it is taken to be dead, hung or cut off
-	peerSilentAt  int64      // when another router last had no answer of it, 0 for none since it had one
-	coolDownUntil int64      // it gets nothing before
+	// Attempts and their outcomes (outlier_detection.go).
+	attempts            []*attempt // in flight, oldest first
+	inFlight            int        // attempts in flight that are not considered lost
+	slowdown            float64    // moving average of its response time relative to the group's average
+	errorRate           float64    // moving average of the share of failed attempts; 0 to 1
+	lastReplyAt         int64      // when it last showed that its process works
+	connectFailingSince int64      // first failed connection since it last answered, 0 if none
+	connectFailedAgain  bool       // more than one connection failed since it last answered
+	suspected           bool       // considered dead, hung or unreachable
+	peerSilentAt        int64      // when another router last had no answer from it, 0 if it has answered that router since
+	coolDownUntil       int64      // it receives no attempts before this time
 
 	// Concurrency limit (concurrency_limit.go).
-	limit      float64 // attempts in flight at once; under 1 it is a pause between two
-	workRate   float64 // work it answered to this router, us of usual response time a second, averaged over rateSpan
-	workRateAt int64   // when that was last brought up to date
+	limit      float64 // maximum attempts in flight; a value below 1 means a pause between two attempts
+	workRate   float64 // work it answered for this router, in microseconds of average response time per second, averaged over rateWindow
+	workRateAt int64   // when workRate was last updated
 
 	// Slow start (slow_start.go).
-	warmRate float64 // workRate as it mostly was while the node was warm
-	credit   float64 // work, us of usual response time, that it may be sent while it warms up
-	creditAt int64   // when that was last brought up to date
+	warmRate float64 // moving average of workRate while the node was warm
+	credit   float64 // work, in microseconds of average response time, that it may still be sent while it warms up
+	creditAt int64   // when credit was last updated
 
 	// Health checks (health_check.go).
 	checkedAt     int64 // when this router last checked it
@@ -51,7 +51,7 @@
 	checkedByPeer bool // another router checks it while it is silent or lags
 }
 
-// addNode makes a node, in the slot of a forgotten one where there is one.
+// addNode creates a node, reusing the slot of a forgotten node if there is one.
 func (r *Router) addNode(name string, s *shard) *node {
 	n := &node{name: name, slot: len(r.nodes), shard: s, slowdown: 1, limit: initialLimit}
 	if last := len(r.freeSlots) - 1; last >= 0 {
@@ -66,7 +66,7 @@
 	return n
 }
 
-// forget drops a node that is gone and at which nothing is in flight.
+// forget drops a node that left the endpoint list and has no attempts in flight.
 func (r *Router) forget(n *node) {
 	n.shard.remove(n)
 	n.forgotten = true
@@ -78,8 +78,8 @@
 	r.actions.ForgetNode(n.name)
 }
 
-// moveToShard takes a node that the endpoint list puts into another shard there. What it showed of its role and
-// position was about the other shard's data.
+// moveToShard moves a node to the shard that the endpoint list now assigns it to. Its observed role and position are
+// reset because they applied to the other shard's data.
 func (n *node) moveToShard(s *shard) {
 	n.shard.remove(n)
 	s.members = append(s.members, n)
@@ -92,13 +92,13 @@
 	n.lag = 0
 }
 
-// usable reports whether a node may be sent anything now.
+// usable reports whether a node may receive attempts now.
 func (r *Router) usable(n *node, now int64) bool {
 	return r.listAllows(n) && !n.suspected && now >= n.coolDownUntil
 }
 
-// NodeStatus tells what is known of a node: its role, whether it is suspected, and the position, us in Unix time, up to
-// which it is known to hold all commits. An unknown node has no role and position 0.
+// NodeStatus returns a node's role, whether it is suspected, and its known position: the Unix time, in microseconds, up
+// to which it holds all commits. An unknown node has no role and position 0.
 func (r *Router) NodeStatus(name string) (role Role, suspected bool, position int64) {
 	n := r.nodeByName[name]
 	if n == nil {
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Outcome is how an attempt or a health check ended.
+// Outcome describes how an attempt or a health check ended.
 type Outcome uint8
 
 // The outcomes.
@@ -11,20 +11,20 @@
 	Errored Outcome = iota
 	// Answered: the node answered.
 	Answered
-	// Rejected: the node turned the request away unexecuted, because it is full or drains.
+	// Rejected: the node rejected the request without executing it, because it is full or draining.
 	Rejected
-	// TimedOut: no answer came within the request's time; it may have been executed.
+	// TimedOut: no answer arrived before the request's deadline; it may have been executed.
 	TimedOut
-	// ConnectFailed: no connection to the node came up; nothing was sent.
+	// ConnectFailed: connecting to the node failed; nothing was sent.
 	ConnectFailed
-	// ConnectionLost: the connection ended after the request was sent; it may have been executed.
+	// ConnectionLost: the connection closed after the request was sent; it may have been executed.
 	ConnectionLost
-	// Canceled: the router or the client stopped waiting; it may have been executed.
+	// Canceled: the router or the client stopped waiting; the request may have been executed.
 	Canceled
 	// NotSent: the attempt ended before anything was sent.
 	NotSent
-	// NotPrimary: the node refused the request unexecuted because it isn't the primary, or because its data is too old for the
-	// request. Either way it is no primary.
+	// NotPrimary: the node rejected the request without executing it because it isn't the primary, or because its data
+	// is too old for the request. In both cases it is not the primary.
 	NotPrimary
 )
 
@@ -50,7 +50,7 @@
 	NotPrimary:     "not primary",
 }
 
-// String names the outcome for logs and tests.
+// String returns the outcome's name, for logs and tests.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
--- a/internal/routing/primary_test.go
+++ b/internal/routing/primary_test.go
@@ -2,49 +2,49 @@
 
 import "testing"
 
-// The primary hangs with a write in flight. It must get no more writes: they are queued, members are asked for the
-// successor, and the successor gets them.
-func TestSuspectedPrimaryGetsNoWrites(t *testing.T) {
-	w := newShard(t, 1, 3)
-	w.seen("g0n0", Primary, 0)
-	w.arrive("trapped", plainWrite, 0, 4e6, 0)
-	w.sweeps(110)
-	w.arrive("held", plainWrite, 0, 4e6, 0)
-	if w.requests["held"].sent != 0 || len(w.checks) == 0 {
-		t.Fatal("sent to a suspected primary, or no one asked for the next")
+// Guards against sending writes to a hung primary: with a write in flight at it, further writes must be queued, the
+// other members queried, and the new primary must receive the writes.
+func TestSuspectedPrimaryReceivesNoWrites(t *testing.T) {
+	h := newShardHarness(t, 1, 3)
+	h.observeReply("g0n0", Primary, 0)
+	h.sendRequest("first", plainWrite, 0, 4e6, 0)
+	h.runSweeps(110)
+	h.sendRequest("queued", plainWrite, 0, 4e6, 0)
+	if h.requests["queued"].started != 0 || len(h.healthChecks) == 0 {
+		t.Fatal("write sent to a suspected primary, or no member queried for the new one")
 	}
-	w.seen("g0n2", Primary, 0)
-	w.r.HealthChecked(w.now, "g0n2", Answered)
-	if c := w.requests["held"]; c.sent != 1 || w.inFlight[len(w.inFlight)-1].node != "g0n2" {
-		t.Fatal("not sent to the successor")
+	h.observeReply("g0n2", Primary, 0)
+	h.r.HealthChecked(h.now, "g0n2", Answered)
+	if c := h.requests["queued"]; c.started != 1 || h.inFlight[len(h.inFlight)-1].node != "g0n2" {
+		t.Fatal("write not sent to the new primary")
 	}
 }
 
-// A primary cools down between writes because its limit paces them. It is known all the same. Without that, hundreds of
-// routers checked their whole shards every 50 ms, and requests paid for it.
-func TestCoolingPrimaryIsNotLookedFor(t *testing.T) {
+// Guards against searching for a primary that is only cooling down because its limit requires pauses between writes. In
+// an earlier version hundreds of routers checked all members of their shards every 50 ms, at the expense of requests.
+func TestCoolingDownPrimaryIsNotQueried(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare func(r *Router, now int64)
 		checks  bool
 	}{
 		"cools down": {func(r *Router, now int64) { r.nodes[0].coolDownUntil = now + 2e6 }, false},
-		"not reached": {func(r *Router, now int64) {
+		"connections fail": {func(r *Router, now int64) {
 			r.nodes[0].coolDownUntil = now + 2e6
-			r.nodes[0].refusedSince = now
+			r.nodes[0].connectFailingSince = now
 		}, true},
 		"suspected":       {func(r *Router, now int64) { r.nodes[0].suspected = true }, true},
-		"nobody is known": {func(r *Router, now int64) { r.shards[0].primary = nil }, true},
+		"primary unknown": {func(r *Router, now int64) { r.shards[0].primary = nil }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newShard(t, 1, 3)
-			for _, n := range w.r.nodes {
-				n.checkedByPeer = true // no checks but a write's own
+			h := newShardHarness(t, 1, 3)
+			for _, n := range h.r.nodes {
+				n.checkedByPeer = true // only checks for a write remain
 			}
-			c.prepare(w.r, w.now)
-			w.arrive("w", plainWrite, 0, 4e6, 0)
-			w.sweeps(50)
-			if len(w.checks) > 0 != c.checks || len(w.inFlight) > 0 {
-				t.Error("checks:", len(w.checks), "in flight:", len(w.inFlight))
+			c.prepare(h.r, h.now)
+			h.sendRequest("w", plainWrite, 0, 4e6, 0)
+			h.runSweeps(50)
+			if len(h.healthChecks) > 0 != c.checks || len(h.inFlight) > 0 {
+				t.Error("health checks:", len(h.healthChecks), "in flight:", len(h.inFlight))
 			}
 		})
 	}
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -5,71 +5,72 @@
 	"slices"
 )
 
-// Request is a request as its client sent it.
+// Request is a request as received from a client.
 type Request struct {
 	ID      string
 	Group   int    // index in Config.CommandGroups
 	Tenant  int    // index in Config.Tenants; any other number for a tenant without quota
-	Session string // empty for none
-	// TimeLeft is how long, us, the client still waits.
+	Session string // empty if none
+	// TimeLeft is how much longer the client waits, in microseconds.
 	TimeLeft int64
 	Shard    int // number of the shard that holds its data
-	// SinceWrite is how long ago, us, the session's last write was answered; 0 for none. Read only where
-	// Config.ClientsCarryTokens.
+	// SinceWrite is the time, in microseconds, since the session's last write was answered; 0 if there was none. It is
+	// used only if Config.ClientsCarryTokens is set.
 	SinceWrite int64
 }
 
-// AttemptResult is the end of one attempt.
+// AttemptResult describes the end of an attempt.
 type AttemptResult struct {
 	RequestID string
-	Attempt   int // its number, in the order of Actions.StartAttempt
+	Attempt   int // its number, in the order of Actions.StartAttempt calls
 	Outcome   Outcome
-	Took      int64 // us from its start to its end
-	// RequestDone tells that the request has its final answer, or its client has left: nothing more may be started.
+	Took      int64 // duration in microseconds
+	// RequestDone reports that the request has its final answer or its client disconnected, so no further attempt may
+	// start.
 	RequestDone bool
 }
 
-// request is one request that is owed a final answer, or that still has attempts in flight after it.
+// request is a request that has no final answer yet, or still has attempts in flight.
 type request struct {
 	id      string
 	group   *commandGroup
-	tenant  *tenant // nil for none
+	tenant  *tenant // nil if none
 	shard   *shard
-	session string // empty for none
+	session string // empty if none
 
 	arrivedAt  int64
 	deadline   int64 // when its client stops waiting
-	sendBefore int64 // sent later, its answer will probably miss the latency objective
+	sendBefore int64 // if sent later, it will probably miss the latency objective
 	queueUntil int64 // given up from then on, unless an attempt is in flight or may have executed it
 
-	weight          float64 // priority weight: greater ones leave the queue first
-	sessionPosition int64   // position of its session's last write, which a ReadYourWrites read must see; 0 for none
-	unsureWrite     bool    // a write of its session is in flight that may have been answered already
-	admitted        bool    // it has passed the admission stage
-	tookQuota       bool    // it counts against its tenant's quota
-	late            bool    // sendBefore has passed and its weight was cut
-	queued          bool
-	clientGone      bool // its client left before its final answer
-	done            bool // it has its final answer, or its client left
-
-	chosen       *node // where the next attempt goes
-	attempts     []*attempt
-	attemptSpace [2]*attempt // where attempts begins, so that most requests need no list of their own
-	inFlight     int         // attempts that have not ended
-
-	mayHaveExecuted bool  // some attempt that ended may have executed it
-	firstExecutedAt int64 // when the earliest such attempt was started
+	weight                float64 // priority weight; the queue is ordered by descending weight
+	sessionPosition       int64   // position of its session's last write, which a ReadYourWrites read must see; 0 if none
+	possiblyAnsweredWrite bool    // a write of its session is in flight and may have been answered already
+	admitted              bool    // it has passed the admission stage
+	quotaCharged          bool    // it was charged to its tenant's quota
+	late                  bool    // sendBefore has passed and its weight was reduced
+	queued                bool
+	clientGone            bool // its client disconnected before the final answer
+	done                  bool // it has its final answer, or its client disconnected
+
+	target         *node // node of the next attempt
+	attempts       []*attempt
+	inlineAttempts [2]*attempt // initial backing array of attempts, which avoids an allocation for most requests
+	inFlight       int         // attempts that have not ended
+
+	mayHaveExecuted bool  // an attempt that ended may have executed it
+	firstExecutedAt int64 // start of the earliest such attempt
 }
 
-// attempt is one sending of a request to a node.
+// attempt is one transmission of a request to a node.
 type attempt struct {
 	request   *request
 	number    int // within the request, from 0
 	node      *node
 	startedAt int64
 	ended     bool
-	canceled  bool // the caller was asked to stop waiting for it
-	lost      bool // unanswered for so long that it is taken to be lost: it no longer counts as in flight at its node
+	canceled  bool // cancellation was requested
+	lost      bool // considered lost after a long time without an answer; no longer counted as in flight at its node
 }
 
 // inFlightAt reports whether an attempt of the request is in flight at a node.
@@ -82,17 +83,17 @@
 	return false
 }
 
-// awaitsOther reports whether another attempt of the request is in flight and not canceled.
-func (req *request) awaitsOther(than *attempt) bool {
+// hasOtherPending reports whether an attempt other than except is in flight and not canceled.
+func (req *request) hasOtherPending(except *attempt) bool {
 	for _, a := range req.attempts {
-		if a != than && !a.ended && !a.canceled {
+		if a != except && !a.ended && !a.canceled {
 			return true
 		}
 	}
 	return false
 }
 
-// runStages takes a request through the stages until one doesn't let it proceed.
+// runStages passes a request through the stages until one of them doesn't return proceed.
 func (r *Router) runStages(req *request, now int64) {
 	for _, s := range r.stages {
 		d := s.request(req, now)
@@ -105,24 +106,25 @@
 	}
 }
 
-// enqueue puts a request into the shard's queue: the greatest weight first, among equals the latest arrival. With the
-// oldest first, under overload every request would be sent just too late for its objective.
+// enqueue inserts a request into the shard's queue, ordered by descending weight and, for equal weights, latest arrival
+// first. With the oldest first, every request would be sent just too late for its objective under overload.
 func (s *shard) enqueue(req *request) {
 	req.queued = true
 	at, _ := slices.BinarySearchFunc(s.queue, req, compareQueued)
 	s.queue = slices.Insert(s.queue, at, req)
 }
 
-// compareQueued tells that a queued request stands before a new one (negative) or behind it (positive).
+// compareQueued returns a negative number if a queued request stays ahead of a new one, and a positive number
+// otherwise.
 func compareQueued(queued, added *request) int {
 	return cmp.Or(cmp.Compare(added.weight, queued.weight), cmp.Compare(added.arrivedAt, queued.arrivedAt), -1)
 }
 
-// dispatchWaiting takes the queued requests of a shard through the stages again, in their order.
-func (r *Router) dispatchWaiting(s *shard, now int64) {
-	waiting := s.queue
+// dispatchQueued passes the queued requests of a shard through the stages again, in queue order.
+func (r *Router) dispatchQueued(s *shard, now int64) {
+	queue := s.queue
 	s.queue = nil
-	for _, req := range waiting {
+	for _, req := range queue {
 		req.queued = false
 		if !req.done {
 			r.runStages(req, now)
@@ -130,14 +132,14 @@
 	}
 }
 
-// dispatchAllWaiting does so for all shards.
-func (r *Router) dispatchAllWaiting(now int64) {
+// dispatchAllQueued calls dispatchQueued for all shards.
+func (r *Router) dispatchAllQueued(now int64) {
 	for _, s := range r.shards {
-		r.dispatchWaiting(s, now)
+		r.dispatchQueued(s, now)
 	}
 }
 
-// finish notes that a request needs nothing more; its attempts in flight are canceled.
+// finish marks a request as done and cancels its attempts in flight.
 func (r *Router) finish(req *request) {
 	req.done = true
 	for _, a := range req.attempts {
@@ -148,7 +150,7 @@
 	}
 }
 
-// cancelAttempt asks once to stop waiting for an attempt, where that is possible.
+// cancelAttempt requests the cancellation of an attempt once, if attempts are cancelable.
 func (r *Router) cancelAttempt(a *attempt) {
 	if !r.config.Attempts.Cancelable || a.ended || a.canceled {
 		return
@@ -157,7 +159,7 @@
 	r.actions.CancelAttempt(a.request.id, a.number)
 }
 
-// openAttempt notes that an attempt of a request is in flight at a node.
+// openAttempt records that an attempt of a request is in flight at a node.
 func (r *Router) openAttempt(req *request, n *node, now int64) {
 	a := &attempt{request: req, number: len(req.attempts), node: n, startedAt: now}
 	req.attempts = append(req.attempts, a)
@@ -166,7 +168,8 @@
 	n.attempts = append(n.attempts, a)
 }
 
-// closeAttempt notes that an attempt is in flight no longer. While connections are scarce the one it used isn't kept.
+// closeAttempt records that an attempt is no longer in flight. While connections are scarce, it closes the node's idle
+// connections.
 func (r *Router) closeAttempt(a *attempt, _ Outcome, _, now int64) {
 	a.ended = true
 	a.request.inFlight--
@@ -177,7 +180,7 @@
 			n.inFlight--
 		}
 	}
-	if now < r.scarceUntil {
+	if now < r.connectionsScarceUntil {
 		r.actions.CloseIdleConnections(n.name)
 	}
 }
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -2,40 +2,41 @@
 
 import "cmp"
 
-// How attempts are started, when a request is sent again, and which final answer it has when it is given up.
+// Attempts and retries: how attempts start, when a request is sent again, and which final answer it gets when it is
+// given up.
 
 const (
-	// untilDeadline is the timeout of every attempt: attempts have none of their own, only the client's deadline. Those that
-	// take too long are found by sweeps, which know what is usual (outlier_detection.go).
-	untilDeadline = 0
-	// retryAtOnce is the Retry-After of every rejection: clients space their attempts themselves.
-	retryAtOnce = 0
+	// noAttemptTimeout is the timeout of every attempt: attempts are limited only by the client's deadline. Sweeps
+	// detect attempts that take too long by the average response times (outlier_detection.go).
+	noAttemptTimeout = 0
+	// retryImmediately is the Retry-After value of every rejection, because clients space their attempts themselves.
+	retryImmediately = 0
 )
 
 // startAttempt is the last stage: it sends a request to the chosen node.
 func (r *Router) startAttempt(req *request, now int64) decision {
-	n := req.chosen
+	n := req.target
 	startWithin := r.startWithin(req, now)
 	if req.inFlight > 0 {
-		r.hedgingBudget-- // only a hedge that is sent is paid for
+		r.hedgingBudget-- // only hedges that are sent are charged
 	}
 	r.openAttempt(req, n, now)
 	if r.setsToken(req) {
 		r.sessions.writeStarted(req.session, now)
 	}
-	if r.warmth(n, now) < 1 {
-		n.credit -= req.group.usualResponse
+	if r.capacityShare(n, now) < 1 {
+		n.credit -= req.group.avgResponseTime
 	}
-	r.actions.StartAttempt(req.id, n.name, untilDeadline, startWithin)
+	r.actions.StartAttempt(req.id, n.name, noAttemptTimeout, startWithin)
 	return proceed
 }
 
-// handleAttemptFailure is the stage that decides, after an attempt ended without an answer, whether there is another.
-// A request that may have been executed isn't sent again where that could do harm.
+// handleAttemptFailure is the outcome function that decides whether an attempt that ended without an answer is followed
+// by another one. A request that may have been executed isn't sent again if that could be harmful.
 func (r *Router) handleAttemptFailure(a *attempt, outcome Outcome, _, now int64) {
 	req := a.request
 	if req.done {
-		return // AttemptEnded finishes it
+		return // AttemptEnded calls finish
 	}
 	if !outcome.NotExecuted() {
 		req.firstExecutedAt = min(a.startedAt, cmp.Or(req.firstExecutedAt, a.startedAt))
@@ -51,19 +52,20 @@
 	r.runStages(req, now)
 }
 
-// giveUp gives a request its final answer: rejected with leave to retry where a repeat does no harm, failed otherwise.
+// giveUp gives a request its final answer: a rejection that permits a retry if a repeat is harmless, otherwise a
+// failure.
 func (r *Router) giveUp(req *request) {
 	req.refundQuota()
-	if req.repeatIsHarmless() {
-		r.actions.RejectWithRetry(req.id, retryAtOnce)
+	if req.retryIsSafe() {
+		r.actions.RejectWithRetry(req.id, retryImmediately)
 	} else {
 		r.actions.Fail(req.id)
 	}
 	r.finish(req)
 }
 
-// repeatIsHarmless reports whether a client may send the request again, to any node.
-func (req *request) repeatIsHarmless() bool {
+// retryIsSafe reports whether a client may send the request again, to any node.
+func (req *request) retryIsSafe() bool {
 	if !req.mayHaveExecuted && req.inFlight == 0 {
 		return true
 	}
@@ -76,24 +78,24 @@
 	return false
 }
 
-// usableWindow is for how long, us, after its first attempt a request with a key may be sent again: the idempotency
-// window less what rounded times may hide.
-func (r *Router) usableWindow(group *commandGroup) int64 {
+// retryWindow returns how long, in microseconds, after its first attempt a request with a key may be sent again: the
+// idempotency window minus the error that rounded times may hide.
+func (r *Router) retryWindow(group *commandGroup) int64 {
 	return group.IdempotencyWindow - r.config.TimeResolution
 }
 
-// startWithin is how soon, us, an attempt must begin; 0 for no bound. A repeat of a request with a key must begin
-// before its shard forgets the key. Without the bound, an attempt that is decided inside the window
-// and waits for a connection could be written after the window has passed.
+// startWithin returns the maximum time, in microseconds, until an attempt must start; 0 for no limit. A retry of a
+// request with a key must start before its shard forgets the key. Without the limit, an attempt that is decided inside
+// the window but waits for a connection could be sent after the window has passed.
 func (r *Router) startWithin(req *request, now int64) int64 {
 	if req.group.Idempotency != IdempotentWithKey || !req.mayHaveExecuted && req.inFlight == 0 {
 		return 0
 	}
-	return max(1, req.earliestExecution(now)+r.usableWindow(req.group)-now)
+	return max(1, req.earliestExecution(now)+r.retryWindow(req.group)-now)
 }
 
-// earliestExecution is the earliest time at which a request may have been executed: the start of an attempt that ended
-// without proof of the opposite, or is in flight. It is now where there is none.
+// earliestExecution returns the earliest time at which a request may have been executed: the start of an attempt that
+// is in flight or ended without proof that it wasn't executed. Without such an attempt it returns now.
 func (req *request) earliestExecution(now int64) int64 {
 	first := cmp.Or(req.firstExecutedAt, now)
 	for _, a := range req.attempts {
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -2,62 +2,63 @@
 
 import "testing"
 
-// A request with a key may have been executed and is sent again. It must begin within what is left of its window, counted
-// from its first attempt: later its shard would execute it once more.
-func TestARepeatBeginsInItsWindow(t *testing.T) {
-	w := newShard(t, 1, 1)
-	w.seen("g0n0", Primary, 0)
-	w.arrive("k", keyedWrite, 0, 4e6, 0)
-	if w.startWithin != 0 {
-		t.Errorf("a first attempt must begin within %d us", w.startWithin)
+// Guards against executing a request with a key twice: a retry must start within the remaining idempotency window,
+// counted from the first attempt, because its shard forgets the key afterwards.
+func TestRetryStartsWithinIdempotencyWindow(t *testing.T) {
+	h := newShardHarness(t, 1, 1)
+	h.observeReply("g0n0", Primary, 0)
+	h.sendRequest("k", keyedWrite, 0, 4e6, 0)
+	if h.startWithin != 0 {
+		t.Errorf("first attempt must start within %d us, want no limit", h.startWithin)
 	}
-	w.step(100_000)
-	w.answer(0, ConnectionLost, RoleUnknown, 0)
-	w.sweeps(5)
-	if len(w.inFlight) != 1 || w.startWithin <= 0 || w.startWithin > modelWindow-100_000 {
-		t.Errorf("%d in flight, the repeat must begin within %d us", len(w.inFlight), w.startWithin)
+	h.advance(100_000)
+	h.endAttempt(0, ConnectionLost, RoleUnknown, 0)
+	h.runSweeps(5)
+	if len(h.inFlight) != 1 || h.startWithin <= 0 || h.startWithin > modelIdempotencyWindow-100_000 {
+		t.Errorf("%d attempts in flight, the retry must start within %d us", len(h.inFlight), h.startWithin)
 	}
 }
 
-// Nothing may be sent any more for a request, and its last attempt is at a node that is slow, silent, or no primary any
-// longer. The attempt must go on, for its answer may be on the way. Seen: it is canceled and the request given up.
-func TestLastAttemptIsLeftAlone(t *testing.T) {
-	goesOn := func(t *testing.T, w *world) {
+// Guards against canceling an attempt that can't be replaced: no further attempt may be sent, and the last one is at a
+// node that is slow, silent, or no longer the primary. Its answer may be on the way, so the attempt must continue. In
+// an earlier version it was canceled and the request given up.
+func TestLastAttemptIsNotCanceled(t *testing.T) {
+	requireInFlight := func(t *testing.T, h *harness) {
 		t.Helper()
-		if len(w.inFlight) != 1 || w.inFlight[0].canceled || w.requests["c"].finished {
-			t.Fatalf("in flight: %+v, given up: %v", w.inFlight, w.requests["c"].finished)
+		if len(h.inFlight) != 1 || h.inFlight[0].canceled || h.requests["c"].finished {
+			t.Fatalf("in flight: %+v, given up: %v", h.inFlight, h.requests["c"].finished)
 		}
 	}
-	t.Run("no attempt is left", func(t *testing.T) {
-		w := newShard(t, 1, 3)
-		w.r.config.Attempts.Max = 1
-		w.r.groups[eventualRead].usualResponse = 20_000
-		w.sweeps(1)
-		w.arrive("c", eventualRead, 0, 1e6, 0)
+	t.Run("no attempts left", func(t *testing.T) {
+		h := newShardHarness(t, 1, 3)
+		h.r.config.Attempts.Max = 1
+		h.r.groups[eventualRead].avgResponseTime = 20_000
+		h.runSweeps(1)
+		h.sendRequest("c", eventualRead, 0, 1e6, 0)
 		for range 20 {
-			w.known(w.sentTo()).answeredAt = w.now // it answers others, so the attempt is taken to be lost
-			w.sweeps(1)
+			h.node(h.soleTarget()).lastReplyAt = h.now // the node answers others, so the attempt is considered lost
+			h.runSweeps(1)
 		}
-		goesOn(t, w)
-		if n := w.known(w.sentTo()); n.inFlight != 0 {
-			t.Fatalf("a lost attempt still holds %d of the node's places", n.inFlight)
+		requireInFlight(t, h)
+		if n := h.node(h.soleTarget()); n.inFlight != 0 {
+			t.Fatalf("lost attempt still counted: %d attempts in flight at the node", n.inFlight)
 		}
 	})
-	t.Run("the deadline is near", func(t *testing.T) {
-		w := newShard(t, 1, 3)
-		w.r.groups[eventualRead].usualResponse = 60_000 // eight of them end within two sweeps of the deadline
-		w.sweeps(1)
-		w.arrive("c", eventualRead, 0, 510_000, 0)
-		w.sweeps(25)
-		goesOn(t, w)
+	t.Run("deadline is near", func(t *testing.T) {
+		h := newShardHarness(t, 1, 3)
+		h.r.groups[eventualRead].avgResponseTime = 60_000 // eight times this ends within two sweeps of the deadline
+		h.runSweeps(1)
+		h.sendRequest("c", eventualRead, 0, 510_000, 0)
+		h.runSweeps(25)
+		requireInFlight(t, h)
 	})
-	t.Run("the idempotency window is over", func(t *testing.T) {
-		w := newShard(t, 1, 3)
-		w.r.groups[keyedWrite].usualResponse = 1e6
-		w.seen("g0n0", Primary, 1)
-		w.arrive("c", keyedWrite, 0, 4e6, 0)
-		w.sweeps(modelWindow/sweepInterval + 2)
-		w.seen("g0n1", Primary, 1)
-		goesOn(t, w)
+	t.Run("idempotency window has passed", func(t *testing.T) {
+		h := newShardHarness(t, 1, 3)
+		h.r.groups[keyedWrite].avgResponseTime = 1e6
+		h.observeReply("g0n0", Primary, 1)
+		h.sendRequest("c", keyedWrite, 0, 4e6, 0)
+		h.runSweeps(modelIdempotencyWindow/sweepInterval + 2)
+		h.observeReply("g0n1", Primary, 1)
+		requireInFlight(t, h)
 	})
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -8,75 +8,77 @@
 )
 
 const (
-	// sweepInterval is the time, us, between two looks at all nodes and queues. It bounds how late a silent node or an
-	// expired request is noticed: far under any latency objective.
+	// sweepInterval is the period of TimerFired, in microseconds. It bounds how late a silent node or an expired
+	// request is noticed and is far below any latency objective.
 	sweepInterval = 20_000
-	// stallThreshold is the time, us, without a sweep from which the router itself is taken to have stood still (its
-	// process had no processor, say): five sweeps. What was late then says nothing of the nodes.
+	// stallThreshold is the time without a sweep, in microseconds, after which the router process itself is assumed to
+	// have stalled (for example, without CPU time): five sweep intervals. Responses delayed by a stall say nothing
+	// about the nodes.
 	stallThreshold = 100_000
 )
 
-// Router decides for one process. See the package comment.
+// Router makes the routing decisions of one process. See the package comment.
 type Router struct {
 	actions Actions
-	random  seededDraws
+	random  seededRandom
 	config  Config
 
-	nodes      []*node          // by slot, in the order of sweeps; a forgotten node stays until its slot is reused
-	freeSlots  []int            // slots of forgotten nodes
-	nodeByName map[string]*node // without forgotten ones
+	nodes      []*node          // indexed by slot, in sweep order; a forgotten node keeps its slot until the slot is reused
+	freeSlots  []int            // slots of forgotten nodes, available for reuse
+	nodeByName map[string]*node // excludes forgotten nodes
 
 	groups        []*commandGroup
 	tenants       []*tenant
 	shards        []*shard
 	shardByNumber map[int]*shard
-	requests      map[string]*request // those owed a final answer or with an attempt in flight
+	requests      map[string]*request // requests without a final answer or with an attempt in flight
 	sessions      sessionTokens
 	stages        []stage
 
-	endpointList      endpointListState
-	healthCheckBudget float64 // health checks that may be sent now
-	hedgingBudget     float64 // hedged attempts that may be sent now
-	scarceUntil       int64   // until then nodes' connections are scarce and none is kept idle
+	endpointList           endpointListState
+	healthCheckBudget      float64 // remaining budget, in health checks
+	hedgingBudget          float64 // remaining budget, in hedged attempts
+	connectionsScarceUntil int64   // until then node connections are scarce and no idle ones are kept
 
 	sweeps       int
-	lastSweepAt  int64 // 0 before the first sweep, which therefore counts as the end of a standstill
-	stallEndedAt int64 // end of this router's last standstill, 0 for none
+	lastSweepAt  int64 // 0 before the first sweep, which therefore counts as the end of a stall
+	stallEndedAt int64 // end of this router's last stall, 0 if none
 }
 
-// decision is what a stage makes of a request.
+// decision is the result of a stage for a request.
 type decision uint8
 
 const (
-	proceed decision = iota // on to the next stage
+	proceed decision = iota // continue with the next stage
 	enqueue                 // wait in the shard's queue
-	stop                    // nothing more to do now: it has its final answer, or an attempt in flight to wait for
+	stop                    // leave the stages: the request has its final answer, or waits for an attempt in flight
 )
 
-// String names the decision for tests.
+// String returns the decision's name, for tests.
 func (d decision) String() string {
 	return enumName([]string{"proceed", "enqueue", "stop"}, int(d))
 }
 
-// stage is one step of the way of a request (package comment): request decides about it on its way out, outcome learns
-// from an attempt's end on the way back; took is the time, us, from the attempt's start to its end.
+// stage is one step of the request pipeline described in the package comment. The request function decides whether a
+// request continues; the outcome function processes the end of an attempt, where took is the attempt's duration in
+// microseconds.
 type stage struct {
 	request func(req *request, now int64) decision
 	outcome func(a *attempt, outcome Outcome, took, now int64)
 }
 
-// New makes a Router that draws its chance from a seed; Configure comes before Start.
+// New returns a Router whose random choices are derived from seed. Call Configure before Start.
 func New(seed uint64, actions Actions) *Router {
 	return &Router{
 		actions:       actions,
-		random:        seededDraws{seed: seed},
+		random:        seededRandom{seed: seed},
 		requests:      make(map[string]*request),
 		nodeByName:    make(map[string]*node),
 		shardByNumber: make(map[int]*shard),
 	}
 }
 
-// Configure sets what the Router decides by. It is called once, before Start.
+// Configure sets the router's configuration. It is called once, before Start.
 func (r *Router) Configure(config Config) {
 	config.Routers = max(config.Routers, 1)
 	r.config = config
@@ -91,7 +93,7 @@
 	}
 }
 
-// Start begins the Router's work.
+// Start sets up the stages and schedules the first sweep.
 func (r *Router) Start(int64) {
 	r.stages = []stage{
 		{r.checkDeadline, r.handleAttemptFailure},
@@ -101,14 +103,14 @@
 		{r.startAttempt, r.closeAttempt},
 	}
 	for _, group := range r.groups {
-		group.usualResponse = initialUsualResponse * float64(group.LatencyObjective)
+		group.avgResponseTime = initialResponseTimeShare * float64(group.LatencyObjective)
 	}
 	r.healthCheckBudget = healthCheckBurst
-	// Routers that start at once must not sweep at once: each begins at a chance moment.
-	r.actions.SetTimer(1 + int64(r.random.below(sweepInterval)))
+	// A random first delay keeps routers that start together from sweeping at the same time.
+	r.actions.SetTimer(1 + int64(r.random.intN(sweepInterval)))
 }
 
-// RequestArrived takes a request; the Router owes it one final answer from here on.
+// RequestArrived accepts a request. From here on the Router owes it exactly one final answer.
 func (r *Router) RequestArrived(now int64, arrived Request) {
 	group := r.groups[arrived.Group]
 	req := &request{
@@ -120,7 +122,7 @@
 		arrivedAt: now,
 		deadline:  now + arrived.TimeLeft,
 	}
-	req.attempts = req.attemptSpace[:0]
+	req.attempts = req.inlineAttempts[:0]
 	if group.Consistency == ReadYourWrites && r.config.ClientsCarryTokens && arrived.SinceWrite > 0 {
 		req.sessionPosition = now - arrived.SinceWrite
 	}
@@ -131,7 +133,7 @@
 	r.runStages(req, now)
 }
 
-// AttemptEnded tells how an attempt ended. One that was reported before, or of an unknown request, is passed over.
+// AttemptEnded processes the end of an attempt. It ignores unknown requests and attempts that already ended.
 func (r *Router) AttemptEnded(now int64, result AttemptResult) {
 	req := r.requests[result.RequestID]
 	if req == nil || result.Attempt < 0 || result.Attempt >= len(req.attempts) {
@@ -144,7 +146,7 @@
 	req.done = req.done || result.RequestDone
 	took := result.Took
 	if r.stallEndedAt == now || now-r.lastSweepAt > stallThreshold {
-		took = min(took, int64(req.group.usualResponse)) // the router stood still: how long it really took isn't known
+		took = min(took, int64(req.group.avgResponseTime)) // the router stalled, so the true response time is unknown
 	}
 	for i := len(r.stages) - 1; i >= 0; i-- {
 		r.stages[i].outcome(ended, result.Outcome, took, now)
@@ -152,10 +154,10 @@
 	if req.done {
 		r.finish(req)
 	}
-	r.dispatchWaiting(req.shard, now)
+	r.dispatchQueued(req.shard, now)
 }
 
-// ClientGone ends a request whose client left before its final answer.
+// ClientGone ends a request whose client disconnected before the final answer.
 func (r *Router) ClientGone(_ int64, requestID string) {
 	req := r.requests[requestID]
 	if req == nil || req.done {
@@ -165,8 +167,8 @@
 	r.finish(req)
 }
 
-// Shutdown gives every request its final answer now, because the process will be ended before a node could answer.
-// It goes by request id, so that the same state gives the same actions.
+// Shutdown gives every open request its final answer immediately, because the process ends before a node could answer.
+// Requests are processed in order of their IDs so that equal states give equal actions.
 func (r *Router) Shutdown() {
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		if req := r.requests[id]; !req.done {
@@ -175,8 +177,8 @@
 	}
 }
 
-// TimerFired is the periodic sweep: it looks for silent nodes and lost attempts, lets what is known of nodes fade with
-// its age, and tries the queues again.
+// TimerFired runs the periodic sweep: it detects silent nodes and lost attempts, decays node statistics, and retries
+// the queued requests.
 func (r *Router) TimerFired(now int64) {
 	if now-r.lastSweepAt > stallThreshold {
 		r.stallEndedAt = now
@@ -184,32 +186,32 @@
 	r.lastSweepAt = now
 	r.sweeps++
 	for i := range r.nodes {
-		n := r.nodes[(i+r.sweeps)%len(r.nodes)] // another one first each time, for the health check budget goes in order
+		n := r.nodes[(i+r.sweeps)%len(r.nodes)] // rotate the start, because nodes draw on the health check budget in this order
 		switch {
 		case n.forgotten:
-		case r.mayForget(n, now):
+		case r.canForget(n, now):
 			r.forget(n)
 		default:
 			r.checkResponsiveness(n, now)
-			n.fadeOutlierFigures()
+			n.decayOutlierStats()
 			r.averageWarmRate(n, now)
 		}
 	}
-	r.dispatchAllWaiting(now)
+	r.dispatchAllQueued(now)
 	r.pollEndpoints(now)
 	r.actions.SetTimer(sweepInterval)
 }
 
-// seededDraws is a source of chance that gives the same draws for the same seed.
-type seededDraws struct {
-	seed, drawn uint64
+// seededRandom is a pseudorandom source that returns the same sequence for the same seed.
+type seededRandom struct {
+	seed, draws uint64
 }
 
-// below draws a number from 0 to n-1.
-func (d *seededDraws) below(n int) int {
+// intN returns a pseudorandom number in [0, n).
+func (d *seededRandom) intN(n int) int {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], d.seed)
-	binary.LittleEndian.PutUint64(b[8:], d.drawn)
-	d.drawn++
+	binary.LittleEndian.PutUint64(b[8:], d.draws)
+	d.draws++
 	return int(crc32.ChecksumIEEE(b[:]) % uint32(n))
 }
--- a/internal/routing/rules_test.go
+++ b/internal/routing/rules_test.go
@@ -6,237 +6,240 @@
 	"testing"
 )
 
-// FuzzRules plays generated days against the Router; the model fails the test at any breach of the rules.
+// FuzzRules runs generated scenarios against the Router; the reference model fails the test at any violation of the
+// rules.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(36) {
 		f.Add(seed, uint8(seed*37))
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, trouble uint8) { playDay(t, seed, trouble, 4000) })
+	f.Fuzz(func(t *testing.T, seed uint64, faultRate uint8) { runScenario(t, seed, faultRate, 4000) })
 }
 
 const (
-	dayShards  = 2
-	dayMembers = 4
-	// sixAttemptsBelow is the first seed whose days allow another number of attempts than six, by the seed.
-	sixAttemptsBelow = 24
+	scenarioShards  = 2
+	scenarioMembers = 4
+	// firstVariedAttemptsSeed is the first seed whose scenarios derive the maximum number of attempts from the seed
+	// instead of using six.
+	firstVariedAttemptsSeed = 24
 )
 
-// day is one generated day: what the nodes are like in truth.
-type day struct {
-	*world
-	rnd      *rand.Rand
-	trouble  uint8            // how much goes wrong
-	primary  []string         // by shard
-	lag      map[string]int64 // us
-	hung     map[string]bool
-	served   map[string]int64 // when a node last answered
-	arrivals int
+// scenario is a generated scenario with the actual state of the nodes.
+type scenario struct {
+	*harness
+	rng          *rand.Rand
+	faultRate    uint8            // how often faults are injected
+	primary      []string         // by shard
+	lag          map[string]int64 // in microseconds
+	hung         map[string]bool
+	lastServedAt map[string]int64 // when a node last answered
+	arrivals     int
 }
 
-// playDay plays one generated day and checks that nothing is kept behind it.
-func playDay(t testing.TB, seed uint64, trouble uint8, steps int) {
-	d := &day{
-		world:   newWorld(t, seed),
-		rnd:     rand.New(rand.NewSource(int64(seed))),
-		trouble: trouble,
-		primary: []string{"g0n0", "g1n0"},
-		lag:     map[string]int64{},
-		hung:    map[string]bool{},
-		served:  map[string]int64{},
-	}
-	if trouble%2 == 1 {
-		d.remember()
-	}
-	if seed >= sixAttemptsBelow {
-		d.r.config.Attempts.Max = 1 + int(seed%6)
-	}
-	d.list(dayShards, dayMembers)
+// runScenario runs one generated scenario and checks that no request is kept after its end.
+func runScenario(t testing.TB, seed uint64, faultRate uint8, steps int) {
+	s := &scenario{
+		harness:      newHarness(t, seed),
+		rng:          rand.New(rand.NewSource(int64(seed))),
+		faultRate:    faultRate,
+		primary:      []string{"g0n0", "g1n0"},
+		lag:          map[string]int64{},
+		hung:         map[string]bool{},
+		lastServedAt: map[string]int64{},
+	}
+	if faultRate%2 == 1 {
+		s.keepTokensInRouter()
+	}
+	if seed >= firstVariedAttemptsSeed {
+		s.r.config.Attempts.Max = 1 + int(seed%6)
+	}
+	s.sendFullList(scenarioShards, scenarioMembers)
 	for range steps {
-		name := fmt.Sprintf("g%dn%d", d.rnd.Intn(dayShards), d.rnd.Intn(dayMembers))
-		if d.rnd.Intn(256) < int(trouble) {
-			d.makeTrouble(name)
+		name := fmt.Sprintf("g%dn%d", s.rng.Intn(scenarioShards), s.rng.Intn(scenarioMembers))
+		if s.rng.Intn(256) < int(faultRate) {
+			s.injectFault(name)
 		}
-		for range d.rnd.Intn(3) {
-			d.arrivals++
-			group := d.rnd.Intn(7)
-			left := 50_000 + d.rnd.Int63n(d.r.groups[group].Timeout)
-			d.arrive(fmt.Sprint("c", d.arrivals), group, d.rnd.Intn(dayShards), left, d.rnd.Int63n(400_000))
+		for range s.rng.Intn(3) {
+			s.arrivals++
+			group := s.rng.Intn(7)
+			left := 50_000 + s.rng.Int63n(s.r.groups[group].Timeout)
+			s.sendRequest(fmt.Sprint("c", s.arrivals), group, s.rng.Intn(scenarioShards), left, s.rng.Int63n(400_000))
 		}
-		d.step(1 + d.rnd.Int63n(15_000))
-		d.answerDue()
-		d.answerChecks()
+		s.advance(1 + s.rng.Int63n(15_000))
+		s.endDueAttempts()
+		s.endHealthChecks()
 	}
 	for range 700 {
-		d.step(10_000)
+		s.advance(10_000)
 	}
-	if d.arrivals > 0 && len(d.r.requests) > len(d.inFlight) {
-		t.Fatalf("%d requests kept after their end", len(d.r.requests))
+	if s.arrivals > 0 && len(s.r.requests) > len(s.inFlight) {
+		t.Fatalf("%d requests kept after their final answer", len(s.r.requests))
 	}
 }
 
-// makeTrouble lets something happen to a node, to the lists, or to the Router.
-func (d *day) makeTrouble(name string) {
-	switch d.rnd.Intn(44) {
-	case 0: // a failover
-		d.primary[d.shard[name]] = name
+// injectFault changes the state of a node, the endpoint list or the Router at random.
+func (s *scenario) injectFault(name string) {
+	switch s.rng.Intn(44) {
+	case 0: // failover
+		s.primary[s.shardOf[name]] = name
 	case 1:
-		d.lag[name] = d.rnd.Int63n(5_000_000)
+		s.lag[name] = s.rng.Int63n(5_000_000)
 	case 2:
-		d.hung[name] = !d.hung[name]
-	case 3: // a restart
-		d.started[name] = d.now
-		d.hung[name] = false
-		d.warmingSends[name] = nil
-		d.change(name)
+		s.hung[name] = !s.hung[name]
+	case 3: // restart
+		s.startedAt[name] = s.now
+		s.hung[name] = false
+		s.slowStartSends[name] = nil
+		s.sendListChange(name)
 	case 4:
-		d.draining[name] = !d.draining[name]
-		d.change(name)
+		s.draining[name] = !s.draining[name]
+		s.sendListChange(name)
 	case 5:
-		d.restart(d.rnd.Uint64())
-		d.list(dayShards, dayMembers)
-	case 6: // a list that is empty, or shrinks and names a ghost, then the true one again
-		d.r.BeginEndpointList(d.now, true)
-		if d.rnd.Intn(2) == 0 {
-			d.entry(name, false)
-			ghost := endpoint("ghost", 9, Up)
-			ghost.Primary = true
-			d.r.UpdateEndpoint(d.now, ghost)
+		s.restart(s.rng.Uint64())
+		s.sendFullList(scenarioShards, scenarioMembers)
+	case 6: // an empty list, or one with a single known node and an unknown one, followed by the correct list
+		s.r.BeginEndpointList(s.now, true)
+		if s.rng.Intn(2) == 0 {
+			s.sendEndpoint(name, false)
+			unknown := endpoint("unknown", 9, Up)
+			unknown.Primary = true
+			s.r.UpdateEndpoint(s.now, unknown)
 		}
-		d.r.EndEndpointList(d.now)
-		d.list(dayShards, dayMembers)
-	case 7: // the router stands still
-		d.now += 700_000
+		s.r.EndEndpointList(s.now)
+		s.sendFullList(scenarioShards, scenarioMembers)
+	case 7: // the router stalls
+		s.now += 700_000
 	case 8:
-		d.gossip(name)
+		s.gossip(name)
 	case 9:
-		d.r.SetCheckedByPeer(name, d.rnd.Intn(2) == 0)
+		s.r.SetCheckedByPeer(name, s.rng.Intn(2) == 0)
 	}
 }
 
-// gossip lets another router tell a position that was true when it was learnt, and a role that may be long past.
-func (d *day) gossip(name string) {
-	at := d.now - d.rnd.Int63n(8_000_000)
-	pos := at - 10_000 - d.lag[name]
-	if name == d.primary[d.shard[name]] {
+// gossip sends an observation by another router: a position that was correct when it was observed, and a role that may
+// be long outdated.
+func (s *scenario) gossip(name string) {
+	at := s.now - s.rng.Int63n(8_000_000)
+	pos := at - 10_000 - s.lag[name]
+	if name == s.primary[s.shardOf[name]] {
 		pos = at
 	}
-	silent := d.rnd.Intn(3) == 0
-	d.tell(name, RoleUnknown, pos)
-	role := []Role{Replica, RoleUnknown, Primary}[d.rnd.Intn(3)]
-	d.r.GossipReceived(d.now, GossipUpdate{Node: name, LearntAt: at, Position: pos, Role: role, Silent: silent,
+	silent := s.rng.Intn(3) == 0
+	s.recordReply(name, RoleUnknown, pos)
+	role := []Role{Replica, RoleUnknown, Primary}[s.rng.Intn(3)]
+	s.r.GossipReceived(s.now, GossipUpdate{Node: name, LearntAt: at, Position: pos, Role: role, Silent: silent,
 		Alive: !silent})
 }
 
-// truth is the role and the position that a node has.
-func (d *day) truth(name string) (Role, int64) {
-	if name == d.primary[d.shard[name]] {
+// actualState returns a node's actual role and position.
+func (s *scenario) actualState(name string) (Role, int64) {
+	if name == s.primary[s.shardOf[name]] {
 		return Primary, 0
 	}
-	return Replica, d.now - 10_000 - d.lag[name]
+	return Replica, s.now - 10_000 - s.lag[name]
 }
 
-// answerDue ends the attempts whose time has come, the latest first.
-func (d *day) answerDue() {
-	for i := len(d.inFlight) - 1; i >= 0; i-- {
-		if i >= len(d.inFlight) {
+// endDueAttempts ends the attempts that are due, newest first.
+func (s *scenario) endDueAttempts() {
+	for i := len(s.inFlight) - 1; i >= 0; i-- {
+		if i >= len(s.inFlight) {
 			continue
 		}
-		a := d.inFlight[i]
-		role, pos := d.truth(a.node)
-		o, ends := d.outcome(a, role)
+		a := s.inFlight[i]
+		role, pos := s.actualState(a.node)
+		o, ends := s.outcome(a, role)
 		if !ends {
 			continue
 		}
 		if o == Answered {
-			d.served[a.node] = d.now
+			s.lastServedAt[a.node] = s.now
 		}
-		d.answer(i, o, role, pos)
-		if d.rnd.Intn(64) == 0 { // the same result once more, and the client leaves
-			d.r.AttemptEnded(d.now, AttemptResult{RequestID: a.request, Attempt: a.n, Outcome: o, Took: 1, RequestDone: true})
-			d.requests[a.request].finished = true
-			d.r.ClientGone(d.now, a.request)
+		s.endAttempt(i, o, role, pos)
+		if s.rng.Intn(64) == 0 { // a duplicate result, and the client disconnects
+			s.r.AttemptEnded(s.now, AttemptResult{RequestID: a.request, Attempt: a.number, Outcome: o, Took: 1, RequestDone: true})
+			s.requests[a.request].finished = true
+			s.r.ClientGone(s.now, a.request)
 		}
 	}
 }
 
-// outcome tells how an attempt ends now, if it does.
-func (d *day) outcome(a modelAttempt, role Role) (o Outcome, ends bool) {
+// outcome returns how an attempt ends now, if it does.
+func (s *scenario) outcome(a modelAttempt, role Role) (o Outcome, ends bool) {
 	switch {
-	case a.canceled && d.rnd.Intn(3) > 0:
+	case a.canceled && s.rng.Intn(3) > 0:
 		return Canceled, true
-	case d.hung[a.node] && d.draining[a.node]:
+	case s.hung[a.node] && s.draining[a.node]:
 		return ConnectionLost, true
-	case d.hung[a.node] || d.now < a.due || d.now < d.served[a.node]+1e6/int64(modelRate):
+	case s.hung[a.node] || s.now < a.dueAt || s.now < s.lastServedAt[a.node]+1e6/int64(modelNodeRate):
 		return 0, false
-	case d.requests[a.request].consistency == Write && role != Primary:
+	case s.requests[a.request].consistency == Write && role != Primary:
 		return NotPrimary, true
-	case d.rnd.Intn(512) < int(d.trouble):
-		return []Outcome{Errored, Rejected, TimedOut, ConnectFailed, ConnectionLost, NotSent}[d.rnd.Intn(6)], true
+	case s.rng.Intn(512) < int(s.faultRate):
+		return []Outcome{Errored, Rejected, TimedOut, ConnectFailed, ConnectionLost, NotSent}[s.rng.Intn(6)], true
 	}
 	return Answered, true
 }
 
-// answerChecks ends the health checks.
-func (d *day) answerChecks() {
-	checks := d.checks
-	d.checks = nil
+// endHealthChecks ends all pending health checks.
+func (s *scenario) endHealthChecks() {
+	checks := s.healthChecks
+	s.healthChecks = nil
 	for _, name := range checks {
-		if d.hung[name] {
-			d.r.HealthChecked(d.now, name, TimedOut)
+		if s.hung[name] {
+			s.r.HealthChecked(s.now, name, TimedOut)
 			continue
 		}
-		role, pos := d.truth(name)
-		d.pos[name] = max(d.pos[name], pos)
-		d.r.ReportedPosition(d.now, name, pos)
-		d.r.ReportedRole(d.now, name, role == Primary)
-		if _, told := d.leads[name]; role == Primary && !told {
-			d.leads[name] = true
+		role, pos := s.actualState(name)
+		s.positions[name] = max(s.positions[name], pos)
+		s.r.ReportedPosition(s.now, name, pos)
+		s.r.ReportedRole(s.now, name, role == Primary)
+		if _, told := s.reportedPrimary[name]; role == Primary && !told {
+			s.reportedPrimary[name] = true
 		}
-		d.r.HealthChecked(d.now, name, Answered)
+		s.r.HealthChecked(s.now, name, Answered)
 	}
 }
 
-// Two Routers with one seed are given the same events. Unless the second sends the same requests to the same nodes, a
-// day can't be played again to find a fault.
-func TestSameEventsSameActions(t *testing.T) {
+// Guards against actions that depend on anything but the seed and the events: two Routers with the same seed must send
+// the same requests to the same nodes. Otherwise a failing scenario could not be reproduced.
+func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() string {
-		w := newWorld(t, 5)
-		w.list(1, 5)
+		h := newHarness(t, 5)
+		h.sendFullList(1, 5)
 		sent := ""
 		for i := range 400 {
-			w.arrive(fmt.Sprint("c", i), i%6, 0, 900_000, 300_000)
-			w.step(7_000)
-			for _, a := range w.inFlight {
+			h.sendRequest(fmt.Sprint("c", i), i%6, 0, 900_000, 300_000)
+			h.advance(7_000)
+			for _, a := range h.inFlight {
 				sent += a.request + a.node
 			}
-			w.serve(nil)
+			h.answerAll(nil)
 		}
 		return sent
 	}
 	first := run()
 	second := run()
 	if first == "" || first != second {
-		t.Fatal("two runs of the same events differ, or sent nothing")
+		t.Fatal("two runs with the same events differ, or sent nothing")
 	}
 }
 
-// The process is about to be ended while requests are queued and in flight. Each must have its final answer, and nothing
-// may be sent afterwards.
-func TestShutdown(t *testing.T) {
-	w := newShard(t, 1, 2)
-	w.seen("g0n0", Primary, 0)
+// Guards against unanswered requests when the process exits: on shutdown, every queued request and every request in
+// flight must get its final answer, and nothing may be sent afterwards.
+func TestShutdownAnswersEveryRequest(t *testing.T) {
+	h := newShardHarness(t, 1, 2)
+	h.observeReply("g0n0", Primary, 0)
 	for i := range 60 {
-		w.arrive(fmt.Sprint("c", i), []int{eventualRead, plainWrite, keyedWrite, sessionRead}[i%4], 0, 4e6, 1e6)
+		h.sendRequest(fmt.Sprint("c", i), []int{eventualRead, plainWrite, keyedWrite, sessionRead}[i%4], 0, 4e6, 1e6)
 	}
-	inFlight := len(w.inFlight)
-	w.ending = true
-	w.r.Shutdown()
-	for id, c := range w.requests {
+	inFlight := len(h.inFlight)
+	h.shuttingDown = true
+	h.r.Shutdown()
+	for id, c := range h.requests {
 		if !c.finished {
-			t.Errorf("%s is still owed its answer", id)
+			t.Errorf("%s has no final answer", id)
 		}
 	}
-	if w.sweeps(10); len(w.inFlight) > inFlight || inFlight == 0 {
-		t.Errorf("%d in flight, %d before", len(w.inFlight), inFlight)
+	if h.runSweeps(10); len(h.inFlight) > inFlight || inFlight == 0 {
+		t.Errorf("%d attempts in flight after the shutdown, %d before", len(h.inFlight), inFlight)
 	}
 }
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// Slow start. A node that started lately can do only a part of its full work, and fails when it is sent a multiple of
-// that within a window (SlowStartConfig). Routers share nothing, so each sends it a part of what warm nodes of its kind
-// answered to this router alone: the sum over all routers then stays under the multiple, however traffic is spread.
+// Slow start. A node that started recently has only a part of its full capacity, and fails if it is sent a multiple of
+// that part within a window (see SlowStartConfig). Routers don't share this state, so each sends the node a fraction of
+// what warm nodes of the same type answered for this router alone. The sum over all routers then stays below the
+// multiple, however traffic is distributed.
 
 const (
-	// slowStartShare is the share of SlowStartConfig.OverloadMultiple that is used at a warmth of none; warmth begins at
-	// InitialCapacity and adds slowStartShareGain times itself. The rest is left
-	// for requests that come or weigh unevenly; they matter most while the node can do little.
-	slowStartShare = 0.45
-	// slowStartShareGain is how much that share grows until the node is warm.
+	// slowStartBaseShare is the constant part of the share of SlowStartConfig.OverloadMultiple that is used;
+	// slowStartShareGain times the capacity share, which starts at InitialCapacity, is added to it. The rest is a
+	// reserve for requests of uneven arrival and cost, which matter most while the node has little capacity.
+	slowStartBaseShare = 0.45
+	// slowStartShareGain is how much that share grows with the capacity share.
 	slowStartShareGain = 0.3
-	// slowStartBurst is how many usual requests' worth of credit one router may save up for a node.
+	// slowStartBurst is the maximum credit, in average requests, that one router may accumulate for a node.
 	slowStartBurst = 1.5
-	// unknownWarmRate is the work, us of usual response time a second, that all routers together send a node that warms
-	// up while no warm node of its kind has been seen: a twentieth of a core.
-	unknownWarmRate = 50_000
+	// defaultWarmRate is the work, in microseconds of average response time per second, that all routers together send
+	// a node that warms up while no warm node of its type has been observed: 5% of a core.
+	defaultWarmRate = 50_000
 )
 
-// warmth is the share of its full capacity that a node has at least.
-func (r *Router) warmth(n *node, now int64) float64 {
+// capacityShare returns the minimum share of its full capacity that a node has.
+func (r *Router) capacityShare(n *node, now int64) float64 {
 	c := &r.config.SlowStart
 	if n.startedAt <= 0 || c.Duration <= 0 || now >= n.startedAt+c.Duration {
 		return 1
@@ -29,51 +30,51 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*float64(max(0, now-n.startedAt))/float64(c.Duration)
 }
 
-// beginSlowStart gives a node that started a chance part of one request as credit. If all routers began with none, they
-// would all save up for their first request and send it at the same late moment.
+// beginSlowStart gives a node that started a random fraction of one request as credit. If all routers began with none,
+// they would accumulate their first request in step and send it at the same late moment.
 func (r *Router) beginSlowStart(n *node, now int64) {
 	n.creditAt = now
-	n.credit = float64(r.random.below(max(1, int(r.shortestUsualResponse()))))
+	n.credit = float64(r.random.intN(max(1, int(r.shortestAvgResponseTime()))))
 }
 
-// refillAndCheckCredit reports whether a node that warms up may be sent one more request of a group.
-func (r *Router) refillAndCheckCredit(n *node, group *commandGroup, warmth float64, now int64) bool {
-	r.refillCredit(n, group, warmth, now)
-	return n.credit >= group.usualResponse
+// refillAndCheckCredit reports whether a node that warms up may receive one more request of a group.
+func (r *Router) refillAndCheckCredit(n *node, group *commandGroup, capacityShare float64, now int64) bool {
+	r.refillCredit(n, group, capacityShare, now)
+	return n.credit >= group.avgResponseTime
 }
 
-// refillCredit adds what a node that warms up may be sent since the last time: the share of what warm nodes of its kind
-// did for this router that its warmth allows. The rates of warm nodes are kept after they restart, because a whole
-// shard may start at once.
+// refillCredit adds the credit that a node that warms up has earned since the last refill: the part of the work of warm
+// nodes of its type, as answered for this router, that its capacity share permits. The rates of warm nodes are kept
+// across their restarts because a whole shard may restart at once.
 //
-// Credit that isn't used lapses. This guards against hundreds of routers that have each saved up one request and send
-// them all at once, on top of the steady flow: the node fails as it warms up. What may be kept is the credit that fits into one
-// overload window beside the steady flow. Where that is less than one request, credit over one request and what may be kept
-// loses whole requests and keeps the fraction, so that routers go on sending at different moments.
-func (r *Router) refillCredit(n *node, group *commandGroup, warmth float64, now int64) {
+// Unused credit expires. Otherwise hundreds of routers that have each accumulated one request could send them all at
+// once, on top of the steady flow, and the node would fail during its warm-up. The credit that may be kept is what fits
+// into one overload window beside the steady flow. If that is less than one request, credit beyond one request plus the
+// kept amount loses whole requests and keeps the fraction, so that routers continue to send at different times.
+func (r *Router) refillCredit(n *node, group *commandGroup, capacityShare float64, now int64) {
 	c := &r.config.SlowStart
-	usual := group.usualResponse
-	share := slowStartShare + slowStartShareGain*warmth
-	rates, count := r.warmRates(n.machineKind)
-	allowed := max(unknownWarmRate/float64(r.config.Routers), share*c.OverloadMultiple*warmth*rates/float64(max(count, 1)))
-	n.credit += allowed * float64(now-n.creditAt) / 1e6
+	cost := group.avgResponseTime
+	share := slowStartBaseShare + slowStartShareGain*capacityShare
+	rates, count := r.warmRates(n.machineType)
+	creditRate := max(defaultWarmRate/float64(r.config.Routers), share*c.OverloadMultiple*capacityShare*rates/float64(max(count, 1)))
+	n.credit += creditRate * float64(now-n.creditAt) / 1e6
 	n.creditAt = now
-	// The flow uses share of the window's budget, so 1/share - 1 of the flow is left beside it.
-	kept := allowed * float64(c.OverloadWindow) / 1e6 * (1/share - 1)
-	if kept >= usual || c.OverloadWindow == 0 {
-		n.credit = min(slowStartBurst*usual, n.credit)
+	// The flow uses the share of the window's budget, which leaves 1/share - 1 times the flow.
+	carryOver := creditRate * float64(c.OverloadWindow) / 1e6 * (1/share - 1)
+	if carryOver >= cost || c.OverloadWindow == 0 {
+		n.credit = min(slowStartBurst*cost, n.credit)
 		return
 	}
-	if over := n.credit - usual - kept; over >= 0 {
-		n.credit = kept + math.Mod(over, usual)
+	if excess := n.credit - cost - carryOver; excess >= 0 {
+		n.credit = carryOver + math.Mod(excess, cost)
 	}
 }
 
-// warmRates is the sum of the rates of work of the nodes of a kind that were seen warm, forgotten ones included, and
-// how many these are.
+// warmRates returns the sum of the warm rates of all nodes of a machine type that have been warm, including forgotten
+// ones, and the number of these nodes.
 func (r *Router) warmRates(machineKind string) (sum float64, count int) {
 	for _, n := range r.nodes {
-		if n.machineKind == machineKind && n.warmRate > 0 {
+		if n.machineType == machineKind && n.warmRate > 0 {
 			sum += n.warmRate
 			count++
 		}
@@ -81,9 +82,9 @@
 	return sum, count
 }
 
-// averageWarmRate follows the rate of work of a node that is up and warm; it is called in each sweep.
+// averageWarmRate updates the warm rate of a node that is up and warm; it is called in each sweep.
 func (r *Router) averageWarmRate(n *node, now int64) {
-	if n.state == Up && !n.suspected && r.warmth(n, now) == 1 {
-		n.warmRate += sweepInterval / rateSpan * (n.workRateNow(now) - n.warmRate)
+	if n.state == Up && !n.suspected && r.capacityShare(n, now) == 1 {
+		n.warmRate += sweepInterval / rateWindow * (n.decayedWorkRate(now) - n.warmRate)
 	}
 }
--- a/internal/routing/slow_start_test.go
+++ b/internal/routing/slow_start_test.go
@@ -6,138 +6,140 @@
 	"testing"
 )
 
-// All nodes of a shard start at once. They are fed by what they did when they were warm, not by a trickle.
-func TestColdShardIsFedByRememberedRates(t *testing.T) {
-	w := newShard(t, 1, 3)
+// All nodes of a shard restart at once. Their slow start must use their warm rates from before the restart, not the low
+// default rate.
+func TestRestartedShardUsesRememberedWarmRates(t *testing.T) {
+	h := newShardHarness(t, 1, 3)
 	sent := 0
 	for i := range 800 {
 		if i == 400 {
 			for n := range 3 {
-				w.started[fmt.Sprint("g0n", n)] = w.now
-				w.change(fmt.Sprint("g0n", n))
+				h.startedAt[fmt.Sprint("g0n", n)] = h.now
+				h.sendListChange(fmt.Sprint("g0n", n))
 			}
 			sent = 0
 		}
-		w.arrive(fmt.Sprint("c", i), eventualRead, 0, 1e6, 0)
-		w.step(20_000)
-		sent += len(w.inFlight)
-		w.serve(nil)
+		h.sendRequest(fmt.Sprint("c", i), eventualRead, 0, 1e6, 0)
+		h.advance(20_000)
+		sent += len(h.inFlight)
+		h.answerAll(nil)
 	}
 	if sent < 280 {
-		t.Fatalf("a shard that warms up was sent %d requests in eight seconds", sent)
+		t.Fatalf("restarted shard got %d requests in eight seconds, want at least 280", sent)
 	}
 }
 
-// Each of many routers would save long for its first request to a node that warms up. Together they feed it from the
-// start, because each begins with a chance part of one.
-func TestManyRoutersFeedAColdNode(t *testing.T) {
+// Guards against a slow start without traffic: each of many routers would need long to accumulate credit for its first
+// request. A random initial credit makes them use the node from the start.
+func TestInitialCreditVariesAcrossRouters(t *testing.T) {
 	credit := 0.0
 	for seed := range uint64(100) {
-		w := newWorld(t, seed)
-		w.started["g0n1"] = w.now
-		w.list(1, 2)
-		credit += w.known("g0n1").credit / w.r.groups[eventualRead].usualResponse
+		h := newHarness(t, seed)
+		h.startedAt["g0n1"] = h.now
+		h.sendFullList(1, 2)
+		credit += h.node("g0n1").credit / h.r.groups[eventualRead].avgResponseTime
 	}
 	if credit < 30 || credit > 70 {
-		t.Fatal("credit for requests at the start, of a hundred routers:", credit)
+		t.Fatal("total initial credit of 100 routers, in requests:", credit)
 	}
 }
 
-// The part of its budget that a node is given grows with its warmth, and stays under the whole of it.
-func TestColdNodesGetMoreAsTheyWarm(t *testing.T) {
-	w := newShard(t, 1, 2)
-	cold, warm := w.known("g0n0"), w.known("g0n1")
+// The share of its budget that a node receives must grow with its capacity share and stay below the whole budget.
+func TestSlowStartShareGrowsWithCapacity(t *testing.T) {
+	h := newShardHarness(t, 1, 2)
+	cold, warm := h.node("g0n0"), h.node("g0n1")
 	warm.warmRate = 500_000
-	cold.startedAt = w.now
+	cold.startedAt = h.now
 	last := 0.0
-	for _, at := range []int64{0, modelCold / 2, modelCold - 1000} {
-		cold.credit = -1e6 // a second of it, far from its bound
-		cold.creditAt = w.now + at - 1e6
-		warmth := w.r.warmth(cold, w.now+at)
-		w.r.refillCredit(cold, w.r.groups[eventualRead], warmth, w.now+at)
-		part := (cold.credit + 1e6) / (2 * warmth * warm.warmRate)
-		if part <= last || part < slowStartShare || part > 0.8 {
-			t.Errorf("at warmth %.2f: %.2f of the budget, %.2f before", warmth, part, last)
+	for _, at := range []int64{0, modelWarmUp / 2, modelWarmUp - 1000} {
+		cold.credit = -1e6 // one second's worth, far from the cap
+		cold.creditAt = h.now + at - 1e6
+		capacityShare := h.r.capacityShare(cold, h.now+at)
+		h.r.refillCredit(cold, h.r.groups[eventualRead], capacityShare, h.now+at)
+		budgetShare := (cold.credit + 1e6) / (2 * capacityShare * warm.warmRate)
+		if budgetShare <= last || budgetShare < slowStartBaseShare || budgetShare > 0.8 {
+			t.Errorf("at capacity share %.2f: %.2f of the budget, previously %.2f", capacityShare, budgetShare, last)
 		}
-		last = part
+		last = budgetShare
 	}
 }
 
-// coldFleet is a case of many routers that want all they can of one node that warms up.
-type coldFleet struct {
-	routers  int
-	wait     int64 // us after the node's start from which they want it
-	newInTen int   // of ten routers, so many are new processes that have seen nothing warm
-	// shift lets one router in five take all traffic from the node's start on. Its figures of the warm nodes follow as
-	// they do, over rateSpan; the other routers want nothing any more.
+// slowStartFleet describes many routers that send as much as they can to one node that warms up.
+type slowStartFleet struct {
+	routers          int
+	startDelay       int64 // delay after the node's start until they send, in microseconds
+	newRoutersPerTen int   // of ten routers, the number of new processes that have seen no warm node
+	// shift moves all traffic to one router in five at the node's start. The routers' rates of the warm nodes follow
+	// over rateWindow; the other routers send nothing anymore.
 	shift bool
 }
 
-// play returns what all routers together sent the node, and the largest excess over what chance allows on its budget:
-// N + 2 sqrt(N) + 2 requests in any modelFall. Routers share nothing. Traffic is uneven, up to several times the mean.
-func (c coldFleet) play(t *testing.T) (excess float64, sent int) {
-	fleet := make([]*world, c.routers)
-	part := make([]float64, c.routers) // of the fleet's traffic
-	all := 0.0
+// run returns the number of requests that all routers together sent the node, and the largest excess over its budget
+// beyond random variation: N + 2 sqrt(N) + 2 requests in any modelOverloadWindow. Routers share no state. Traffic is
+// uneven, up to several times the mean.
+func (c slowStartFleet) run(t *testing.T) (excess float64, sent int) {
+	fleet := make([]*harness, c.routers)
+	trafficShare := make([]float64, c.routers) // relative to the other routers
+	totalShare := 0.0
 	for i := range fleet {
-		part[i] = []float64{1, 0.3, 2, 0.7, 4}[i%5]
-		all += part[i]
+		trafficShare[i] = []float64{1, 0.3, 2, 0.7, 4}[i%5]
+		totalShare += trafficShare[i]
 	}
-	began := int64(1_000_000_000)
+	nodeStart := int64(1_000_000_000)
 	for i := range fleet {
-		w := newWorld(t, uint64(i)*7919)
-		w.r.config.Routers = c.routers
-		w.started["g0n2"] = began
-		w.list(1, 3)
-		fleet[i] = w
+		h := newHarness(t, uint64(i)*7919)
+		h.r.config.Routers = c.routers
+		h.startedAt["g0n2"] = nodeStart
+		h.sendFullList(1, 3)
+		fleet[i] = h
 	}
-	var at []int64
-	for now := began + c.wait; now < began+c.wait+2*modelFall && now < began+modelCold; now += 20_000 {
-		for i, w := range fleet {
-			w.warmingSends = map[string][]int64{} // one router's own excess is not what is looked for
-			w.step(now - w.now)
-			mine := part[i] / all
+	var sentAt []int64
+	for now := nodeStart + c.startDelay; now < nodeStart+c.startDelay+2*modelOverloadWindow && now < nodeStart+modelWarmUp; now += 20_000 {
+		for i, h := range fleet {
+			h.slowStartSends = map[string][]int64{} // a single router's excess is not checked here
+			h.advance(now - h.now)
+			ownShare := trafficShare[i] / totalShare
 			if c.shift {
-				old := math.Exp(-float64(now-began) / rateSpan)
+				oldWeight := math.Exp(-float64(now-nodeStart) / rateWindow)
 				if i%5 == 4 {
-					mine = old*mine + (1-old)/float64(c.routers/5)
+					ownShare = oldWeight*ownShare + (1-oldWeight)/float64(c.routers/5)
 				} else {
-					mine *= old
+					ownShare *= oldWeight
 				}
 			}
 			rate := 0.0
-			if i%10 >= c.newInTen {
-				rate = mine * modelRate * w.r.groups[eventualRead].usualResponse
+			if i%10 >= c.newRoutersPerTen {
+				rate = ownShare * modelNodeRate * h.r.groups[eventualRead].avgResponseTime
 			}
 			for _, name := range []string{"g0n0", "g0n1"} {
-				w.known(name).warmRate = rate
-				w.known(name).coolDownUntil = now + 1e6 // the warm ones have no capacity
+				h.node(name).warmRate = rate
+				h.node(name).coolDownUntil = now + 1e6 // the warm nodes have no capacity
 			}
-			w.known("g0n2").limit = 1e9
-			for j := 0; (!c.shift || i%5 == 4) && len(w.r.shards[0].queue) < 2 && j < 3; j++ {
-				w.arrive(fmt.Sprint(now, "-", j), eventualRead, 0, 1e6, 0)
+			h.node("g0n2").limit = 1e9
+			for j := 0; (!c.shift || i%5 == 4) && len(h.r.shards[0].queue) < 2 && j < 3; j++ {
+				h.sendRequest(fmt.Sprint(now, "-", j), eventualRead, 0, 1e6, 0)
 			}
-			for len(w.inFlight) > 0 {
-				at = append(at, now)
-				w.inFlight[0].sent -= 20_000 // it took as long
-				w.answer(0, Answered, Replica, now)
+			for len(h.inFlight) > 0 {
+				sentAt = append(sentAt, now)
+				h.inFlight[0].sentAt -= 20_000 // the attempt took 20 ms
+				h.endAttempt(0, Answered, Replica, now)
 			}
 		}
 	}
-	for i, j := 0, 0; i < len(at); i++ {
-		for at[j] <= at[i]-modelFall {
+	for i, j := 0, 0; i < len(sentAt); i++ {
+		for sentAt[j] <= sentAt[i]-modelOverloadWindow {
 			j++
 		}
-		n := 2 * (modelFrom + (1-modelFrom)*float64(at[i]-began)/modelCold) * modelRate * modelFall / 1e6
+		n := 2 * (modelInitialCapacity + (1-modelInitialCapacity)*float64(sentAt[i]-nodeStart)/modelWarmUp) * modelNodeRate * modelOverloadWindow / 1e6
 		excess = max(excess, float64(i-j+1)-n-2*math.Sqrt(n)-2)
 	}
-	return excess, len(at)
+	return excess, len(sentAt)
 }
 
-// A node warms up and many routers want it at once, after a time in which each may have saved up for it. They share
-// nothing; each keeping its part, they must not break it together.
+// Guards against a node failing during its warm-up because many routers use it at once after a time in which each may
+// have accumulated credit. Each router keeps only its own share, and together they must stay within the budget.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
-	for _, c := range []coldFleet{
+	for _, c := range []slowStartFleet{
 		{3, 0, 0, false}, {3, 8e6, 0, false},
 		{20, 0, 0, false}, {20, 8e6, 0, false},
 		{30, 3e6, 0, false}, {30, 8e6, 0, false},
@@ -145,9 +147,9 @@
 		{300, 6e6, 0, false},
 		{30, 0, 0, true}, {30, 1e6, 0, true}, {30, 4e6, 0, true},
 	} {
-		excess, sent := c.play(t)
+		excess, sent := c.run(t)
 		if excess > 0 || sent == 0 {
-			t.Errorf("%+v: %d sent, %.1f over", c, sent, excess)
+			t.Errorf("%+v: %d requests sent, %.1f over the budget", c, sent, excess)
 		}
 	}
 }
