--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -23,8 +23,8 @@
 	// ClientsCarryTokens reports whether requests carry the age of their session's last write. Otherwise the router
 	// keeps session tokens itself.
 	ClientsCarryTokens bool
-	// UseVanishedNodes keeps a node in use that left the endpoint list without draining.
-	UseVanishedNodes bool
+	// UseRemovedNodes keeps a node in use that left the endpoint list without draining.
+	UseRemovedNodes bool
 	// PollEndpoints reports whether the endpoint list must be requested through Actions.WatchEndpoints.
 	PollEndpoints bool
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -35,7 +35,7 @@
 //
 //	listed up     may be used (Router.usable), subject to the states below
 //	draining      receives nothing new; only an "up" entry of the endpoint list ends this state
-//	removed       receives nothing new, unless Config.UseVanishedNodes; forgotten after removedNodeRetention
+//	removed       receives nothing new, unless Config.UseRemovedNodes; forgotten after removedNodeRetention
 //	suspected     gave no answer for too long (outlier_detection.go); an answer or a health check ends this state
 //	cooling down  rejected a request, failed a connection, or has a concurrency limit below 1; ends by itself
 //	warming up    started recently and may do only a part of its work (slow_start.go)
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -135,7 +135,7 @@
 
 // listAllows reports whether the endpoint list permits the use of a node.
 func (r *Router) listAllows(n *node) bool {
-	return n.state == Up || n.state == Removed && r.config.UseVanishedNodes
+	return n.state == Up || n.state == Removed && r.config.UseRemovedNodes
 }
 
 // stopNewAttemptsIfDisallowed prevents attempts that wait for a connection to a node from starting once the list no
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// With UseVanishedNodes, removed nodes stay in use, so an empty list must not stop all work. A node that drained before
+// With UseRemovedNodes, removed nodes stay in use, so an empty list must not stop all work. A node that drained before
 // it was removed must stay unused.
 func TestDrainedNodeStaysUnusedAfterRemoval(t *testing.T) {
 	h := newHarness(t, 1)
-	h.r.config.UseVanishedNodes = true
+	h.r.config.UseRemovedNodes = true
 	h.sendFullList(1, 3)
 	for _, state := range []EndpointState{Draining, Removed} {
 		h.r.BeginEndpointList(h.now, false)
--- a/internal/settings/routing_config.go
+++ b/internal/settings/routing_config.go
@@ -28,7 +28,7 @@
 		Tenants:            v.tenants(n),
 		OverQuotaWeight:    n.Float("overShareWorth"),
 		ClientsCarryTokens: v["domain.writeMarks"] == "carried",
-		UseVanishedNodes:   v.enabled("rules.droppedStayOpen"),
+		UseRemovedNodes:    v.enabled("rules.droppedStayOpen"),
 		PollEndpoints:      v["registryMode"] == "on_request",
 	}
 	config.Attempts = routing.AttemptConfig{
--- a/internal/settings/values_test.go
+++ b/internal/settings/values_test.go
@@ -70,7 +70,7 @@
 		Attempts:           routing.AttemptConfig{Max: 3, Cancelable: true, Hedging: true},
 		HealthChecks:       routing.HealthCheckConfig{Enabled: true, ReportsPosition: true, ReportsRole: true},
 		SlowStart:          routing.SlowStartConfig{Duration: 2_000_000, InitialCapacity: 0.2, OverloadMultiple: 4, OverloadWindow: 3_000_000},
-		ClientsCarryTokens: true, UseVanishedNodes: true, PollEndpoints: true,
+		ClientsCarryTokens: true, UseRemovedNodes: true, PollEndpoints: true,
 	}
 	if !reflect.DeepEqual(config, wantConfig) {
 		t.Errorf("read %+v\nwant %+v", config, wantConfig)
