--- a/internal/engine/endpoint_list.go
+++ b/internal/engine/endpoint_list.go
@@ -28,7 +28,7 @@
 		e.router.UpdateEndpoint(now, routing.Endpoint{
 			Name:        n.Name,
 			Zone:        n.Zone,
-			MachineKind: n.Kind,
+			MachineType: n.Kind,
 			Shard:       n.Shard,
 			State:       state,
 			Primary:     n.Primary,
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -28,7 +28,7 @@
 type Endpoint struct {
 	Name        string
 	Zone        string
-	MachineKind string // nodes of one type have equal capacity
+	MachineType string // nodes of one type have equal capacity
 	Shard       int
 	State       EndpointState
 	Primary     bool  // the list marks it as its shard's primary
@@ -73,7 +73,7 @@
 	newlyMarkedPrimary := e.Primary && !n.listedPrimary
 	wasAllowed := known && r.listAllows(n)
 	n.zone = e.Zone
-	n.machineType = e.MachineKind
+	n.machineType = e.MachineType
 	n.state = state
 	n.listNumber = r.endpointList.number
 	n.listedPrimary = e.Primary
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -199,7 +199,7 @@
 
 // endpoint returns an entry without a primary mark.
 func endpoint(name string, shard int, state EndpointState) Endpoint {
-	return Endpoint{Name: name, Zone: "here", MachineKind: "type", Shard: shard, State: state}
+	return Endpoint{Name: name, Zone: "here", MachineType: "type", Shard: shard, State: state}
 }
 
 // sendListChange sends a list with one changed entry.
--- a/internal/simwire/endpoint_list.go
+++ b/internal/simwire/endpoint_list.go
@@ -108,7 +108,7 @@
 	i.router.UpdateEndpoint(now, routing.Endpoint{
 		Name:        string(fields[endpointNode]),
 		Zone:        text(fields[endpointZone]),
-		MachineKind: text(fields[endpointKind]),
+		MachineType: text(fields[endpointKind]),
 		Shard:       int(shard),
 		State:       state,
 		Primary:     primary >= 0.5,
