--- a/internal/routing/gossip.go
+++ b/internal/routing/gossip.go
@@ -2,8 +2,8 @@
 
 // GossipUpdate is the state of a node as observed by another router.
 type GossipUpdate struct {
-	Node     string
-	LearntAt int64
+	Node      string
+	LearnedAt int64
 	// Position is the node's position at that time, 0 if unknown. It must come from the process that the endpoint list
 	// names: a position of an earlier process of that node proves nothing.
 	Position int64
@@ -24,12 +24,12 @@
 	if n == nil {
 		return
 	}
-	if u.LearntAt > n.positionAt {
-		r.observePosition(n, u.Position, u.LearntAt)
+	if u.LearnedAt > n.positionAt {
+		r.observePosition(n, u.Position, u.LearnedAt)
 	} else {
 		n.position = max(n.position, u.Position)
 	}
-	if u.LearntAt > n.roleAt {
+	if u.LearnedAt > n.roleAt {
 		switch u.Role {
 		case Primary:
 			r.applyPrimaryHint(n, now)
@@ -39,8 +39,8 @@
 	}
 	switch {
 	case u.Silent:
-		n.peerSilentAt = max(n.peerSilentAt, u.LearntAt)
-	case u.Alive && u.LearntAt > n.peerSilentAt:
+		n.peerSilentAt = max(n.peerSilentAt, u.LearnedAt)
+	case u.Alive && u.LearnedAt > n.peerSilentAt:
 		n.peerSilentAt = 0
 		if n.suspected && now-n.checkedAt > recoveryCheckInterval {
 			r.checkHealth(n, now, backgroundCheckReserve)
--- a/internal/routing/rules_test.go
+++ b/internal/routing/rules_test.go
@@ -126,7 +126,7 @@
 	silent := s.rng.Intn(3) == 0
 	s.recordReply(name, RoleUnknown, pos)
 	role := []Role{Replica, RoleUnknown, Primary}[s.rng.Intn(3)]
-	s.r.GossipReceived(s.now, GossipUpdate{Node: name, LearntAt: at, Position: pos, Role: role, Silent: silent,
+	s.r.GossipReceived(s.now, GossipUpdate{Node: name, LearnedAt: at, Position: pos, Role: role, Silent: silent,
 		Alive: !silent})
 }
 
--- a/internal/sharedprobes/service.go
+++ b/internal/sharedprobes/service.go
@@ -225,12 +225,12 @@
 		updatesUsed.Add()
 		node := strings.TrimPrefix(update.Key, keyPrefix)
 		s.engine.ApplyGossip(now, routing.GossipUpdate{
-			Node:     node,
-			LearntAt: evidence.LearnedAt,
-			Position: evidence.Position,
-			Role:     roleOf(evidence.PrimaryHint),
-			Silent:   evidence.Unresponsive,
-			Alive:    evidence.Responsive,
+			Node:      node,
+			LearnedAt: evidence.LearnedAt,
+			Position:  evidence.Position,
+			Role:      roleOf(evidence.PrimaryHint),
+			Silent:    evidence.Unresponsive,
+			Alive:     evidence.Responsive,
 		})
 	}
 }
