--- a/internal/routing/command_group.go
+++ b/internal/routing/command_group.go
@@ -29,7 +29,7 @@
 	avgResponseTime float64 // moving average, in microseconds
 	answers         float64 // number of answers in the average
 
-	majorityTimeLeft      int64 // time left, in microseconds, with which most requests arrive: that of clients' first attempts
+	majorityTimeLeft      int64 // most frequent time left of new requests, in microseconds
 	majorityTimeLeftVotes int   // votes for it minus votes against it
 }
 
--- a/internal/routing/concurrency_limit_test.go
+++ b/internal/routing/concurrency_limit_test.go
@@ -11,7 +11,7 @@
 func TestLimitBelowTwoGrowsWithFewRouters(t *testing.T) {
 	for _, routers := range []int{2, 3} {
 		h := newShardHarness(t, 1, 1)
-		h.r.config.Routers = routers
+		h.router.config.Routers = routers
 		h.observeReply("g0n0", Primary, 0)
 		h.node("g0n0").limit = 1.5
 		for i := range 20 {
@@ -22,7 +22,8 @@
 			h.endAttempt(0, Answered, Primary, 0)
 		}
 		if two := len(h.inFlight) > 1; two != (routers == 2) {
-			t.Errorf("%d attempts in flight at a limit of %.1f with %d routers", len(h.inFlight), h.node("g0n0").limit, routers)
+			t.Errorf("%d attempts in flight at a limit of %.1f with %d routers",
+				len(h.inFlight), h.node("g0n0").limit, routers)
 		}
 	}
 }
--- a/internal/routing/consistency_test.go
+++ b/internal/routing/consistency_test.go
@@ -15,8 +15,8 @@
 	required := h.requests["c"].required
 	h.advance(1_000)
 	h.recordReply("g0n1", Replica, required)
-	h.r.ReportedPosition(h.now, "g0n1", required)
-	h.r.HealthChecked(h.now, "g0n1", Answered)
+	h.router.ReportedPosition(h.now, "g0n1", required)
+	h.router.HealthChecked(h.now, "g0n1", Answered)
 	if h.soleTarget() != "g0n1" {
 		t.Fatal("read not sent to the replica with the required position, but to:", h.soleTarget())
 	}
@@ -46,17 +46,17 @@
 // must not be earlier than the answer, or the session's next read could miss the write.
 func TestTokenOfWriteWithoutPosition(t *testing.T) {
 	h := newShardHarness(t, 1, 1)
-	h.r.config.ClientsCarryTokens = false
+	h.router.config.ClientsCarryTokens = false
 	h.observeReply("g0n0", Primary, h.now-500_000)
 	h.advance(10_000)
-	write := &request{group: h.r.groups[plainWrite], session: "s"}
+	write := &request{group: h.router.groups[plainWrite], session: "s"}
 	a := &attempt{request: write, node: h.node("g0n0")}
-	if h.r.recordWritePosition(a, Answered, 0, h.now); h.r.sessions.position("s") != h.now {
-		t.Errorf("token is %d us older than the answer", h.now-h.r.sessions.position("s"))
+	if h.router.recordWritePosition(a, Answered, 0, h.now); h.router.sessions.position("s") != h.now {
+		t.Errorf("token is %d us older than the answer", h.now-h.router.sessions.position("s"))
 	}
 	h.observeReply("g0n0", Primary, h.now-1_000)
 	write.session = "t"
-	if h.r.recordWritePosition(a, Answered, 0, h.now); h.r.sessions.position("t") > h.now-1_000 {
+	if h.router.recordWritePosition(a, Answered, 0, h.now); h.router.sessions.position("t") > h.now-1_000 {
 		t.Error("token ignores the position reported in the answer")
 	}
 }
@@ -88,13 +88,13 @@
 	}
 	h.inFlight[0].canceled = true
 	h.endAttempt(0, ConnectionLost, RoleUnknown, 0)
-	if h.sessionToken != h.now || h.r.sessions.position("s") != h.now {
-		t.Errorf("token is %d us old after a write that may have been executed", h.now-h.r.sessions.position("s"))
+	if h.sessionToken != h.now || h.router.sessions.position("s") != h.now {
+		t.Errorf("token is %d us old after a write that may have been executed", h.now-h.router.sessions.position("s"))
 	}
 	for len(h.inFlight) > 0 { // including the retry of the write
 		h.endAttempt(0, Answered, RoleUnknown, 0)
 	}
-	if n := len(h.r.sessions.writesInFlight); n > 0 {
+	if n := len(h.router.sessions.writesInFlight); n > 0 {
 		t.Errorf("%d sessions still have writes in flight", n)
 	}
 }
--- a/internal/routing/deadlines_test.go
+++ b/internal/routing/deadlines_test.go
@@ -13,7 +13,7 @@
 	h.sendRequest("c", plainWrite, 0, 2e6, 0)
 	h.advance(1_950_000)
 	h.observeReply("g0n1", Primary, 0)
-	h.r.HealthChecked(h.now, "g0n1", Answered)
+	h.router.HealthChecked(h.now, "g0n1", Answered)
 	if c := h.requests["c"]; c.started != 0 || !c.finished {
 		t.Fatal("write sent 50 ms before its deadline")
 	}
@@ -23,13 +23,13 @@
 // client still has time for another attempt.
 func TestUnsentWriteLeavesTimeForAnotherAttempt(t *testing.T) {
 	h := newHarness(t, 1)
-	h.r.BeginEndpointList(h.now, true)
+	h.router.BeginEndpointList(h.now, true)
 	h.sendEndpoint("g0n1", false) // no node is the primary
-	h.r.EndEndpointList(h.now)
+	h.router.EndEndpointList(h.now)
 	c := h.sendRequest("w", plainWrite, 0, 4_000_000, 0)
 	for h.advance(10_000); !c.finished; h.advance(10_000) {
 	}
-	if queued := h.now - c.arrived; queued < 1_700_000 || queued > 2_000_000 {
+	if queued := h.now - c.arrivedAt; queued < 1_700_000 || queued > 2_000_000 {
 		t.Errorf("write queued for %d us of 4000000 us", queued)
 	}
 }
@@ -55,12 +55,12 @@
 // fraction of its time.
 func TestFirstClientAttemptIsRecognized(t *testing.T) {
 	h := newShardHarness(t, 1, 2)
-	for _, n := range h.r.nodes {
+	for _, n := range h.router.nodes {
 		n.coolDownUntil = h.now + 9e6 // every request is queued
 	}
 	sendRequestWithTimeLeft := func(id string, left int64) int64 {
 		h.sendRequest(id, eventualRead, 0, left, 0)
-		return h.r.requests[id].sendBefore - h.now
+		return h.router.requests[id].sendBefore - h.now
 	}
 	first := sendRequestWithTimeLeft("a", 830_000)
 	for i, c := range []struct {
@@ -68,13 +68,15 @@
 		later bool
 	}{{830_000, false}, {831_000, false}, {990_000, true}, {830_000, false}, {300_000, true}, {829_000, false}} {
 		if got := sendRequestWithTimeLeft(fmt.Sprint("b", i), c.left); got < first != c.later {
-			t.Errorf("case %d: %d us left of 1 s: must be sent within %d us, a first attempt within %d us", i, c.left, got, first)
+			t.Errorf("case %d: %d us left of 1 s: must be sent within %d us, a first attempt within %d us",
+				i, c.left, got, first)
 		}
 	}
 	for i := range 40 { // the clients' timeout changes from here on
 		sendRequestWithTimeLeft(fmt.Sprint("c", i), 500_000)
 	}
 	if got := sendRequestWithTimeLeft("d", 500_000); got < first {
-		t.Errorf("first attempt after a timeout change taken for a later one: must be sent within %d us, want at least %d us", got, first)
+		t.Errorf("first attempt after a timeout change taken for a later one: must be sent within %d us, want at least %d us",
+			got, first)
 	}
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,10 +1,11 @@
 // Package routing decides what happens to every request: whether it is admitted, which node serves it, how long it may
 // be queued, and when it is retried, hedged or given up. It also tracks the state of every node.
 //
-// The package is a deterministic state machine. It does no I/O, reads no clock, starts no goroutines, and derives random
-// numbers from a seed, so equal events give equal actions. The caller reports each event by one method of Router, with
-// the time of the event, and carries out the decisions through Actions. All times are Unix times in whole microseconds
-// and all durations are whole microseconds, unless a comment says otherwise. A Router isn't safe for concurrent use.
+// The package is a deterministic state machine. It does no I/O, reads no clock, starts no goroutines, and derives
+// random numbers from a seed, so equal events give equal actions. The caller reports each event by one method of
+// Router, with the time of the event, and carries out the decisions through Actions. All times are Unix times in whole
+// microseconds and all durations are whole microseconds, unless a comment says otherwise. A Router isn't safe for
+// concurrent use.
 //
 // # Request processing
 //
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -10,16 +10,16 @@
 // it was removed must stay unused.
 func TestDrainedNodeStaysUnusedAfterRemoval(t *testing.T) {
 	h := newHarness(t, 1)
-	h.r.config.UseRemovedNodes = true
+	h.router.config.UseRemovedNodes = true
 	h.sendFullList(1, 3)
 	for _, state := range []EndpointState{Draining, Removed} {
-		h.r.BeginEndpointList(h.now, false)
-		h.r.UpdateEndpoint(h.now, endpoint("g0n1", 0, state))
-		h.r.EndEndpointList(h.now)
+		h.router.BeginEndpointList(h.now, false)
+		h.router.UpdateEndpoint(h.now, endpoint("g0n1", 0, state))
+		h.router.EndEndpointList(h.now)
 	}
 	h.draining["g0n1"] = true
-	h.r.BeginEndpointList(h.now, true)
-	h.r.EndEndpointList(h.now)
+	h.router.BeginEndpointList(h.now, true)
+	h.router.EndEndpointList(h.now)
 	for i := range 12 {
 		h.sendRequest(fmt.Sprint("c", i), eventualRead, 0, 1e6, 0)
 	}
@@ -33,7 +33,7 @@
 func TestReplacedNodesAreForgotten(t *testing.T) {
 	h := newHarness(t, 1)
 	for i := range 300 {
-		h.r.BeginEndpointList(h.now, i%2 == 0)
+		h.router.BeginEndpointList(h.now, i%2 == 0)
 		for j := max(0, i-3); j <= i; j++ {
 			state := Up
 			if j == i-2 {
@@ -42,15 +42,15 @@
 				state = Removed
 			}
 			if i%2 > 0 || state != Removed {
-				h.r.UpdateEndpoint(h.now, endpoint(fmt.Sprint("n", j), 0, state))
+				h.router.UpdateEndpoint(h.now, endpoint(fmt.Sprint("n", j), 0, state))
 			}
 		}
-		h.r.EndEndpointList(h.now)
+		h.router.EndEndpointList(h.now)
 		for range 100 {
 			h.advance(20_000)
 		}
 	}
-	if slots, members := len(h.r.nodes), len(h.r.shards[0].members); slots > 8 || members > 8 {
+	if slots, members := len(h.router.nodes), len(h.router.shards[0].members); slots > 8 || members > 8 {
 		t.Errorf("got %d slots and %d members for three nodes", slots, members)
 	}
 	h.shardOf["n299"] = 0
@@ -60,8 +60,8 @@
 		h.runSweeps(3)
 		for _, n := range h.healthChecks {
 			h.recordReply(n, RoleUnknown, 0)
-			h.r.ReportedRole(h.now, n, n == "n299")
-			h.r.HealthChecked(h.now, n, Answered)
+			h.router.ReportedRole(h.now, n, n == "n299")
+			h.router.HealthChecked(h.now, n, Answered)
 		}
 		h.healthChecks = nil
 	}
@@ -76,9 +76,9 @@
 	for name, happens := range map[string]func(h *harness){
 		"node drains": func(h *harness) { h.draining["g0n1"] = true; h.sendListChange("g0n1"); h.sendListChange("g0n1") },
 		"node is removed": func(h *harness) {
-			h.r.BeginEndpointList(h.now, false)
-			h.r.UpdateEndpoint(h.now, endpoint("g0n1", 0, Removed))
-			h.r.EndEndpointList(h.now)
+			h.router.BeginEndpointList(h.now, false)
+			h.router.UpdateEndpoint(h.now, endpoint("g0n1", 0, Removed))
+			h.router.EndEndpointList(h.now)
 		},
 		"node is missing from a full list": func(h *harness) { h.sendFullList(1, 1); h.sendFullList(1, 1) },
 	} {
--- a/internal/routing/gossip_test.go
+++ b/internal/routing/gossip_test.go
@@ -15,12 +15,12 @@
 	h.sendRequest("c", sessionRead, 0, 1e6, 250_000)
 	required := h.requests["c"].required
 	h.recordReply("g0n1", Replica, required)
-	h.r.GossipReceived(h.now, GossipUpdate{Node: "g0n1", LearnedAt: h.now - 40_000, Position: required, Role: Replica,
+	h.router.GossipReceived(h.now, GossipUpdate{Node: "g0n1", LearnedAt: h.now - 40_000, Position: required, Role: Replica,
 		Alive: true})
 	if h.soleTarget() != "g0n1" {
 		t.Fatal("read not sent to the replica with the required position, but to:", h.soleTarget())
 	}
-	h.r.GossipReceived(h.now, GossipUpdate{Node: "unknown", LearnedAt: h.now, Position: 7, Role: Primary, Alive: true})
+	h.router.GossipReceived(h.now, GossipUpdate{Node: "unknown", LearnedAt: h.now, Position: 7, Role: Primary, Alive: true})
 }
 
 // Guards against gossip from before a failover: a gossiped role must not override a recent answer, or an answer that is
@@ -29,7 +29,7 @@
 	h := newShardHarness(t, 1, 3)
 	h.observeReply("g0n0", Primary, 0)
 	gossip := func(name string, at int64, role Role) {
-		h.r.GossipReceived(h.now, GossipUpdate{Node: name, LearnedAt: at, Role: role, Alive: true})
+		h.router.GossipReceived(h.now, GossipUpdate{Node: name, LearnedAt: at, Role: role, Alive: true})
 	}
 	gossip("g0n1", h.now, Primary)
 	gossip("g0n0", h.now+1, Replica)
@@ -61,7 +61,7 @@
 func TestGossipedSilenceOnlyRanksNodeLast(t *testing.T) {
 	h := newShardHarness(t, 1, 3)
 	h.observeReply("g0n0", Primary, 0)
-	h.r.GossipReceived(h.now, GossipUpdate{Node: "g0n1", LearnedAt: h.now - 100_000, Silent: true})
+	h.router.GossipReceived(h.now, GossipUpdate{Node: "g0n1", LearnedAt: h.now - 100_000, Silent: true})
 	for i := range 4 {
 		h.sendRequest(fmt.Sprint("c", i), eventualRead, 0, 1e6, 0)
 	}
@@ -84,8 +84,8 @@
 // check it too, because only its own check shows whether it reaches the node.
 func TestNodeCheckedByPeerIsNotCheckedTwice(t *testing.T) {
 	h := newShardHarness(t, 1, 3)
-	h.r.SetCheckedByPeer("g0n0", true)
-	h.r.SetCheckedByPeer("unknown", true)
+	h.router.SetCheckedByPeer("g0n0", true)
+	h.router.SetCheckedByPeer("unknown", true)
 	for j := range 2 {
 		h.sendRequest(fmt.Sprint("c", j), keyedWrite, 0, 4e6, 0)
 	}
@@ -96,11 +96,11 @@
 	if !h.node("g0n0").suspected || len(h.healthChecks) != 0 {
 		t.Fatal("suspected:", h.node("g0n0").suspected, "health checks:", h.healthChecks)
 	}
-	h.r.GossipReceived(h.now, GossipUpdate{Node: "g0n0", LearnedAt: h.now - 100_000, Alive: true})
+	h.router.GossipReceived(h.now, GossipUpdate{Node: "g0n0", LearnedAt: h.now - 100_000, Alive: true})
 	if len(h.healthChecks) != 1 || !h.node("g0n0").suspected {
 		t.Fatal("want one health check and the node still suspected; checks:", h.healthChecks)
 	}
-	h.r.HealthChecked(h.now, "g0n0", Answered)
+	h.router.HealthChecked(h.now, "g0n0", Answered)
 	if h.node("g0n0").suspected {
 		t.Fatal("node still suspected after a health check by this router")
 	}
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -6,16 +6,16 @@
 // refill it.
 func TestHedgeAndHealthCheckBudget(t *testing.T) {
 	h := newShardHarness(t, 2, 3)
-	h.r.hedgingBudget = 1
-	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.router.hedgingBudget = 1
+	h.router.groups[eventualRead].avgResponseTime = 20_000
 	h.sendRequest("c", eventualRead, 0, 1e6, 0)
 	h.runSweeps(7)
 	if len(h.inFlight) != 2 || h.inFlight[0].node == h.inFlight[1].node {
 		t.Fatal("in flight:", h.inFlight)
 	}
 	for i := range 30 {
-		n := h.r.nodes[i%3]
-		h.r.checkHealth(n, h.now, 1)
+		n := h.router.nodes[i%3]
+		h.router.checkHealth(n, h.now, 1)
 		n.checkPending = false
 	}
 	if len(h.healthChecks) > healthCheckBurst {
@@ -28,14 +28,14 @@
 // again, the node would appear to have capacity that it lacks.
 func TestHedgedLostAttemptIsCountedOnce(t *testing.T) {
 	h := newShardHarness(t, 2, 3)
-	h.r.groups[longRead].avgResponseTime = 50_000
+	h.router.groups[longRead].avgResponseTime = 50_000
 	h.runSweeps(1) // the first sweep counts as the end of a stall
 	h.sendRequest("c", longRead, 0, 6e6, 0)
 	first := h.node(h.soleTarget())
 	sent := h.now
 	for range 30 {
 		if h.now+20_000-sent > 8*50_000 {
-			h.r.hedgingBudget = 1
+			h.router.hedgingBudget = 1
 		}
 		first.lastReplyAt = h.now // it answers other requests meanwhile
 		h.runSweeps(1)
@@ -44,7 +44,7 @@
 		t.Fatal("in flight:", len(h.inFlight), "counted as in flight at the first node:", first.inFlight)
 	}
 	h.answerAll(nil)
-	for _, n := range h.r.nodes {
+	for _, n := range h.router.nodes {
 		if n.inFlight != 0 {
 			t.Errorf("%d attempts counted as in flight at %s after all have ended", n.inFlight, n.name)
 		}
@@ -56,10 +56,10 @@
 // given up and its attempt canceled.
 func TestHedgeDoesNotCancelLastAttempt(t *testing.T) {
 	h := newShardHarness(t, 2, 3)
-	h.r.config.Attempts.Max = 1
-	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.router.config.Attempts.Max = 1
+	h.router.groups[eventualRead].avgResponseTime = 20_000
 	h.runSweeps(1)
-	h.r.hedgingBudget = 1
+	h.router.hedgingBudget = 1
 	h.sendRequest("c", eventualRead, 0, 1e6, 0)
 	h.runSweeps(7)
 	if len(h.inFlight) != 1 || h.requests["c"].finished || h.inFlight[0].canceled {
@@ -72,20 +72,21 @@
 // answered.
 func TestHedgingBudgetIsChargedWhenSent(t *testing.T) {
 	h := newShardHarness(t, 2, 2)
-	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.router.groups[eventualRead].avgResponseTime = 20_000
 	h.runSweeps(1)
 	primary := h.node("g0n0")
 	primary.coolDownUntil = h.now + 9e6
-	h.r.hedgingBudget = 1
+	h.router.hedgingBudget = 1
 	h.sendRequest("c", eventualRead, 0, 1e6, 0)
 	h.runSweeps(7)
-	if c := h.requests["c"]; c.started != 1 || h.r.hedgingBudget < 1 {
-		t.Fatalf("sent %d times, budget %v, before any node has capacity for the hedge", c.started, h.r.hedgingBudget)
+	if c := h.requests["c"]; c.started != 1 || h.router.hedgingBudget < 1 {
+		t.Fatalf("sent %d times, budget %v, before any node has capacity for the hedge",
+			c.started, h.router.hedgingBudget)
 	}
 	primary.coolDownUntil = 0
 	h.runSweeps(1)
-	if c := h.requests["c"]; c.started != 2 || h.r.hedgingBudget >= 1 {
-		t.Fatalf("sent %d times, budget %v, once a node has capacity for the hedge", c.started, h.r.hedgingBudget)
+	if c := h.requests["c"]; c.started != 2 || h.router.hedgingBudget >= 1 {
+		t.Fatalf("sent %d times, budget %v, once a node has capacity for the hedge", c.started, h.router.hedgingBudget)
 	}
 }
 
@@ -93,22 +94,22 @@
 // The second one must keep only its first attempt, however long the hedges were queued.
 func TestQueuedHedgesStayWithinBudget(t *testing.T) {
 	h := newShardHarness(t, 2, 2)
-	h.r.groups[eventualRead].avgResponseTime = 20_000
+	h.router.groups[eventualRead].avgResponseTime = 20_000
 	h.runSweeps(1)
 	primary := h.node("g0n0")
 	primary.coolDownUntil = h.now + 9e6
 	h.node("g0n1").limit = 8
-	h.r.hedgingBudget = 0.5
+	h.router.hedgingBudget = 0.5
 	h.sendRequest("a", eventualRead, 0, 1e6, 0)
 	h.sendRequest("b", eventualRead, 0, 1e6, 0)
 	for _, id := range []string{"a", "b"} {
-		h.r.requests[id].shard.enqueue(h.r.requests[id])
+		h.router.requests[id].shard.enqueue(h.router.requests[id])
 	}
 	h.node("g0n1").suspected = true // no replica can take them, so the primary does
 	primary.coolDownUntil = 0
 	primary.limit = 8
 	h.advance(20_000)
-	if sent := h.requests["a"].started + h.requests["b"].started; sent != 3 || h.r.hedgingBudget < 0 {
-		t.Fatalf("%d attempts for two reads, budget %v", sent, h.r.hedgingBudget)
+	if sent := h.requests["a"].started + h.requests["b"].started; sent != 3 || h.router.hedgingBudget < 0 {
+		t.Fatalf("%d attempts for two reads, budget %v", sent, h.router.hedgingBudget)
 	}
 }
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -8,9 +8,9 @@
 // harness calls the Router and implements its Actions. It contains a simple reference model of the rules: it tracks
 // every request and node as far as the rules need it, and fails the test at the first action that they don't allow.
 type harness struct {
-	t   testing.TB
-	r   *Router
-	now int64 // in microseconds
+	t      testing.TB
+	router *Router
+	now    int64 // in microseconds
 
 	// Model of the nodes, by name.
 	draining        map[string]bool
@@ -40,7 +40,7 @@
 	idempotency     Idempotency
 	consistency     Consistency
 	shard           int
-	arrived         int64
+	arrivedAt       int64
 	deadline        int64
 	required        int64 // position that it must see
 	started         int   // attempts started
@@ -127,7 +127,7 @@
 // keepTokensInRouter makes the Router keep the session's token.
 func (h *harness) keepTokensInRouter() {
 	h.routerKeepsTokens = true
-	h.r.config.ClientsCarryTokens = false
+	h.router.config.ClientsCarryTokens = false
 }
 
 // restart replaces the Router and discards the requests of the old one.
@@ -140,8 +140,8 @@
 	h.positions = map[string]int64{}
 	h.reportedPrimary = map[string]bool{}
 	h.slowStartSends = map[string][]int64{}
-	h.r = New(seed, h)
-	h.r.Configure(Config{
+	h.router = New(seed, h)
+	h.router.Configure(Config{
 		Zone:               "here",
 		Routers:            1,
 		TimeResolution:     modelTimeResolution,
@@ -152,12 +152,12 @@
 		SlowStart: SlowStartConfig{Duration: modelWarmUp, InitialCapacity: modelInitialCapacity, OverloadMultiple: 2,
 			OverloadWindow: modelOverloadWindow},
 	})
-	h.r.Start(h.now)
+	h.router.Start(h.now)
 }
 
 // node returns the Router's state of a node.
 func (h *harness) node(name string) *node {
-	n := h.r.nodeByName[name]
+	n := h.router.nodeByName[name]
 	if n == nil {
 		h.t.Fatalf("node %s is unknown", name)
 	}
@@ -166,7 +166,7 @@
 
 // primary returns the name of the node that the Router believes to be a shard's primary, or an empty string.
 func (h *harness) primary(shard int) string {
-	if p := h.r.shards[shard].primary; p != nil {
+	if p := h.router.shards[shard].primary; p != nil {
 		return p.name
 	}
 	return ""
@@ -175,7 +175,7 @@
 // sendFullList sends a full endpoint list. It contains nodes g0n0, g0n1, ... of shard 0, and so on; the first node of
 // each shard is marked as its primary.
 func (h *harness) sendFullList(shards, members int) {
-	h.r.BeginEndpointList(h.now, true)
+	h.router.BeginEndpointList(h.now, true)
 	for s := range shards {
 		for m := range members {
 			name := fmt.Sprintf("g%dn%d", s, m)
@@ -183,7 +183,7 @@
 			h.sendEndpoint(name, m == 0)
 		}
 	}
-	h.r.EndEndpointList(h.now)
+	h.router.EndEndpointList(h.now)
 }
 
 // sendEndpoint sends one entry of a list that has begun.
@@ -194,7 +194,7 @@
 	}
 	e.Primary = primary
 	e.StartedAt = h.startedAt[name]
-	h.r.UpdateEndpoint(h.now, e)
+	h.router.UpdateEndpoint(h.now, e)
 }
 
 // endpoint returns an entry without a primary mark.
@@ -204,9 +204,9 @@
 
 // sendListChange sends a list with one changed entry.
 func (h *harness) sendListChange(name string) {
-	h.r.BeginEndpointList(h.now, false)
+	h.router.BeginEndpointList(h.now, false)
 	h.sendEndpoint(name, false)
-	h.r.EndEndpointList(h.now)
+	h.router.EndEndpointList(h.now)
 }
 
 // sendRequest sends a request to the Router. The argument since is the time since its session's last write, 0 for none.
@@ -216,14 +216,14 @@
 		idempotency: settings.Idempotency,
 		consistency: settings.Consistency,
 		shard:       shard,
-		arrived:     h.now,
+		arrivedAt:   h.now,
 		deadline:    h.now + left,
 	}
 	if c.consistency == ReadYourWrites && since > 0 && !h.routerKeepsTokens {
 		c.required = h.now - since
 	}
 	h.requests[id] = c
-	h.r.RequestArrived(h.now, Request{ID: id, Group: group, Tenant: -1, Session: "s", TimeLeft: left, Shard: shard,
+	h.router.RequestArrived(h.now, Request{ID: id, Group: group, Tenant: -1, Session: "s", TimeLeft: left, Shard: shard,
 		SinceWrite: since})
 	return c
 }
@@ -250,14 +250,15 @@
 	if o != TimedOut && o != ConnectFailed && o != ConnectionLost && o != Canceled && o != NotSent {
 		h.observeReply(a.node, role, pos)
 	}
-	h.r.AttemptEnded(h.now, AttemptResult{RequestID: a.request, Attempt: a.number, Outcome: o, Took: h.now - a.sentAt,
+	h.router.AttemptEnded(h.now, AttemptResult{RequestID: a.request, Attempt: a.number, Outcome: o,
+		Took:        h.now - a.sentAt,
 		RequestDone: done})
 }
 
 // observeReply passes a node's reported role and position to the model and the Router.
 func (h *harness) observeReply(node string, role Role, pos int64) {
 	h.recordReply(node, role, pos)
-	h.r.ObserveReply(h.now, node, role, pos)
+	h.router.ObserveReply(h.now, node, role, pos)
 }
 
 // recordReply passes a node's reported role and position to the model only.
@@ -279,7 +280,7 @@
 	}
 	h.timers = h.timers[fired:]
 	for range fired {
-		h.r.TimerFired(h.now)
+		h.router.TimerFired(h.now)
 	}
 	for i := len(h.inFlight) - 1; i >= 0; i-- {
 		if i < len(h.inFlight) && h.now >= h.requests[h.inFlight[i].request].deadline {
@@ -328,7 +329,8 @@
 	}
 	for _, a := range h.inFlight {
 		if a.request == id && !a.canceled && !h.shuttingDown {
-			h.t.Fatalf("%s given up with attempt %d in flight at %s, %d us before its deadline", id, a.number, a.node, c.deadline-h.now)
+			h.t.Fatalf("%s given up with attempt %d in flight at %s, %d us before its deadline",
+				id, a.number, a.node, c.deadline-h.now)
 		}
 	}
 	if rejected && c.idempotency != Idempotent && (c.mayHaveExecuted || c.inFlight > 0) {
@@ -349,7 +351,7 @@
 		h.t.Fatalf("%s sent to a node outside its shard", id)
 	case h.draining[node]:
 		h.t.Fatalf("%s sent to draining node %s", id, node)
-	case c.inFlight > 0 && !h.r.config.Attempts.Hedging:
+	case c.inFlight > 0 && !h.router.config.Attempts.Hedging:
 		h.t.Fatalf("%s hedged although hedging is disabled", id)
 	case c.idempotency == NotIdempotent && repeat:
 		h.t.Fatalf("duplicate execution: non-idempotent request %s sent twice", id)
@@ -357,13 +359,15 @@
 		h.t.Fatalf("duplicate execution: %s sent after its idempotency window", id)
 	case c.idempotency == IdempotentWithKey && repeat &&
 		(startWithin <= 0 || h.now+startWithin > c.firstExecuted+modelIdempotencyWindow):
-		h.t.Fatalf("duplicate execution: %s may start within %d us, which is after its idempotency window", id, startWithin)
+		h.t.Fatalf("duplicate execution: %s may start within %d us, which is after its idempotency window",
+			id, startWithin)
 	}
 	if !h.freshEnough(c, node) {
 		h.t.Fatalf("stale read: %s sent to %s at position %d, requires %d", id, node, h.positions[node], c.required)
 	}
 	h.checkSlowStart(node)
-	h.inFlight = append(h.inFlight, modelAttempt{request: id, node: node, number: c.started, sentAt: h.now, dueAt: h.now + 20_000})
+	h.inFlight = append(h.inFlight, modelAttempt{request: id, node: node, number: c.started,
+		sentAt: h.now, dueAt: h.now + 20_000})
 	if !repeat {
 		c.firstExecuted = h.now
 	}
@@ -439,8 +443,9 @@
 		}
 	}
 	windowOver := c.idempotency == IdempotentWithKey && h.now >= c.firstExecuted+modelIdempotencyWindow
-	if c.started >= h.r.config.Attempts.Max || h.now >= c.deadline-deadlineMargin || windowOver {
-		h.t.Fatalf("attempt %d of %s canceled although no other can be answered, %d us before its deadline", n, id, c.deadline-h.now)
+	if c.started >= h.router.config.Attempts.Max || h.now >= c.deadline-deadlineMargin || windowOver {
+		h.t.Fatalf("attempt %d of %s canceled although no other can be answered, %d us before its deadline",
+			n, id, c.deadline-h.now)
 	}
 }
 
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -32,12 +32,12 @@
 	connectFailingSince int64      // first failed connection since it last answered, 0 if none
 	connectFailedAgain  bool       // more than one connection failed since it last answered
 	suspected           bool       // considered dead, hung or unreachable
-	peerSilentAt        int64      // when another router last had no answer from it, 0 if it has answered that router since
+	peerSilentAt        int64      // when another router last had no answer from it, 0 if it answered since
 	coolDownUntil       int64      // it receives no attempts before this time
 
 	// Concurrency limit (concurrency_limit.go).
 	limit      float64 // maximum attempts in flight; a value below 1 means a pause between two attempts
-	workRate   float64 // work it answered for this router, in microseconds of average response time per second, averaged over rateWindow
+	workRate   float64 // answered work, us of average response time per second, averaged over rateWindow
 	workRateAt int64   // when workRate was last updated
 
 	// Slow start (slow_start.go).
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -28,8 +28,8 @@
 	// connectCoolDownJitter is the range, in microseconds, of the random part of the cool-down after a failed
 	// connection, so that routers don't all return to a node at once. The fixed part is half of it.
 	connectCoolDownJitter = 50_000
-	// connectionScarcityPeriod is the time, in microseconds, for which no idle connections are kept after a node that
-	// answers health checks failed two connections.
+	// connectionScarcityPeriod is the time, in microseconds, for which no idle connections are kept after two
+	// connections to a node that answers health checks failed.
 	connectionScarcityPeriod = 10e6
 )
 
--- a/internal/routing/outlier_detection_test.go
+++ b/internal/routing/outlier_detection_test.go
@@ -26,7 +26,8 @@
 	}
 	keyed, plain, inFlight := h.requests["keyed"], h.requests["plain"], h.node("g0n0").inFlight
 	if !keyed.answered || plain.started != 1 || inFlight != 0 {
-		t.Fatal("request with key answered:", keyed.answered, "request without key sent:", plain.started, "counted as in flight:", inFlight)
+		t.Fatal("request with key answered:", keyed.answered, "request without key sent:", plain.started,
+			"counted as in flight:", inFlight)
 	}
 }
 
@@ -43,7 +44,7 @@
 			t.Fatal("attempts in flight:", len(n.attempts), "suspected:", n.suspected)
 		}
 	}
-	h.r.HealthChecked(h.now, "g0n0", Answered)
+	h.router.HealthChecked(h.now, "g0n0", Answered)
 	if h.runSweeps(1); h.node("g0n0").suspected {
 		t.Fatal("node still suspected after an answered health check")
 	}
@@ -62,7 +63,7 @@
 				if len(h.inFlight) > 0 {
 					t.Fatal("request sent again immediately")
 				}
-				h.r.HealthChecked(h.now, "g0n0", Answered)
+				h.router.HealthChecked(h.now, "g0n0", Answered)
 				h.idleClosed = nil
 				h.advance(200_000)
 			}
@@ -80,9 +81,9 @@
 	h := newShardHarness(t, 1, 2)
 	h.sendRequest("a", plainWrite, 0, 4e6, 0)
 	h.endAttempt(0, ConnectFailed, RoleUnknown, 0)
-	h.r.HealthChecked(h.now, "g0n0", ConnectFailed)
+	h.router.HealthChecked(h.now, "g0n0", ConnectFailed)
 	h.advance(300_000)
-	h.r.HealthChecked(h.now, "g0n0", Answered)
+	h.router.HealthChecked(h.now, "g0n0", Answered)
 	if h.node("g0n0").suspected || len(h.idleClosed) > 0 || len(h.inFlight) != 1 {
 		t.Fatal("suspected:", h.node("g0n0").suspected, "idle connections closed at:", h.idleClosed,
 			"in flight:", len(h.inFlight))
--- a/internal/routing/primary_test.go
+++ b/internal/routing/primary_test.go
@@ -14,7 +14,7 @@
 		t.Fatal("write sent to a suspected primary, or no member queried for the new one")
 	}
 	h.observeReply("g0n2", Primary, 0)
-	h.r.HealthChecked(h.now, "g0n2", Answered)
+	h.router.HealthChecked(h.now, "g0n2", Answered)
 	if c := h.requests["queued"]; c.started != 1 || h.inFlight[len(h.inFlight)-1].node != "g0n2" {
 		t.Fatal("write not sent to the new primary")
 	}
@@ -37,10 +37,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newShardHarness(t, 1, 3)
-			for _, n := range h.r.nodes {
+			for _, n := range h.router.nodes {
 				n.checkedByPeer = true // only checks for a write remain
 			}
-			c.prepare(h.r, h.now)
+			c.prepare(h.router, h.now)
 			h.sendRequest("w", plainWrite, 0, 4e6, 0)
 			h.runSweeps(50)
 			if len(h.healthChecks) > 0 != c.checks || len(h.inFlight) > 0 {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -44,7 +44,7 @@
 	queueUntil int64 // given up from then on, unless an attempt is in flight or may have executed it
 
 	weight                float64 // priority weight; the queue is ordered by descending weight
-	sessionPosition       int64   // position of its session's last write, which a ReadYourWrites read must see; 0 if none
+	sessionPosition       int64   // position of its session's last write, required by ReadYourWrites; 0 if none
 	possiblyAnsweredWrite bool    // a write of its session is in flight and may have been answered already
 	admitted              bool    // it has passed the admission stage
 	quotaCharged          bool    // it was charged to its tenant's quota
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -31,8 +31,8 @@
 	}
 	t.Run("no attempts left", func(t *testing.T) {
 		h := newShardHarness(t, 1, 3)
-		h.r.config.Attempts.Max = 1
-		h.r.groups[eventualRead].avgResponseTime = 20_000
+		h.router.config.Attempts.Max = 1
+		h.router.groups[eventualRead].avgResponseTime = 20_000
 		h.runSweeps(1)
 		h.sendRequest("c", eventualRead, 0, 1e6, 0)
 		for range 20 {
@@ -46,7 +46,7 @@
 	})
 	t.Run("deadline is near", func(t *testing.T) {
 		h := newShardHarness(t, 1, 3)
-		h.r.groups[eventualRead].avgResponseTime = 60_000 // eight times this ends within two sweeps of the deadline
+		h.router.groups[eventualRead].avgResponseTime = 60_000 // eight times this ends within two sweeps of the deadline
 		h.runSweeps(1)
 		h.sendRequest("c", eventualRead, 0, 510_000, 0)
 		h.runSweeps(25)
@@ -54,7 +54,7 @@
 	})
 	t.Run("idempotency window has passed", func(t *testing.T) {
 		h := newShardHarness(t, 1, 3)
-		h.r.groups[keyedWrite].avgResponseTime = 1e6
+		h.router.groups[keyedWrite].avgResponseTime = 1e6
 		h.observeReply("g0n0", Primary, 1)
 		h.sendRequest("c", keyedWrite, 0, 4e6, 0)
 		h.runSweeps(modelIdempotencyWindow/sweepInterval + 2)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -23,7 +23,7 @@
 	random  seededRandom
 	config  Config
 
-	nodes      []*node          // indexed by slot, in sweep order; a forgotten node keeps its slot until the slot is reused
+	nodes      []*node          // indexed by slot, in sweep order; forgotten nodes keep their slot until it is reused
 	freeSlots  []int            // slots of forgotten nodes, available for reuse
 	nodeByName map[string]*node // excludes forgotten nodes
 
@@ -186,7 +186,7 @@
 	r.lastSweepAt = now
 	r.sweeps++
 	for i := range r.nodes {
-		n := r.nodes[(i+r.sweeps)%len(r.nodes)] // rotate the start, because nodes draw on the health check budget in this order
+		n := r.nodes[(i+r.sweeps)%len(r.nodes)] // rotates which node uses the health check budget first
 		switch {
 		case n.forgotten:
 		case r.canForget(n, now):
--- a/internal/routing/rules_test.go
+++ b/internal/routing/rules_test.go
@@ -50,7 +50,7 @@
 		s.keepTokensInRouter()
 	}
 	if seed >= firstVariedAttemptsSeed {
-		s.r.config.Attempts.Max = 1 + int(seed%6)
+		s.router.config.Attempts.Max = 1 + int(seed%6)
 	}
 	s.sendFullList(scenarioShards, scenarioMembers)
 	for range steps {
@@ -61,8 +61,8 @@
 		for range s.rng.Intn(3) {
 			s.arrivals++
 			group := s.rng.Intn(7)
-			left := 50_000 + s.rng.Int63n(s.r.groups[group].Timeout)
-			s.sendRequest(fmt.Sprint("c", s.arrivals), group, s.rng.Intn(scenarioShards), left, s.rng.Int63n(400_000))
+			timeLeft := 50_000 + s.rng.Int63n(s.router.groups[group].Timeout)
+			s.sendRequest(fmt.Sprint("c", s.arrivals), group, s.rng.Intn(scenarioShards), timeLeft, s.rng.Int63n(400_000))
 		}
 		s.advance(1 + s.rng.Int63n(15_000))
 		s.endDueAttempts()
@@ -71,8 +71,8 @@
 	for range 700 {
 		s.advance(10_000)
 	}
-	if s.arrivals > 0 && len(s.r.requests) > len(s.inFlight) {
-		t.Fatalf("%d requests kept after their final answer", len(s.r.requests))
+	if s.arrivals > 0 && len(s.router.requests) > len(s.inFlight) {
+		t.Fatalf("%d requests kept after their final answer", len(s.router.requests))
 	}
 }
 
@@ -97,21 +97,21 @@
 		s.restart(s.rng.Uint64())
 		s.sendFullList(scenarioShards, scenarioMembers)
 	case 6: // an empty list, or one with a single known node and an unknown one, followed by the correct list
-		s.r.BeginEndpointList(s.now, true)
+		s.router.BeginEndpointList(s.now, true)
 		if s.rng.Intn(2) == 0 {
 			s.sendEndpoint(name, false)
 			unknown := endpoint("unknown", 9, Up)
 			unknown.Primary = true
-			s.r.UpdateEndpoint(s.now, unknown)
+			s.router.UpdateEndpoint(s.now, unknown)
 		}
-		s.r.EndEndpointList(s.now)
+		s.router.EndEndpointList(s.now)
 		s.sendFullList(scenarioShards, scenarioMembers)
 	case 7: // the router stalls
 		s.now += 700_000
 	case 8:
 		s.gossip(name)
 	case 9:
-		s.r.SetCheckedByPeer(name, s.rng.Intn(2) == 0)
+		s.router.SetCheckedByPeer(name, s.rng.Intn(2) == 0)
 	}
 }
 
@@ -126,7 +126,7 @@
 	silent := s.rng.Intn(3) == 0
 	s.recordReply(name, RoleUnknown, pos)
 	role := []Role{Replica, RoleUnknown, Primary}[s.rng.Intn(3)]
-	s.r.GossipReceived(s.now, GossipUpdate{Node: name, LearnedAt: at, Position: pos, Role: role, Silent: silent,
+	s.router.GossipReceived(s.now, GossipUpdate{Node: name, LearnedAt: at, Position: pos, Role: role, Silent: silent,
 		Alive: !silent})
 }
 
@@ -155,9 +155,10 @@
 		}
 		s.endAttempt(i, o, role, pos)
 		if s.rng.Intn(64) == 0 { // a duplicate result, and the client disconnects
-			s.r.AttemptEnded(s.now, AttemptResult{RequestID: a.request, Attempt: a.number, Outcome: o, Took: 1, RequestDone: true})
+			s.router.AttemptEnded(s.now, AttemptResult{RequestID: a.request, Attempt: a.number, Outcome: o, Took: 1,
+				RequestDone: true})
 			s.requests[a.request].finished = true
-			s.r.ClientGone(s.now, a.request)
+			s.router.ClientGone(s.now, a.request)
 		}
 	}
 }
@@ -185,17 +186,17 @@
 	s.healthChecks = nil
 	for _, name := range checks {
 		if s.hung[name] {
-			s.r.HealthChecked(s.now, name, TimedOut)
+			s.router.HealthChecked(s.now, name, TimedOut)
 			continue
 		}
 		role, pos := s.actualState(name)
 		s.positions[name] = max(s.positions[name], pos)
-		s.r.ReportedPosition(s.now, name, pos)
-		s.r.ReportedRole(s.now, name, role == Primary)
+		s.router.ReportedPosition(s.now, name, pos)
+		s.router.ReportedRole(s.now, name, role == Primary)
 		if _, told := s.reportedPrimary[name]; role == Primary && !told {
 			s.reportedPrimary[name] = true
 		}
-		s.r.HealthChecked(s.now, name, Answered)
+		s.router.HealthChecked(s.now, name, Answered)
 	}
 }
 
@@ -233,7 +234,7 @@
 	}
 	inFlight := len(h.inFlight)
 	h.shuttingDown = true
-	h.r.Shutdown()
+	h.router.Shutdown()
 	for id, c := range h.requests {
 		if !c.finished {
 			t.Errorf("%s has no final answer", id)
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -56,7 +56,8 @@
 	cost := group.avgResponseTime
 	share := slowStartBaseShare + slowStartShareGain*capacityShare
 	rates, count := r.warmRates(n.machineType)
-	creditRate := max(defaultWarmRate/float64(r.config.Routers), share*c.OverloadMultiple*capacityShare*rates/float64(max(count, 1)))
+	creditRate := max(defaultWarmRate/float64(r.config.Routers),
+		share*c.OverloadMultiple*capacityShare*rates/float64(max(count, 1)))
 	n.credit += creditRate * float64(now-n.creditAt) / 1e6
 	n.creditAt = now
 	// The flow uses the share of the window's budget, which leaves 1/share - 1 times the flow.
@@ -72,9 +73,9 @@
 
 // warmRates returns the sum of the warm rates of all nodes of a machine type that have been warm, including forgotten
 // ones, and the number of these nodes.
-func (r *Router) warmRates(machineKind string) (sum float64, count int) {
+func (r *Router) warmRates(machineType string) (sum float64, count int) {
 	for _, n := range r.nodes {
-		if n.machineType == machineKind && n.warmRate > 0 {
+		if n.machineType == machineType && n.warmRate > 0 {
 			sum += n.warmRate
 			count++
 		}
--- a/internal/routing/slow_start_test.go
+++ b/internal/routing/slow_start_test.go
@@ -37,7 +37,7 @@
 		h := newHarness(t, seed)
 		h.startedAt["g0n1"] = h.now
 		h.sendFullList(1, 2)
-		credit += h.node("g0n1").credit / h.r.groups[eventualRead].avgResponseTime
+		credit += h.node("g0n1").credit / h.router.groups[eventualRead].avgResponseTime
 	}
 	if credit < 30 || credit > 70 {
 		t.Fatal("total initial credit of 100 routers, in requests:", credit)
@@ -54,8 +54,8 @@
 	for _, at := range []int64{0, modelWarmUp / 2, modelWarmUp - 1000} {
 		cold.credit = -1e6 // one second's worth, far from the cap
 		cold.creditAt = h.now + at - 1e6
-		capacityShare := h.r.capacityShare(cold, h.now+at)
-		h.r.refillCredit(cold, h.r.groups[eventualRead], capacityShare, h.now+at)
+		capacityShare := h.router.capacityShare(cold, h.now+at)
+		h.router.refillCredit(cold, h.router.groups[eventualRead], capacityShare, h.now+at)
 		budgetShare := (cold.credit + 1e6) / (2 * capacityShare * warm.warmRate)
 		if budgetShare <= last || budgetShare < slowStartBaseShare || budgetShare > 0.8 {
 			t.Errorf("at capacity share %.2f: %.2f of the budget, previously %.2f", capacityShare, budgetShare, last)
@@ -88,13 +88,14 @@
 	nodeStart := int64(1_000_000_000)
 	for i := range fleet {
 		h := newHarness(t, uint64(i)*7919)
-		h.r.config.Routers = c.routers
+		h.router.config.Routers = c.routers
 		h.startedAt["g0n2"] = nodeStart
 		h.sendFullList(1, 3)
 		fleet[i] = h
 	}
 	var sentAt []int64
-	for now := nodeStart + c.startDelay; now < nodeStart+c.startDelay+2*modelOverloadWindow && now < nodeStart+modelWarmUp; now += 20_000 {
+	for now := nodeStart + c.startDelay; now < nodeStart+c.startDelay+2*modelOverloadWindow &&
+		now < nodeStart+modelWarmUp; now += 20_000 {
 		for i, h := range fleet {
 			h.slowStartSends = map[string][]int64{} // a single router's excess is not checked here
 			h.advance(now - h.now)
@@ -109,14 +110,14 @@
 			}
 			rate := 0.0
 			if i%10 >= c.newRoutersPerTen {
-				rate = ownShare * modelNodeRate * h.r.groups[eventualRead].avgResponseTime
+				rate = ownShare * modelNodeRate * h.router.groups[eventualRead].avgResponseTime
 			}
 			for _, name := range []string{"g0n0", "g0n1"} {
 				h.node(name).warmRate = rate
 				h.node(name).coolDownUntil = now + 1e6 // the warm nodes have no capacity
 			}
 			h.node("g0n2").limit = 1e9
-			for j := 0; (!c.shift || i%5 == 4) && len(h.r.shards[0].queue) < 2 && j < 3; j++ {
+			for j := 0; (!c.shift || i%5 == 4) && len(h.router.shards[0].queue) < 2 && j < 3; j++ {
 				h.sendRequest(fmt.Sprint(now, "-", j), eventualRead, 0, 1e6, 0)
 			}
 			for len(h.inFlight) > 0 {
@@ -130,7 +131,8 @@
 		for sentAt[j] <= sentAt[i]-modelOverloadWindow {
 			j++
 		}
-		n := 2 * (modelInitialCapacity + (1-modelInitialCapacity)*float64(sentAt[i]-nodeStart)/modelWarmUp) * modelNodeRate * modelOverloadWindow / 1e6
+		n := 2 * (modelInitialCapacity + (1-modelInitialCapacity)*float64(sentAt[i]-nodeStart)/modelWarmUp) *
+			modelNodeRate * modelOverloadWindow / 1e6
 		excess = max(excess, float64(i-j+1)-n-2*math.Sqrt(n)-2)
 	}
 	return excess, len(sentAt)
