--- a/internal/assignment/claims.go
+++ b/internal/assignment/claims.go
@@ -3,35 +3,36 @@
 import "cmp"
 
 const (
-	// overdueIntervals is how many intervals pass without an update before the first member in rank claims a task. One
-	// update may be lost or late, so it is more than 1; a node goes without a probe that long after its owner failed.
+	// overdueIntervals is the number of intervals without an update after which the member ranked first claims a task.
+	// It is greater than 1 because an update may be lost or late; a node goes unprobed for that long after its owner
+	// failed.
 	overdueIntervals = 1.75
-	// overdueRankIntervals is how many intervals later each further rank follows: in that time the update of the member
-	// before it comes in, so that several members do not claim the same task one after another.
+	// overdueRankIntervals is the additional delay, in intervals, for each further rank. It lets the update of the
+	// preceding member arrive first, so that several members do not claim the same task in succession.
 	overdueRankIntervals = 0.4
 
-	// reclaimDelay is how long (us) a target leaves a task to a member that took it over. It failed to deliver once, and a
-	// task that went back and forth would be run twice each time.
+	// reclaimDelay is the time (us) for which a target leaves a task to the member that took it over. The target has
+	// failed to deliver once, and a task that changes hands repeatedly is run twice at each change.
 	reclaimDelay = 20_000_000
-	// reclaimMaxDoublings bounds how often reclaimDelay doubles while the task is taken over again and again: 320 s.
+	// reclaimMaxDoublings limits the doublings of reclaimDelay for repeated takeovers: 320 s.
 	reclaimMaxDoublings = 4
 
-	// secondOpinionInterval is the least time (us) between two second opinions on one node: an unresponsive node sees a
-	// fifth of a probe a second more.
+	// secondOpinionInterval is the minimum time (us) between two second opinions on one node: they add at most 0.2
+	// probes a second to the load of an unresponsive node.
 	secondOpinionInterval = 5_000_000
 
-	// claimBurstSeconds is how many seconds' worth of Config.ClaimRate may be claimed at once.
+	// claimBurstSeconds is the size of a burst of claims, in seconds of Config.ClaimRate.
 	claimBurstSeconds = 1.0
 )
 
-// claimBudget bounds how fast an instance claims: one that is left with everything takes it in over seconds instead of
-// running it all at once.
+// claimBudget is a token bucket that limits the rate of claims: an instance that is left with all tasks takes them over
+// within seconds instead of running them all at once.
 type claimBudget struct {
 	tokens     float64
 	refilledAt int64
 }
 
-// refill adds what the time since the last call gives, at a rate of claims a second.
+// refill adds the tokens for the time since the last call, at a rate of claims per second.
 func (b *claimBudget) refill(now int64, rate float64) {
 	b.tokens = min(max(1, rate*claimBurstSeconds), b.tokens+rate*float64(now-b.refilledAt)/1e6)
 	b.refilledAt = now
@@ -41,9 +42,9 @@
 
 func (b *claimBudget) take() { b.tokens-- }
 
-// shouldClaim reports whether this instance is to claim a task that it does not own.
+// shouldClaim reports whether this instance should claim a task that it does not own.
 func (t *Table) shouldClaim(task *task, now int64) bool {
-	if late := t.unheardTime(task, now) - t.overdueAfter(); late >= 0 {
+	if late := t.timeWithoutUpdate(task, now) - t.overdueAfter(); late >= 0 {
 		return late >= int64(overdueRankIntervals*float64(t.interval))*int64(t.rank(task))
 	}
 	if task.target != t.self || !t.rejoin.claiming {
@@ -55,25 +56,25 @@
 	return true
 }
 
-// overdueAfter is the age (us) from which the newest update of a task is too old. Where updates usually arrive late, that
-// delay is added, up to one interval.
+// overdueAfter returns the age (us) above which the newest update of a task is overdue. It includes the usual delay of
+// updates, up to one interval.
 func (t *Table) overdueAfter() int64 {
-	return int64(overdueIntervals*float64(t.interval) + min(t.delay, float64(t.interval)))
+	return int64(overdueIntervals*float64(t.interval) + min(t.updateDelay, float64(t.interval)))
 }
 
-// claim makes this instance the owner. The next run keeps the rhythm of the runs before.
+// claim makes this instance the owner. The next run follows the newest update by one interval.
 func (t *Table) claim(task *task, now int64) {
 	task.term++
 	t.setOwner(task, t.self)
 	t.claims++
-	if task.heard {
+	if task.hasUpdate {
 		task.nextRun = max(now, task.learnedAt+t.interval)
-	} else { // nobody has run it: instances that start together must not run everything at once
+	} else { // never run: instances that start together must not run everything at once
 		task.nextRun = now + t.firstRunOffset(task)
 	}
 }
 
-// setOwner records a task's owner, nil for none.
+// setOwner sets a task's owner, nil for none, and updates the task counts of the members.
 func (t *Table) setOwner(task *task, owner *member) {
 	if task.owner != nil {
 		task.owner.owned--
@@ -84,8 +85,8 @@
 	}
 }
 
-// supersedes reports whether a claim by a member is greater than the one that this instance believes in: the later term
-// counts, in one term the higher score, and between equal scores the first name.
+// supersedes reports whether a member's claim is greater than the one currently accepted: the later term wins, then the
+// higher score, then the smaller name.
 func (t *Table) supersedes(task *task, term uint64, claimant *member) bool {
 	if term != task.term {
 		return term > task.term
@@ -97,38 +98,38 @@
 	return order > 0
 }
 
-// acceptClaim takes an update's claim, if it is greater than the one that this instance believes in; age (us) is the update's.
+// acceptClaim accepts the claim in an update of the given age (us) if it is greater than the current one.
 func (t *Table) acceptClaim(now int64, task *task, term uint64, age int64, claimant *member) {
 	if claimant == nil || claimant.state != memberAlive {
-		// A member that is gone claims nothing, but a claim after its own must be greater.
+		// A member that is not alive cannot claim, but later claims need a greater term.
 		task.term = max(task.term, term)
 		return
 	}
 	if term == 0 || !t.supersedes(task, term, claimant) {
 		return
 	}
-	if task.owner == t.self && task.target == t.self { // another member took it over from this instance
-		task.reclaimAfter = now + t.reclaimWait()<<min(task.reclaimDoublings, reclaimMaxDoublings)
+	if task.owner == t.self && task.target == t.self { // another member took the task over from this instance
+		task.reclaimAfter = now + t.reclaimBackoff()<<min(task.reclaimDoublings, reclaimMaxDoublings)
 		task.reclaimDoublings = min(task.reclaimDoublings+1, reclaimMaxDoublings)
 	}
 	task.term = term
 	t.setOwner(task, claimant)
 	if age <= t.overdueAfter() {
-		t.endSlowness(claimant)
+		t.clearSlow(claimant)
 	}
 }
 
-// reclaimWait is how long (us) a task that was taken over from this instance is left to the member that did. Where a stall
-// of its own explains that, it is well again and waits as after a rejoin.
-func (t *Table) reclaimWait() int64 {
-	if t.pauses.stalledLately() {
+// reclaimBackoff returns the base delay (us) before this instance takes back a task that another member took over. If a
+// recent stall of this instance explains the takeover, the shorter rejoinDelay applies: the instance has recovered.
+func (t *Table) reclaimBackoff() int64 {
+	if t.pauses.stalledRecently() {
 		return rejoinDelay
 	}
 	return reclaimDelay
 }
 
-// RecordRun takes what this instance learned by a run and returns it as the update for the others. A second opinion that
-// got a response claims the task: its owner alone does not reach the node.
+// RecordRun records a run by this instance and returns the update to broadcast. A second opinion that got a response
+// claims the task, because only the owner cannot reach the node.
 func (t *Table) RecordRun(now int64, update Update, secondOpinion bool) Update {
 	update.Owner = t.self.name
 	update.Age = 0
@@ -138,7 +139,7 @@
 	}
 	update.NodeStarted = task.nodeStarted
 	task.learnedAt = now
-	task.heard = true
+	task.hasUpdate = true
 	switch {
 	case task.owner == t.self:
 		update.Term = task.term
--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -8,7 +8,7 @@
 
 const second = 1_000_000
 
-// settledCluster makes instances and nodes and lets them run for 10 s; what is measured begins after that.
+// settledCluster starts instances and nodes, runs them for 10 s and resets the measurements.
 func settledCluster(seed uint64, n, nodes int) *assignmentsim.Cluster {
 	c := assignmentsim.New(seed, n, nodes, second, 4, 50)
 	c.Run(10 * second)
@@ -16,7 +16,7 @@
 	return c
 }
 
-// expectProbedWithin fails if a node went unprobed for longer than a limit (us).
+// expectProbedWithin fails the test if a node went unprobed for longer than limit (us).
 func expectProbedWithin(t *testing.T, c *assignmentsim.Cluster, limit int64) {
 	t.Helper()
 	if got, node := c.LongestUnprobed(); got > limit {
@@ -24,7 +24,7 @@
 	}
 }
 
-// expectOneOwner fails if a node's task has no owner, or more than one.
+// expectOneOwner fails the test unless each node's task has exactly one owner.
 func expectOneOwner(t *testing.T, c *assignmentsim.Cluster, nodes int) {
 	t.Helper()
 	for node := range nodes {
@@ -34,7 +34,7 @@
 	}
 }
 
-// eventuallyOneOwner is expectOneOwner for a moment in which a task may be changing hands, which is over within 3 s.
+// eventuallyOneOwner is expectOneOwner with up to 3 s of retries, for tests in which a task may be changing owners.
 func eventuallyOneOwner(t *testing.T, c *assignmentsim.Cluster, nodes int) {
 	t.Helper()
 	for node := range nodes {
@@ -48,8 +48,7 @@
 	}
 }
 
-// TestOneOwnerRunsEachTask: nothing fails. Each node is probed once an interval, by one instance, and the nodes are divided
-// among all of them.
+// Without faults, one instance probes each node once per interval, and the nodes are divided among all instances.
 func TestOneOwnerRunsEachTask(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 30)
@@ -58,20 +57,20 @@
 		expectProbedWithin(t, c, 2*second)
 		for node := range 30 {
 			if n := c.Probes(node); n < 27 || n > 33 {
-				t.Errorf("seed %d: node %d was probed %d times in 30 s", seed, node, n)
+				t.Errorf("seed %d: node %d was probed %d times in 30 s, want 27 to 33", seed, node, n)
 			}
 		}
 		for i := range 3 {
 			if n := c.Table(i).OwnedTasks(); n < 3 || n > 20 {
-				t.Errorf("seed %d: instance %d owns %d of 30", seed, i, n)
+				t.Errorf("seed %d: instance %d owns %d of 30 tasks, want 3 to 20", seed, i, n)
 			}
 		}
 	}
 }
 
-// TestOwnersDieInTurn: an owner dies, and before the others have noticed, the next one. Then two more die, until one is
-// left with all tasks. No node goes unprobed for longer than it takes to notice and claim.
-func TestOwnersDieInTurn(t *testing.T) {
+// An owner fails, and a second one before the first failure is detected. Then two more fail, until one instance owns
+// all tasks. No node may go unprobed for longer than detection and claims take.
+func TestSuccessiveOwnerFailures(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 5, 30)
 		c.Kill(int(seed) % 5)
@@ -90,8 +89,8 @@
 	}
 }
 
-// TestPartitionAndHeal: the network is parted, and both sides are sure that they own each task. The load of a node stays
-// bounded meanwhile; after the network is mended one owner of each task is left.
+// The network is partitioned, and instances on both sides own every task. The load of each node stays bounded
+// meanwhile; after the partition heals each task has one owner.
 func TestPartitionAndHeal(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
@@ -105,10 +104,10 @@
 			}
 		}
 		if two != 20 {
-			t.Errorf("seed %d: %d of 20 nodes have an owner on each side", seed, two)
+			t.Errorf("seed %d: %d of 20 nodes have an owner on each side, want all", seed, two)
 		}
 		if c.PeakProbes > 4 {
-			t.Errorf("seed %d: %d probes of one node in one second", seed, c.PeakProbes)
+			t.Errorf("seed %d: %d probes of one node in one second, want at most 4", seed, c.PeakProbes)
 		}
 		c.SetSide(int(seed)%3, 0)
 		c.Run(5 * second)
@@ -118,15 +117,15 @@
 		expectProbedWithin(t, c, 3*second)
 		for node := range 20 {
 			if n := c.Probes(node); n > 24 {
-				t.Errorf("seed %d: node %d was probed %d times in 20 s after the heal", seed, node, n)
+				t.Errorf("seed %d: node %d was probed %d times in 20 s after the partition healed, want at most 24", seed, node, n)
 			}
 		}
 	}
 }
 
-// TestMuteTowardsAll: what one instance sends reaches nobody, though it hears all. The others take its tasks over while it
-// goes on, so nodes are probed up to twice as often, and once the way is mended one owner is left.
-func TestMuteTowardsAll(t *testing.T) {
+// All outbound messages of one instance are lost, while inbound ones arrive. The others take its tasks over while it
+// continues to run them, so nodes are probed up to twice as often; after recovery each task has one owner.
+func TestOutboundMessagesLost(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
 		c.CutOneWay(0, 1, true)
@@ -135,7 +134,7 @@
 		expectProbedWithin(t, c, 4*second)
 		for node := range 20 {
 			if n := c.Probes(node); n > 50 {
-				t.Errorf("seed %d: node %d was probed %d times in 20 s", seed, node, n)
+				t.Errorf("seed %d: node %d was probed %d times in 20 s, want at most 50", seed, node, n)
 			}
 		}
 		c.CutOneWay(0, 1, false)
@@ -145,9 +144,9 @@
 	}
 }
 
-// TestOneLinkCutOneWay: the way from one instance to another is cut, but not the one back. Updates and heartbeats go over
-// the third, and nothing changes hands.
-func TestOneLinkCutOneWay(t *testing.T) {
+// Messages from one instance to another are lost, but not in the opposite direction. Updates and heartbeats are relayed
+// by the third instance, and no task changes its owner.
+func TestOneWayLinkFailure(t *testing.T) {
 	c := settledCluster(3, 3, 20)
 	c.CutOneWay(0, 1, true)
 	c.Run(20 * second)
@@ -155,8 +154,8 @@
 	expectOneOwner(t, c, 20)
 }
 
-// TestPausedInstance: an instance is paused for 10 s, as by SIGSTOP, and goes on with its clock advanced at once. Others
-// own its tasks by then; it must not run them beside the new owners, nor believe what lay unread at its socket.
+// An instance is paused for 10 s, as by SIGSTOP, and its clock then jumps ahead. Other instances own its tasks by then;
+// it must not run them concurrently with the new owners, nor treat the updates queued at its socket as current.
 func TestPausedInstance(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
@@ -167,20 +166,20 @@
 		c.ResetMeasurements()
 		c.Run(500_000)
 		if n := c.Table(0).OwnedTasks(); n != 0 {
-			t.Errorf("seed %d: it still owns %d tasks that others took over", seed, n)
+			t.Errorf("seed %d: the resumed instance still owns %d tasks that others took over", seed, n)
 		}
 		c.Run(20 * second)
 		expectProbedWithin(t, c, 3*second)
 		expectOneOwner(t, c, 20)
 		if c.PeakProbes > 3 {
-			t.Errorf("seed %d: %d probes of one node in one second", seed, c.PeakProbes)
+			t.Errorf("seed %d: %d probes of one node in one second, want at most 3", seed, c.PeakProbes)
 		}
 	}
 }
 
-// TestAliveButDeliversNothing: an instance's heartbeats go on, but it runs nothing: its probes do not get out. Its peers go by
-// what it delivers, take its tasks over, and give them back when it is well again.
-func TestAliveButDeliversNothing(t *testing.T) {
+// An instance sends heartbeats but its probes are not sent. The other instances judge it by its updates, take its tasks
+// over, and hand them back once it has recovered.
+func TestAliveOwnerWithoutUpdates(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
 		c.Mute(1, true)
@@ -195,9 +194,9 @@
 	}
 }
 
-// TestOwnerCutFromOneNode: an owner alone cannot reach a node that is well. Another instance, asked for a second opinion,
-// can, and owns the task from then on.
-func TestOwnerCutFromOneNode(t *testing.T) {
+// Only the owner of a task cannot reach a healthy node. Another instance reaches it with a second opinion and becomes
+// the owner.
+func TestOwnerCannotReachOneNode(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
 		for i := range 3 {
@@ -205,10 +204,10 @@
 				c.CutFromNode(i, 4, true)
 				c.Run(8 * second)
 				if c.Table(i).Owns(c.TaskKey(4)) {
-					t.Errorf("seed %d: instance %d keeps what it can't reach", seed, i)
+					t.Errorf("seed %d: instance %d still owns the task of a node that it cannot reach", seed, i)
 				}
 				if n := c.Owners(4); n != 1 {
-					t.Errorf("seed %d: %d owners", seed, n)
+					t.Errorf("seed %d: node 4 has %d owners, want 1", seed, n)
 				}
 				expectProbedWithin(t, c, 3*second)
 				break
@@ -217,19 +216,19 @@
 	}
 }
 
-// TestDeadNode: no instance reaches a node. Its owner goes on probing it, and second opinions stay few.
+// No instance reaches a node. Its owner keeps probing it, and second opinions remain rare.
 func TestDeadNode(t *testing.T) {
 	c := settledCluster(5, 3, 20)
 	c.SetNodeDead(7, true)
 	c.Run(50 * second)
 	if n := c.Probes(7); n < 45 || n > 75 {
-		t.Errorf("a dead node was probed %d times in 50 s", n)
+		t.Errorf("a dead node was probed %d times in 50 s, want 45 to 75", n)
 	}
 }
 
-// TestAllStartAtOnce: all instances are killed and started again together, knowing nothing. No node is probed in a burst, and
-// each is probed soon.
-func TestAllStartAtOnce(t *testing.T) {
+// All instances are killed and restarted together, without any state. No node is probed in a burst, and each is probed
+// soon.
+func TestSimultaneousRestart(t *testing.T) {
 	for seed := range uint64(10) {
 		c := settledCluster(seed, 30, 50)
 		for i := range 30 {
@@ -242,15 +241,15 @@
 		c.ResetMeasurements()
 		c.Run(20 * second)
 		if c.PeakProbes > 5 {
-			t.Errorf("seed %d: %d probes of one node in one second", seed, c.PeakProbes)
+			t.Errorf("seed %d: %d probes of one node in one second, want at most 5", seed, c.PeakProbes)
 		}
 		expectProbedWithin(t, c, 5*second)
 		expectOneOwner(t, c, 50)
 	}
 }
 
-// TestRestartIsUsefulSoon: an instance that starts anew knows of every node within one interval.
-func TestRestartIsUsefulSoon(t *testing.T) {
+// A restarted instance has an update of every node within one interval.
+func TestRestartedInstanceLearnsAllNodes(t *testing.T) {
 	c := settledCluster(9, 3, 20)
 	c.Kill(2)
 	c.Run(8 * second)
@@ -258,12 +257,12 @@
 	c.Run(second)
 	for node := range 20 {
 		if _, _, age := c.Table(2).Owner(c.InstanceTime(2), c.TaskKey(node)); age < 0 || age > 2*second {
-			t.Errorf("node %d: its newest word is %d us old", node, age)
+			t.Errorf("node %d: its newest update is %d us old, want at most 2 s", node, age)
 		}
 	}
 }
 
-// TestClocksDiffer: the instances' clocks differ by hours. Ages travel, times never do, so nothing depends on it.
+// The clocks of the instances differ by hours. Messages carry ages and never absolute times, so this has no effect.
 func TestClocksDiffer(t *testing.T) {
 	c := assignmentsim.New(4, 3, 20, second, 4, 50)
 	c.SetClock(0, 3600*second)
@@ -279,8 +278,8 @@
 	expectOneOwner(t, c, 20)
 }
 
-// TestLossyNetwork: a fifth of the updates is lost, a third comes twice, all of them late and out of order. Nodes are probed
-// in time though tasks change hands without cause; when the network is well again each has one owner.
+// A fifth of the updates is lost, a third arrives twice, and all arrive late and out of order. Nodes are probed in time
+// although tasks change owners without cause; after the network recovers each task has one owner.
 func TestLossyNetwork(t *testing.T) {
 	for seed := range uint64(10) {
 		c := assignmentsim.New(seed, 5, 30, second, 4, 50)
@@ -290,8 +289,8 @@
 		c.Run(40 * second)
 		expectProbedWithin(t, c, 5*second)
 		for node := range 30 {
-			if n := c.Probes(node); n > 100 { // half of what five that share nothing would
-				t.Errorf("seed %d: node %d was probed %d times in 40 s", seed, node, n)
+			if n := c.Probes(node); n > 100 { // half of the total of five independent instances
+				t.Errorf("seed %d: node %d was probed %d times in 40 s, want at most 100", seed, node, n)
 			}
 		}
 		c.Loss, c.Duplication, c.MaxDelay = 0, 0, 600_000
@@ -300,9 +299,9 @@
 	}
 }
 
-// TestInstanceComesAndGoes: an instance crashes and restarts again and again. Each time that it takes its tasks back they
-// go unprobed at its next crash, so it waits longer the more often it came back.
-func TestInstanceComesAndGoes(t *testing.T) {
+// An instance crashes and restarts repeatedly. Each time it reclaims its tasks they go unprobed after its next crash,
+// so its wait before claiming grows with each rejoin.
+func TestRepeatedRestartsDelayClaims(t *testing.T) {
 	c := settledCluster(6, 5, 100)
 	for range 8 {
 		c.Kill(0)
@@ -312,16 +311,16 @@
 	}
 	expectProbedWithin(t, c, 4*second)
 	if n := c.Table(0).OwnedTasks(); n > 5 {
-		t.Errorf("it owns %d of 100 tasks, 6 s after its eighth return", n)
+		t.Errorf("the instance owns %d of 100 tasks 6 s after its eighth restart, want at most 5", n)
 	}
 	c.Run(60 * second)
 	expectOneOwner(t, c, 100)
 	if n := c.Table(0).OwnedTasks(); n < 10 {
-		t.Errorf("it owns %d of 100 tasks, a minute after", n)
+		t.Errorf("the instance owns %d of 100 tasks a minute later, want at least 10", n)
 	}
 }
 
-// TestNodeReplaced: another process stands behind a node's name. Its task goes on, with one owner.
+// A node's process is replaced under the same name. Its task continues, with one owner.
 func TestNodeReplaced(t *testing.T) {
 	c := settledCluster(8, 3, 10)
 	c.ReplaceNode(3)
@@ -330,8 +329,8 @@
 	expectOneOwner(t, c, 10)
 }
 
-// TestSameSeedSameRun guards the simulation itself: what it shows must be repeatable.
-func TestSameSeedSameRun(t *testing.T) {
+// Runs of the simulation with the same seed must be identical, so that failures are reproducible.
+func TestSimulationIsDeterministic(t *testing.T) {
 	trace := func() (log []int64) {
 		c := assignmentsim.New(11, 4, 10, second, 4, 50)
 		c.Loss, c.Duplication = 0.1, 0.1
@@ -343,11 +342,11 @@
 	}
 	a, b := trace(), trace()
 	if len(a) != len(b) || len(a) == 0 {
-		t.Fatalf("%d and %d", len(a), len(b))
+		t.Fatalf("the runs have %d and %d entries, want equal and more than 0", len(a), len(b))
 	}
 	for i := range a {
 		if a[i] != b[i] {
-			t.Fatalf("they part at %d", i)
+			t.Fatalf("the runs differ from entry %d on", i)
 		}
 	}
 }
--- a/internal/assignment/member_health_test.go
+++ b/internal/assignment/member_health_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSlowAboveHalfOverdue: a member owns a hundred tasks and is heard of only some of them. It counts as slow once more
-// than half of its tasks are overdue, and not for one less.
+// A member owns a hundred tasks and sends updates for only some of them. It is classified as slow once more than half
+// of its tasks are overdue, but not at exactly half.
 func TestSlowAboveHalfOverdue(t *testing.T) {
 	for _, c := range []struct{ overdue, slow int }{{50, 0}, {51, 1}} {
 		t.Run(fmt.Sprint(c.overdue), func(t *testing.T) {
@@ -27,7 +27,7 @@
 				}
 			}
 			if n := tab.Stats(1_700_000).SlowMembers; n != 0 {
-				t.Errorf("%d slow members before any task is overdue", n)
+				t.Errorf("%d slow members before any task is overdue, want 0", n)
 			}
 			tab.Tick(1_750_001, nil)
 			if n := tab.Stats(1_750_001).SlowMembers; n != c.slow {
--- a/internal/assignment/members.go
+++ b/internal/assignment/members.go
@@ -2,26 +2,26 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// memberMemory is how long (us) a lost member is remembered, and for how long after it last held the greatest number of live
-// members counts (interval.go says how that ends). An instance that restarts or a network that is mended comes back
-// well within it.
-const memberMemory = 600_000_000
+// memberRetention is the time (us) for which a lost member is remembered, and for which the peak number of live members
+// counts after it was last observed (interval.go describes the exception). A restart or a healed network partition
+// takes much less.
+const memberRetention = 600_000_000
 
-// memberState is what a member is to this instance.
+// memberState is the state of a member in the view of this instance.
 type memberState uint8
 
 const (
-	memberLost memberState = iota // it can't be reached
+	memberLost memberState = iota // unreachable
 	memberAlive
-	memberLeft // it left in order
+	memberLeft // left gracefully
 )
 
 var memberStateNames = [...]string{"lost", "alive", "left"}
 
-// String names the state.
+// String implements fmt.Stringer.
 func (s memberState) String() string { return memberStateNames[s] }
 
-// member is one instance, this one included.
+// member is one instance; the table's own instance is one too.
 type member struct {
 	slot        int
 	name        string
@@ -29,18 +29,18 @@
 	weight      float64
 	incarnation uint64
 	state       memberState
-	goneAt      int64 // when it was lost or left
-	eligible    bool  // it may be a target: it was alive and not slow when targets were last chosen
+	downSince   int64 // when it was lost or left
+	eligible    bool  // it may be a target: alive and not slow when targets were last selected
 
-	slowUntil int64 // it counts as slow before this time; 0 if it does not
-	owned     int   // tasks that it owns
-	overdue   int   // of these, tasks whose newest update is too old; counted at each tick
+	slowUntil int64 // end of the period in which it counts as slow; 0 if it is not slow
+	owned     int   // number of tasks that it owns
+	overdue   int   // owned tasks whose newest update is overdue; updated at each tick
 
-	rejoins    int // how often it came back, counted as noteRejoin says
+	rejoins    int // number of rejoins, as counted by recordRejoin
 	rejoinedAt int64
 }
 
-// addMember takes a new member in, as lost.
+// addMember adds a member in state memberLost.
 func (t *Table) addMember(name string, weight float64) *member {
 	added := &member{name: name, hash: xxhash.Sum64String(name), weight: weight}
 	if last := len(t.freeMembers) - 1; last >= 0 {
@@ -55,10 +55,10 @@
 	return added
 }
 
-// forgetMembers drops members that have been gone for long, so that names that come and go do not add up.
+// forgetMembers drops members that have been down for long, so that short-lived names do not accumulate.
 func (t *Table) forgetMembers(now int64) {
 	for slot, m := range t.members {
-		if m == nil || m.state == memberAlive || m.eligible || m.owned > 0 || now-m.goneAt <= memberMemory {
+		if m == nil || m.state == memberAlive || m.eligible || m.owned > 0 || now-m.downSince <= memberRetention {
 			continue
 		}
 		delete(t.memberByName, m.name)
@@ -67,8 +67,8 @@
 	}
 }
 
-// MemberUp reports that a member is alive, in an incarnation and with a weight. A report on an older incarnation than the
-// newest known counts for nothing.
+// MemberUp reports that a member is alive, with its weight and incarnation. Reports about an incarnation older than the
+// newest known one are ignored.
 func (t *Table) MemberUp(now int64, name string, weight float64, incarnation uint64) {
 	m := t.memberByName[name]
 	known := m != nil
@@ -80,7 +80,7 @@
 	}
 	wasAlive := m.state == memberAlive
 	if known && (!wasAlive || incarnation > m.incarnation) {
-		m.noteRejoin(now)
+		m.recordRejoin(now)
 	}
 	if m.weight != weight {
 		t.invalidateTargets(m)
@@ -95,10 +95,10 @@
 	t.updateInterval(now)
 }
 
-// noteRejoin counts that a member came back. The count starts again if the last rejoin was more than rejoinMemory ago;
-// it is not reset in between. The member starts again as one that is not slow.
-func (m *member) noteRejoin(now int64) {
-	if now-m.rejoinedAt > rejoinMemory {
+// recordRejoin counts a rejoin of the member and clears its slow state. The count restarts if the previous rejoin was
+// more than rejoinResetTime ago; it does not expire in between.
+func (m *member) recordRejoin(now int64) {
+	if now-m.rejoinedAt > rejoinResetTime {
 		m.rejoins = 0
 	}
 	m.rejoins++
@@ -106,8 +106,8 @@
 	m.slowUntil = 0
 }
 
-// invalidateTargets undoes the choices that rest on a member's weight, which changes. Tasks that it is the target of are
-// assigned anew; it competes for the rest like a new member.
+// invalidateTargets prepares a change of a member's weight. It clears the target of each task that targets the member,
+// so that it is selected again; for all other tasks the member competes like a new one.
 func (t *Table) invalidateTargets(m *member) {
 	for _, task := range t.tasks {
 		if task != nil && task.target == m {
@@ -117,15 +117,15 @@
 	m.eligible = false
 }
 
-// MemberDown reports that a member was lost, or that it left in order. A report on an older incarnation than the newest
-// known counts for nothing.
+// MemberDown reports that a member was lost, or that it left gracefully. Reports about an incarnation older than the
+// newest known one are ignored.
 func (t *Table) MemberDown(now int64, name string, incarnation uint64, left bool) {
 	m := t.memberByName[name]
 	if m == nil || m == t.self || incarnation < m.incarnation || m.state != memberAlive {
 		return
 	}
-	t.noteMembers(now)
-	m.goneAt = now
+	t.updatePeakMembers(now)
+	m.downSince = now
 	m.state = memberLost
 	if left {
 		m.state = memberLeft
@@ -135,8 +135,8 @@
 	t.updateInterval(now)
 }
 
-// Rejoins returns how often a member came back, for the member to be told of. The count covers rejoins that followed one
-// another within rejoinMemory. It is reset only at the member's next rejoin, so it may be older than that.
+// Rejoins returns the number of recent rejoins of a member, which is reported to the member. It counts rejoins at most
+// rejoinResetTime apart and is reset only at the member's next rejoin, so it may cover an older series.
 func (t *Table) Rejoins(name string) int {
 	if m := t.memberByName[name]; m != nil {
 		return m.rejoins
@@ -144,7 +144,7 @@
 	return 0
 }
 
-// liveMembers counts the live members, this instance included.
+// liveMembers returns the number of live members, including this instance.
 func (t *Table) liveMembers() int {
 	count := 0
 	for _, m := range t.members {
--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -14,26 +14,26 @@
 // TestMain fixes the seed of generated tests.
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// model is the rules of a table in the plainest form: maps, and every answer found anew from all that is known.
+// model is a reference implementation of a table's rules: it uses maps and recomputes every result from its full state.
 type model struct {
-	t        *rapid.T
-	self     string
-	now      int64
-	tickedAt int64
-	judgesAt int64 // from when it judges others after a stall of its own
-	members  map[string]*modelMember
-	tasks    map[string]*modelTask
-	interval int64
+	t              *rapid.T
+	self           string
+	now            int64
+	tickedAt       int64
+	peerChecksFrom int64 // when overdue checks of peers resume after a stall of this instance
+	members        map[string]*modelMember
+	tasks          map[string]*modelTask
+	interval       int64
 }
 
-// modelMember is what the model knows of a member.
+// modelMember is the model's state of a member.
 type modelMember struct {
 	weight      float64
 	incarnation uint64
 	alive       bool
 }
 
-// modelTask is what the model knows of a task.
+// modelTask is the model's state of a task.
 type modelTask struct {
 	nodeStarted, learnedAt int64
 	heard                  bool
@@ -46,7 +46,7 @@
 	return -m.members[member].weight / math.Log(u)
 }
 
-// target is the live member with the highest score; the names decide where two are equal.
+// target returns the live member with the highest score, or the smaller name between equal scores.
 func (m *model) target(key string, slow map[string]bool) string {
 	best := ""
 	for name, one := range m.members {
@@ -61,7 +61,7 @@
 	return best
 }
 
-// greater reports whether a claim is greater than the one that the model believes in.
+// greater reports whether a claim is greater than the one that the model has accepted.
 func (m *model) greater(key string, term uint64, by string) bool {
 	task := m.tasks[key]
 	switch {
@@ -75,8 +75,8 @@
 	return by < task.owner
 }
 
-// handleUpdate returns what an update may be used for, and whether it may be used at all.
-func (m *model) handleUpdate(update Update) (want Evidence, any bool) {
+// handleUpdate returns the expected evidence of an update, and whether any of it may be used.
+func (m *model) handleUpdate(update Update) (want Evidence, usable bool) {
 	task := m.tasks[update.Key]
 	if task == nil || update.Age < 0 {
 		return Evidence{}, false
@@ -108,8 +108,8 @@
 	return want, true
 }
 
-// agree compares all that the table believes with the model.
-func (m *model) agree(tab *Table) {
+// compare checks the table's state against the model's.
+func (m *model) compare(tab *Table) {
 	slow := map[string]bool{}
 	for name, one := range tab.memberByName {
 		slow[name] = m.now < one.slowUntil
@@ -117,7 +117,7 @@
 	for key, task := range m.tasks {
 		owner, term, age := tab.Owner(m.now, key)
 		if owner != task.owner || term != task.term {
-			m.t.Fatalf("%s: owned by %q at %d, want %q at %d", key, owner, term, task.owner, task.term)
+			m.t.Fatalf("%s: owner %q in term %d, want %q in term %d", key, owner, term, task.owner, task.term)
 		}
 		if task.heard && age != m.now-task.learnedAt {
 			m.t.Fatalf("%s: its newest update is %d us old, want %d", key, age, m.now-task.learnedAt)
@@ -132,15 +132,15 @@
 	}
 	for name, one := range tab.memberByName {
 		if one.owned != owned[name] {
-			m.t.Fatalf("%s owns %d, want %d", name, one.owned, owned[name])
+			m.t.Fatalf("%s owns %d tasks, want %d", name, one.owned, owned[name])
 		}
 	}
 }
 
-// tick lets the table tick and finds a reason for each claim that it made.
+// tick runs Tick on the table and checks that each claim has a valid reason.
 func (m *model) tick(tab *Table) {
 	if m.now-m.tickedAt > stallThreshold {
-		m.judgesAt = m.now + backlogTime
+		m.peerChecksFrom = m.now + backlogDrainTime
 		m.pause(tab)
 	}
 	runs := tab.Tick(m.now, nil)
@@ -156,26 +156,27 @@
 			continue
 		}
 		claims++
-		late := m.now-max(task.learnedAt, m.judgesAt) >= int64(overdueIntervals*float64(tab.Interval()))
+		late := m.now-max(task.learnedAt, m.peerChecksFrom) >= int64(overdueIntervals*float64(tab.Interval()))
 		if owner != m.self || term != task.term+1 || !late && (m.target(key, slow) != m.self || !tab.ClaimsTasks()) {
-			m.t.Fatalf("%s: claimed by %q at %d after %+v, late %v", key, owner, term, task, late)
+			m.t.Fatalf("%s: unexpected claim by %q in term %d after %+v, overdue %v", key, owner, term, task, late)
 		}
 		task.owner, task.term = owner, term
 	}
 	if claims > 5 {
-		m.t.Fatalf("%d tasks claimed at once, 5 a second are allowed", claims)
+		m.t.Fatalf("%d tasks claimed in one tick, want at most 5", claims)
 	}
 	seen := map[string]bool{}
 	for _, r := range runs {
 		if seen[r.Key] || m.tasks[r.Key] == nil || !r.SecondOpinion && m.tasks[r.Key].owner != m.self {
-			m.t.Fatalf("%+v is run, owned by %q", r, m.tasks[r.Key].owner)
+			m.t.Fatalf("unexpected run %+v of a task owned by %q", r, m.tasks[r.Key].owner)
 		}
 		seen[r.Key] = true
 	}
-	m.agree(tab)
+	m.compare(tab)
 }
 
-// pause is a pause of the instance's own: after one as long as others wait, what it owned is theirs.
+// pause models a pause of this instance: if it was long enough for its tasks to become overdue, the instance releases
+// them.
 func (m *model) pause(tab *Table) {
 	if m.now-m.tickedAt < tab.overdueAfter() {
 		return
@@ -188,16 +189,16 @@
 	}
 }
 
-// property drives a table and the model with the same generated inputs.
-func property(t *rapid.T) {
+// checkTableAgainstModel applies the same generated inputs to a table and to the model.
+func checkTableAgainstModel(t *rapid.T) {
 	const interval = 1_000_000
 	m := &model{t: t, self: "r0", now: 5_000_000, tickedAt: 5_000_000, interval: interval,
 		members: map[string]*modelMember{"r0": {weight: 1, incarnation: 1, alive: true}}, tasks: map[string]*modelTask{}}
-	// A run rate without bound keeps the interval as it is.
+	// With an unlimited run rate the interval stays as configured.
 	table := New(m.now, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: interval, Instances: 1, MaxRunRate: 1e9, ClaimRate: 5})
 	member := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "member")) })
 	key := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("probe/s-", rapid.IntRange(0, 9).Draw(t, "box")) })
-	// rapid picks actions in the order of their names: another name is another input for a kept seed.
+	// rapid selects actions by the order of their names: renaming one changes the inputs of a stored seed.
 	t.Repeat(map[string]func(*rapid.T){
 		"up": func(t *rapid.T) {
 			name, weight, incarnation := member.Draw(t, "name"), rapid.Float64Range(0.5, 2).Draw(t, "weight"), rapid.Uint64Range(1, 4).Draw(t, "born")
@@ -232,9 +233,9 @@
 				Age: rapid.Int64Range(-1, 6_000_000).Draw(t, "age"), NodeStarted: rapid.Int64Range(0, 2).Draw(t, "started"),
 				Unresponsive: rapid.Bool().Draw(t, "silent"), Position: rapid.Int64Range(0, 9).Draw(t, "pos"),
 				PrimaryHint: rapid.SampledFrom([]int8{-1, 0, 1}).Draw(t, "lead")}
-			want, any := m.handleUpdate(update)
-			if got := table.HandleUpdate(m.now, update); any && got != want || !any && (got.Position != 0 || got.PrimaryHint != 0 || got.Unresponsive || got.Responsive) {
-				t.Fatalf("%+v is taken for %+v, want %+v", update, got, want)
+			want, usable := m.handleUpdate(update)
+			if got := table.HandleUpdate(m.now, update); usable && got != want || !usable && (got.Position != 0 || got.PrimaryHint != 0 || got.Unresponsive || got.Responsive) {
+				t.Fatalf("evidence of %+v is %+v, want %+v", update, got, want)
 			}
 		},
 		"done": func(t *rapid.T) {
@@ -250,7 +251,7 @@
 			}
 			if want := task.term; update.Owner != m.self || update.NodeStarted != task.nodeStarted || task.owner == m.self && update.Term != want ||
 				task.owner != m.self && update.Term != 0 {
-				t.Fatalf("%+v of %+v", update, task)
+				t.Fatalf("unexpected update %+v from a run of %+v", update, task)
 			}
 		},
 		"time": func(t *rapid.T) {
@@ -260,7 +261,8 @@
 		"standstill": func(t *rapid.T) {
 			m.now += rapid.Int64Range(1_100_000, 12_000_000).Draw(t, "us")
 			m.tick(table)
-			// What is read right after lies as long as the instance stood: it is left out here.
+			// Updates read until backlogUntil count as older by the duration of the pause, which the model does not
+			// cover.
 			for m.now < table.pauses.backlogUntil {
 				m.now += 400_000
 				m.tick(table)
@@ -269,30 +271,30 @@
 	})
 }
 
-// TestModel holds the table to the model on generated inputs.
-func TestModel(t *testing.T) { rapid.Check(t, property) }
+// TestModel compares the table with the model on generated inputs.
+func TestModel(t *testing.T) { rapid.Check(t, checkTableAgainstModel) }
 
-// FuzzModel does the same on the inputs that a fuzzer finds.
+// FuzzModel does the same on inputs from the fuzzer.
 func FuzzModel(f *testing.F) {
 	f.Add([]byte("a table of duties, and whoever holds them"))
 	f.Add(make([]byte, 4096))
-	f.Fuzz(rapid.MakeFuzz(property))
+	f.Fuzz(rapid.MakeFuzz(checkTableAgainstModel))
 }
 
-// TestUpdateReadAfterPauseIsOld: an instance is paused for 10 s and then reads an update that has waited at its socket all
-// that time, with the age it had when it came. It is taken for as old as it may be: the position is used, the role is not.
-func TestUpdateReadAfterPauseIsOld(t *testing.T) {
+// An instance is paused for 10 s and then reads an update that was queued at its socket all that time, with the age
+// that it had on arrival. The update must count as old as it may be: its position is used, its role hint is not.
+func TestBacklogUpdateCountsAsOld(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 50})
 	tab.AddTask(0, "probe/a", 7)
 	tab.MemberUp(0, "r1", 1, 1)
 	tab.Tick(100_000, nil)
 	u := tab.HandleUpdate(10_100_000, Update{Key: "probe/a", Owner: "r1", Term: 1, Age: 50_000, NodeStarted: 7, Position: 9, PrimaryHint: 1})
 	if u.LearnedAt != 50_000 || u.Position != 9 || u.PrimaryHint != 0 || u.Responsive {
-		t.Errorf("%+v", u)
+		t.Errorf("evidence %+v, want only the position 9, learned at 50000", u)
 	}
 }
 
-// TestWeightsDivideTasks: a member of twice the weight is the target of twice the tasks.
+// A member of twice the weight is the target of twice as many tasks.
 func TestWeightsDivideTasks(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 1e9})
 	tab.MemberUp(0, "r1", 2, 1)
@@ -300,15 +302,15 @@
 	for i := range 4000 {
 		tab.AddTask(0, fmt.Sprint("probe/", i), 0)
 	}
-	tab.Tick(startupListen, nil)
-	tab.Tick(startupListen+100_000, nil)
+	tab.Tick(startupListenTime, nil)
+	tab.Tick(startupListenTime+100_000, nil)
 	if n := tab.OwnedTasks(); n < 900 || n > 1100 {
-		t.Errorf("%d of 4000 at a quarter of the weight", n)
+		t.Errorf("%d of 4000 tasks owned with a quarter of the total weight", n)
 	}
 }
 
-// TestBoundedMoves: a member dies and comes back. Its own tasks move and no others, and the same ones come back.
-func TestBoundedMoves(t *testing.T) {
+// A member fails and returns. Only its own tasks move, and the same ones move back.
+func TestOnlyLostMembersTasksMove(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 1e9})
 	for i := 1; i < 10; i++ {
 		tab.MemberUp(0, fmt.Sprint("r", i), 1, 1)
@@ -327,18 +329,18 @@
 	tab.MemberDown(200_000, "r4", 1, false)
 	tab.Tick(200_000, nil)
 	if n := tab.Stats(0).TargetChanges; n-before != own || own == 0 {
-		t.Errorf("%d moves for %d tasks of the dead", n-before, own)
+		t.Errorf("%d target changes for %d tasks of the lost member", n-before, own)
 	}
 	tab.MemberUp(300_000, "r4", 1, 2)
 	tab.Tick(300_000, nil)
 	if n := tab.Stats(0).TargetChanges; n-before != 2*own {
-		t.Errorf("%d moves there and back for %d tasks", n-before, own)
+		t.Errorf("%d target changes after loss and return, for %d tasks", n-before, own)
 	}
 }
 
-// TestMembersComeAndGoBetweenTicks: hundreds of members come and go between ticks, and over hours. That leaves every task
-// where it was, and names that are gone for long are forgotten.
-func TestMembersComeAndGoBetweenTicks(t *testing.T) {
+// Hundreds of members join and leave between ticks, and over hours. No task may change its target, and members that
+// have been down for long are forgotten.
+func TestMembershipChurnBetweenTicks(t *testing.T) {
 	tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 3, MaxRunRate: 4, ClaimRate: 50})
 	for i := range 1000 {
 		tab.AddTask(0, fmt.Sprint("probe/", i), 0)
@@ -360,21 +362,21 @@
 		tab.Tick(now, nil)
 	}
 	if stats := tab.Stats(now); stats.TargetChanges != moved || stats.LiveMembers != 2 {
-		t.Errorf("%d moves, %d members live", stats.TargetChanges-moved, stats.LiveMembers)
+		t.Errorf("%d target changes, want 0; %d live members, want 2", stats.TargetChanges-moved, stats.LiveMembers)
 	}
 	if len(tab.taskByKey) != len(was) {
-		t.Fatalf("%d tasks of %d", len(tab.taskByKey), len(was))
+		t.Fatalf("%d tasks, want %d", len(tab.taskByKey), len(was))
 	}
 	for key, one := range tab.taskByKey {
 		if one.target != was[key] {
-			t.Fatalf("task %s has another target", key)
+			t.Fatalf("task %s changed its target", key)
 		}
 	}
-	now += memberMemory
+	now += memberRetention
 	tab.MemberUp(now, "r1", 2, 1)
 	tab.Tick(now, nil)
 	for round := range 10 {
-		now += memberMemory + 1
+		now += memberRetention + 1
 		for i := range 100 {
 			name := fmt.Sprint("later", round, "-", i)
 			tab.MemberUp(now, name, 1, 1)
@@ -383,12 +385,12 @@
 		tab.Tick(now, nil)
 	}
 	if n := len(tab.members); n > 800 {
-		t.Errorf("%d members are remembered", n)
+		t.Errorf("%d members are remembered, want at most 800", n)
 	}
 }
 
-// TestPartsTogetherKeepRunRate: however the instances are parted, the parts together stay within a node's bound.
-func TestPartsTogetherKeepRunRate(t *testing.T) {
+// For any network partition, all sides together stay within the run rate limit of a node.
+func TestPartitionsKeepRunRate(t *testing.T) {
 	for _, parts := range [][]int{{3}, {2, 1}, {1, 1, 1}, {100, 200}, {1, 1, 298}, {150, 75, 75}} {
 		all, load := 0, 0.0
 		for _, k := range parts {
@@ -405,7 +407,7 @@
 			load += 1e6 / float64(tab.Interval())
 		}
 		if load > 4.001 {
-			t.Errorf("%v: %.1f runs a second", parts, load)
+			t.Errorf("partition %v: %.1f runs a second, want at most 4", parts, load)
 		}
 	}
 }
--- a/internal/assignment/rejoin.go
+++ b/internal/assignment/rejoin.go
@@ -1,36 +1,38 @@
 package assignment
 
 const (
-	// startupListen is how long (us) an instance listens after its start whether others are at work.
-	startupListen = 1_000_000
+	// startupListenTime is how long (us) an instance listens for other active instances after its start.
+	startupListenTime = 1_000_000
 
-	// rejoinDelay is how long (us) an instance that rejoined waits before it claims the tasks that it is the target of. One
-	// that comes and goes would otherwise move its tasks each time, and each move is a gap in the probes of a node.
+	// rejoinDelay is how long (us) a rejoined instance waits before it claims the tasks that it is the target of. An
+	// instance that restarts repeatedly would otherwise move its tasks each time, and each move is a gap in the probes
+	// of a node.
 	rejoinDelay = 3_000_000
-	// rejoinMaxDoublings bounds how often rejoinDelay doubles for an instance that came back often: 48 s.
+	// rejoinMaxDoublings limits the doublings of rejoinDelay for repeated rejoins: 48 s.
 	rejoinMaxDoublings = 4
-	// rejoinMemory is the time (us) without a rejoin after which the former ones are forgotten.
-	rejoinMemory = 300_000_000
+	// rejoinResetTime is the time (us) without a rejoin after which earlier rejoins no longer count.
+	rejoinResetTime = 300_000_000
 )
 
-// rejoinState is whether this instance claims the tasks that it is the target of, or waits since it started or rejoined.
+// rejoinState tracks whether this instance claims the tasks that it is the target of, or still waits after a start or
+// rejoin.
 type rejoinState struct {
 	claiming   bool
-	claimsFrom int64 // when it begins to claim
-	rejoins    int   // how often this instance came back lately, as it or others saw it
+	claimsFrom int64 // when it starts to claim
+	rejoins    int   // recent rejoins of this instance, as counted by itself or by others
 	rejoinedAt int64
-	minority   bool // this instance sees less than half of the members that there are
+	minority   bool // less than half of the expected members are live (isMinority)
 }
 
-// ClaimsTasks reports whether this instance claims the tasks that it is the target of. One that has just started or rejoined
-// does not yet; their owners go on until it does.
+// ClaimsTasks reports whether this instance claims the tasks that it is the target of. It does not right after a start
+// or rejoin; until then the tasks stay with their owners.
 func (t *Table) ClaimsTasks() bool { return t.rejoin.claiming }
 
-// NoteRejoins reports that this instance came back, and how often lately as others saw it, 1 at least. It waits before it
-// claims again, the longer the more often.
+// NoteRejoins reports that this instance rejoined, with the number of recent rejoins as counted by others, at least 1.
+// The wait before it claims again grows with that number.
 func (t *Table) NoteRejoins(now int64, times int) {
 	r := &t.rejoin
-	if now-r.rejoinedAt > rejoinMemory {
+	if now-r.rejoinedAt > rejoinResetTime {
 		r.rejoins = 0
 	}
 	r.rejoins = max(r.rejoins, times)
@@ -39,21 +41,21 @@
 	r.claimsFrom = max(r.claimsFrom, now+rejoinDelay<<min(r.rejoins-1, rejoinMaxDoublings))
 }
 
-// maybeStartClaiming ends the wait after a start or a rejoin. An instance that hears others at work right after its start
-// has rejoined, even if none of them counted it.
+// maybeStartClaiming ends the wait after a start or a rejoin. An instance that receives recent updates right after its
+// start has rejoined, even if no other member counted that.
 func (t *Table) maybeStartClaiming(now int64) {
 	if t.rejoin.claiming || now < t.rejoin.claimsFrom {
 		return
 	}
-	if t.heardNew && t.rejoin.rejoins == 0 {
+	if t.recentUpdateSeen && t.rejoin.rejoins == 0 {
 		t.NoteRejoins(now, 1)
 		return
 	}
 	t.rejoin.claiming = true
 }
 
-// maybeLeaveMinority is called when a member came. An instance that was cut off with few others waits as after a rejoin, so
-// that the larger side keeps its tasks.
+// maybeLeaveMinority is called when a member comes up. An instance on the smaller side of a partition waits as after a
+// rejoin, so that the larger side keeps its tasks.
 func (t *Table) maybeLeaveMinority(now int64) {
 	if !t.rejoin.minority {
 		return
@@ -62,7 +64,8 @@
 	t.NoteRejoins(now, t.rejoin.rejoins+1)
 }
 
-// isMinority reports whether the live members are less than half of those that there are.
+// isMinority reports whether the live members are less than half of the peak number or of the configured instances,
+// whichever is greater.
 func (t *Table) isMinority() bool {
 	return 2*t.liveMembers() < max(t.peakMembers, t.config.Instances)
 }
--- a/internal/assignment/rendezvous.go
+++ b/internal/assignment/rendezvous.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// score is a member's weight for a task in rendezvous hashing (Thaler and Ravishankar; weighted after Schindelhauer and
-// Schomaker). The member with the highest score is the target: another member's coming or going changes nothing between
-// the rest, and a member of twice the weight has twice the tasks.
+// score returns a member's weighted rendezvous hashing score for a task (Thaler and Ravishankar; weights after
+// Schindelhauer and Schomaker). The member with the highest score is the target: members that join or leave do not move
+// tasks between the others, and a member of twice the weight gets twice the tasks.
 func score(m *member, task *task) float64 {
 	uniform := (float64(mixHashes(task.hash, m.hash)>>11) + 0.5) / (1 << 53)
 	return -m.weight / math.Log(uniform)
 }
 
-// mixHashes joins two hashes; the finish of splitmix64 makes every bit depend on all.
+// mixHashes combines two hashes with the finalizer of splitmix64, so that every output bit depends on all input bits.
 func mixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x ^= x >> 30
@@ -20,13 +20,13 @@
 	return x ^ x>>31
 }
 
-// precedes reports whether a member comes before another for a task: the higher score, between equal ones the first name.
+// precedes reports whether member a ranks before member b for a task: by higher score, then by smaller name.
 func precedes(a, b *member, task *task) bool {
 	scoreA, scoreB := score(a, task), score(b, task)
 	return scoreA > scoreB || scoreA == scoreB && a.name < b.name
 }
 
-// chooseTarget finds a task's target among all eligible members.
+// chooseTarget selects a task's target among all eligible members.
 func (t *Table) chooseTarget(task *task) {
 	var best *member
 	var highest float64
@@ -49,21 +49,21 @@
 	task.target = best
 }
 
-// updateTargets finds the targets after members became eligible or ceased to be. A member that went moves only the tasks
-// that it was the target of; one that came takes only those for which it has the highest score.
+// updateTargets updates the targets after changes of eligibility. A removed member moves only the tasks that it was the
+// target of; an added one takes only those for which it has the highest score.
 func (t *Table) updateTargets(now int64) {
 	t.targetsStale = false
 	t.forgetMembers(now)
-	came, went := t.updateEligible(now)
+	added, removed := t.updateEligible(now)
 	for _, task := range t.tasks {
 		if task == nil {
 			continue
 		}
-		if task.target == nil || went[task.target.slot] {
+		if task.target == nil || removed[task.target.slot] {
 			t.chooseTarget(task)
 			continue
 		}
-		for _, m := range came {
+		for _, m := range added {
 			if precedes(m, task.target, task) {
 				task.target = m
 				t.targetChanges++
@@ -72,25 +72,25 @@
 	}
 }
 
-// updateEligible finds the members that may be targets now: those that are alive and not slow. It returns those that
-// became eligible, and by slot whether a member ceased to be.
-func (t *Table) updateEligible(now int64) (came []*member, went []bool) {
-	went = make([]bool, len(t.members))
+// updateEligible updates which members may be targets: those that are alive and not slow. It returns the members that
+// became eligible and, by slot, whether a member ceased to be.
+func (t *Table) updateEligible(now int64) (added []*member, removed []bool) {
+	removed = make([]bool, len(t.members))
 	for slot, m := range t.members {
 		if m == nil {
 			continue
 		}
 		eligible := m.state == memberAlive && now >= m.slowUntil
 		if eligible && !m.eligible {
-			came = append(came, m)
+			added = append(added, m)
 		}
-		went[slot] = !eligible && m.eligible
+		removed[slot] = !eligible && m.eligible
 		m.eligible = eligible
 	}
-	return came, went
+	return added, removed
 }
 
-// rank is how many eligible members other than the owner have a higher score for a task than this instance.
+// rank returns the number of eligible members, other than the owner, with a higher score for a task than this instance.
 func (t *Table) rank(task *task) int {
 	own := score(t.self, task)
 	count := 0
--- a/internal/assignment/stall_test.go
+++ b/internal/assignment/stall_test.go
@@ -6,13 +6,13 @@
 	"cairntiller/internal/simulation/assignmentsim"
 )
 
-// TestStalledInstanceIsBackSoon: one instance, or all at once, stand still for up to two seconds and are well again. Seen:
-// each side takes the other to be slow for 15 s, claims all tasks from it again and again, and nodes are checked by several
-// or, for a moment, by nobody.
+// One instance, or two at once, stall for up to two seconds and recover. Guards against each side classifying the other
+// as slow for 15 s and claiming all tasks from it repeatedly, which left nodes checked by several instances or,
+// briefly, by none.
 func TestStalledInstanceIsBackSoon(t *testing.T) {
 	const (
 		nodes   = 8
-		usable  = 15 * second // an instance that stalled and is well again has its part by then
+		usable  = 15 * second // a recovered instance owns its share of the tasks again after this time
 		observe = 5 * second
 	)
 	for _, interval := range []int64{500_000, second} {
@@ -38,7 +38,7 @@
 						claims := int64(0)
 						for i := range instances {
 							if got := c.Table(i).OwnedTasks(); got != before[i] {
-								t.Errorf("seed %d, %d instances, interval %d us: %d owns %d tasks %d s after %v stalled for %d us, %d before",
+								t.Errorf("seed %d, %d instances, interval %d us: instance %d owns %d tasks %d s after %v stalled for %d us, %d before",
 									seed, instances, interval, i, got, usable/second, stalled, stall, before[i])
 							}
 							claims -= c.Table(i).Stats(c.InstanceTime(i)).Claims
@@ -49,7 +49,7 @@
 							claims += c.Table(i).Stats(c.InstanceTime(i)).Claims
 						}
 						if claims > 0 {
-							t.Errorf("seed %d, %d instances, interval %d us: %d claims in %d s, when all has been well for %d s",
+							t.Errorf("seed %d, %d instances, interval %d us: %d claims in %d s, although the last stall ended over %d s ago",
 								seed, instances, interval, claims, observe/second, usable/second)
 						}
 						if t.Failed() {
@@ -62,8 +62,9 @@
 	}
 }
 
-// TestShortestIntervalIsCalm: nothing fails, and the interval is the shortest that an operator may set. Owners keep their tasks.
-// Seen: instances claim tasks from each other without an end, also where updates go out as often as shared probes send them.
+// Without faults, owners keep their tasks at the shortest interval that an operator may set. Guards against instances
+// claiming tasks from each other endlessly, which also happens when updates are sent as often as package sharedprobes
+// does.
 func TestShortestIntervalIsCalm(t *testing.T) {
 	const instances, nodes, interval = 3, 8, 100_000
 	for seed := range uint64(10) {
@@ -79,7 +80,7 @@
 			claims += c.Table(i).Stats(c.InstanceTime(i)).Claims
 		}
 		if claims > 0 {
-			t.Errorf("seed %d: %d claims in 30 s, when all is well", seed, claims)
+			t.Errorf("seed %d: %d claims in 30 s without faults, want none", seed, claims)
 		}
 	}
 }
--- a/internal/assignment/table.go
+++ b/internal/assignment/table.go
@@ -2,78 +2,77 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Config is what an instance is told at its start.
+// Config configures a Table.
 type Config struct {
-	Self        string  // this instance's name
-	Weight      float64 // its share of the tasks, relative to the other members' weights
-	Incarnation uint64  // number of this process under its name: greater after each start
+	Self        string  // name of this instance
+	Weight      float64 // share of the tasks, relative to the weights of the other members
+	Incarnation uint64  // number of this process among those of the same name: increases with each start
 
-	Interval  int64 // us between two runs of one task by all instances together; 1 at least
-	Instances int   // instances that the operator runs; 1 at least
+	Interval  int64 // us between two runs of one task by all instances together; at least 1
+	Instances int   // number of instances that the operator runs; at least 1
 
-	// MaxRunRate is how many runs of one task a second all instances together may make, even where they cannot reach one
-	// another.
+	// MaxRunRate limits the runs of one task per second by all instances together, even when they are partitioned.
 	MaxRunRate float64
-	// ClaimRate is how many tasks a second this instance claims at most.
+	// ClaimRate limits the tasks that this instance claims per second.
 	ClaimRate float64
 }
 
-// Update is what one instance learned by running a task.
+// Update is the result of one run of a task.
 type Update struct {
 	Key          string
-	Owner        string // the instance that ran it
-	Term         uint64 // the term of its claim; 0 for a second opinion, which claims nothing
-	Age          int64  // us since it was learned
-	NodeStarted  int64  // which process of the node it is about: the start time in the endpoint list
+	Owner        string // instance that ran the task
+	Term         uint64 // term of the owner's claim; 0 for a second opinion, which claims nothing
+	Age          int64  // us since the run
+	NodeStarted  int64  // identifies the node's process: its start time in the endpoint list
 	Unresponsive bool   // the node did not respond
-	Position     int64  // replication position that the node reported, 0 for none
-	PrimaryHint  int8   // 1 if the node reported that it is the primary, -1 if not, 0 if it reported neither
-	LoadReport   string // the node's own load report, as it came; sent to the other instances, and not read by any
+	Position     int64  // replication position reported by the node, 0 for none
+	PrimaryHint  int8   // 1 if the node reported that it is the primary, -1 if it reported that it is not, 0 if unknown
+	LoadReport   string // load report of the node, unparsed; forwarded to the other instances, which do not read it
 }
 
-// DueRun is a task that this instance has to run now.
+// DueRun is a task that this instance must run now.
 type DueRun struct {
 	Key           string
-	SecondOpinion bool // the run checks another owner's report that the node does not respond
+	SecondOpinion bool // the run verifies another owner's report that the node does not respond
 }
 
-// Stats are a table's figures for logs and measurements.
+// Stats holds counters and gauges of a table.
 type Stats struct {
-	Claims        int64 // claims that this instance made
-	TargetChanges int64 // how often the target of a task changed, in this instance's view
-	LiveMembers   int   // this instance included
-	SlowMembers   int   // live members that count as slow
-	SlowFound     int64 // how often this instance took a member to be slow
-	Stalls        int64 // how often this instance stood still itself
+	Claims        int64 // claims by this instance
+	TargetChanges int64 // changes of the targets of tasks, in this instance's view
+	LiveMembers   int   // including this instance
+	SlowMembers   int   // live members that are considered slow
+	SlowFound     int64 // times that this instance classified a member as slow
+	Stalls        int64 // stalls of this instance itself
 }
 
 // Table is one instance's view of tasks and members. It is not safe for concurrent use.
 type Table struct {
 	config Config
 
-	members      []*member // by slot; nil where the slot is free
-	freeMembers  []int     // free slots; the one freed last is used first
+	members      []*member // by slot; nil for a free slot
+	freeMembers  []int     // free slots; the most recently freed one is reused first
 	memberByName map[string]*member
 	self         *member
-	targetsStale bool // the set of eligible members may have changed since targets were last chosen
+	targetsStale bool // the set of eligible members may have changed since targets were last selected
 
-	tasks     []*task // by slot; nil where the slot is free
+	tasks     []*task // by slot; nil for a free slot
 	freeTasks []int
 	taskByKey map[string]*task
 
-	interval    int64 // us between two runs of one task, as extended by updateInterval
-	peakMembers int   // greatest number of live members that counts (interval.go)
-	peakAt      int64 // until when it is known to have held
+	interval    int64 // us between two runs of one task, as set by updateInterval
+	peakMembers int   // greatest number of live members within memberRetention (interval.go)
+	peakAt      int64 // latest time at which peakMembers was observed
 
-	budget   claimBudget
-	rejoin   rejoinState
-	pauses   pauseDetector
-	delay    float64 // us that updates usually take to arrive, estimated near the upper end
-	heardNew bool    // an update by another member that was not old has come since the start
+	budget           claimBudget
+	rejoin           rejoinState
+	pauses           pauseDetector
+	updateDelay      float64 // estimated upper range of the delay (us) of updates
+	recentUpdateSeen bool    // a recent update by another member has arrived since the start
 
-	claims        int64
-	targetChanges int64
-	slowFound     int64
+	claims         int64
+	targetChanges  int64
+	slowDetections int64
 }
 
 // task is one periodic task.
@@ -83,22 +82,22 @@
 	hash        uint64
 	nodeStarted int64 // start time of the node's process, from the endpoint list
 
-	target *member // highest score among the eligible members, nil if there is none
+	target *member // eligible member with the highest score, nil if there is none
 	owner  *member // nil if unknown
 	term   uint64  // greatest term seen
 
-	learnedAt int64 // when the newest update was learned, by whichever instance; when the task was added before the first
-	heard     bool  // there was an update
-	nextRun   int64 // when this instance runs it next, if it is the owner
+	learnedAt int64 // time of the newest update by any instance; until the first, when the task was added
+	hasUpdate bool  // at least one update has been recorded
+	nextRun   int64 // time of the next run if this instance is the owner
 
-	reclaimAfter     int64 // time before which this instance does not take it back from another owner
-	reclaimDoublings uint8 // how often in a row it was taken over from this instance, at most reclaimMaxDoublings
+	reclaimAfter     int64 // time before which this instance does not take the task back from another owner
+	reclaimDoublings uint8 // consecutive takeovers of the task from this instance, at most reclaimMaxDoublings
 
-	secondOpinionAt  int64 // when this instance last gave a second opinion
+	secondOpinionAt  int64 // time of this instance's last second opinion
 	secondOpinionDue bool
 }
 
-// New makes the table of an instance that starts at a time.
+// New returns the table of an instance that starts at the given time.
 func New(now int64, config Config) *Table {
 	config.Interval = max(config.Interval, 1)
 	config.Instances = max(config.Instances, 1)
@@ -109,7 +108,7 @@
 		targetsStale: true,
 		peakAt:       now,
 		budget:       claimBudget{tokens: config.ClaimRate * claimBurstSeconds, refilledAt: now},
-		rejoin:       rejoinState{claimsFrom: now + startupListen},
+		rejoin:       rejoinState{claimsFrom: now + startupListenTime},
 		pauses:       pauseDetector{lastSeen: now},
 	}
 	t.self = t.addMember(config.Self, config.Weight)
@@ -119,10 +118,10 @@
 	return t
 }
 
-// AddTask adds a task, or notes that its node is now another process, which started at nodeStarted.
+// AddTask adds a task. If the task is known and nodeStarted differs, the node now runs in another process.
 func (t *Table) AddTask(now int64, key string, nodeStarted int64) {
 	if known := t.taskByKey[key]; known != nil {
-		if known.nodeStarted != nodeStarted { // what was learned of the former process no longer counts
+		if known.nodeStarted != nodeStarted { // results for the former process no longer apply
 			known.nodeStarted = nodeStarted
 			known.secondOpinionDue = false
 		}
@@ -132,7 +131,7 @@
 		key:         key,
 		hash:        xxhash.Sum64String(key),
 		nodeStarted: nodeStarted,
-		learnedAt:   now, // it can be overdue only from here on
+		learnedAt:   now, // the overdue period starts now
 		nextRun:     now,
 	}
 	if last := len(t.freeTasks) - 1; last >= 0 {
@@ -147,7 +146,7 @@
 	t.chooseTarget(added)
 }
 
-// RemoveTask forgets a task.
+// RemoveTask removes a task.
 func (t *Table) RemoveTask(key string) {
 	removed := t.taskByKey[key]
 	if removed == nil {
@@ -159,8 +158,8 @@
 	t.freeTasks = append(t.freeTasks, removed.slot)
 }
 
-// Tick claims what is to be claimed and returns the runs that are due now, in the memory of due. Call it about ten times a
-// second. A gap of over pauseThreshold counts as a pause of this instance (pause.go).
+// Tick makes the claims that are due and returns the runs that are due now, reusing the memory of due. It must be
+// called about ten times a second. A gap longer than pauseThreshold counts as a pause of this instance (pause.go).
 func (t *Table) Tick(now int64, due []DueRun) []DueRun {
 	due = due[:0]
 	t.detectPause(now)
@@ -191,10 +190,10 @@
 	return due
 }
 
-// OwnedTasks is how many tasks this instance owns.
+// OwnedTasks returns the number of tasks that this instance owns.
 func (t *Table) OwnedTasks() int { return t.self.owned }
 
-// TargetedTasks is how many tasks a member is the target of.
+// TargetedTasks returns the number of tasks whose target is the given member.
 func (t *Table) TargetedTasks(name string) int {
 	count := 0
 	for _, task := range t.tasks {
@@ -211,8 +210,8 @@
 	return task != nil && task.owner == t.self
 }
 
-// Owner returns a task's owner as far as it is known, the greatest term seen, and the age in us of the newest update; the
-// age is -1 if there was none, or if there is no such task.
+// Owner returns a task's known owner, the greatest term seen, and the age in us of the newest update. The age is -1 if
+// the task is unknown or has no update.
 func (t *Table) Owner(now int64, key string) (name string, term uint64, age int64) {
 	task := t.taskByKey[key]
 	if task == nil {
@@ -222,17 +221,17 @@
 		name = task.owner.name
 	}
 	age = -1
-	if task.heard {
+	if task.hasUpdate {
 		age = now - task.learnedAt
 	}
 	return name, task.term, age
 }
 
-// Delegated reports whether another member owns a task and its updates come in time, so that this instance need not look at
-// the node itself.
+// Delegated reports whether another eligible member owns a task and its updates are on time, so that this instance does
+// not have to check the node itself.
 func (t *Table) Delegated(now int64, key string) bool {
 	task := t.taskByKey[key]
-	if task == nil || !task.heard {
+	if task == nil || !task.hasUpdate {
 		return false
 	}
 	if task.owner == nil || task.owner == t.self || !task.owner.eligible {
@@ -241,9 +240,9 @@
 	return now-task.learnedAt < t.overdueAfter()
 }
 
-// Stats returns the table's figures.
+// Stats returns the table's counters and gauges.
 func (t *Table) Stats(now int64) Stats {
-	stats := Stats{Claims: t.claims, TargetChanges: t.targetChanges, LiveMembers: t.liveMembers(), SlowFound: t.slowFound, Stalls: t.pauses.stalls}
+	stats := Stats{Claims: t.claims, TargetChanges: t.targetChanges, LiveMembers: t.liveMembers(), SlowFound: t.slowDetections, Stalls: t.pauses.stalls}
 	for _, m := range t.members {
 		if m != nil && m.state == memberAlive && m.slowUntil > now {
 			stats.SlowMembers++
--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// play feeds a table with generated inputs of every kind, and hashes all that it returns.
-func play(seed uint64) uint64 {
+// traceHash runs a table on generated inputs of every kind and returns a hash of all its results.
+func traceHash(seed uint64) uint64 {
 	sum := fnv.New64a()
 	text := func(s string) { fmt.Fprintf(sum, "%d:%s", len(s), s) }
 	number := func(all ...int64) {
@@ -81,8 +81,9 @@
 	return sum.Sum64()
 }
 
-// recorded are the hashes by seed, since an instance's own stalls no longer count against others.
-var recorded = [...]uint64{
+// wantHashes holds the expected hash by seed. Last recorded when stalls of the instance itself stopped counting against
+// its peers.
+var wantHashes = [...]uint64{
 	0xa5585bf4ad7051bb,
 	0xd05532ed46c8fd14,
 	0x9da30bd1b47e2c74,
@@ -105,11 +106,11 @@
 	0xd7b0b36cdabac43a,
 }
 
-// TestTraceIsAsRecorded guards changes that must not alter a decision: each answer that the table gives to these inputs
-// is as it was. A change of a rule on purpose records anew.
-func TestTraceIsAsRecorded(t *testing.T) {
-	for seed, want := range recorded {
-		if got := play(uint64(seed)); got != want {
+// Guards refactorings that must not alter a decision: the results for the generated inputs stay the same. An intended
+// change of a rule requires new hashes.
+func TestDecisionsUnchanged(t *testing.T) {
+	for seed, want := range wantHashes {
+		if got := traceHash(uint64(seed)); got != want {
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
