--- a/internal/assignment/table.go
+++ b/internal/assignment/table.go
@@ -42,7 +42,7 @@
 	TargetChanges int64 // changes of the targets of tasks, in this instance's view
 	LiveMembers   int   // including this instance
 	SlowMembers   int   // live members that are considered slow
-	SlowFound     int64 // times that this instance classified a member as slow
+	SlowDetections     int64 // times that this instance classified a member as slow
 	Stalls        int64 // stalls of this instance itself
 }
 
@@ -242,7 +242,7 @@
 
 // Stats returns the table's counters and gauges.
 func (t *Table) Stats(now int64) Stats {
-	stats := Stats{Claims: t.claims, TargetChanges: t.targetChanges, LiveMembers: t.liveMembers(), SlowFound: t.slowDetections, Stalls: t.pauses.stalls}
+	stats := Stats{Claims: t.claims, TargetChanges: t.targetChanges, LiveMembers: t.liveMembers(), SlowDetections: t.slowDetections, Stalls: t.pauses.stalls}
 	for _, m := range t.members {
 		if m != nil && m.state == memberAlive && m.slowUntil > now {
 			stats.SlowMembers++
--- a/internal/sharedprobes/service.go
+++ b/internal/sharedprobes/service.go
@@ -193,7 +193,7 @@
 		claims.Add()
 	}
 	slog.Debug("tasks claimed", "owned", s.table.OwnedTasks(), "members", stats.LiveMembers, "slow", stats.SlowMembers,
-		"found_slow", stats.SlowFound, "own_stalls", stats.Stalls, "interval", s.table.Interval())
+		"found_slow", stats.SlowDetections, "own_stalls", stats.Stalls, "interval", s.table.Interval())
 	s.claims = stats.Claims
 }
 
