--- a/internal/assignment/pause.go
+++ b/internal/assignment/pause.go
@@ -78,5 +78,5 @@
 			m.slowUntil = 0
 		}
 	}
-	t.NoteRejoins(now, max(1, t.rejoin.rejoins))
+	t.HandleRejoin(now, max(1, t.rejoin.rejoins))
 }
--- a/internal/assignment/rejoin.go
+++ b/internal/assignment/rejoin.go
@@ -28,14 +28,14 @@
 // or rejoin; until then the tasks stay with their owners.
 func (t *Table) ClaimsTasks() bool { return t.rejoin.claiming }
 
-// NoteRejoins reports that this instance rejoined, with the number of recent rejoins as counted by others, at least 1.
+// HandleRejoin records that this instance rejoined, with the number of recent rejoins as counted by others, at least 1.
 // The wait before it claims again grows with that number.
-func (t *Table) NoteRejoins(now int64, times int) {
+func (t *Table) HandleRejoin(now int64, count int) {
 	r := &t.rejoin
 	if now-r.rejoinedAt > rejoinResetTime {
 		r.rejoins = 0
 	}
-	r.rejoins = max(r.rejoins, times)
+	r.rejoins = max(r.rejoins, count)
 	r.rejoinedAt = now
 	r.claiming = false
 	r.claimsFrom = max(r.claimsFrom, now+rejoinDelay<<min(r.rejoins-1, rejoinMaxDoublings))
@@ -48,7 +48,7 @@
 		return
 	}
 	if t.recentUpdateSeen && t.rejoin.rejoins == 0 {
-		t.NoteRejoins(now, 1)
+		t.HandleRejoin(now, 1)
 		return
 	}
 	t.rejoin.claiming = true
@@ -61,7 +61,7 @@
 		return
 	}
 	t.rejoin.minority = t.isMinority()
-	t.NoteRejoins(now, t.rejoin.rejoins+1)
+	t.HandleRejoin(now, t.rejoin.rejoins+1)
 }
 
 // isMinority reports whether the live members are less than half of the peak number or of the configured instances,
--- a/internal/assignment/table.go
+++ b/internal/assignment/table.go
@@ -38,12 +38,12 @@
 
 // Stats holds counters and gauges of a table.
 type Stats struct {
-	Claims        int64 // claims by this instance
-	TargetChanges int64 // changes of the targets of tasks, in this instance's view
-	LiveMembers   int   // including this instance
-	SlowMembers   int   // live members that are considered slow
-	SlowDetections     int64 // times that this instance classified a member as slow
-	Stalls        int64 // stalls of this instance itself
+	Claims         int64 // claims by this instance
+	TargetChanges  int64 // changes of the targets of tasks, in this instance's view
+	LiveMembers    int   // including this instance
+	SlowMembers    int   // live members that are considered slow
+	SlowDetections int64 // times that this instance classified a member as slow
+	Stalls         int64 // stalls of this instance itself
 }
 
 // Table is one instance's view of tasks and members. It is not safe for concurrent use.
--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -52,7 +52,7 @@
 			number(u.Position, int64(u.PrimaryHint), u.LearnedAt)
 			flag(u.Unresponsive, u.Responsive)
 		case n < 21:
-			tab.NoteRejoins(now, 1+rng.IntN(3))
+			tab.HandleRejoin(now, 1+rng.IntN(3))
 		case n < 22 && rng.IntN(10) == 0:
 			now += rng.Int64N(9_000_000)
 		case n < 22 && rng.IntN(40) == 0:
--- a/internal/sharedprobes/service.go
+++ b/internal/sharedprobes/service.go
@@ -87,7 +87,7 @@
 			post(func(now int64) { s.table.MemberDown(now, name, incarnation, left) })
 		},
 		Updates:  func(updates []assignment.Update) { post(func(now int64) { s.handleUpdates(now, updates) }) },
-		Rejoined: func(times int) { post(func(now int64) { s.table.NoteRejoins(now, times) }) },
+		Rejoined: func(times int) { post(func(now int64) { s.table.HandleRejoin(now, times) }) },
 	}
 }
 
--- a/internal/simulation/assignmentsim/instance.go
+++ b/internal/simulation/assignmentsim/instance.go
@@ -82,7 +82,7 @@
 func (in *instance) takeState(c *Cluster, now int64, other *instance) {
 	in.stateTaken = true
 	if times := other.table.Rejoins(in.name); times > 0 {
-		in.table.NoteRejoins(now, times)
+		in.table.HandleRejoin(now, times)
 	}
 	in.receive(c, batch{updates: other.newestUpdates(c), sentAt: c.Now})
 }
