--- a/internal/sharedprobes/golden_test.go
+++ b/internal/sharedprobes/golden_test.go
@@ -9,7 +9,7 @@
 	"cairntiller/internal/routing"
 )
 
-// wire is a shared probe's update as docs/assignment.md gives its form.
+// wireUpdate is an update as it is encoded on the wire, see docs/assignment.md.
 type wireUpdate struct {
 	_            struct{} `cbor:",toarray"`
 	Key          string
@@ -23,10 +23,10 @@
 	LoadReport   string
 }
 
-// TestGoldenProbes holds what a health check's end makes an instance send to the bytes of the version before: an answer with
-// position, role and load, and a silence, each asked for by the table; a check that it did not ask for sends nothing.
+// The encoding of the updates that a finished health check produces must not change between versions: for a response
+// with position, role and load report, and for a timeout. A check that the table did not schedule produces no update.
 func TestGoldenUpdates(t *testing.T) {
-	engine := &testEngine{positions: map[string]int64{}, delegated: map[string]bool{}, unresponsive: map[string]bool{}, unending: map[string]bool{}}
+	engine := &testEngine{positions: map[string]int64{}, delegated: map[string]bool{}, unresponsive: map[string]bool{}, hanging: map[string]bool{}}
 	service := New(engine)
 	service.table = assignment.New(0, assignment.Config{Self: "r1", Weight: 1, Incarnation: 5, Interval: 1_000_000, Instances: 1, MaxRunRate: 4, ClaimRate: 50})
 	service.EndpointListed(0, "s-1", routing.Up, 77)
@@ -43,14 +43,14 @@
 		"896970726f62652f732d316272310100184df41a075bcd15206478303d31",
 		"896970726f62652f732d326272310100184ef5000060",
 	}
-	for i, update := range service.unsent {
+	for i, update := range service.pending {
 		raw := hex.EncodeToString(codec.Encode(wireUpdate{Key: update.Key, Owner: update.Owner, Term: update.Term, Age: update.Age, NodeStarted: update.NodeStarted, Unresponsive: update.Unresponsive,
 			Position: update.Position, PrimaryHint: update.PrimaryHint, LoadReport: update.LoadReport}))
 		if i >= len(want) || raw != want[i] {
-			t.Errorf("update %d is sent as %s, want %s", i, raw, want)
+			t.Errorf("update %d is encoded as %s, want the corresponding entry of %s", i, raw, want)
 		}
 	}
-	if len(service.unsent) != 2 {
-		t.Errorf("%d updates of 2 probes", len(service.unsent))
+	if len(service.pending) != 2 {
+		t.Errorf("%d updates for 2 scheduled checks, want 2", len(service.pending))
 	}
 }
--- a/internal/sharedprobes/service.go
+++ b/internal/sharedprobes/service.go
@@ -1,7 +1,8 @@
-// Package sharedprobes joins a router with the other routers that check the health of the same nodes, so that each node
-// gets one health check (probe) an interval, however many routers there are. It carries what assignment.Table
-// decides to the engine, what nodes answered to the membership, and what other instances learned back. It decides
-// nothing. All of it runs on the engine's goroutine; calls of the membership are posted there.
+// Package sharedprobes shares the health checks (probes) of nodes among routers, so that each node is checked once per
+// interval, however many routers there are. It connects assignment.Table, which makes all decisions, to the engine and
+// to the membership: checks that the table schedules go to the engine, their results go to the other instances, and the
+// results of other instances go to the engine. All of it runs on the engine's goroutine; callbacks of the membership
+// are posted there.
 package sharedprobes
 
 import (
@@ -15,65 +16,65 @@
 )
 
 const (
-	// tickInterval is the time (us) between calls of Table.Tick: a tenth of a usual interval.
+	// tickInterval is the time (us) between calls of Table.Tick: a tenth of the default interval.
 	tickInterval = 100_000
-	// broadcastTicks is how many ticks pass between broadcasts: updates in one message share what it costs.
+	// broadcastTicks is the number of ticks between broadcasts: updates in one message share its overhead.
 	broadcastTicks = 2
-	// keyPrefix begins the key of a task that checks a node; the node's name follows.
+	// keyPrefix is the prefix of the key of a health check task; the node's name follows.
 	keyPrefix = "probe/"
 )
 
 var (
-	checksRun      = metrics.New("shared health checks run")
-	secondOpinions = metrics.New("second opinions")
-	updatesHeard   = metrics.New("peer updates received")
-	updatesUsed    = metrics.New("peer updates used")
-	claims         = metrics.New("tasks claimed")
+	checksRun       = metrics.New("shared health checks run")
+	secondOpinions  = metrics.New("second opinions")
+	updatesReceived = metrics.New("peer updates received")
+	updatesUsed     = metrics.New("peer updates used")
+	claims          = metrics.New("tasks claimed")
 )
 
-// Engine is what the service needs of the router's engine.
+// Engine is the part of the router's engine that the service uses.
 type Engine interface {
-	// Post hands an event to the engine's goroutine.
+	// Post runs a function on the engine's goroutine.
 	Post(at int64, do func(now int64))
-	// After asks for a call on the engine's goroutine, in us from now.
+	// After runs a function on the engine's goroutine in the given time, us.
 	After(in int64, do func(now int64))
-	// ApplyGossip hands on what another instance learned of a node.
+	// ApplyGossip applies what another instance learned about a node.
 	ApplyGossip(now int64, update routing.GossipUpdate)
-	// DelegateHealthChecks tells the engine whether a peer checks a node.
+	// DelegateHealthChecks sets whether another instance checks a node.
 	DelegateHealthChecks(node string, delegated bool)
-	// CheckHealth checks a node; HealthCheckEnded is called at its end.
+	// CheckHealth starts a health check of a node; HealthCheckEnded is called when it ends.
 	CheckHealth(node string)
 }
 
-// Service is one instance's part in the shared probes.
+// Service shares the health checks of one instance.
 type Service struct {
-	engine     Engine
-	membership *membership.Service
-	table      *assignment.Table
-	nodes      map[string]*sharedNode // nodes that there is a task for
-	checks     map[string]healthCheck // under way because the table asked for them, by node
-	due        []assignment.DueRun    // memory for Table.Tick
-	unsent     []assignment.Update    // learned since the last broadcast
-	ticks      int
-	claims     int64 // as the table told last
+	engine         Engine
+	membership     *membership.Service
+	table          *assignment.Table
+	nodes          map[string]*sharedNode // nodes with a task, by name
+	checks         map[string]healthCheck // checks in progress that the table scheduled, by node
+	due            []assignment.DueRun    // reused by Table.Tick
+	pending        []assignment.Update    // updates since the last broadcast
+	ticks          int
+	reportedClaims int64 // claims of the table when last reported
 }
 
-// sharedNode is a node that there is a task for.
+// sharedNode is the state of a node with a task.
 type sharedNode struct {
-	listed    bool // it was named in the endpoint list that is being read
-	delegated bool // another instance checks it, as the engine was told
+	listed    bool // named in the endpoint list that is being applied
+	delegated bool // last value passed to Engine.DelegateHealthChecks
 }
 
-// healthCheck is one under way. It may outlast its node's task.
+// healthCheck is a check in progress. It may outlive its node's task.
 type healthCheck struct{ secondOpinion bool }
 
-// New makes an instance's part; it begins with Join.
+// New returns a service; it is inactive until Join.
 func New(engine Engine) *Service {
 	return &Service{engine: engine, nodes: map[string]*sharedNode{}, checks: map[string]healthCheck{}}
 }
 
-// Events returns what the membership is to call; each event is handled on the engine's goroutine, none before the engine
-// runs.
+// Events returns the callbacks for the membership. Each event is handled on the engine's goroutine, and none before the
+// engine runs.
 func (s *Service) Events(now func() int64) membership.Events {
 	post := func(do func(now int64)) { s.engine.Post(now(), do) }
 	return membership.Events{
@@ -87,17 +88,17 @@
 			post(func(now int64) { s.table.MemberDown(now, name, incarnation, left) })
 		},
 		Updates:  func(updates []assignment.Update) { post(func(now int64) { s.handleUpdates(now, updates) }) },
-		Rejoined: func(times int) { post(func(now int64) { s.table.HandleRejoin(now, times) }) },
+		Rejoined: func(count int) { post(func(now int64) { s.table.HandleRejoin(now, count) }) },
 	}
 }
 
-// Join begins to share health checks with the members of a membership that was started with Events. It is called before the
-// engine runs.
-func (s *Service) Join(now int64, members *membership.Service, at membership.Settings, settings Settings) {
+// Join starts to share health checks with the members of a membership that was started with Events. It must be called
+// before the engine runs.
+func (s *Service) Join(now int64, members *membership.Service, memberSettings membership.Settings, settings Settings) {
 	s.membership = members
 	s.table = assignment.New(now, assignment.Config{
-		Self:        at.Name,
-		Weight:      at.Weight,
+		Self:        memberSettings.Name,
+		Weight:      memberSettings.Weight,
 		Incarnation: members.Incarnation(),
 		Interval:    settings.Interval,
 		Instances:   settings.Instances,
@@ -105,11 +106,11 @@
 		ClaimRate:   settings.ClaimRate,
 	})
 	s.engine.After(tickInterval, s.tick)
-	slog.Info("sharing probes", "name", at.Name, "cluster", at.Cluster, "address", members.Address(), "incarnation", members.Incarnation())
+	slog.Info("sharing probes", "name", memberSettings.Name, "cluster", memberSettings.Cluster, "address", members.Address(), "incarnation", members.Incarnation())
 }
 
-// EndpointListed implements engine.SharedProbes. There is a task for each node that is up; one that drains or is gone is
-// nobody's task.
+// EndpointListed implements engine.SharedProbes. Each node in state Up has a task; draining and removed nodes have
+// none.
 func (s *Service) EndpointListed(now int64, name string, state routing.EndpointState, started int64) {
 	if state != routing.Up {
 		s.removeTask(name)
@@ -124,7 +125,7 @@
 	s.table.AddTask(now, keyPrefix+name, started)
 }
 
-// ListApplied implements engine.SharedProbes. A complete list names all nodes that there are.
+// ListApplied implements engine.SharedProbes. A complete list names all existing nodes.
 func (s *Service) ListApplied(_ int64, complete bool) {
 	for name, node := range s.nodes {
 		if complete && !node.listed {
@@ -140,7 +141,7 @@
 	delete(s.nodes, name)
 }
 
-// tick runs what is due and broadcasts what was learned.
+// tick starts the checks that are due and broadcasts new updates.
 func (s *Service) tick(now int64) {
 	s.due = s.table.Tick(now, s.due)
 	for _, run := range s.due {
@@ -148,9 +149,9 @@
 	}
 	s.ticks++
 	if s.ticks%broadcastTicks == 0 {
-		if len(s.unsent) > 0 {
-			s.membership.Broadcast(s.unsent)
-			s.unsent = nil
+		if len(s.pending) > 0 {
+			s.membership.Broadcast(s.pending)
+			s.pending = nil
 		}
 		s.updateDelegated(now)
 		s.reportClaims(now)
@@ -158,10 +159,10 @@
 	s.engine.After(tickInterval, s.tick)
 }
 
-// startCheck checks a node unless the last check of it has not ended.
+// startCheck checks a node unless a check of it is still in progress.
 func (s *Service) startCheck(run assignment.DueRun) {
 	name := strings.TrimPrefix(run.Key, keyPrefix)
-	if _, underWay := s.checks[name]; underWay {
+	if _, inProgress := s.checks[name]; inProgress {
 		return
 	}
 	checksRun.Add()
@@ -172,7 +173,7 @@
 	s.engine.CheckHealth(name)
 }
 
-// updateDelegated tells the engine which nodes other instances have begun or ceased to check.
+// updateDelegated tells the engine for which nodes other instances started or stopped checking.
 func (s *Service) updateDelegated(now int64) {
 	for name, node := range s.nodes {
 		delegated := s.table.Delegated(now, keyPrefix+name)
@@ -183,24 +184,25 @@
 	}
 }
 
-// reportClaims counts and logs claims since the last call.
+// reportClaims counts and logs the claims since the last call.
 func (s *Service) reportClaims(now int64) {
 	stats := s.table.Stats(now)
-	if stats.Claims == s.claims {
+	if stats.Claims == s.reportedClaims {
 		return
 	}
-	for range stats.Claims - s.claims {
+	for range stats.Claims - s.reportedClaims {
 		claims.Add()
 	}
 	slog.Debug("tasks claimed", "owned", s.table.OwnedTasks(), "members", stats.LiveMembers, "slow", stats.SlowMembers,
 		"found_slow", stats.SlowDetections, "own_stalls", stats.Stalls, "interval", s.table.Interval())
-	s.claims = stats.Claims
+	s.reportedClaims = stats.Claims
 }
 
-// HealthCheckEnded implements engine.SharedProbes: what a check that the table asked for learned goes to the other instances.
+// HealthCheckEnded implements engine.SharedProbes: the result of a check that the table scheduled is queued for
+// broadcast.
 func (s *Service) HealthCheckEnded(now int64, node string, outcome routing.Outcome, position int64, role routing.Role, load string) {
-	ended, underWay := s.checks[node]
-	if !underWay {
+	check, inProgress := s.checks[node]
+	if !inProgress {
 		return
 	}
 	delete(s.checks, node)
@@ -208,16 +210,16 @@
 		Key:          keyPrefix + node,
 		Unresponsive: outcome != routing.Answered,
 		Position:     position,
-		PrimaryHint:  hintOf(role),
+		PrimaryHint:  hintForRole(role),
 		LoadReport:   load,
 	}
-	s.unsent = append(s.unsent, s.table.RecordRun(now, update, ended.secondOpinion))
+	s.pending = append(s.pending, s.table.RecordRun(now, update, check.secondOpinion))
 }
 
-// handleUpdates hands on what other instances learned, as far as it may be used.
+// handleUpdates passes the usable evidence in updates of other instances to the engine.
 func (s *Service) handleUpdates(now int64, updates []assignment.Update) {
 	for _, update := range updates {
-		updatesHeard.Add()
+		updatesReceived.Add()
 		evidence := s.table.HandleUpdate(now, update)
 		if evidence.Position <= 0 && evidence.PrimaryHint == 0 && !evidence.Unresponsive && !evidence.Responsive {
 			continue
@@ -228,21 +230,21 @@
 			Node:     node,
 			LearntAt: evidence.LearnedAt,
 			Position: evidence.Position,
-			Role:     roleOf(evidence.PrimaryHint),
+			Role:     roleForHint(evidence.PrimaryHint),
 			Silent:   evidence.Unresponsive,
 			Alive:    evidence.Responsive,
 		})
 	}
 }
 
-// The role of a node as assignment's updates carry it.
+// Values of assignment.Update.PrimaryHint.
 const (
 	hintPrimary    = 1
 	hintNotPrimary = -1
 )
 
-// hintOf returns the hint that stands for a role, 0 if it is unknown.
-func hintOf(role routing.Role) int8 {
+// hintForRole returns the hint for a role, 0 if the role is unknown.
+func hintForRole(role routing.Role) int8 {
 	switch role {
 	case routing.Primary:
 		return hintPrimary
@@ -252,8 +254,8 @@
 	return 0
 }
 
-// roleOf returns the role that a hint stands for. Any positive or negative hint counts: it comes from another instance.
-func roleOf(hint int8) routing.Role {
+// roleForHint returns the role for a hint. Any positive or negative value is accepted, since it comes from another instance.
+func roleForHint(hint int8) routing.Role {
 	switch {
 	case hint > 0:
 		return routing.Primary
--- a/internal/sharedprobes/service_test.go
+++ b/internal/sharedprobes/service_test.go
@@ -12,55 +12,55 @@
 	"cairntiller/internal/sexp"
 )
 
-// testEngine is an engine's goroutine without a router.
+// testEngine implements Engine without a router.
 type testEngine struct {
-	mu           sync.Mutex // stands in for the goroutine
+	mu           sync.Mutex // serializes calls like the engine's goroutine
 	checked      []string
 	positions    map[string]int64 // highest position that a peer reported
 	delegated    map[string]bool
 	stopped      bool
 	service      *Service
-	unresponsive map[string]bool // nodes that do not respond
-	unending     map[string]bool // nodes whose checks do not end
+	unresponsive map[string]bool // nodes whose checks time out
+	hanging      map[string]bool // nodes whose checks never end
 }
 
-var zero = time.Now()
+var epoch = time.Now()
 
-func clock() int64 { return time.Since(zero).Microseconds() }
+func clock() int64 { return time.Since(epoch).Microseconds() }
 
-func (l *testEngine) do(do func(int64)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.stopped {
+func (e *testEngine) do(do func(int64)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.stopped {
 		do(clock())
 	}
 }
 
-func (l *testEngine) Post(_ int64, do func(int64)) { go l.do(do) }
-func (l *testEngine) After(in int64, do func(int64)) {
-	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { l.do(do) })
+func (e *testEngine) Post(_ int64, do func(int64)) { go e.do(do) }
+func (e *testEngine) After(in int64, do func(int64)) {
+	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { e.do(do) })
 }
-func (l *testEngine) ApplyGossip(_ int64, update routing.GossipUpdate) {
-	l.positions[update.Node] = max(l.positions[update.Node], update.Position)
+func (e *testEngine) ApplyGossip(_ int64, update routing.GossipUpdate) {
+	e.positions[update.Node] = max(e.positions[update.Node], update.Position)
 }
-func (l *testEngine) DelegateHealthChecks(node string, to bool) { l.delegated[node] = to }
-func (l *testEngine) CheckHealth(node string) {
-	l.checked = append(l.checked, node)
-	if l.unending[node] {
+func (e *testEngine) DelegateHealthChecks(node string, to bool) { e.delegated[node] = to }
+func (e *testEngine) CheckHealth(node string) {
+	e.checked = append(e.checked, node)
+	if e.hanging[node] {
 		return
 	}
-	l.After(1_000, func(now int64) {
-		if l.unresponsive[node] {
-			l.service.HealthCheckEnded(now, node, routing.TimedOut, 0, routing.RoleUnknown, "")
+	e.After(1_000, func(now int64) {
+		if e.unresponsive[node] {
+			e.service.HealthCheckEnded(now, node, routing.TimedOut, 0, routing.RoleUnknown, "")
 		} else {
-			l.service.HealthCheckEnded(now, node, routing.Answered, now, routing.Replica, "x0=1")
+			e.service.HealthCheckEnded(now, node, routing.Answered, now, routing.Replica, "x0=1")
 		}
 	})
 }
 
 func startInstance(t *testing.T, name string, join ...string) *testEngine {
 	t.Helper()
-	engine := &testEngine{positions: map[string]int64{}, delegated: map[string]bool{}, unresponsive: map[string]bool{}, unending: map[string]bool{}}
+	engine := &testEngine{positions: map[string]int64{}, delegated: map[string]bool{}, unresponsive: map[string]bool{}, hanging: map[string]bool{}}
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	service := New(engine)
@@ -81,42 +81,41 @@
 	return engine
 }
 
-func (l *testEngine) list(whole bool, state routing.EndpointState, names ...string) {
-	l.do(func(now int64) {
+func (e *testEngine) applyList(complete bool, state routing.EndpointState, names ...string) {
+	e.do(func(now int64) {
 		for _, one := range names {
-			l.service.EndpointListed(now, one, state, 7)
+			e.service.EndpointListed(now, one, state, 7)
 		}
-		l.service.ListApplied(now, whole)
+		e.service.ListApplied(now, complete)
 	})
 }
 
-// checkedWithin returns the nodes that are checked within a time from now.
-func (l *testEngine) checkedWithin(wait time.Duration) []string {
-	l.do(func(int64) { l.checked = nil })
+// checkedWithin returns the nodes that are checked in the given time from now.
+func (e *testEngine) checkedWithin(wait time.Duration) []string {
+	e.do(func(int64) { e.checked = nil })
 	time.Sleep(wait)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.checked)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Clone(e.checked)
 }
 
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); !is(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within 15 s: %s", what)
+			t.Fatalf("condition not met within 15 s: %s", what)
 		}
 	}
 }
 
-// TestTwoInstancesShare: two instances share eight nodes. Each node is checked by one of them, and what it reported reaches
-// the other. Nodes that drain or are no longer listed are checked by neither. One instance stops, and the other checks all
-// nodes that are left.
+// Two instances share eight nodes. Each node is checked by one of them, and its position reaches the other. Nodes that
+// drain or are no longer listed are checked by neither. After one instance stops, the other checks all remaining nodes.
 func TestTwoInstancesShare(t *testing.T) {
 	nodes := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	one := startInstance(t, "r1")
-	one.list(true, routing.Up, nodes...)
+	one.applyList(true, routing.Up, nodes...)
 	two := startInstance(t, "r2", one.service.membership.Address())
-	two.list(true, routing.Up, nodes...)
+	two.applyList(true, routing.Up, nodes...)
 	divided := func() bool {
 		a, b := one.checkedWithin(500*time.Millisecond), two.checkedWithin(0)
 		two.mu.Lock()
@@ -129,8 +128,8 @@
 		}
 		return len(a) > 0
 	}
-	eventually(t, "a division", divided)
-	eventually(t, "updates of the other", func() bool {
+	eventually(t, "each node is checked by exactly one instance", divided)
+	eventually(t, "each node's position has been received from the other instance", func() bool {
 		one.mu.Lock()
 		defer one.mu.Unlock()
 		two.mu.Lock()
@@ -142,11 +141,11 @@
 		}
 		return len(one.positions) > 0 && len(two.positions) > 0
 	})
-	one.list(false, routing.Draining, "a")
-	two.list(false, routing.Removed, "a")
-	two.list(true, routing.Up, nodes[2:]...)
-	one.list(true, routing.Up, nodes[2:]...)
-	eventually(t, "the end of what drains or left", func() bool {
+	one.applyList(false, routing.Draining, "a")
+	two.applyList(false, routing.Removed, "a")
+	two.applyList(true, routing.Up, nodes[2:]...)
+	one.applyList(true, routing.Up, nodes[2:]...)
+	eventually(t, "draining, removed and unlisted nodes are no longer checked", func() bool {
 		a, b := one.checkedWithin(0), two.checkedWithin(300*time.Millisecond)
 		return !slices.Contains(a, "a") && !slices.Contains(b, "a") && !slices.Contains(b, "b") && len(b) > 0
 	})
@@ -155,7 +154,7 @@
 		two.stopped = true
 		two.mu.Unlock()
 	}()
-	eventually(t, "all of it at the one that goes on", func() bool {
+	eventually(t, "the remaining instance checks all nodes", func() bool {
 		a := one.checkedWithin(600 * time.Millisecond)
 		for _, n := range nodes[2:] {
 			if !slices.Contains(a, n) {
@@ -166,13 +165,13 @@
 	})
 }
 
-// TestCheckThatDoesNotEndIsNotRepeated: a node accepts a health check and never answers. Further checks would pile up; none
-// is started until the first has ended, and other nodes are checked meanwhile.
-func TestCheckThatDoesNotEndIsNotRepeated(t *testing.T) {
+// A node accepts a health check and never responds. Further checks would pile up, so none is started until the first
+// has ended; other nodes are still checked.
+func TestHangingCheckIsNotRepeated(t *testing.T) {
 	one := startInstance(t, "r1")
-	one.do(func(int64) { one.unending["a"] = true })
-	one.list(true, routing.Up, "a", "b")
-	eventually(t, "several checks of the other", func() bool {
+	one.do(func(int64) { one.hanging["a"] = true })
+	one.applyList(true, routing.Up, "a", "b")
+	eventually(t, "the other node is checked repeatedly", func() bool {
 		one.mu.Lock()
 		defer one.mu.Unlock()
 		n := 0
@@ -192,11 +191,11 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d checks of one that does not answer", n)
+		t.Errorf("%d checks of the node that does not respond, want 1", n)
 	}
 }
 
-// TestReadSettings reads the part of the operator's file, and the defaults.
+// Reads the settings of a file, and the defaults.
 func TestReadSettings(t *testing.T) {
 	f, err := sexp.Parse("f", []byte(`(duties (instances 3) (box-load 2) (take-over 9) (probe (every 2s)))`))
 	if err != nil {
--- a/internal/sharedprobes/settings.go
+++ b/internal/sharedprobes/settings.go
@@ -2,16 +2,16 @@
 
 import "cairntiller/internal/sexp"
 
-// Settings are what the operator's file says in its part duties.
+// Settings holds the settings of the part duties in the operator's file.
 type Settings struct {
 	Enabled      bool
-	Interval     int64   // us between health checks of one node by all instances together
-	Instances    int     // instances that the operator runs
-	MaxProbeRate float64 // health checks of one node a second by all instances, even where they cannot reach one another
-	ClaimRate    float64 // tasks a second that one instance claims at most
+	Interval     int64   // us between two health checks of one node by all instances together
+	Instances    int     // number of instances that the operator runs
+	MaxProbeRate float64 // health checks of one node per second by all instances at most, even when partitioned
+	ClaimRate    float64 // maximum number of tasks that one instance claims per second
 }
 
-// ReadSettings reads the settings from the operator's file, and reports each fault in it to the part.
+// ReadSettings reads the settings from the part duties and adds a fault to it for each invalid value.
 func ReadSettings(p *sexp.Part) Settings {
 	probe := p.Part("probe")
 	return Settings{
