--- a/internal/assignment/interval.go
+++ b/internal/assignment/interval.go
@@ -9,8 +9,8 @@
 // This function runs only when a member is reported up or down, so between reports the peak does not expire.
 func (t *Table) updateInterval(now int64) {
 	live := t.updatePeakMembers(now)
-	all := max(t.peakMembers, t.config.Instances, live)
-	t.interval = max(t.config.Interval, int64(float64(all)/(float64(live)*t.config.MaxRunRate)*1e6))
+	total := max(t.peakMembers, t.config.Instances, live)
+	t.interval = max(t.config.Interval, int64(float64(total)/(float64(live)*t.config.MaxRunRate)*1e6))
 }
 
 // updatePeakMembers updates the peak number of live members and returns the current number. It also runs before a
--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -49,8 +49,8 @@
 // target returns the live member with the highest score, or the smaller name between equal scores.
 func (m *model) target(key string, slow map[string]bool) string {
 	best := ""
-	for name, one := range m.members {
-		if !one.alive || slow[name] {
+	for name, candidate := range m.members {
+		if !candidate.alive || slow[name] {
 			continue
 		}
 		if best == "" || m.score(name, key) > m.score(best, key) ||
@@ -62,17 +62,17 @@
 }
 
 // greater reports whether a claim is greater than the one that the model has accepted.
-func (m *model) greater(key string, term uint64, by string) bool {
+func (m *model) greater(key string, term uint64, claimant string) bool {
 	task := m.tasks[key]
 	switch {
 	case term != task.term:
 		return term > task.term
 	case task.owner == "":
 		return true
-	case m.score(by, key) != m.score(task.owner, key):
-		return m.score(by, key) > m.score(task.owner, key)
+	case m.score(claimant, key) != m.score(task.owner, key):
+		return m.score(claimant, key) > m.score(task.owner, key)
 	}
-	return by < task.owner
+	return claimant < task.owner
 }
 
 // handleUpdate returns the expected evidence of an update, and whether any of it may be used.
@@ -90,7 +90,7 @@
 	if newest {
 		task.learnedAt, task.heard = at, true
 	}
-	if one := m.members[update.Owner]; one == nil || !one.alive {
+	if sender := m.members[update.Owner]; sender == nil || !sender.alive {
 		task.term = max(task.term, update.Term)
 	} else if update.Term > 0 && m.greater(update.Key, update.Term, update.Owner) {
 		task.term, task.owner = update.Term, update.Owner
@@ -111,8 +111,8 @@
 // compare checks the table's state against the model's.
 func (m *model) compare(tab *Table) {
 	slow := map[string]bool{}
-	for name, one := range tab.memberByName {
-		slow[name] = m.now < one.slowUntil
+	for name, member := range tab.memberByName {
+		slow[name] = m.now < member.slowUntil
 	}
 	for key, task := range m.tasks {
 		owner, term, age := tab.Owner(m.now, key)
@@ -130,9 +130,9 @@
 	for _, task := range m.tasks {
 		owned[task.owner]++
 	}
-	for name, one := range tab.memberByName {
-		if one.owned != owned[name] {
-			m.t.Fatalf("%s owns %d tasks, want %d", name, one.owned, owned[name])
+	for name, member := range tab.memberByName {
+		if member.owned != owned[name] {
+			m.t.Fatalf("%s owns %d tasks, want %d", name, member.owned, owned[name])
 		}
 	}
 }
@@ -146,8 +146,8 @@
 	runs := tab.Tick(m.now, nil)
 	m.tickedAt = m.now
 	slow := map[string]bool{}
-	for name, one := range tab.memberByName {
-		slow[name] = m.now < one.slowUntil
+	for name, member := range tab.memberByName {
+		slow[name] = m.now < member.slowUntil
 	}
 	claims := 0
 	for key, task := range m.tasks {
@@ -203,15 +203,15 @@
 		"up": func(t *rapid.T) {
 			name, weight, incarnation := member.Draw(t, "name"), rapid.Float64Range(0.5, 2).Draw(t, "weight"), rapid.Uint64Range(1, 4).Draw(t, "born")
 			table.MemberUp(m.now, name, weight, incarnation)
-			if one := m.members[name]; name != m.self && (one == nil || incarnation >= one.incarnation) {
+			if known := m.members[name]; name != m.self && (known == nil || incarnation >= known.incarnation) {
 				m.members[name] = &modelMember{weight, incarnation, true}
 			}
 		},
 		"down": func(t *rapid.T) {
 			name, incarnation := member.Draw(t, "name"), rapid.Uint64Range(1, 4).Draw(t, "born")
 			table.MemberDown(m.now, name, incarnation, rapid.Bool().Draw(t, "left"))
-			if one := m.members[name]; one != nil && name != m.self && incarnation >= one.incarnation {
-				one.alive = false
+			if known := m.members[name]; known != nil && name != m.self && incarnation >= known.incarnation {
+				known.alive = false
 			}
 		},
 		"add": func(t *rapid.T) {
@@ -320,8 +320,8 @@
 	}
 	tab.Tick(100_000, nil)
 	own := int64(0)
-	for _, one := range tab.tasks {
-		if one.target.name == "r4" {
+	for _, task := range tab.tasks {
+		if task.target.name == "r4" {
 			own++
 		}
 	}
@@ -348,9 +348,9 @@
 	tab.MemberUp(0, "r1", 1, 1)
 	now := int64(100_000)
 	tab.Tick(now, nil)
-	was := map[string]*member{}
-	for key, one := range tab.taskByKey {
-		was[key] = one.target
+	targetsBefore := map[string]*member{}
+	for key, task := range tab.taskByKey {
+		targetsBefore[key] = task.target
 	}
 	moved := tab.Stats(now).TargetChanges
 	for round := range 20 {
@@ -364,11 +364,11 @@
 	if stats := tab.Stats(now); stats.TargetChanges != moved || stats.LiveMembers != 2 {
 		t.Errorf("%d target changes, want 0; %d live members, want 2", stats.TargetChanges-moved, stats.LiveMembers)
 	}
-	if len(tab.taskByKey) != len(was) {
-		t.Fatalf("%d tasks, want %d", len(tab.taskByKey), len(was))
+	if len(tab.taskByKey) != len(targetsBefore) {
+		t.Fatalf("%d tasks, want %d", len(tab.taskByKey), len(targetsBefore))
 	}
-	for key, one := range tab.taskByKey {
-		if one.target != was[key] {
+	for key, task := range tab.taskByKey {
+		if task.target != targetsBefore[key] {
 			t.Fatalf("task %s changed its target", key)
 		}
 	}
@@ -392,16 +392,16 @@
 // For any network partition, all sides together stay within the run rate limit of a node.
 func TestPartitionsKeepRunRate(t *testing.T) {
 	for _, parts := range [][]int{{3}, {2, 1}, {1, 1, 1}, {100, 200}, {1, 1, 298}, {150, 75, 75}} {
-		all, load := 0, 0.0
+		instances, load := 0, 0.0
 		for _, k := range parts {
-			all += k
+			instances += k
 		}
 		for _, k := range parts {
 			tab := New(0, Config{Self: "r0", Weight: 1, Incarnation: 1, Interval: 1_000_000, Instances: 1, MaxRunRate: 4, ClaimRate: 50})
-			for i := 1; i < all; i++ {
+			for i := 1; i < instances; i++ {
 				tab.MemberUp(0, fmt.Sprint("r", i), 1, 1)
 			}
-			for i := k; i < all; i++ {
+			for i := k; i < instances; i++ {
 				tab.MemberDown(0, fmt.Sprint("r", i), 1, false)
 			}
 			load += 1e6 / float64(tab.Interval())
--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -11,15 +11,15 @@
 // traceHash runs a table on generated inputs of every kind and returns a hash of all its results.
 func traceHash(seed uint64) uint64 {
 	sum := fnv.New64a()
-	text := func(s string) { fmt.Fprintf(sum, "%d:%s", len(s), s) }
-	number := func(all ...int64) {
-		for _, n := range all {
+	hashText := func(s string) { fmt.Fprintf(sum, "%d:%s", len(s), s) }
+	hashNumbers := func(values ...int64) {
+		for _, n := range values {
 			sum.Write(binary.LittleEndian.AppendUint64(nil, uint64(n)))
 		}
 	}
-	flag := func(all ...bool) {
-		for _, is := range all {
-			fmt.Fprint(sum, is)
+	hashFlags := func(values ...bool) {
+		for _, value := range values {
+			fmt.Fprint(sum, value)
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -49,8 +49,8 @@
 		case n < 20:
 			u := tab.HandleUpdate(now, Update{Key: key(), Owner: member(), Term: uint64(rng.IntN(40)), Age: rng.Int64N(4_000_000) - 1000,
 				NodeStarted: rng.Int64N(2), Unresponsive: rng.IntN(4) == 0, Position: rng.Int64N(9), PrimaryHint: int8(rng.IntN(3) - 1), LoadReport: "x"})
-			number(u.Position, int64(u.PrimaryHint), u.LearnedAt)
-			flag(u.Unresponsive, u.Responsive)
+			hashNumbers(u.Position, int64(u.PrimaryHint), u.LearnedAt)
+			hashFlags(u.Unresponsive, u.Responsive)
 		case n < 21:
 			tab.HandleRejoin(now, 1+rng.IntN(3))
 		case n < 22 && rng.IntN(10) == 0:
@@ -61,22 +61,22 @@
 			now += 50_000 + rng.Int64N(100_000)
 			runs = tab.Tick(now, runs)
 			for _, r := range runs {
-				text(r.Key)
-				flag(r.SecondOpinion)
+				hashText(r.Key)
+				hashFlags(r.SecondOpinion)
 				if rng.IntN(8) > 0 {
 					w := tab.RecordRun(now+1000, Update{Key: r.Key, Unresponsive: rng.IntN(5) == 0, Position: rng.Int64N(9), PrimaryHint: 1, LoadReport: "y"}, r.SecondOpinion)
-					text(w.Key + w.Owner + w.LoadReport)
-					number(int64(w.Term), w.Age, w.NodeStarted, w.Position, int64(w.PrimaryHint))
-					flag(w.Unresponsive)
+					hashText(w.Key + w.Owner + w.LoadReport)
+					hashNumbers(int64(w.Term), w.Age, w.NodeStarted, w.Position, int64(w.PrimaryHint))
+					hashFlags(w.Unresponsive)
 				}
 			}
 		}
-		one, name := key(), member()
-		owner, term, age := tab.Owner(now, one)
-		text(owner)
+		taskKey, name := key(), member()
+		owner, term, age := tab.Owner(now, taskKey)
+		hashText(owner)
 		stats := tab.Stats(now)
-		number(int64(term), age, stats.Claims, stats.TargetChanges, int64(stats.LiveMembers), int64(stats.SlowMembers), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
-		flag(tab.Owns(one), tab.Delegated(now, one), tab.ClaimsTasks())
+		hashNumbers(int64(term), age, stats.Claims, stats.TargetChanges, int64(stats.LiveMembers), int64(stats.SlowMembers), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
+		hashFlags(tab.Owns(taskKey), tab.Delegated(now, taskKey), tab.ClaimsTasks())
 	}
 	return sum.Sum64()
 }
