--- a/internal/sharedprobes/service_test.go
+++ b/internal/sharedprobes/service_test.go
@@ -28,7 +28,7 @@
 
 func clock() int64 { return time.Since(epoch).Microseconds() }
 
-func (e *testEngine) do(do func(int64)) {
+func (e *testEngine) run(do func(int64)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.stopped {
@@ -36,14 +36,14 @@
 	}
 }
 
-func (e *testEngine) Post(_ int64, do func(int64)) { go e.do(do) }
+func (e *testEngine) Post(_ int64, do func(int64)) { go e.run(do) }
 func (e *testEngine) After(in int64, do func(int64)) {
-	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { e.do(do) })
+	time.AfterFunc(time.Duration(in)*time.Microsecond, func() { e.run(do) })
 }
 func (e *testEngine) ApplyGossip(_ int64, update routing.GossipUpdate) {
 	e.positions[update.Node] = max(e.positions[update.Node], update.Position)
 }
-func (e *testEngine) DelegateHealthChecks(node string, to bool) { e.delegated[node] = to }
+func (e *testEngine) DelegateHealthChecks(node string, delegated bool) { e.delegated[node] = delegated }
 func (e *testEngine) CheckHealth(node string) {
 	e.checked = append(e.checked, node)
 	if e.hanging[node] {
@@ -82,9 +82,9 @@
 }
 
 func (e *testEngine) applyList(complete bool, state routing.EndpointState, names ...string) {
-	e.do(func(now int64) {
-		for _, one := range names {
-			e.service.EndpointListed(now, one, state, 7)
+	e.run(func(now int64) {
+		for _, name := range names {
+			e.service.EndpointListed(now, name, state, 7)
 		}
 		e.service.ListApplied(now, complete)
 	})
@@ -92,18 +92,18 @@
 
 // checkedWithin returns the nodes that are checked in the given time from now.
 func (e *testEngine) checkedWithin(wait time.Duration) []string {
-	e.do(func(int64) { e.checked = nil })
+	e.run(func(int64) { e.checked = nil })
 	time.Sleep(wait)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.checked)
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(15 * time.Second); !is(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("condition not met within 15 s: %s", what)
+	for deadline := time.Now().Add(15 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within 15 s: %s", description)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 // has ended; other nodes are still checked.
 func TestHangingCheckIsNotRepeated(t *testing.T) {
 	one := startInstance(t, "r1")
-	one.do(func(int64) { one.hanging["a"] = true })
+	one.run(func(int64) { one.hanging["a"] = true })
 	one.applyList(true, routing.Up, "a", "b")
 	eventually(t, "the other node is checked repeatedly", func() bool {
 		one.mu.Lock()
