--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -51,8 +51,8 @@
 
 func (q *broadcastQueue) dropMostSent() {
 	worst := 0
-	for i, one := range q.messages {
-		if one.rounds > q.messages[worst].rounds {
+	for i, message := range q.messages {
+		if message.rounds > q.messages[worst].rounds {
 			worst = i
 		}
 	}
@@ -76,16 +76,16 @@
 	if len(q.messages) > 0 && q.messages[0].size > budget {
 		budget = q.saveBudget(q.messages[0].size, budget)
 	}
-	for _, one := range q.messages {
-		if one.size > budget {
+	for _, message := range q.messages {
+		if message.size > budget {
 			break
 		}
-		budget -= one.size
-		one.rounds++
-		chosen = append(chosen, one)
+		budget -= message.size
+		message.rounds++
+		chosen = append(chosen, message)
 	}
-	all := roundsPerMessage(members)
-	q.messages = slices.DeleteFunc(q.messages, func(one *queuedMessage) bool { return one.rounds >= all })
+	rounds := roundsPerMessage(members)
+	q.messages = slices.DeleteFunc(q.messages, func(one *queuedMessage) bool { return one.rounds >= rounds })
 	return chosen
 }
 
@@ -103,16 +103,16 @@
 // roundTargets selects the target members of a round, as indexes below others: all of them if there are at most fanout.
 // pick returns a random number below its argument.
 func roundTargets(others int, pick func(n int) int) []int {
-	all := make([]int, others)
-	for i := range all {
-		all[i] = i
+	indexes := make([]int, others)
+	for i := range indexes {
+		indexes[i] = i
 	}
 	chosen := min(fanout, others)
 	for i := range chosen {
 		j := i + pick(others-i)
-		all[i], all[j] = all[j], all[i]
+		indexes[i], indexes[j] = indexes[j], indexes[i]
 	}
-	return all[:chosen]
+	return indexes[:chosen]
 }
 
 // packets combines encoded messages into packets of up to maxPacket bytes.
@@ -120,14 +120,14 @@
 	var packed [][]byte
 	var packet [][]byte
 	size := 0
-	for _, one := range messages {
-		if len(packet) > 0 && size+len(one) > maxPacket {
+	for _, message := range messages {
+		if len(packet) > 0 && size+len(message) > maxPacket {
 			packed = append(packed, encode(packet))
 			packet = nil
 			size = 0
 		}
-		packet = append(packet, one)
-		size += len(one) + 3 // header of a CBOR byte string
+		packet = append(packet, message)
+		size += len(message) + 3 // header of a CBOR byte string
 	}
 	if len(packet) > 0 {
 		packed = append(packed, encode(packet))
--- a/internal/membership/broadcast_test.go
+++ b/internal/membership/broadcast_test.go
@@ -20,9 +20,9 @@
 				queue.add(&queuedMessage{message: updateMessage{Number: added}, size: rapid.IntRange(10, 300).Draw(t, "size")})
 			}
 			size, least, seen := 0, 0, map[uint64]bool{}
-			for _, one := range queue.nextRound(members, budget) {
-				n := one.message.Number
-				if size += one.size; seen[n] || size > budget || sentRounds[n] < least {
+			for _, sent := range queue.nextRound(members, budget) {
+				n := sent.message.Number
+				if size += sent.size; seen[n] || size > budget || sentRounds[n] < least {
 					t.Fatalf("unexpected message %d: round has %d bytes of %d, message sent %d times, an earlier one %d times", n, size, budget, sentRounds[n], least)
 				}
 				seen[n], least = true, sentRounds[n]
@@ -30,8 +30,8 @@
 			}
 		}
 		for range 4000 {
-			for _, one := range queue.nextRound(members, budget) {
-				sentRounds[one.message.Number]++
+			for _, sent := range queue.nextRound(members, budget) {
+				sentRounds[sent.message.Number]++
 			}
 		}
 		for n := uint64(1); n <= added; n++ {
@@ -68,9 +68,9 @@
 	}
 	sent, bytes := map[uint64]int{}, 0
 	for range rounds {
-		for _, one := range queue.nextRound(members, budget) {
-			sent[one.message.Number]++
-			bytes += one.size
+		for _, message := range queue.nextRound(members, budget) {
+			sent[message.message.Number]++
+			bytes += message.size
 		}
 	}
 	for number := range uint64(6) {
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -130,8 +130,8 @@
 		unreadableMessages.Add()
 		return
 	}
-	for _, one := range messages {
-		s.receiveUpdates(one)
+	for _, message := range messages {
+		s.receiveUpdates(message)
 	}
 }
 
--- a/internal/membership/duplicates_test.go
+++ b/internal/membership/duplicates_test.go
@@ -10,7 +10,7 @@
 // Compares the duplicate filter with a plain set of all received messages.
 func TestDuplicateFilterModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := newAdmission(0, "kandy", 4)
+		filters := newAdmission(0, "kandy", 4)
 		incarnations, highest := map[string]uint64{}, map[string]uint64{}
 		taken := map[string]bool{}
 		for range rapid.IntRange(1, 300).Draw(t, "messages") {
@@ -23,7 +23,7 @@
 			}
 			id := fmt.Sprint(name, incarnation, "/", number)
 			want = want && !taken[id] && number+duplicateWindow > highest[name]
-			if got := rules.recordIfNew(name, incarnation, number); got != want {
+			if got := filters.recordIfNew(name, incarnation, number); got != want {
 				t.Fatalf("message %s with highest number %d: new %v, want %v", id, highest[name], got, want)
 			}
 			if want {
--- a/internal/membership/measurements.go
+++ b/internal/membership/measurements.go
@@ -6,8 +6,8 @@
 // encoded messages, before encryption. It is used for measurements.
 func EncodedSize(origin string, updates []assignment.Update) int {
 	size := 0
-	for _, one := range packUpdates(origin, updates) {
-		message := updateMessage{Version: version, Origin: origin, Incarnation: 1 << 50, Number: 1 << 20, Held: 100_000, Updates: one}
+	for _, packed := range packUpdates(origin, updates) {
+		message := updateMessage{Version: version, Origin: origin, Incarnation: 1 << 50, Number: 1 << 20, Held: 100_000, Updates: packed}
 		size += len(encode(message))
 	}
 	return size
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -180,8 +180,8 @@
 // encodeArray returns a CBOR array of encoded elements, with a length field of two bytes.
 func encodeArray(elements [][]byte) []byte {
 	raw := []byte{0x99, byte(len(elements) >> 8), byte(len(elements))}
-	for _, one := range elements {
-		raw = append(raw, one...)
+	for _, element := range elements {
+		raw = append(raw, element...)
 	}
 	return raw
 }
@@ -198,8 +198,8 @@
 // fromWireAll validates and converts all updates; if one is invalid, it returns only an error.
 func fromWireAll(raw []wireUpdate, origin string, held int64) ([]assignment.Update, error) {
 	updates := make([]assignment.Update, 0, len(raw))
-	for _, one := range raw {
-		update, err := fromWire(one, origin, held)
+	for _, encoded := range raw {
+		update, err := fromWire(encoded, origin, held)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/membership/messages_test.go
+++ b/internal/membership/messages_test.go
@@ -16,8 +16,8 @@
 		all = append(all, assignment.Update{Key: fmt.Sprintf("probe/%0100d", i), Owner: "a", LoadReport: strings.Repeat("x", i)})
 	}
 	count := 0
-	for _, one := range packUpdates("a", all) {
-		message := updateMessage{Version: version, Origin: "a", Incarnation: 1 << 60, Number: 1 << 60, Held: 1 << 40, Updates: one}
+	for _, packed := range packUpdates("a", all) {
+		message := updateMessage{Version: version, Origin: "a", Incarnation: 1 << 60, Number: 1 << 60, Held: 1 << 40, Updates: packed}
 		if size := len(encode(message)); size > maxUpdateMessage+100 {
 			t.Fatalf("message of %d bytes exceeds a datagram", size)
 		}
--- a/internal/membership/missing_members.go
+++ b/internal/membership/missing_members.go
@@ -45,15 +45,15 @@
 	if now < m.nextAttempt {
 		return nil
 	}
-	all := m.addresses(now, alone)
-	if len(all) == 0 {
+	addresses := m.addresses(now, alone)
+	if len(addresses) == 0 {
 		m.retryDelay = firstRetryDelay
 		m.nextAttempt = now + firstRetryDelay
 		return nil
 	}
 	chosen := make([]string, 0, addressesPerAttempt)
-	for i := range min(addressesPerAttempt, len(all)) {
-		chosen = append(chosen, all[(m.offset+i)%len(all)])
+	for i := range min(addressesPerAttempt, len(addresses)) {
+		chosen = append(chosen, addresses[(m.offset+i)%len(addresses)])
 	}
 	m.offset += len(chosen)
 	m.nextAttempt = now + m.retryDelay
--- a/internal/membership/missing_members_test.go
+++ b/internal/membership/missing_members_test.go
@@ -9,17 +9,17 @@
 // missing or an address has been retried for an hour.
 func TestMissingMembers(t *testing.T) {
 	missing := newMissingMembers(0, []string{"s1", "s2", "s3", "s4"})
-	asked, attempts := map[string]int{}, 0
+	tried, attempts := map[string]int{}, 0
 	for now := int64(0); now < 120_000_000; now += 100_000 {
 		if addresses := missing.addressesToTry(now, true); len(addresses) > 0 {
 			attempts++
-			for _, one := range addresses {
-				asked[one]++
+			for _, address := range addresses {
+				tried[address]++
 			}
 		}
 	}
-	if len(asked) != 4 || attempts < 12 || attempts > 22 {
-		t.Errorf("%d attempts in two minutes, want 12 to 22 at 4 addresses: %v", attempts, asked)
+	if len(tried) != 4 || attempts < 12 || attempts > 22 {
+		t.Errorf("%d attempts in two minutes, want 12 to 22 at 4 addresses: %v", attempts, tried)
 	}
 	if addresses := missing.addressesToTry(200_000_000, false); addresses != nil {
 		t.Errorf("addresses to try without a missing member: %v", addresses)
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -251,7 +251,7 @@
 		s.mu.Lock()
 		addresses := s.missing.addressesToTry(s.now(), len(s.live) == 0)
 		s.mu.Unlock()
-		for _, address := range addresses { // in turn: one that hangs must not keep the rest out
+		for _, address := range addresses { // one at a time, so that one that hangs does not prevent the others from being tried
 			if address == s.Address() {
 				continue
 			}
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -44,10 +44,10 @@
 				delete(m.alive, name)
 				m.left[name] = left
 			},
-			Updates: func(all []assignment.Update) {
+			Updates: func(updates []assignment.Update) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
-				m.updates = append(m.updates, all...)
+				m.updates = append(m.updates, updates...)
 			},
 			Rejoined: func(n int) {
 				m.mu.Lock()
@@ -63,17 +63,17 @@
 }
 
 // abortAtCleanup stops the given members at the end of the test.
-func abortAtCleanup(t *testing.T, all ...*member) {
-	for _, m := range all {
+func abortAtCleanup(t *testing.T, members ...*member) {
+	for _, m := range members {
 		t.Cleanup(m.Abort)
 	}
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(12 * time.Second); !is(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("condition not met within 12 s: %s", what)
+	for deadline := time.Now().Add(12 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within 12 s: %s", description)
 		}
 	}
 }
@@ -84,23 +84,23 @@
 	if len(m.alive) != len(names) {
 		return false
 	}
-	for _, one := range names {
-		if _, ok := m.alive[one]; !ok {
+	for _, name := range names {
+		if _, ok := m.alive[name]; !ok {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *member) updatesOf(key string) (all []assignment.Update) {
+func (m *member) updatesOf(key string) (updates []assignment.Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range m.updates {
 		if w.Key == key {
-			all = append(all, w)
+			updates = append(updates, w)
 		}
 	}
-	return all
+	return updates
 }
 
 func startThree(t *testing.T) (a, b, c *member) {
@@ -147,11 +147,11 @@
 	a, b, c := startThree(t)
 	abortAtCleanup(t, a, b, c)
 	for second := range 3 {
-		var all []assignment.Update
+		var updates []assignment.Update
 		for i := range 1000 {
-			all = append(all, assignment.Update{Key: fmt.Sprintf("probe/%d/%d", second, i), Owner: "a", Term: 1, Position: 1 << 50, LoadReport: "x0=1796148000.000000,x1=0,inflight=3"})
+			updates = append(updates, assignment.Update{Key: fmt.Sprintf("probe/%d/%d", second, i), Owner: "a", Term: 1, Position: 1 << 50, LoadReport: "x0=1796148000.000000,x1=0,inflight=3"})
 		}
-		a.Broadcast(all)
+		a.Broadcast(updates)
 		for _, m := range []*member{b, c} {
 			eventually(t, "all updates of one second arrive", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.updates) == 1000*(second+1) })
 			m.mu.Lock()
@@ -182,11 +182,11 @@
 			t.Errorf("%+v is admitted", m)
 		}
 	}
-	was := unreadableMessages.Count()
+	before := unreadableMessages.Count()
 	a.NotifyMsg(encode([][]byte{encode(updateMessage{Version: 2, Origin: "b", Number: 1, Updates: []byte{0x80}})}))
 	a.NotifyMsg([]byte("noise"))
-	if unreadableMessages.Count() != was+2 {
-		t.Errorf("%d unreadable messages counted, want 2", unreadableMessages.Count()-was)
+	if unreadableMessages.Count() != before+2 {
+		t.Errorf("%d unreadable messages counted, want 2", unreadableMessages.Count()-before)
 	}
 	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 1}})
 	eventually(t, "an update reaches the other members", func() bool { return len(a.updatesOf("probe/s")) == 1 && len(c.updatesOf("probe/s")) == 1 })
@@ -315,8 +315,8 @@
 			t.Errorf("update %d arrived %d times", i, n)
 		}
 	}
-	if dropped, of := a.network.DroppedPackets(); dropped == 0 || dropped == of {
-		t.Errorf("%d of %d packets were lost, want some but not all", dropped, of)
+	if dropped, total := a.network.DroppedPackets(); dropped == 0 || dropped == total {
+		t.Errorf("%d of %d packets were lost, want some but not all", dropped, total)
 	}
 }
 
@@ -324,9 +324,9 @@
 func TestNameConflict(t *testing.T) {
 	a, b, c := startThree(t)
 	abortAtCleanup(t, a, b, c)
-	was := nameConflicts.Count()
+	before := nameConflicts.Count()
 	abortAtCleanup(t, startMember(t, "b", "kandy", [][]byte{testKey(1)}, a.Address()))
-	eventually(t, "the conflict is counted", func() bool { return nameConflicts.Count() > was })
+	eventually(t, "the conflict is counted", func() bool { return nameConflicts.Count() > before })
 	b.Broadcast([]assignment.Update{{Key: "probe/s", Owner: "b", Term: 1}})
 	eventually(t, "an update of the first member arrives", func() bool { return len(a.updatesOf("probe/s")) == 1 })
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -80,10 +80,10 @@
 		encoded = append(encoded, strings.Fields(string(raw))...)
 	}
 	var keys [][]byte
-	for _, one := range encoded {
-		key, err := base64.StdEncoding.DecodeString(one)
+	for _, text := range encoded {
+		key, err := base64.StdEncoding.DecodeString(text)
 		if err != nil || memberlist.ValidateKey(key) != nil {
-			p.AddFault("keys", fmt.Sprintf("a key of %d characters", len(one)), "16, 24 or 32 random bytes in base64")
+			p.AddFault("keys", fmt.Sprintf("a key of %d characters", len(text)), "16, 24 or 32 random bytes in base64")
 			continue
 		}
 		keys = append(keys, key)
--- a/internal/membership/trace_test.go
+++ b/internal/membership/trace_test.go
@@ -11,14 +11,14 @@
 // traceHash runs the decisions of this package on generated inputs and returns a hash of all results.
 func traceHash(seed uint64) uint64 {
 	sum := fnv.New64a()
-	number := func(all ...int64) {
-		for _, n := range all {
+	hashNumbers := func(values ...int64) {
+		for _, n := range values {
 			sum.Write(binary.LittleEndian.AppendUint64(nil, uint64(n)))
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := int64(0)
-	rules, missing := newAdmission(0, "kandy", 40), newMissingMembers(0, []string{"s1", "s2", "s3", "s4", "s5"})
+	admission, missing := newAdmission(0, "kandy", 40), newMissingMembers(0, []string{"s1", "s2", "s3", "s4", "s5"})
 	queue := &broadcastQueue{}
 	for n := range 6000 {
 		now += rng.Int64N(400_000)
@@ -26,13 +26,13 @@
 			now += 3700e6
 		}
 		name := fmt.Sprint("m", rng.IntN(60))
-		err := rules.admit(now, name, metadata{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
+		err := admission.admit(now, name, metadata{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
 		fmt.Fprint(sum, err)
 		for range rng.IntN(4) {
-			fmt.Fprint(sum, rules.admitDirect(now, name), rules.recordIfNew(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
+			fmt.Fprint(sum, admission.admitDirect(now, name), admission.recordIfNew(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
 		}
 		if rng.IntN(3) == 0 {
-			rules.markSeen(now, name)
+			admission.markSeen(now, name)
 		}
 		switch rng.IntN(30) {
 		case 0:
@@ -45,13 +45,13 @@
 			queue.add(&queuedMessage{message: updateMessage{Number: uint64(n)}, size: 10 + rng.IntN(300)})
 		}
 		others := 1 + rng.IntN(50)
-		for _, one := range queue.nextRound(1+others, 200+rng.IntN(2000)) {
-			number(int64(one.message.Number), int64(one.size), int64(one.rounds))
+		for _, message := range queue.nextRound(1+others, 200+rng.IntN(2000)) {
+			hashNumbers(int64(message.message.Number), int64(message.size), int64(message.rounds))
 		}
-		for _, one := range roundTargets(others, rng.IntN) {
-			number(int64(one))
+		for _, target := range roundTargets(others, rng.IntN) {
+			hashNumbers(int64(target))
 		}
-		number(int64(queue.dropped), int64(roundsPerMessage(others)))
+		hashNumbers(int64(queue.dropped), int64(roundsPerMessage(others)))
 	}
 	return sum.Sum64()
 }
