--- a/internal/assignment/claims.go
+++ b/internal/assignment/claims.go
@@ -14,7 +14,7 @@
 	// reclaimDelay is the time (us) for which a target leaves a task to the member that took it over. The target has
 	// failed to deliver once, and a task that changes hands repeatedly is run twice at each change.
 	reclaimDelay = 20_000_000
-	// reclaimMaxDoublings limits the doublings of reclaimDelay for repeated takeovers: 320 s.
+	// reclaimMaxDoublings limits the doublings of reclaimDelay for repeated takeovers, to 320 s.
 	reclaimMaxDoublings = 4
 
 	// secondOpinionInterval is the minimum time (us) between two second opinions on one node: they add at most 0.2
@@ -101,7 +101,7 @@
 // acceptClaim accepts the claim in an update of the given age (us) if it is greater than the current one.
 func (t *Table) acceptClaim(now int64, task *task, term uint64, age int64, claimant *member) {
 	if claimant == nil || claimant.state != memberAlive {
-		// A member that is not alive cannot claim, but later claims need a greater term.
+		// A member that is not alive cannot claim, but later claims need a term greater than its own.
 		task.term = max(task.term, term)
 		return
 	}
--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// An instance sends heartbeats but its probes are not sent. The other instances judge it by its updates, take its tasks
-// over, and hand them back once it has recovered.
+// An instance sends heartbeats but its probes are not sent. The other instances rely on its updates rather than on
+// its heartbeats, take its tasks over, and hand them back once it has recovered.
 func TestAliveOwnerWithoutUpdates(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
--- a/internal/assignment/interval.go
+++ b/internal/assignment/interval.go
@@ -2,8 +2,8 @@
 
 // updateInterval sets the interval between two runs of one task from the number of live members.
 //
-// Each side of a network partition runs every task. A side with k of N instances therefore runs a task at most k *
-// MaxRunRate / N times a second, so that all sides together stay within MaxRunRate. N is the peak number of live
+// Each side of a network partition runs every task. A side with k of N instances therefore runs a task at most
+// k * MaxRunRate / N times a second, so that all sides together stay within MaxRunRate. N is the peak number of live
 // members or the configured number of instances, whichever is greater.
 //
 // This function runs only when a member is reported up or down, so between reports the peak does not expire.
--- a/internal/assignment/model_test.go
+++ b/internal/assignment/model_test.go
@@ -36,7 +36,7 @@
 // modelTask is the model's state of a task.
 type modelTask struct {
 	nodeStarted, learnedAt int64
-	heard                  bool
+	hasUpdate              bool
 	owner                  string
 	term                   uint64
 }
@@ -86,9 +86,9 @@
 		return Evidence{}, false
 	}
 	at := m.now - update.Age
-	newest := !task.heard || at >= task.learnedAt
+	newest := !task.hasUpdate || at >= task.learnedAt
 	if newest {
-		task.learnedAt, task.heard = at, true
+		task.learnedAt, task.hasUpdate = at, true
 	}
 	if sender := m.members[update.Owner]; sender == nil || !sender.alive {
 		task.term = max(task.term, update.Term)
@@ -119,7 +119,7 @@
 		if owner != task.owner || term != task.term {
 			m.t.Fatalf("%s: owner %q in term %d, want %q in term %d", key, owner, term, task.owner, task.term)
 		}
-		if task.heard && age != m.now-task.learnedAt {
+		if task.hasUpdate && age != m.now-task.learnedAt {
 			m.t.Fatalf("%s: its newest update is %d us old, want %d", key, age, m.now-task.learnedAt)
 		}
 		if want := m.target(key, slow); !tab.targetsStale && tab.taskByKey[key].target.name != want {
@@ -245,7 +245,7 @@
 			if task == nil {
 				return
 			}
-			task.learnedAt, task.heard = m.now, true
+			task.learnedAt, task.hasUpdate = m.now, true
 			if task.owner != m.self && secondOpinion && !unresponsive {
 				task.owner, task.term = m.self, task.term+1
 			}
--- a/internal/assignment/rejoin.go
+++ b/internal/assignment/rejoin.go
@@ -8,7 +8,7 @@
 	// instance that restarts repeatedly would otherwise move its tasks each time, and each move is a gap in the probes
 	// of a node.
 	rejoinDelay = 3_000_000
-	// rejoinMaxDoublings limits the doublings of rejoinDelay for repeated rejoins: 48 s.
+	// rejoinMaxDoublings limits the doublings of rejoinDelay for repeated rejoins, to 48 s.
 	rejoinMaxDoublings = 4
 	// rejoinResetTime is the time (us) without a rejoin after which earlier rejoins no longer count.
 	rejoinResetTime = 300_000_000
--- a/internal/assignment/stall_test.go
+++ b/internal/assignment/stall_test.go
@@ -11,9 +11,9 @@
 // briefly, by none.
 func TestStalledInstanceIsBackSoon(t *testing.T) {
 	const (
-		nodes   = 8
-		usable  = 15 * second // a recovered instance owns its share of the tasks again after this time
-		observe = 5 * second
+		nodes           = 8
+		recoveryTime    = 15 * second // a recovered instance owns its share of the tasks again after this time
+		observationTime = 5 * second
 	)
 	for _, interval := range []int64{500_000, second} {
 		for _, instances := range []int{2, 3, 5} {
@@ -34,23 +34,23 @@
 						for _, i := range stalled {
 							c.Resume(i)
 						}
-						c.Run(usable)
+						c.Run(recoveryTime)
 						claims := int64(0)
 						for i := range instances {
 							if got := c.Table(i).OwnedTasks(); got != before[i] {
 								t.Errorf("seed %d, %d instances, interval %d us: instance %d owns %d tasks %d s after %v stalled for %d us, %d before",
-									seed, instances, interval, i, got, usable/second, stalled, stall, before[i])
+									seed, instances, interval, i, got, recoveryTime/second, stalled, stall, before[i])
 							}
 							claims -= c.Table(i).Stats(c.InstanceTime(i)).Claims
 						}
 						expectOneOwner(t, c, nodes)
-						c.Run(observe)
+						c.Run(observationTime)
 						for i := range instances {
 							claims += c.Table(i).Stats(c.InstanceTime(i)).Claims
 						}
 						if claims > 0 {
 							t.Errorf("seed %d, %d instances, interval %d us: %d claims in %d s, although the last stall ended over %d s ago",
-								seed, instances, interval, claims, observe/second, usable/second)
+								seed, instances, interval, claims, observationTime/second, recoveryTime/second)
 						}
 						if t.Failed() {
 							return
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -89,11 +89,11 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, update := range updates {
-		kept, known := s.newestUpdates[update.Key]
+		stored, known := s.newestUpdates[update.Key]
 		if !known && len(s.newestUpdates) >= maxUpdates {
 			continue
 		}
-		if !known || now-update.Age >= kept.receivedAt-kept.update.Age {
+		if !known || now-update.Age >= stored.receivedAt-stored.update.Age {
 			s.newestUpdates[update.Key] = newestUpdate{update: update, receivedAt: now}
 		}
 	}
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -23,8 +23,8 @@
 	// on ages above a few minutes, and sums of capped ages cannot overflow.
 	maxAge = 86_400_000_000
 
-	// MaxDatagram is the maximum size in bytes of the body of a direct message sent by datagram: with the overhead of
-	// encoding and encryption it fits one.
+	// MaxDatagram is the maximum size in bytes of the body of a direct message sent by datagram, with room left for
+	// the overhead of encoding and encryption.
 	MaxDatagram = 1_200
 	// MaxStream is the maximum size in bytes of the body of a direct message sent over a stream connection.
 	MaxStream = 1 << 20
