--- a/internal/assignment/trace_test.go
+++ b/internal/assignment/trace_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// play feeds a table with generated inputs of every kind, and hashes all that it returns.
-func play(seed uint64) uint64 {
+// traceHash runs a table on generated inputs of every kind and returns a hash of all its results.
+func traceHash(seed uint64) uint64 {
 	sum := fnv.New64a()
-	text := func(s string) { fmt.Fprintf(sum, "%d:%s", len(s), s) }
-	number := func(all ...int64) {
-		for _, n := range all {
+	hashText := func(s string) { fmt.Fprintf(sum, "%d:%s", len(s), s) }
+	hashNumbers := func(values ...int64) {
+		for _, n := range values {
 			sum.Write(binary.LittleEndian.AppendUint64(nil, uint64(n)))
 		}
 	}
-	flag := func(all ...bool) {
-		for _, is := range all {
-			fmt.Fprint(sum, is)
+	hashFlags := func(values ...bool) {
+		for _, value := range values {
+			fmt.Fprint(sum, value)
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -49,10 +49,10 @@
 		case n < 20:
 			u := tab.HandleUpdate(now, Update{Key: key(), Owner: member(), Term: uint64(rng.IntN(40)), Age: rng.Int64N(4_000_000) - 1000,
 				NodeStarted: rng.Int64N(2), Unresponsive: rng.IntN(4) == 0, Position: rng.Int64N(9), PrimaryHint: int8(rng.IntN(3) - 1), LoadReport: "x"})
-			number(u.Position, int64(u.PrimaryHint), u.LearnedAt)
-			flag(u.Unresponsive, u.Responsive)
+			hashNumbers(u.Position, int64(u.PrimaryHint), u.LearnedAt)
+			hashFlags(u.Unresponsive, u.Responsive)
 		case n < 21:
-			tab.NoteRejoins(now, 1+rng.IntN(3))
+			tab.HandleRejoin(now, 1+rng.IntN(3))
 		case n < 22 && rng.IntN(10) == 0:
 			now += rng.Int64N(9_000_000)
 		case n < 22 && rng.IntN(40) == 0:
@@ -61,28 +61,29 @@
 			now += 50_000 + rng.Int64N(100_000)
 			runs = tab.Tick(now, runs)
 			for _, r := range runs {
-				text(r.Key)
-				flag(r.SecondOpinion)
+				hashText(r.Key)
+				hashFlags(r.SecondOpinion)
 				if rng.IntN(8) > 0 {
 					w := tab.RecordRun(now+1000, Update{Key: r.Key, Unresponsive: rng.IntN(5) == 0, Position: rng.Int64N(9), PrimaryHint: 1, LoadReport: "y"}, r.SecondOpinion)
-					text(w.Key + w.Owner + w.LoadReport)
-					number(int64(w.Term), w.Age, w.NodeStarted, w.Position, int64(w.PrimaryHint))
-					flag(w.Unresponsive)
+					hashText(w.Key + w.Owner + w.LoadReport)
+					hashNumbers(int64(w.Term), w.Age, w.NodeStarted, w.Position, int64(w.PrimaryHint))
+					hashFlags(w.Unresponsive)
 				}
 			}
 		}
-		one, name := key(), member()
-		owner, term, age := tab.Owner(now, one)
-		text(owner)
+		taskKey, name := key(), member()
+		owner, term, age := tab.Owner(now, taskKey)
+		hashText(owner)
 		stats := tab.Stats(now)
-		number(int64(term), age, stats.Claims, stats.TargetChanges, int64(stats.LiveMembers), int64(stats.SlowMembers), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
-		flag(tab.Owns(one), tab.Delegated(now, one), tab.ClaimsTasks())
+		hashNumbers(int64(term), age, stats.Claims, stats.TargetChanges, int64(stats.LiveMembers), int64(stats.SlowMembers), tab.Interval(), int64(tab.OwnedTasks()), int64(tab.TargetedTasks(name)), int64(tab.Rejoins(name)))
+		hashFlags(tab.Owns(taskKey), tab.Delegated(now, taskKey), tab.ClaimsTasks())
 	}
 	return sum.Sum64()
 }
 
-// recorded are the hashes by seed, since an instance's own stalls no longer count against others.
-var recorded = [...]uint64{
+// wantHashes holds the expected hash by seed. Last recorded when stalls of the instance itself stopped counting against
+// its peers.
+var wantHashes = [...]uint64{
 	0xa5585bf4ad7051bb,
 	0xd05532ed46c8fd14,
 	0x9da30bd1b47e2c74,
@@ -105,11 +106,11 @@
 	0xd7b0b36cdabac43a,
 }
 
-// TestTraceIsAsRecorded guards changes that must not alter a decision: each answer that the table gives to these inputs
-// is as it was. A change of a rule on purpose records anew.
-func TestTraceIsAsRecorded(t *testing.T) {
-	for seed, want := range recorded {
-		if got := play(uint64(seed)); got != want {
+// Guards refactorings that must not alter a decision: the results for the generated inputs stay the same. An intended
+// change of a rule requires new hashes.
+func TestDecisionsUnchanged(t *testing.T) {
+	for seed, want := range wantHashes {
+		if got := traceHash(uint64(seed)); got != want {
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
--- a/internal/membership/trace_test.go
+++ b/internal/membership/trace_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// play feeds the decisions of membership with generated inputs, and hashes every answer.
-func play(seed uint64) uint64 {
+// traceHash runs the decisions of this package on generated inputs and returns a hash of all results.
+func traceHash(seed uint64) uint64 {
 	sum := fnv.New64a()
-	number := func(all ...int64) {
-		for _, n := range all {
+	hashNumbers := func(values ...int64) {
+		for _, n := range values {
 			sum.Write(binary.LittleEndian.AppendUint64(nil, uint64(n)))
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := int64(0)
-	rules, missing := newAdmission(0, "kandy", 40), newMissingMembers(0, []string{"s1", "s2", "s3", "s4", "s5"})
+	admission, missing := newAdmission(0, "kandy", 40), newMissingMembers(0, []string{"s1", "s2", "s3", "s4", "s5"})
 	queue := &broadcastQueue{}
 	for n := range 6000 {
 		now += rng.Int64N(400_000)
@@ -26,13 +26,13 @@
 			now += 3700e6
 		}
 		name := fmt.Sprint("m", rng.IntN(60))
-		err := rules.admit(now, name, metadata{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
+		err := admission.admit(now, name, metadata{Version: 1 + rng.IntN(20)/19, Cluster: []string{"kandy", "kandy", "kandy", "galle"}[rng.IntN(4)], Weight: 1})
 		fmt.Fprint(sum, err)
 		for range rng.IntN(4) {
-			fmt.Fprint(sum, rules.admitDirect(now, name), rules.isNew(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
+			fmt.Fprint(sum, admission.admitDirect(now, name), admission.recordIfNew(name, uint64(1+rng.IntN(3)), uint64(1+rng.IntN(1500))))
 		}
 		if rng.IntN(3) == 0 {
-			rules.keepPlace(now, name)
+			admission.markSeen(now, name)
 		}
 		switch rng.IntN(30) {
 		case 0:
@@ -45,19 +45,20 @@
 			queue.add(&queuedMessage{message: updateMessage{Number: uint64(n)}, size: 10 + rng.IntN(300)})
 		}
 		others := 1 + rng.IntN(50)
-		for _, one := range queue.nextRound(1+others, 200+rng.IntN(2000)) {
-			number(int64(one.message.Number), int64(one.size), int64(one.rounds))
+		for _, message := range queue.nextRound(1+others, 200+rng.IntN(2000)) {
+			hashNumbers(int64(message.message.Number), int64(message.size), int64(message.rounds))
 		}
-		for _, one := range roundTargets(others, rng.IntN) {
-			number(int64(one))
+		for _, target := range roundTargets(others, rng.IntN) {
+			hashNumbers(int64(target))
 		}
-		number(int64(queue.dropped), int64(roundsPerMessage(others)))
+		hashNumbers(int64(queue.dropped), int64(roundsPerMessage(others)))
 	}
 	return sum.Sum64()
 }
 
-// recorded are the hashes by seed, since a message larger than a round goes alone.
-var recorded = [...]uint64{
+// wantHashes holds the expected hash by seed. Last recorded when messages larger than a round's budget were first sent
+// alone.
+var wantHashes = [...]uint64{
 	0x784403c0d7415fb5,
 	0x1ea21bbc8d5f7a9e,
 	0x3de15d7f88453382,
@@ -80,11 +81,11 @@
 	0xbd4c3a08fb846af3,
 }
 
-// TestTraceIsAsRecorded guards changes that must not alter a decision: who is admitted, which message is new, which
-// address is tried and what a round carries is as it was for these inputs. A change of a rule on purpose records anew.
-func TestTraceIsAsRecorded(t *testing.T) {
-	for seed, want := range recorded {
-		if got := play(uint64(seed)); got != want {
+// Guards refactorings that must not alter a decision: admission, duplicate detection, retried addresses and the
+// messages of a round stay the same for the generated inputs. An intended change of a rule requires new hashes.
+func TestDecisionsUnchanged(t *testing.T) {
+	for seed, want := range wantHashes {
+		if got := traceHash(uint64(seed)); got != want {
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
