--- a/internal/rollout/action.go
+++ b/internal/rollout/action.go
@@ -1,21 +1,21 @@
 package rollout
 
-// Action is one thing that a Leader or a Member wants done. Actions are carried out in the order in which TakeActions
+// Action is one thing that a Leader or a Member wants done. Actions are executed in the order in which TakeActions
 // returns them.
 type Action interface {
 	isAction()
 }
 
-// What a Leader wants done. RequestReport, WriteVoter and SendStatement must not be sent once the lease is not held any
-// more: a member would follow a leader that another one has replaced. A late ReadVoter is refused by its term.
+// Actions of a Leader. RequestReport, WriteVoter and SendStatement must not be sent once the lease is not held any
+// more: a member would follow a leader that has been replaced. A late ReadVoter is refused because of its term.
 type (
-	// ReadVoter asks a voter under a term which record it keeps; the answer goes to Leader.HandleReadAnswer.
+	// ReadVoter asks a voter, under a term, for the record that it keeps; the answer goes to Leader.HandleReadAnswer.
 	ReadVoter struct {
 		Voter string
 		Term  uint64
 	}
 
-	// WriteVoter hands a record to one incarnation of a voter; the answer goes to Leader.HandleWriteAnswer.
+	// WriteVoter sends a record to one incarnation of a voter; the answer goes to Leader.HandleWriteAnswer.
 	WriteVoter struct {
 		Voter       string
 		Incarnation uint64
@@ -27,33 +27,34 @@
 		Member string
 	}
 
-	// SendStatement notifies a member of what a majority of voters keeps that concerns it.
+	// SendStatement sends a member the part of the committed record that concerns it.
 	SendStatement struct {
 		Member    string
 		Statement *Statement
 	}
 
-	// ReplyToCommand answers the operator's command with this token: it was accepted, or refused for Err.
+	// ReplyToCommand answers the operator's command with this token: it was accepted, or refused because of Err.
 	ReplyToCommand struct {
 		Token string
 		Err   error
 	}
 
-	// HandOverLead lets another instance lead because this one is next to leave by a plan.
+	// HandOverLead gives up leadership to another instance, because this one is the next to leave by a plan.
 	HandOverLead struct {
 		PlanID string
 	}
 
-	// LogEvent is worth a line in the log.
+	// LogEvent is to be logged.
 	LogEvent struct {
 		PlanID string // "" for none
 		Text   string
 	}
 )
 
-// What a Member wants done.
+// Actions of a Member.
 type (
-	// LeaveService lets the router leave in order. Its supervisor then starts it with Version, 0 for the one it has.
+	// LeaveService makes the router shut down in order. Its supervisor then starts Version, or the present version if
+	// it is 0.
 	LeaveService struct {
 		Slot    Slot
 		Version uint64
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// The disruption budget: which units may leave service now. Every unavailable unit counts, by any plan or unplanned, so
-// that a loss in the middle of a rollout leaves fewer slots and never more.
+// The disruption budget: which units may leave service now. Every unavailable unit counts, whether by a plan or
+// unplanned, so that a failure in the middle of a rollout leaves fewer slots and never more.
 
-// unavailability counts what is unavailable at a moment, of one sort of unit: routers or nodes.
+// unavailability counts the units of one sort, routers or nodes, that are unavailable at a moment.
 type unavailability struct {
 	known       int // units of that sort
 	total       int
 	byZone      map[string]int
 	byGroup     map[int]int     // nodes
-	workByGroup map[int]float64 // share of each group's usual work that is without its nodes
-	voters      int             // routers that vote and are unavailable or may have forgotten the record
+	workByGroup map[int]float64 // share of each group's usual load that its unavailable nodes account for
+	voters      int             // voting routers that are unavailable or may have forgotten the record
 	holdsSlot   map[string]bool // by unit
 }
 
-// countUnavailable counts what is unavailable now: units that hold a slot of any plan, members that are out of sight or
-// take no commands, nodes that are not up.
+// countUnavailable counts what is unavailable now: units that hold a slot of any plan, members that are not reporting
+// or accept no commands, nodes that are not up.
 func (l *Leader) countUnavailable(now int64, nodes bool) *unavailability {
 	u := &unavailability{byZone: map[string]int{}, byGroup: map[int]int{}, workByGroup: map[int]float64{}, holdsSlot: map[string]bool{}}
 	known := l.plannedUnits(nodes, u.holdsSlot)
@@ -39,18 +39,18 @@
 			}
 			continue
 		}
-		out := u.holdsSlot[name] || !l.inSight(now, name) || !l.members[name].report.Ready
-		if out {
+		unavailable := u.holdsSlot[name] || !l.isReporting(now, name) || !l.members[name].report.Ready
+		if unavailable {
 			u.add(name, l)
 		}
-		if l.isVoter(name) && (out || l.members[name].report.MayHaveForgotten) {
+		if l.isVoter(name) && (unavailable || l.members[name].report.MayHaveForgotten) {
 			u.voters++
 		}
 	}
 	return u
 }
 
-// plannedUnits returns the units of plans under way and notes those that hold a slot of any plan.
+// plannedUnits returns the units of plans in progress, and adds those that hold a slot of any plan to holdsSlot.
 func (l *Leader) plannedUnits(nodes bool, holdsSlot map[string]bool) map[string]bool {
 	units := map[string]bool{}
 	for _, p := range l.record.Plans {
@@ -69,7 +69,7 @@
 	return units
 }
 
-// add counts one more unit that is unavailable.
+// add counts one more unavailable unit.
 func (u *unavailability) add(name string, l *Leader) {
 	u.total++
 	if node := l.nodes[name]; node != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Limit returns how many of so many known units may be unavailable at once: the smaller of MaxUnavailable, if set,
-// and MaxShare, but at least one, or a small fleet could never be restarted.
+// Limit returns how many of the known units may be unavailable at once: the smaller of MaxUnavailable, if set, and
+// MaxShare, but at least one, since otherwise a small fleet could never be restarted.
 func (b *Budget) Limit(known int) int {
 	limit := max(1, int(b.MaxShare*float64(known)))
 	if b.MaxUnavailable > 0 {
@@ -108,7 +108,7 @@
 		}
 		return l.checkGroup(b, node, u)
 	}
-	if !l.inSight(now, name) {
+	if !l.isReporting(now, name) {
 		return refuse(ErrUnavailable, "%s is not in sight", name)
 	}
 	if err := b.checkZone(l.members[name].report.Zone, u); err != nil {
@@ -124,20 +124,20 @@
 	return nil
 }
 
-// checkVoters returns ErrVotersOut if, without this voter, no majority of voters would remember the record. A voter that
-// restarts has forgotten it, and counts as out until it was written to again. Without this check a plan could restart a
-// majority of the voters, and no leader could begin until an operator gives the command begin. With fewer than three voters
-// none may ever leave by a plan.
+// checkVoters returns ErrVotersOut if, without this voter, no majority of voters would remember the record. A voter
+// that restarts has forgotten it, and counts as unavailable until the record is written to it again. Without this check
+// a plan could restart a majority of the voters, and no leader could start until an operator gives the command begin.
+// With fewer than three voters none may ever leave by a plan.
 func (l *Leader) checkVoters(name string, u *unavailability) error {
-	canMiss := (len(l.voters) - 1) / 2
-	if l.isVoter(name) && u.voters+1 > canMiss {
+	tolerated := (len(l.voters) - 1) / 2
+	if l.isVoter(name) && u.voters+1 > tolerated {
 		return refuse(ErrVotersOut, "%d of %d voters are out or have forgotten", u.voters, len(l.voters))
 	}
 	return nil
 }
 
-// checkGroup returns why a node may not leave its group, or nil: a primary leaves only if a replica near the log's end can
-// take its place, and the group keeps MinReplicas of them besides its primary.
+// checkGroup returns why a node may not leave its group, or nil. A primary may leave only if a caught-up replica can
+// take its place, and MinReplicas of them must remain besides the primary.
 func (l *Leader) checkGroup(b *Budget, node *NodeState, u *unavailability) error {
 	group := node.Group
 	if u.byGroup[group] >= b.MaxPerGroup {
@@ -147,7 +147,7 @@
 		return refuse(ErrGroupWork, "group %d would be without %.0f%% of its usual work", group, 100*work)
 	}
 	hasPrimary := false
-	replicas := 0 // near the log's end
+	replicas := 0 // caught-up ones
 	for _, other := range l.groups[group] {
 		if other == node || !other.Up || u.holdsSlot[other.Name] {
 			continue
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// grantSlot grants a unit a slot. It counts as unavailable at once; the unit hears of it when a majority of voters
-// keeps it.
+// grantSlot grants a slot to a unit. The unit counts as unavailable at once; it is instructed to leave once the record
+// is committed.
 func (l *Leader) grantSlot(now int64, p *Progress, i int, u *unavailability, why string) {
 	name := p.Plan.Units[i]
 	unit := &p.Units[i]
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// TestGroupKeepsItsPrimary drains a whole group at once: a primary may go only where a replica is near the log's end,
-// and one node of a group at a time. Else the group would have nobody to write to.
+// TestGroupKeepsItsPrimary drains a whole group at once. A primary may leave only if a replica is caught up, and one
+// node of a group at a time; otherwise the group would have no node that accepts writes.
 func TestGroupKeepsItsPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
-		near        bool
+		caughtUp    bool
 		minReplicas int
 		want        string
 	}{
-		"a replica is near": {true, 0, "gww"},
-		"none is":           {false, 0, "wgw"}, // a replica that lags may go, the primary not
-		"one must stay":     {true, 1, "gww"},  // of two, one leads and one stays
-		"two must stay":     {true, 2, "www"},
+		"replicas caught up": {true, 0, "gww"},
+		"none caught up":     {false, 0, "wgw"}, // a lagging replica may leave, the primary may not
+		"one must stay":      {true, 1, "gww"},  // of two replicas, one becomes primary and one stays
+		"two must stay":      {true, 2, "www"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestFleet(t, 3,
 				NodeState{Name: "a", Group: 1, Primary: true, Up: true, NearLogEnd: true},
-				NodeState{Name: "b", Group: 1, Up: true, NearLogEnd: c.near},
-				NodeState{Name: "c", Group: 1, Up: true, NearLogEnd: c.near})
+				NodeState{Name: "b", Group: 1, Up: true, NearLogEnd: c.caughtUp},
+				NodeState{Name: "c", Group: 1, Up: true, NearLogEnd: c.caughtUp})
 			f.leader.HandleCommand(f.now, &Command{Type: CommandStart, Token: "1", Plan: Plan{ID: "p", Kind: KindNodes, Units: []string{"a", "b", "c"}, WaveSizes: []int{3},
 				Budget: Budget{MaxShare: 1, MinReplicas: c.minReplicas}}})
 			for range 3 {
@@ -36,11 +36,11 @@
 	}
 }
 
-// TestUnplannedLossUsesBudget has one of eleven routers lost already: nobody leaves under a budget of one, the plan
-// halts and says why, and it goes on once an operator has answered for the lost one.
+// TestUnplannedLossUsesBudget starts a plan when one of eleven routers is already missing. Under a budget of one no
+// unit leaves, the plan halts with the reason, and it continues once an operator has forgotten the missing router.
 func TestUnplannedLossUsesBudget(t *testing.T) {
 	f := newTestFleet(t, 10)
-	f.leader.MemberUp("r10") // known, and never heard of
+	f.leader.MemberUp("r10") // known, but never reported
 	f.leader.HandleCommand(f.now, &Command{Type: CommandStart, Token: "1", Plan: Plan{ID: "p", Kind: KindRestart, Units: []string{"r3", "r4"}, WaveSizes: []int{2},
 		ProgressTimeout: 5 * second, Budget: Budget{MaxUnavailable: 1, MaxShare: 1}}})
 	for range 3 {
@@ -60,11 +60,11 @@
 	f.advance(second)
 	f.advance(second)
 	if got := phases(f.plan()); got != "gw" {
-		t.Errorf("%s after an operator's command", got)
+		t.Errorf("phases after an operator's command: %s", got)
 	}
 }
 
-// TestBudgetRefusals asks for a slot that must not be granted, each time for a reason of its own.
+// TestBudgetRefusals requests slots that must not be granted, each for another reason.
 func TestBudgetRefusals(t *testing.T) {
 	routers := Plan{Kind: KindRestart, Budget: Budget{MaxShare: 1, MaxPerGroup: 1}}
 	nodes := Plan{Kind: KindNodes, Budget: Budget{MaxShare: 1, MaxPerGroup: 1}}
@@ -79,8 +79,8 @@
 			"2 of 6 are out, planned or not, and 2 may be"},
 		"zone used": {routers, func(b *Budget, _ *testFleet, u *unavailability) { b.MaxPerZone, u.byZone["z"] = 1, 1 }, "r1", ErrZoneBudgetUsed,
 			"1 of zone z are out, and 1 may be"},
-		"out of sight":  {routers, func(*Budget, *testFleet, *unavailability) {}, "r9", ErrUnavailable, "r9 is not in sight"},
-		"the one voter": {routers, func(*Budget, *testFleet, *unavailability) {}, "r0", ErrVotersOut, "0 of 1 voters are out or have forgotten"},
+		"not reporting":  {routers, func(*Budget, *testFleet, *unavailability) {}, "r9", ErrUnavailable, "r9 is not in sight"},
+		"the only voter": {routers, func(*Budget, *testFleet, *unavailability) {}, "r0", ErrVotersOut, "0 of 1 voters are out or have forgotten"},
 		"a node that is down": {nodes, func(_ *Budget, f *testFleet, _ *unavailability) { f.leader.nodes["b"].Up = false }, "b", ErrUnavailable,
 			"b is out already"},
 		"group used": {nodes, func(_ *Budget, _ *testFleet, u *unavailability) { u.byGroup[1] = 1 }, "b", ErrGroupBudgetUsed,
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -12,7 +12,7 @@
 	name := p.Plan.Units[i]
 	switch p.Units[i].Phase {
 	case PhaseLeaving:
-		if l.stillUsedBy(now, name) == "" {
+		if l.drainBlocker(now, name) == "" {
 			l.setPhase(now, p, i, PhaseUnavailable, "no router in sight has anything open there")
 		}
 	case PhaseUnavailable:
@@ -21,16 +21,16 @@
 			l.setPhase(now, p, i, PhaseReturning, "its time is over")
 		}
 	case PhaseReturning, PhaseStuck:
-		if l.missingNodeProof(name) == "" {
+		if l.unmetNodeCondition(name) == "" {
 			l.setPhase(now, p, i, PhaseDone, "it serves")
 		}
 	}
 }
 
-// stillUsedBy returns why a drained node may still be in use, "" if it is not. A router that does not report is waited
-// for: it may send commands there without having heard of the drain, and an operator who then stops the node would break
-// them.
-func (l *Leader) stillUsedBy(now int64, name string) string {
+// drainBlocker returns why a drained node may still be in use, "" if it is not. A router that does not report blocks
+// the drain: it may send commands there without having received the drain, and an operator who then stops the node
+// would break them.
+func (l *Leader) drainBlocker(now int64, name string) string {
 	if node := l.nodes[name]; node != nil && node.Primary {
 		return "its group has no other primary yet"
 	}
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// missingNodeProof returns what a node that is back still lacks to count as done, "" for nothing.
-func (l *Leader) missingNodeProof(name string) string {
+// unmetNodeCondition returns the condition that a returned node has yet to meet to count as done, "" for none.
+func (l *Leader) unmetNodeCondition(name string) string {
 	node := l.nodes[name]
 	if node == nil || !node.Up || !node.NearLogEnd && !node.Primary {
 		return "it is not up, or its log lags"
@@ -73,9 +73,9 @@
 	return &Statement{Term: r.Term, Seq: r.Seq, DrainedNodes: drainedNodes(r)}
 }
 
-// drainedNodes returns, in order, the nodes to which no router may send new commands. A stuck node is one of them: so
-// routers report no answers of it, missingNodeProof keeps waiting for one, and as a rule it stays stuck until an operator
-// forgets it.
+// drainedNodes returns, sorted, the nodes to which no router may send new commands. They include stuck nodes: routers
+// then report no answers of such a node, unmetNodeCondition keeps waiting for one, and as a rule it stays stuck until
+// an operator forgets it.
 func drainedNodes(r *Record) []string {
 	var names []string
 	for _, p := range r.Plans {
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -4,37 +4,38 @@
 
 // What a leader knows of the fleet: members from their reports and from the membership, nodes from its own router.
 
-// reportTimeout is the time after its last report for which a member is in sight, in us. Reports come each second, so that
-// two in a row may be lost; a machine that loses power counts as unavailable within that time.
+// reportTimeout is the time after its last report for which a member counts as reporting, in us. Reports come each
+// second, so two in a row may be lost; a machine that loses power counts as unavailable after that time.
 const reportTimeout = 3_500_000
 
-// maxNearLag is how far behind the clock, in us, a replica's last proven position may lie for it to count as near the
-// log's end. Routers probe each second or two, so an idle replica that is up to date is seen at most that far behind.
-const maxNearLag = 3_000_000
+// maxCaughtUpLag is how far behind the clock, in us, a replica's last confirmed position may be for the replica to
+// count as caught up. Routers probe every second or two, so the position of an idle, up-to-date replica appears at most
+// that far behind.
+const maxCaughtUpLag = 3_000_000
 
 // NodeState is a node as the leader's own router knows it.
 type NodeState struct {
 	Name, Zone string
 	Group      int
 	Primary    bool
-	Up         bool    // listed as up, and not silent
+	Up         bool    // discovery lists it as up, and it is not silent
 	NearLogEnd bool    // IsNearLogEnd of its position
-	WorkShare  float64 // its share of its group's usual work; only the simulation and tests set it, the router leaves it 0
+	WorkShare  float64 // its share of its group's usual load; only the simulation and tests set it, the router leaves it 0
 }
 
-// IsNearLogEnd reports whether a replica whose position is so many microseconds behind the clock could take its
+// IsNearLogEnd reports whether a replica whose position is this many microseconds behind the clock could take its
 // primary's place.
-func IsNearLogEnd(behind int64) bool { return behind <= maxNearLag }
+func IsNearLogEnd(behind int64) bool { return behind <= maxCaughtUpLag }
 
 // memberState is what a leader knows of one member.
 type memberState struct {
 	report         Report        // the newest
-	reportedAt     int64         // 0 for never, or since the membership lost it
-	returnedAt     int64         // when its present incarnation was first heard of
-	countsAtReturn CommandCounts // what it had counted then
+	reportedAt     int64         // 0 if never, or since the membership lost it
+	returnedAt     int64         // when its present incarnation first reported
+	countsAtReturn CommandCounts // its counts at that time
 }
 
-// HandleReport handles a member's report. A voter that has forgotten the record gets it again.
+// HandleReport handles a member's report. A voter that has forgotten the record is sent it again.
 func (l *Leader) HandleReport(now int64, r *Report) {
 	m := l.members[r.Member]
 	if m == nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// MemberUp handles news from the membership that there is a member, which need not have reported yet.
+// MemberUp handles a membership event: the member is present. It may not have reported yet.
 func (l *Leader) MemberUp(member string) {
 	if l.members[member] == nil {
 		l.members[member] = &memberState{report: Report{Member: member}}
@@ -69,15 +70,15 @@
 	l.addMember(member)
 }
 
-// MemberGone handles news from the membership that a member is gone. It counts as unavailable until it is back or
-// forgotten, also if it left in order: an operator who restarts it by hand takes it out of service as much as a plan does.
+// MemberGone handles a membership event: the member is gone. It counts as unavailable until it is back or forgotten,
+// even after an orderly shutdown: an operator who restarts it by hand takes it out of service just as a plan does.
 func (l *Leader) MemberGone(member string) {
 	if m := l.members[member]; m != nil {
 		m.reportedAt = 0
 	}
 }
 
-// SetNode replaces what is known of a node.
+// SetNode replaces the state of a node.
 func (l *Leader) SetNode(n NodeState) {
 	if l.nodes[n.Name] == nil {
 		l.nodes[n.Name] = &NodeState{Group: n.Group}
@@ -86,13 +87,13 @@
 	*l.nodes[n.Name] = n
 }
 
-// inSight reports whether a member has reported within reportTimeout.
-func (l *Leader) inSight(now int64, member string) bool {
+// isReporting reports whether the leader has received a report of a member within reportTimeout.
+func (l *Leader) isReporting(now int64, member string) bool {
 	m := l.members[member]
 	return m != nil && m.reportedAt > 0 && now-m.reportedAt < reportTimeout
 }
 
-// addMember adds a member to the record, so that a later leader that does not hear of it counts it as unavailable.
+// addMember adds a member to the record, so that a later leader that has no report of it counts it as unavailable.
 func (l *Leader) addMember(member string) {
 	if l.record == nil {
 		return
@@ -103,7 +104,7 @@
 	}
 }
 
-// removeMember removes a member for good: it does not count as unavailable any more.
+// removeMember removes a member permanently: it does not count as unavailable any more.
 func (l *Leader) removeMember(member string) {
 	delete(l.members, member)
 	if i, known := slices.BinarySearch(l.record.Members, member); known {
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// generatedFleet drives a Leader by generated events: what rolloutsim can't show, because its routers are alike, is
-// drawn here. Routers are slow to start, large, fail, crash or come back with the wrong version; nodes lag; terms
-// change.
+// generatedFleet drives a Leader with generated events, for conditions that rolloutsim can't produce because its
+// routers are all alike. Routers start slowly, use much memory, fail, crash or come back with the wrong version; nodes
+// lag; terms change.
 type generatedFleet struct {
 	rng    *rand.Rand
 	out    io.Writer
@@ -21,40 +21,40 @@
 	term   uint64
 	leader *Leader
 
-	voters  []*Voter
-	names   []string
-	routers []*generatedRouter
-	nodes   []*NodeState
+	voters     []*Voter
+	voterNames []string
+	routers    []*generatedRouter
+	nodes      []*NodeState
 
-	badVersion  badShares
-	slowStart   float64 // of the new version, times the usual
-	moreMemory  float64
-	wrongReturn float64 // probability that a router comes back with the version it had
+	badVersion              badShares
+	startupFactor           float64 // startup time of the new version, as a multiple of the usual one
+	memoryFactor            float64
+	wrongVersionProbability float64 // probability that a router comes back with its former version
 }
 
 // badShares are the shares of commands that end badly.
 type badShares struct{ failed, late, rejected float64 }
 
 type generatedRouter struct {
-	name        string
-	backAt      int64 // it is down until then
-	incarnation uint64
-	version     uint64
-	next        uint64
-	counts      CommandCounts
-	commands    int // a second
-	blank       bool
-	leaving     bool
-	startup     int64
-	memory      int64
-	heard       Statement
+	name             string
+	backAt           int64 // it is down until then
+	incarnation      uint64
+	version          uint64
+	nextVersion      uint64
+	counts           CommandCounts
+	commands         int // per second
+	mayHaveForgotten bool
+	leaving          bool
+	startup          int64
+	memory           int64
+	lastStatement    Statement
 }
 
 func newGeneratedFleet(seed uint64, out io.Writer) *generatedFleet {
-	f := &generatedFleet{rng: rand.New(rand.NewPCG(seed, 21)), out: out, names: []string{"r0", "r1", "r2"}}
-	f.leader = NewLeader("r0", f.names)
+	f := &generatedFleet{rng: rand.New(rand.NewPCG(seed, 21)), out: out, voterNames: []string{"r0", "r1", "r2"}}
+	f.leader = NewLeader("r0", f.voterNames)
 	for i := range 8 + f.rng.IntN(20) {
-		f.routers = append(f.routers, &generatedRouter{name: fmt.Sprint("r", i), incarnation: 1, version: 1, next: 1, commands: []int{0, 3, 40, 200}[f.rng.IntN(4)],
+		f.routers = append(f.routers, &generatedRouter{name: fmt.Sprint("r", i), incarnation: 1, version: 1, nextVersion: 1, commands: []int{0, 3, 40, 200}[f.rng.IntN(4)],
 			startup: 300_000 + f.rng.Int64N(900_000), memory: 30<<20 + f.rng.Int64N(20<<20)})
 	}
 	for range 3 {
@@ -68,14 +68,14 @@
 	}
 	pick := func(values ...float64) float64 { return values[f.rng.IntN(len(values))] }
 	f.badVersion = badShares{pick(0, 0, 0.01, 0.02, 0.7), pick(0, 0, 0.02), pick(0, 0, 0.03)}
-	f.slowStart = pick(1, 1, 2, 5, 20)
-	f.moreMemory = pick(1, 1, 1.3, 2)
-	f.wrongReturn = pick(0, 0, 0.3, 0.9)
+	f.startupFactor = pick(1, 1, 2, 5, 20)
+	f.memoryFactor = pick(1, 1, 1.3, 2)
+	f.wrongVersionProbability = pick(0, 0, 0.3, 0.9)
 	return f
 }
 
-func (f *generatedFleet) play(steps int) {
-	f.lead()
+func (f *generatedFleet) run(steps int) {
+	f.startLeader()
 	for range steps {
 		f.now += 250_000
 		for _, node := range f.nodes {
@@ -89,19 +89,19 @@
 				f.leader.MemberGone(r.name)
 			}
 		}
-		f.event()
+		f.injectEvent()
 		f.leader.Tick(f.now)
-		f.carryOut()
+		f.execute()
 	}
 }
 
-func (f *generatedFleet) lead() {
+func (f *generatedFleet) startLeader() {
 	f.term++
 	f.leader.BecomeLeader(f.now, f.term)
-	f.carryOut()
+	f.execute()
 }
 
-// report lets a second's part of commands pass and reports each second, but for some.
+// report counts a second's commands and sends a report each second, apart from a few that are lost.
 func (f *generatedFleet) report(r *generatedRouter) {
 	if f.now%1_000_000 != 0 || f.rng.IntN(40) == 0 {
 		return
@@ -124,7 +124,7 @@
 		}
 	}
 	report := &Report{Member: r.name, Zone: "z" + r.name[len(r.name)-1:], Incarnation: r.incarnation, Version: r.version, Ready: f.now-r.backAt > 500_000, Leaving: r.leaving,
-		Term: r.heard.Term, Seq: r.heard.Seq, Counts: r.counts, StartupTime: r.startup, ResidentBytes: r.memory, MayHaveForgotten: r.blank}
+		Term: r.lastStatement.Term, Seq: r.lastStatement.Seq, Counts: r.counts, StartupTime: r.startup, ResidentBytes: r.memory, MayHaveForgotten: r.mayHaveForgotten}
 	for _, node := range f.nodes {
 		use := NodeUse{Node: node.Name, OpenCommands: f.rng.IntN(8) / 7}
 		if node.Up {
@@ -135,30 +135,30 @@
 	f.leader.HandleReport(f.now, report)
 }
 
-// restart takes a router down and brings a new process of it back later.
+// restart takes a router down; a new process of it comes back later.
 func (f *generatedFleet) restart(r *generatedRouter) {
 	r.backAt = f.now + 500_000 + f.rng.Int64N(6_000_000)
 	r.incarnation++
 	r.counts = CommandCounts{}
 	r.leaving = false
-	if f.rng.Float64() >= f.wrongReturn {
-		r.version = r.next
+	if f.rng.Float64() >= f.wrongVersionProbability {
+		r.version = r.nextVersion
 	}
 	r.startup = 300_000 + f.rng.Int64N(900_000)
 	r.memory = 30<<20 + f.rng.Int64N(20<<20)
 	if r.version > 1 {
-		r.startup = int64(float64(r.startup) * f.slowStart)
-		r.memory = int64(float64(r.memory) * f.moreMemory)
+		r.startup = int64(float64(r.startup) * f.startupFactor)
+		r.memory = int64(float64(r.memory) * f.memoryFactor)
 	}
-	for i, name := range f.names {
+	for i, name := range f.voterNames {
 		if name == r.name {
 			f.voters[i] = NewVoter(r.incarnation, nil)
-			r.blank = true
+			r.mayHaveForgotten = true
 		}
 	}
 }
 
-func (f *generatedFleet) event() {
+func (f *generatedFleet) injectEvent() {
 	r := f.routers[f.rng.IntN(len(f.routers))]
 	node := f.nodes[f.rng.IntN(len(f.nodes))]
 	switch f.rng.IntN(120) {
@@ -178,7 +178,7 @@
 		}
 	case 5:
 		if f.rng.IntN(4) == 0 {
-			f.lead()
+			f.startLeader()
 		}
 	case 6:
 		f.term++
@@ -222,20 +222,21 @@
 	f.leader.HandleCommand(f.now, c)
 }
 
-func (f *generatedFleet) carryOut() {
+func (f *generatedFleet) execute() {
 	for again := true; again; {
 		again = false
 		for _, action := range f.leader.TakeActions() {
 			writeAction(f.out, f.now, action)
-			again = f.carryOutOne(action) || again
+			again = f.executeOne(action) || again
 		}
 	}
 	_, record := f.leader.Leading()
 	fmt.Fprintf(f.out, "leads %v: %s\n", record != nil, f.leader.NotLeadingReason())
 }
 
-// carryOutOne lets voters answer, but for some, and routers leave. It reports whether the leader may want more.
-func (f *generatedFleet) carryOutOne(action Action) bool {
+// executeOne lets voters answer, apart from a few lost messages, and restarts routers that are told to leave. It
+// reports whether the leader may want more.
+func (f *generatedFleet) executeOne(action Action) bool {
 	switch a := action.(type) {
 	case ReadVoter:
 		if f.rng.IntN(6) == 0 {
@@ -250,16 +251,16 @@
 		}
 		accepted := f.voter(a.Voter).Write(a.Record, a.Incarnation)
 		if accepted {
-			f.router(a.Voter).blank = false
+			f.router(a.Voter).mayHaveForgotten = false
 		}
 		f.leader.HandleWriteAnswer(f.now, a.Voter, a.Record.Term, a.Record.Seq, accepted)
 		return true
 	case SendStatement:
 		r := f.router(a.Member)
-		r.heard = *a.Statement
+		r.lastStatement = *a.Statement
 		if f.now >= r.backAt && a.Statement.Instruction == InstructionLeave && a.Statement.Incarnation == r.incarnation {
 			if a.Statement.TargetVersion > 0 {
-				r.next = a.Statement.TargetVersion
+				r.nextVersion = a.Statement.TargetVersion
 			}
 			f.restart(r)
 		}
@@ -277,15 +278,15 @@
 }
 
 func (f *generatedFleet) voter(name string) *Voter {
-	for i, one := range f.names {
-		if one == name {
+	for i, voterName := range f.voterNames {
+		if voterName == name {
 			return f.voters[i]
 		}
 	}
 	return nil
 }
 
-// writeAction writes all of an action in a form that depends on no name in the code.
+// writeAction writes all fields of an action in a form that does not depend on names in the code.
 func writeAction(out io.Writer, now int64, action Action) {
 	fmt.Fprint(out, now, " ")
 	switch a := action.(type) {
@@ -310,7 +311,7 @@
 	case LogEvent:
 		fmt.Fprintf(out, "log %q %q\n", a.PlanID, a.Text)
 	default:
-		panic("no action of a leader")
+		panic("not an action of a leader")
 	}
 }
 
@@ -329,9 +330,9 @@
 	}
 }
 
-// TestGeneratedEventsAsRecorded compares a hash over every action of a leader, in order and with all that it carries,
-// with the ones that testdata/generated.golden holds. The file is recorded anew only by a commit that changes a
-// decision and says so.
+// TestGeneratedEventsAsRecorded compares a hash over every action of a leader, in order and with all its fields, with
+// the ones in testdata/generated.golden. The file is recorded anew only by a commit that changes a decision and says
+// so.
 func TestGeneratedEventsAsRecorded(t *testing.T) {
 	raw, err := os.ReadFile("testdata/generated.golden")
 	if err != nil {
@@ -342,7 +343,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			digest := xxhash.New()
-			newGeneratedFleet(uint64(seed), digest).play(generatedSteps)
+			newGeneratedFleet(uint64(seed), digest).run(generatedSteps)
 			if got := fmt.Sprintf("%#016x", digest.Sum64()); got != want {
 				t.Errorf("%s, want %s", got, want)
 			}
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -7,37 +7,38 @@
 	"strings"
 )
 
-// settleTime is the time after its lead began in which a leader grants no slot, in us: it has to see first who is there.
-// Several reports of each member come in that time, even if a few are lost. Without it a new leader would count members that
-// it has not heard of yet as unavailable, or grant a slot beside a loss that it has not seen yet.
+// settleTime is the time after taking leadership during which a leader grants no slot, in us, so that it first learns
+// which members are present. Several reports of each member arrive in that time, even if a few are lost. Without it a
+// new leader would count members that have not reported to it yet as unavailable, or grant a slot on top of a failure
+// that it has not noticed yet.
 const settleTime = 5_000_000
 
-// statementInterval is the time between statements to each member, in us. One may be lost, and a member that restarts
+// statementInterval is the time between statements to each member, in us. One may be lost; a member that restarts
 // learns within that time which nodes are drained.
 const statementInterval = 1_000_000
 
-// Leader is the part of the instance that holds the lease. What it knows of the fleet (members, nodes, groups) outlives a
-// lead; the record and the trackers of plans belong to one lead.
+// Leader is the role of the instance that holds the lease. Its knowledge of the fleet (members, nodes, groups) is kept
+// across terms of leadership; the record and the trackers of plans belong to one term of leadership.
 type Leader struct {
 	self   string
 	voters []string
 
-	term             uint64 // of the lease; 0 if it does not hold it
-	leadingSince     int64  // when it got the lease, and later when its record was first committed
-	notLeadingReason string // why it can't lead though it holds the lease, "" if it leads
+	term             uint64 // of the lease; 0 if it is not held
+	leadingSince     int64  // when it acquired the lease, and later when its record was first committed
+	notLeadingReason string // why it does not lead though it holds the lease, "" if it leads
 
 	// The record, see replication.go.
-	record            *Record // as decided; nil until it was recovered from voters
+	record            *Record // as decided; nil until it is recovered from voters
 	changed           bool    // record differs from what was last written
 	inFlight          *Record // written, not yet kept by a majority
-	committed         *Record // kept by a majority; nil if it does not lead
+	committed         *Record // kept by a majority; nil if this instance does not lead
 	voterStates       map[string]VoterState
 	voterIncarnations map[string]uint64
 	acknowledged      map[string]bool // voters that keep inFlight
 	nextReadAt        int64
 	nextWriteAt       int64
 	nextStatementAt   int64
-	nextHandOverAt    int64
+	nextTransferAt    int64
 	pendingReplies    []pendingReply
 
 	members  map[string]*memberState
@@ -47,16 +48,16 @@
 	actions  []Action
 }
 
-// planTracker is what a leader remembers of a plan besides the record; a later leader begins a new one.
+// planTracker is a leader's state of a plan besides the record; a later leader starts with a new one.
 type planTracker struct {
 	lastProgressAt int64   // when a unit's phase or the plan's state last changed
-	watchedSince   int64   // since when the wave is watched, 0 if it is not
+	watchedSince   int64   // since when the wave has been watched, 0 if it is not
 	phaseSince     []int64 // by unit
-	canary         *canaryAnalysis
+	analysis       *canaryAnalysis
 	blockedBy      error // why a unit was last kept from leaving. It is never cleared; operators see it only if the plan halts for lack of progress
 }
 
-// NewLeader makes one that does not lead yet.
+// NewLeader returns a Leader that does not lead yet.
 func NewLeader(self string, voters []string) *Leader {
 	return &Leader{
 		self:    self,
@@ -67,21 +68,21 @@
 	}
 }
 
-// TakeActions returns what is to be done, in order, and forgets it.
+// TakeActions returns the pending actions in order, and clears them.
 func (l *Leader) TakeActions() []Action {
 	actions := l.actions
 	l.actions = nil
 	return actions
 }
 
-func (l *Leader) act(a Action) { l.actions = append(l.actions, a) }
+func (l *Leader) emit(a Action) { l.actions = append(l.actions, a) }
 
 func (l *Leader) logf(planID, format string, args ...any) {
-	l.act(LogEvent{PlanID: planID, Text: fmt.Sprintf(format, args...)})
+	l.emit(LogEvent{PlanID: planID, Text: fmt.Sprintf(format, args...)})
 }
 
-// Leading returns the term under which it leads and the record that a majority of voters keeps; 0 and nil if it does not
-// lead.
+// Leading returns the term under which it leads and the committed record, which a majority of voters keeps; 0 and nil
+// if it does not lead.
 func (l *Leader) Leading() (term uint64, r *Record) {
 	if l.committed == nil {
 		return 0, nil
@@ -92,7 +93,7 @@
 // NotLeadingReason returns why it holds the lease and does not lead yet, "" if it leads or does not hold the lease.
 func (l *Leader) NotLeadingReason() string { return l.notLeadingReason }
 
-// BecomeLeader begins a lead under a term of the lease: it reads the record from the voters.
+// BecomeLeader takes leadership under a term of the lease: it reads the record from the voters.
 func (l *Leader) BecomeLeader(now int64, term uint64) {
 	l.StepDown()
 	l.term = term
@@ -106,8 +107,8 @@
 	l.Tick(now)
 }
 
-// ExtendTerm continues the lead under a later term of the same holder: nobody else has led in between, so nothing has to be
-// read.
+// ExtendTerm continues under a later term of the same holder: no other instance has led in between, so nothing has to
+// be read.
 func (l *Leader) ExtendTerm(now int64, term uint64) {
 	if l.committed == nil {
 		l.BecomeLeader(now, term)
@@ -124,7 +125,7 @@
 	l.replicate(now)
 }
 
-// StepDown ends its lead; members are not notified, for another instance may lead.
+// StepDown ends its leadership; members are not notified, since another instance may lead.
 func (l *Leader) StepDown() {
 	l.term = 0
 	l.record = nil
@@ -135,7 +136,7 @@
 	l.notLeadingReason = ""
 }
 
-// Tick does what is due. It is to be called several times a second.
+// Tick does what is due. It must be called several times a second.
 func (l *Leader) Tick(now int64) {
 	if l.term == 0 {
 		return
@@ -146,7 +147,8 @@
 	}
 	l.replicate(now)
 	if l.committed == nil {
-		// Writes must name a voter's present process. Until reports come, a read is the only way to learn of a new one.
+		// Writes must name a voter's present process. Until reports arrive, only a read shows that a voter has
+		// restarted.
 		if now >= l.nextReadAt {
 			l.readVoters(now, func(voter string) bool { return l.acknowledged[voter] })
 		}
@@ -160,8 +162,8 @@
 	l.replicate(now)
 }
 
-// advancePlans advances each plan that has not ended. What is unavailable is counted once for all plans of routers, at the
-// first of them, and once for all plans of nodes. Each slot that is granted is added to its count at once.
+// advancePlans advances each plan that has not ended. Unavailable units are counted once for all plans of routers, at
+// the first of them, and once for all plans of nodes. Each slot that is granted is added to its count at once.
 func (l *Leader) advancePlans(now int64) {
 	var routers, nodes *unavailability
 	for _, p := range l.record.Plans {
@@ -188,12 +190,12 @@
 	}
 	switch p.State {
 	case StateRunning:
-		inDoubt, evidence := tracker.canary.evaluate()
+		inconclusive, evidence := tracker.analysis.evaluate()
 		if evidence != "" {
 			l.haltByEvidence(now, p, evidence)
 			return
 		}
-		l.advanceWave(now, p, u, inDoubt)
+		l.advanceWave(now, p, u, inconclusive)
 	case StateRollingBack:
 		l.advanceRollback(now, p, u)
 	}
@@ -203,12 +205,12 @@
 	}
 }
 
-// tracker returns a plan's tracker, a new one that begins now if there is none.
+// tracker returns a plan's tracker, a new one that starts now if there is none.
 func (l *Leader) tracker(now int64, p *Progress) *planTracker {
 	if tracker := l.trackers[p.Plan.ID]; tracker != nil {
 		return tracker
 	}
-	tracker := &planTracker{lastProgressAt: now, canary: newCanaryAnalysis(), phaseSince: make([]int64, len(p.Units))}
+	tracker := &planTracker{lastProgressAt: now, analysis: newCanaryAnalysis(), phaseSince: make([]int64, len(p.Units))}
 	for i := range tracker.phaseSince {
 		tracker.phaseSince[i] = now
 	}
@@ -216,7 +218,7 @@
 	return tracker
 }
 
-// haltByEvidence turns a plan of versions back unless it is set to stay (NoRollback), and halts any other plan.
+// haltByEvidence rolls back a plan of versions unless NoRollback is set, and halts any other plan.
 func (l *Leader) haltByEvidence(now int64, p *Progress, evidence string) {
 	if p.Plan.Kind == KindVersion && !p.Plan.NoRollback {
 		l.setState(now, p, StateRollingBack, evidence)
@@ -225,19 +227,19 @@
 	l.setState(now, p, StateHalted, evidence)
 }
 
-// maxNamedUnits is the number of units that a halted plan's reason names: enough for an operator to begin with, in a line
-// that can still be read.
+// maxNamedUnits is the number of units that a halted plan's reason names: enough for an operator to start with, in a
+// line short enough to read.
 const maxNamedUnits = 5
 
-// haltWithoutProgress halts a plan that makes no progress: the reason names units that hold a slot with what each lacks,
-// or, if no unit holds one, why nobody could leave. A plan that goes back is not halted: its units that hold a slot become
-// stuck, and those that still have to be sent back are tried again at each tick.
+// haltWithoutProgress halts a plan that makes no progress. The reason names units that hold a slot with the condition
+// that each has yet to meet or, if no unit holds one, why none could leave. A plan that is rolling back is not halted:
+// its units that hold a slot become stuck, and those that still have to be rolled back are tried again at each tick.
 func (l *Leader) haltWithoutProgress(now int64, p *Progress) {
 	tracker := l.trackers[p.Plan.ID]
 	if p.State == StateRollingBack {
 		for i, unit := range p.Units {
 			if unit.Phase.HoldsSlot() && unit.Phase != PhaseStuck {
-				l.setPhase(now, p, i, PhaseStuck, l.missingProof(now, p, i))
+				l.setPhase(now, p, i, PhaseStuck, l.unmetCondition(now, p, i))
 			}
 		}
 		tracker.lastProgressAt = now
@@ -246,7 +248,7 @@
 	var holders []string
 	for i, unit := range p.Units {
 		if unit.Phase.HoldsSlot() && unit.Phase != PhaseStuck && len(holders) < maxNamedUnits {
-			holders = append(holders, fmt.Sprintf("%s is %v (%s)", p.Plan.Units[i], unit.Phase, l.missingProof(now, p, i)))
+			holders = append(holders, fmt.Sprintf("%s is %v (%s)", p.Plan.Units[i], unit.Phase, l.unmetCondition(now, p, i)))
 		}
 	}
 	reason := strings.Join(holders, ", ")
@@ -260,7 +262,7 @@
 	l.setState(now, p, StateHalted, fmt.Sprintf("no progress for %.0f s: %s", seconds, reason))
 }
 
-// setPhase changes a unit's phase, which is progress, and logs why.
+// setPhase changes a unit's phase, which counts as progress, and logs the reason.
 func (l *Leader) setPhase(now int64, p *Progress, i int, to Phase, why string) {
 	tracker := l.trackers[p.Plan.ID]
 	p.Units[i].Phase = to
@@ -270,7 +272,7 @@
 	l.logf(p.Plan.ID, "%s %v: %s", p.Plan.Units[i], to, why)
 }
 
-// setState changes a plan's state, which counts as progress, and logs why.
+// setState changes a plan's state, which counts as progress, and logs the reason.
 func (l *Leader) setState(now int64, p *Progress, to State, why string) {
 	tracker := l.trackers[p.Plan.ID]
 	p.State = to
@@ -281,8 +283,8 @@
 	l.logf(p.Plan.ID, "plan %s: %s", to, why)
 }
 
-// sendStatements sends statements from the record that a majority of voters keeps: to all members if before is nil, else
-// to those whom the change from the record before concerns.
+// sendStatements sends statements from the committed record: to all members if before is nil, else to those that the
+// change from the record before concerns.
 func (l *Leader) sendStatements(before *Record) {
 	drained := drainedNodes(l.committed)
 	toAll := before == nil || !slices.Equal(drained, drainedNodes(before))
@@ -298,7 +300,7 @@
 		statement.Term = l.committed.Term
 		statement.Seq = l.committed.Seq
 		statement.DrainedNodes = drained
-		l.act(SendStatement{name, statement})
+		l.emit(SendStatement{name, statement})
 	}
 }
 
--- a/internal/rollout/leader_test.go
+++ b/internal/rollout/leader_test.go
@@ -7,16 +7,16 @@
 
 const second = 1_000_000 // us
 
-// testFleet is a leader with one voter, itself, and members that report each second and serve.
+// testFleet is a leader with one voter, itself, and members that report each second and serve commands.
 type testFleet struct {
-	leader  *Leader
-	voter   *Voter
-	members int
-	now     int64
-	cutOff  string // member whose reports don't come
+	leader      *Leader
+	voter       *Voter
+	members     int
+	now         int64
+	partitioned string // member whose reports are lost
 }
 
-// newTestFleet makes a fleet whose leader has begun and granted nothing yet.
+// newTestFleet returns a fleet whose leader leads and has granted no slot yet.
 func newTestFleet(t *testing.T, members int, nodes ...NodeState) *testFleet {
 	t.Helper()
 	f := &testFleet{leader: NewLeader("r0", []string{"r0"}), voter: NewVoter(1, &Record{}), members: members}
@@ -24,18 +24,18 @@
 		f.leader.SetNode(node)
 	}
 	f.leader.BecomeLeader(f.now, 1)
-	f.carryOut()
+	f.execute()
 	for range 7 {
 		f.advance(second)
 	}
 	if term, _ := f.leader.Leading(); term != 1 {
-		t.Fatal("it does not lead: ", f.leader.NotLeadingReason())
+		t.Fatal("the leader does not lead: ", f.leader.NotLeadingReason())
 	}
 	return f
 }
 
-// carryOut lets the voter answer until the leader wants nothing more of it.
-func (f *testFleet) carryOut() {
+// execute lets the voter answer until the leader sends it nothing more.
+func (f *testFleet) execute() {
 	for again := true; again; {
 		again = false
 		for _, action := range f.leader.TakeActions() {
@@ -58,16 +58,16 @@
 	f.now += d
 	for i := range f.members {
 		name := fmt.Sprint("r", i)
-		if name == f.cutOff {
+		if name == f.partitioned {
 			continue
 		}
 		f.leader.HandleReport(f.now, &Report{Member: name, Zone: "z", Incarnation: 1, Ready: true, Counts: CommandCounts{Commands: uint64(f.now / 1000)}})
 	}
 	f.leader.Tick(f.now)
-	f.carryOut()
+	f.execute()
 }
 
-// plan is the first plan as a majority of voters keeps it.
+// plan returns the first plan of the committed record.
 func (f *testFleet) plan() *Progress {
 	_, record := f.leader.Leading()
 	return record.Plans[0]
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Instruction is what a member is to do with itself. The numbers are sent to other instances.
+// Instruction is what a member must do. The numbers are sent to other instances.
 type Instruction uint8
 
 // The instructions.
 const (
 	InstructionContinue Instruction = iota
-	InstructionLeave                // leave in order, and let the supervisor start the version that is named
+	InstructionLeave                // shut down in order; the supervisor then starts TargetVersion
 )
 
 // String returns the instruction's name.
@@ -19,44 +19,45 @@
 	return "continue"
 }
 
-// Statement is a leader's message to one member, from a record that a majority of voters keeps.
+// Statement is a leader's message to one member, derived from a committed record.
 type Statement struct {
 	Term, Seq     uint64 // of that record
 	Instruction   Instruction
 	Slot          Slot
 	Incarnation   uint64 // the process that the instruction is for
-	TargetVersion uint64 // to be started with, 0 for the present one
+	TargetVersion uint64 // the version to start next, 0 for the present one
 	DrainedNodes  []string
 }
 
-// Report is a member's message to the leader, each second.
+// Report is a member's message to the leader, sent each second.
 type Report struct {
 	Member           string
 	Zone             string
-	Incarnation      uint64 // of its process; no other process of this member has it. Only equality is compared
+	Incarnation      uint64 // of its process; no other process of this member has it. It is only compared for equality
 	Version          uint64
 	Ready            bool // it accepts commands
 	Leaving          bool
-	Term, Seq        uint64 // of the newest statement that it has heard
+	Term, Seq        uint64 // of the newest statement that it has received
 	Counts           CommandCounts
-	StartupTime      int64     // us that it took to be ready
-	ResidentBytes    int64     // 0 if it does not know
-	Nodes            []NodeUse // those that are drained, or are being returned
+	StartupTime      int64     // us that it took to become ready
+	ResidentBytes    int64     // 0 if unknown
+	Nodes            []NodeUse // drained nodes, and nodes that are being returned
 	MayHaveForgotten bool      // it votes, and has kept no record since its process started
 }
 
-// NodeUse is what a router does at one node.
+// NodeUse is a router's use of one node.
 type NodeUse struct {
 	Node         string
 	OpenCommands int
 	Answers      uint64 // of the node since it was returned to service
 }
 
-// drainQueryInterval is the time between queries of a member that has heard no statement yet, in us. Until one is answered
-// or a leader's statement comes the router goes by discovery alone, and may use a node that plans have drained.
+// drainQueryInterval is the time between queries of a member that has received no statement yet, in us. Until one is
+// answered or a leader's statement arrives, the router relies on discovery alone, and may use a node that plans have
+// drained.
 const drainQueryInterval = 1_000_000
 
-// Member is one router's part: it follows the newest statement that it has heard.
+// Member is the role of one router: it follows the newest statement that it has received.
 type Member struct {
 	incarnation  uint64
 	newest       Statement
@@ -66,10 +67,10 @@
 	actions      []Action
 }
 
-// NewMember makes one for a process.
+// NewMember returns the Member of a process with this incarnation.
 func NewMember(incarnation uint64) *Member { return &Member{incarnation: incarnation} }
 
-// TakeActions returns what is to be done, in order, and forgets it.
+// TakeActions returns the pending actions in order, and clears them.
 func (m *Member) TakeActions() []Action {
 	actions := m.actions
 	m.actions = nil
@@ -79,8 +80,8 @@
 // Statement returns the newest statement, false for none.
 func (m *Member) Statement() (Statement, bool) { return m.newest, m.hasStatement }
 
-// HandleStatement takes a statement of a leader, or of a voter on drained nodes alone. Older ones than the newest are
-// ignored: a message that comes late must neither send anybody out nor bring a drained node back.
+// HandleStatement handles a statement of a leader, or one of a voter, which carries drained nodes only. Statements that
+// are older than the newest are ignored: a delayed message must neither make a router leave nor return a drained node.
 func (m *Member) HandleStatement(s *Statement) {
 	if m.hasStatement && !isNewer(s.Term, s.Seq, m.newest.Term, m.newest.Seq) {
 		return
@@ -90,14 +91,14 @@
 	}
 	m.newest = *s
 	m.hasStatement = true
-	isForThisProcess := s.Incarnation == m.incarnation // the one that comes back after it has another number
+	isForThisProcess := s.Incarnation == m.incarnation // the next process of this member has another incarnation
 	if s.Instruction == InstructionLeave && isForThisProcess && !m.leaving {
 		m.leaving = true
 		m.actions = append(m.actions, LeaveService{s.Slot, s.TargetVersion})
 	}
 }
 
-// Tick asks voters which nodes are drained until the first statement has come: discovery may list a drained node as up.
+// Tick asks voters which nodes are drained until the first statement arrives: discovery may list a drained node as up.
 func (m *Member) Tick(now int64) {
 	if !m.hasStatement && now >= m.nextQueryAt {
 		m.nextQueryAt = now + drainQueryInterval
--- a/internal/rollout/operator_command.go
+++ b/internal/rollout/operator_command.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// What operators may ask of the leader, and when the leader refuses it.
+// Operators' commands to the leader, and when it refuses them.
 
-// CommandType is what an operator asks for. The numbers are sent.
+// CommandType is the type of an operator's command. The numbers are sent to other instances.
 type CommandType uint8
 
-// The types of operators' commands, with the fields of Command that each needs beside its token.
+// The types of operators' commands, with the fields of Command that each needs besides its token.
 const (
-	CommandStart    CommandType = iota + 1 // Plan: begin it
-	CommandHalt                            // PlanID: nobody new leaves
-	CommandResume                          // PlanID: a halted plan goes on
-	CommandRollBack                        // PlanID: what it touched goes back; also of a finished plan, see applyCommand
-	CommandForget                          // PlanID, Unit: remove it from the plan, with its slot. Unit alone: remove a member that is missed
-	CommandReturn                          // PlanID, Unit: bring a drained node back
-	CommandBegin                           // lead from what the voters that answer keep, though some have forgotten
+	CommandStart    CommandType = iota + 1 // Plan: start it
+	CommandHalt                            // PlanID: no further unit leaves
+	CommandResume                          // PlanID: continue a halted plan
+	CommandRollBack                        // PlanID: roll back what it updated; also for a finished plan, see applyCommand
+	CommandForget                          // PlanID, Unit: remove the unit from the plan and free its slot. Unit alone: remove a missing member
+	CommandReturn                          // PlanID, Unit: return a drained node
+	CommandBegin                           // lead from the records of the voters that answer, though some have forgotten theirs
 )
 
 var commandNames = [...]string{"", "start", "halt", "resume", "back", "forget", "return", "begin"}
 
-// String returns the type as the command line says it.
+// String returns the type as the command line names it.
 func (t CommandType) String() string {
 	if int(t) < len(commandNames) {
 		return commandNames[t]
@@ -32,9 +32,9 @@
 	return fmt.Sprintf("command %d", uint8(t))
 }
 
-// Command is an operator's. One whose token was accepted before is accepted as the same command and does nothing more, so
-// that it can be repeated until it is answered. CommandBegin is the exception: its token is not kept, and a repeat to a
-// leader that has begun is refused.
+// Command is an operator's command. One whose token was accepted before is accepted as the same command and has no
+// further effect, so it can be repeated until it is answered. CommandBegin is the exception: its token is not kept, and
+// a leader that has started refuses a repeat.
 type Command struct {
 	Type   CommandType
 	Token  string
@@ -43,16 +43,16 @@
 	Unit   string
 }
 
-// byOperator is the reason that operators see for what a command of theirs did.
+// byOperator is the reason that operators see for a change that one of their commands made.
 const byOperator = "an operator's word"
 
-// HandleCommand handles an operator's command. A refusal is replied at once, an acceptance when a majority of voters keeps
-// what the command did.
+// HandleCommand handles an operator's command. A refusal is replied at once, an acceptance when the change is
+// committed.
 func (l *Leader) HandleCommand(now int64, c *Command) {
 	if c.Type == CommandBegin && l.term > 0 && l.record == nil {
 		l.recoverRecord(now, true)
 		if l.record == nil {
-			l.act(ReplyToCommand{c.Token, refuse(ErrNotLeading, "%s", l.notLeadingReason)})
+			l.emit(ReplyToCommand{c.Token, refuse(ErrNotLeading, "%s", l.notLeadingReason)})
 			return
 		}
 		l.pendingReplies = append(l.pendingReplies, pendingReply{c.Token, 1})
@@ -60,18 +60,18 @@
 	}
 	if l.committed == nil {
 		reason := cmp.Or(l.notLeadingReason, "another one holds the lease, or none does")
-		l.act(ReplyToCommand{c.Token, refuse(ErrNotLeading, "this router does not lead: %s", reason)})
+		l.emit(ReplyToCommand{c.Token, refuse(ErrNotLeading, "this router does not lead: %s", reason)})
 		return
 	}
 	if slices.Contains(l.committed.Tokens, c.Token) {
-		l.act(ReplyToCommand{Token: c.Token})
+		l.emit(ReplyToCommand{Token: c.Token})
 		return
 	}
 	if slices.Contains(l.record.Tokens, c.Token) { // its reply waits for a majority
 		return
 	}
 	if err := l.applyCommand(now, c); err != nil {
-		l.act(ReplyToCommand{c.Token, err})
+		l.emit(ReplyToCommand{c.Token, err})
 		return
 	}
 	tokens := append(l.record.Tokens, c.Token)
@@ -81,8 +81,9 @@
 	l.replicate(now)
 }
 
-// applyCommand does what a command asks for, or returns why not. A leader keeps a tracker only of plans that it has seen
-// under way, so a plan that finished under a former leader can't be rolled back: the command is refused with ErrNotLeading.
+// applyCommand applies a command, or returns why not. A leader keeps a tracker only for plans that it has seen in
+// progress, so a plan that finished under a former leader can't be rolled back: the command is refused with
+// ErrNotLeading.
 func (l *Leader) applyCommand(now int64, c *Command) error {
 	if c.Type == CommandStart {
 		return l.startPlan(c.Plan)
@@ -104,7 +105,7 @@
 		if err := l.changeState(now, p, StateRunning, StateHalted); err != nil {
 			return err
 		}
-		l.trackers[p.Plan.ID].canary = newCanaryAnalysis()
+		l.trackers[p.Plan.ID].analysis = newCanaryAnalysis()
 		return nil
 	case CommandRollBack:
 		return l.changeState(now, p, StateRollingBack, StateRunning, StateHalted, StateFinished)
@@ -125,16 +126,16 @@
 	return nil
 }
 
-// forgetMember removes a member that is missed for good. One that is in sight is refused.
+// forgetMember removes a missing member permanently. It refuses one that is reporting.
 func (l *Leader) forgetMember(now int64, member string) error {
-	if l.members[member] == nil || l.inSight(now, member) {
+	if l.members[member] == nil || l.isReporting(now, member) {
 		return refuse(ErrUnknownUnit, "%q is in sight, or no member of that name is missed", member)
 	}
 	l.removeMember(member)
 	return nil
 }
 
-// forgetUnit removes a unit from a plan and frees its slot without proof: the operator vouches for it.
+// forgetUnit removes a unit from a plan and frees its slot without a health check: the operator vouches for it.
 func (l *Leader) forgetUnit(now int64, p *Progress, name string) error {
 	i := slices.Index(p.Plan.Units, name)
 	if i < 0 || p.Units[i].Phase == PhaseForgotten {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// returnNode brings a node back that is drained or being drained.
+// returnNode returns a node to service that is drained or being drained.
 func (l *Leader) returnNode(now int64, p *Progress, name string) error {
 	i := slices.Index(p.Plan.Units, name)
 	isDrained := i >= 0 && p.Plan.Kind == KindNodes && (p.Units[i].Phase == PhaseUnavailable || p.Units[i].Phase == PhaseLeaving)
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// startPlan begins a plan, or returns why not: it is invalid, or its name was used, or another plan under way has still to
-// handle one of its units, or too many are under way, or a unit is unknown.
+// startPlan starts a plan, or returns why not: it is invalid, its name was used, another plan in progress has yet to
+// handle one of its units, too many plans are in progress, or a unit is unknown.
 func (l *Leader) startPlan(p Plan) error {
 	p.SetDefaults()
 	if err := p.Validate(); err != nil {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// checkOverlap returns ErrUnitInPlan if p still has to handle one of other's units, else nil. Plans of routers and plans
+// checkOverlap returns ErrUnitInPlan if p has yet to handle one of other's units, else nil. Plans of routers and plans
 // of nodes have no units in common.
 func (p *Progress) checkOverlap(other *Plan) error {
 	if (p.Plan.Kind == KindNodes) != (other.Kind == KindNodes) {
@@ -216,8 +217,8 @@
 	return nil
 }
 
-// dropOldestEnded removes the oldest ended plans until fewer than MaxPlans ended ones are left. underWay is the number of
-// plans that have not ended.
+// dropOldestEnded removes the oldest ended plans until fewer than MaxPlans ended ones are left. underWay is the number
+// of plans that have not ended.
 func (r *Record) dropOldestEnded(underWay int) {
 	for i := 0; i < len(r.Plans); {
 		ended := len(r.Plans) - underWay
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -10,17 +10,17 @@
 
 // The kinds of plans.
 const (
-	KindRestart Kind = iota + 1 // each router leaves in order and is started again by its supervisor
-	KindVersion                 // each router changes to another version of its file, by a restart
-	KindNodes                   // each node is drained, kept out for a while, and returned
+	KindRestart Kind = iota + 1 // each router shuts down in order and is started again by its supervisor
+	KindVersion                 // each router changes to another version of its executable, by a restart
+	KindNodes                   // each node is drained, kept out of service for a while, and returned
 )
 
 var kindNames = [...]string{"", "restart", "version", "nodes"}
 
-// Valid reports whether there is such a kind.
+// Valid reports whether k is one of the kinds.
 func (k Kind) Valid() bool { return k >= KindRestart && k <= KindNodes }
 
-// String returns the kind as a plan's file says it; the zero Kind has no name.
+// String returns the kind as written in a plan's file; the zero Kind has no name.
 func (k Kind) String() string {
 	if k <= KindNodes {
 		return kindNames[k]
@@ -28,48 +28,48 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Budget is how much may be unavailable at once, by plans or for any other reason.
+// Budget limits how many units may be unavailable at once, by plans or for any other reason.
 type Budget struct {
-	MaxUnavailable int     // units in all; 0 for no bound beside MaxShare
-	MaxShare       float64 // units in all, as a share of all known ones of that sort
-	MaxPerZone     int     // units of one zone; 0 for no bound
+	MaxUnavailable int     // units in all; 0 for no limit besides MaxShare
+	MaxShare       float64 // units in all, as a share of all known units of that sort
+	MaxPerZone     int     // units of one zone; 0 for no limit
 	MaxPerGroup    int     // nodes of one group; 0 for one
-	MinReplicas    int     // of a group that stay in service, near the log's end
-	MaxGroupWork   float64 // share of a group's usual work that may be without its nodes; 0 for no bound. No effect while NodeState.WorkShare is 0
+	MinReplicas    int     // replicas of a group that must stay in service and be caught up
+	MaxGroupWork   float64 // share of a group's usual load that its unavailable nodes may account for; 0 for no limit. No effect while NodeState.WorkShare is 0
 }
 
-// Plan is what an operator asks for. Once started it never changes.
+// Plan is a rollout that an operator requests. It never changes once started.
 type Plan struct {
 	ID              string
 	Kind            Kind
-	Units           []string // members or nodes, in the order in which they go
-	TargetVersion   uint64   // KindVersion: the version to which they change
-	PreviousVersion uint64   // KindVersion: the last good one, to which a rollback goes
-	WaveSizes       []int    // units in each of the first waves; all others make the last one
-	WatchTime       int64    // us for which a wave is watched, at the least, once all its units are done
-	DrainTime       int64    // us for which a drained node stays out; 0 until an operator returns it
+	Units           []string // members or nodes, in the order in which they are restarted or drained
+	TargetVersion   uint64   // KindVersion: the version to install
+	PreviousVersion uint64   // KindVersion: the last good version, which a rollback installs
+	WaveSizes       []int    // units in each of the first waves; all others form the last one
+	WatchTime       int64    // us for which a wave is watched, at least, once all its units are done
+	DrainTime       int64    // us for which a drained node stays out of service; 0 until an operator returns it
 	ProgressTimeout int64    // us without progress after which the plan halts
-	NoRollback      bool     // evidence halts it instead of rolling it back
+	NoRollback      bool     // evidence halts the plan instead of rolling it back
 	Budget          Budget
 }
 
-// The bounds of a plan. Each bounds the record, which every voter keeps in memory and each write carries.
+// Limits of a plan. Each limits the size of the record, which every voter keeps in memory and each write carries.
 const (
 	MaxUnits      = 4_000 // of one plan: four times the largest fleet that is simulated
-	MaxPlans      = 8     // under way, and as many ended ones kept
+	MaxPlans      = 8     // in progress, and as many ended ones kept
 	MaxNameLength = 128   // bytes of a plan's or a unit's name
 )
 
-// The defaults of what a plan leaves open.
+// Defaults of what a plan does not set.
 const (
 	defaultWatchTime       = 30_000_000  // us: thirty reports of each router
-	defaultProgressTimeout = 120_000_000 // us: a router's slow stop, its supervisor's pause and its start, with room
+	defaultProgressTimeout = 120_000_000 // us: a router's slow shutdown, its supervisor's delay and its start, with a margin
 	defaultMaxShare        = 0.1         // a fleet is sized to lose a tenth
 	defaultMaxPerGroup     = 1           // a group of three keeps its primary and a replica
 )
 
-// SetDefaults fills in what the plan leaves open. The usual waves are two canaries, for one alone may be unlike the others (one
-// in a fleet of fewer than twenty), a twentieth, a quarter, and the rest.
+// SetDefaults sets the fields that the plan leaves empty. The default waves are two canaries (one in a fleet of fewer
+// than twenty), since a single one may not be representative, then a twentieth, a quarter, and the rest.
 func (p *Plan) SetDefaults() {
 	units := len(p.Units)
 	if p.WaveSizes == nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Validate returns an ErrInvalidPlan that says what is wrong with the plan by itself, or nil.
+// Validate returns an ErrInvalidPlan that names the fault if the plan is invalid in itself, else nil.
 func (p *Plan) Validate() error {
 	if err := p.validateUnitNames(); err != nil {
 		return err
@@ -131,7 +131,7 @@
 	return !inRange || b.MaxUnavailable < 0 || b.MaxPerZone < 0 || b.MaxPerGroup < 0
 }
 
-// waveOf returns the number of the wave in which a unit goes; the first is 0.
+// waveOf returns the wave of a unit, counted from 0.
 func (p *Plan) waveOf(unit int) int {
 	for wave, size := range p.WaveSizes {
 		if unit < size {
@@ -142,8 +142,8 @@
 	return len(p.WaveSizes)
 }
 
-// PreviewWaves returns the units of each wave of a plan, and the greatest number that may be unavailable at once if so many
-// units of that sort are known, or at least those of the plan.
+// PreviewWaves returns the units of each wave of a plan, and the largest number of units that may be unavailable at
+// once. known is the number of known units of that sort; it counts as at least the number of the plan's units.
 func PreviewWaves(p Plan, known int) (waves [][]string, maxUnavailable int) {
 	p.SetDefaults()
 	for i, name := range p.Units {
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Slot is the right to be unavailable, granted under a term of the leader's lease. Less orders slots by when they were
-// granted.
+// Slot is the permission to be unavailable, granted under a term of the leader's lease. Less orders slots by the time
+// of their grant.
 type Slot struct {
 	Term   uint64
 	Number uint64
@@ -17,23 +17,23 @@
 	return s.Term < other.Term || s.Term == other.Term && s.Number < other.Number
 }
 
-// Phase is how far a unit has come. The numbers are sent to other instances.
+// Phase is a unit's place in its plan. The numbers are sent to other instances.
 type Phase uint8
 
 // The phases. A unit from PhaseLeaving to PhaseReturning, and one in PhaseStuck, holds a slot.
 const (
-	PhaseWaiting     Phase = iota // not touched
-	PhaseLeaving                  // it has a slot; it may be out from now on
-	PhaseUnavailable              // it has left, or went out of sight when it was to leave; a node: no router uses it
-	PhaseReturning                // it is to come back, and has to prove its health
-	PhaseDone                     // it is back and proven
-	PhaseStuck                    // it held a slot on the way back and made no progress; an operator has to look at it
-	PhaseForgotten                // an operator took it out of the plan
+	PhaseWaiting     Phase = iota // not yet updated
+	PhaseLeaving                  // it has a slot; it may be unavailable from now on
+	PhaseUnavailable              // it has left, or stopped reporting when it was to leave; a node: no router uses it
+	PhaseReturning                // it is to come back, and has yet to meet the conditions of unmetCondition
+	PhaseDone                     // it is back and healthy
+	PhaseStuck                    // it held a slot in a rollback and made no progress; an operator has to look at it
+	PhaseForgotten                // an operator removed it from the plan
 )
 
 var phaseNames = [...]string{"waits", "going", "away", "returning", "done", "stuck", "forgotten"}
 
-// Valid reports whether there is such a phase.
+// Valid reports whether p is one of the phases.
 func (p Phase) Valid() bool { return p <= PhaseForgotten }
 
 // String returns the phase as operators see it.
@@ -47,21 +47,21 @@
 // HoldsSlot reports whether a unit in this phase holds a slot.
 func (p Phase) HoldsSlot() bool { return p >= PhaseLeaving && p <= PhaseReturning || p == PhaseStuck }
 
-// State is how a plan stands. The numbers are sent to other instances.
+// State is the state of a plan. The numbers are sent to other instances.
 type State uint8
 
 // The states of a plan.
 const (
 	StateRunning     State = iota + 1
-	StateHalted            // nobody new leaves; who is out may come back
-	StateRollingBack       // touched units go back, newest first
-	StateFinished          // all are done
-	StateRolledBack        // all touched units are back
+	StateHalted            // no further unit leaves; units that are out may come back
+	StateRollingBack       // updated units are rolled back, the newest slot first
+	StateFinished          // all units are done
+	StateRolledBack        // all updated units are rolled back
 )
 
 var stateNames = [...]string{"", "running", "halted", "going back", "finished", "back"}
 
-// Valid reports whether there is such a state.
+// Valid reports whether s is one of the states.
 func (s State) Valid() bool { return s >= StateRunning && s <= StateRolledBack }
 
 // String returns the state as operators see it; the zero State has no name.
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Ended reports whether the plan is over: it does nothing more by itself. A finished one can still be rolled back.
+// Ended reports whether the plan does nothing more by itself. A finished plan can still be rolled back.
 func (s State) Ended() bool { return s == StateFinished || s == StateRolledBack }
 
 // Unit is the progress of one of a plan's units.
@@ -80,20 +80,20 @@
 	Phase       Phase
 	Slot        Slot
 	Incarnation uint64 // the process that is to leave; 0 for a node
-	RollingBack bool   // it is on its way back, or has gone back
-	Attempts    int    // times that it was sent: forward, or since RollingBack was set
+	RollingBack bool   // it is being rolled back, or has been
+	Attempts    int    // how often it was told to leave: in the rollout, or since RollingBack was set
 }
 
 // Progress is a plan with its state. Units are in the plan's order.
 type Progress struct {
 	Plan   Plan
 	State  State
-	Reason string // for the state, as operators see it
-	Wave   int    // the present one, the first being 0
+	Reason string // of the state, as operators see it
+	Wave   int    // the current one, counted from 0
 	Units  []Unit
 }
 
-// targetVersion returns the version that a unit is to have when it is done: the target, or the previous one if it is
+// targetVersion returns the version that a unit must have to be done: the target version, or the previous one if it is
 // rolling back. 0 stands for any.
 func (p *Progress) targetVersion(unit int) uint64 {
 	switch {
@@ -105,21 +105,21 @@
 	return p.Plan.TargetVersion
 }
 
-// Record is all that the next leader has to know. It is written to voters complete.
+// Record is the state that the next leader needs. It is always written to voters as a whole.
 type Record struct {
 	Term         uint64   // of the leader that wrote it
 	Seq          uint64   // grows with each write under a term
 	SlotsGranted uint64   // so far
-	Members      []string // names, in order, of routers that were seen and not forgotten: a later leader counts them as well
+	Members      []string // sorted names of routers that were present and not forgotten: a later leader counts them too
 	Plans        []*Progress
-	Tokens       []string // of operators' commands that were accepted, the newest last
+	Tokens       []string // of operators' accepted commands, the newest last
 }
 
-// maxTokens is the number of accepted operators' commands whose repeat is recognized. An operator repeats one of the last
-// few; so many make the record about a kilobyte larger.
+// maxTokens is the number of accepted operators' commands that are recognized when repeated. An operator repeats one of
+// the last few; this many add about a kilobyte to the record.
 const maxTokens = 64
 
-// Clone copies a record; plans themselves are never changed and are shared.
+// Clone copies a record. Plans themselves never change and are shared.
 func (r *Record) Clone() *Record {
 	c := *r
 	c.Tokens = slices.Clone(r.Tokens)
--- a/internal/rollout/refusal.go
+++ b/internal/rollout/refusal.go
@@ -5,34 +5,34 @@
 	"fmt"
 )
 
-// Why an operator's command is refused.
+// Reasons to refuse an operator's command.
 var (
-	ErrNotLeading     = errors.New("this instance does not lead, or has only begun to")
-	ErrUnknownCommand = errors.New("there is no such command")
-	ErrInvalidPlan    = errors.New("the plan is invalid")
-	ErrPlanExists     = errors.New("a plan of that name was started before")
-	ErrUnknownPlan    = errors.New("there is no such plan")
-	ErrPlanState      = errors.New("the plan's state does not allow it")
-	ErrTooManyPlans   = errors.New("too many plans are under way")
-	ErrUnitInPlan     = errors.New("the unit belongs to another plan under way")
-	ErrUnknownUnit    = errors.New("there is no such unit, or it is not in the phase for it")
+	ErrNotLeading     = errors.New("this instance is not the leader, or has just become it")
+	ErrUnknownCommand = errors.New("unknown command type")
+	ErrInvalidPlan    = errors.New("invalid plan")
+	ErrPlanExists     = errors.New("a plan with this name already exists")
+	ErrUnknownPlan    = errors.New("unknown plan")
+	ErrPlanState      = errors.New("the plan's state does not allow the command")
+	ErrTooManyPlans   = errors.New("too many plans in progress")
+	ErrUnitInPlan     = errors.New("the unit belongs to another plan in progress")
+	ErrUnknownUnit    = errors.New("unknown unit, or its phase does not allow the command")
 )
 
-// Why a unit may not leave service now. It may later.
+// Reasons for which a unit may not leave service now. They may cease to apply.
 var (
-	ErrBudgetUsed      = errors.New("as many are unavailable as the budget allows")
-	ErrZoneBudgetUsed  = errors.New("as many of its zone are unavailable as the budget allows")
-	ErrGroupBudgetUsed = errors.New("as many of its group are unavailable as the budget allows")
-	ErrGroupWork       = errors.New("its group would be without too much of its usual work")
-	ErrNoPrimary       = errors.New("its group would have no primary")
-	ErrTooFewReplicas  = errors.New("its group would have too few replicas near the log's end")
-	ErrVotersOut       = errors.New("one more voter would be out than a majority can miss")
-	ErrUnavailable     = errors.New("it is unavailable already")
-	ErrTooFewInSight   = errors.New("too few of the plan's units are in sight")
+	ErrBudgetUsed      = errors.New("the disruption budget is used up")
+	ErrZoneBudgetUsed  = errors.New("the disruption budget of the unit's zone is used up")
+	ErrGroupBudgetUsed = errors.New("the disruption budget of the node's group is used up")
+	ErrGroupWork       = errors.New("the group would lose too large a share of its usual load")
+	ErrNoPrimary       = errors.New("the group would have no primary")
+	ErrTooFewReplicas  = errors.New("the group would have too few caught-up replicas")
+	ErrVotersOut       = errors.New("too few voters would remember the record")
+	ErrUnavailable     = errors.New("the unit is already unavailable")
+	ErrTooFewInSight   = errors.New("too few of the plan's routers are reporting")
 )
 
-// Refusal is why an operator's command is refused or a unit may not leave service. Its text is for operators, with names
-// and figures; errors.Is finds which of the errors above it is.
+// Refusal is the error for an operator's command that is refused, or for a unit that may not leave service. Its text is
+// for operators, with names and figures; errors.Is matches it to one of the errors above.
 type Refusal struct {
 	cause error
 	text  string
--- a/internal/rollout/replication_test.go
+++ b/internal/rollout/replication_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestForgottenRecordNeedsOperator restarts two of three voters before they were written to. The one that remembers is no
-// majority: a newer record may have been kept by the two. So the leader does not lead until an operator says begin.
+// TestForgottenRecordNeedsOperator restarts two of three voters before they are written to. The one that remembers is
+// no majority: the two may have kept a newer record. So the leader does not lead until an operator gives the command
+// begin.
 func TestForgottenRecordNeedsOperator(t *testing.T) {
 	l := NewLeader("a", []string{"a", "b", "c"})
 	l.BecomeLeader(0, 2)
@@ -20,22 +21,22 @@
 		t.Errorf("%q, want %q", l.NotLeadingReason(), want)
 	}
 	l.HandleReadAnswer(3, "c", 2, VoterState{Incarnation: 3, MayHaveForgotten: true}, true)
-	l.Tick(20 * second) // time does not help
+	l.Tick(20 * second) // waiting does not help
 	if l.record != nil {
-		t.Fatal("it goes on by itself")
+		t.Fatal("the record was recovered without an operator")
 	}
 	l.HandleCommand(20*second, &Command{Type: CommandBegin, Token: "begin"})
 	if l.record == nil || len(l.record.Members) != 3 || l.record.Term != 2 || l.record.Tokens[0] != "t" {
-		t.Errorf("it does not go on from what is left: %+v", l.record)
+		t.Errorf("record recovered by the command begin: %+v", l.record)
 	}
 }
 
-// TestLaterLeaderEndsLead has a voter refuse a read because it has heard of a later term.
-func TestLaterLeaderEndsLead(t *testing.T) {
+// TestStepsDownForLaterLeader has a voter refuse a read because it knows of a later term.
+func TestStepsDownForLaterLeader(t *testing.T) {
 	l := NewLeader("a", []string{"a", "b", "c"})
 	l.BecomeLeader(0, 2)
 	l.HandleReadAnswer(1, "b", 2, VoterState{}, false)
 	if l.term != 0 {
-		t.Errorf("it goes on under term %d", l.term)
+		t.Errorf("still leads under term %d", l.term)
 	}
 }
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// The rollback of a plan, by evidence or by an operator: units of a plan of versions that have left go back to the
-// previous version, newest slot first, under the same budget; drained nodes return at once, since that makes nothing
+// The rollback of a plan, by evidence or by an operator. Units of a plan of versions that have left return to the
+// previous version, newest slot first, under the same budget. Drained nodes return at once, since that makes nothing
 // unavailable.
 
-// maxAttempts is how often a unit leaves to go back before it becomes stuck: a supervisor that starts the wrong version
-// twice needs an operator.
+// maxAttempts is how often a unit is restarted in a rollback before it becomes stuck: a supervisor that starts the
+// wrong version twice needs an operator.
 const maxAttempts = 2
 
-// advanceRollback sends units that the plan touched back as the budget allows. It ends the plan when all are back and none
-// is stuck.
+// advanceRollback rolls back the units that the plan updated, as the budget allows. It ends the plan when all are
+// rolled back and none is stuck.
 func (l *Leader) advanceRollback(now int64, p *Progress, u *unavailability) {
-	underWay, toSend := l.turnUnits(now, p)
-	if underWay == 0 && len(toSend) == 0 {
+	underWay, toRestart := l.prepareRollback(now, p)
+	if underWay == 0 && len(toRestart) == 0 {
 		isStuck := func(unit Unit) bool { return unit.Phase == PhaseStuck }
 		if !slices.ContainsFunc(p.Units, isStuck) {
 			l.setState(now, p, StateRolledBack, p.Reason)
 		}
 		return
 	}
-	slices.SortFunc(toSend, func(a, b int) int {
+	slices.SortFunc(toRestart, func(a, b int) int {
 		if p.Units[b].Slot.Less(p.Units[a].Slot) {
 			return -1
 		}
@@ -33,11 +33,11 @@
 	if now-l.leadingSince < settleTime {
 		return
 	}
-	for _, i := range toSend {
+	for _, i := range toRestart {
 		name := p.Plan.Units[i]
 		if name == l.self {
-			if underWay == 0 && len(toSend) == 1 { // the leader itself goes last
-				l.handOver(now, p)
+			if underWay == 0 && len(toRestart) == 1 { // the leader itself goes last
+				l.transferLeadership(now, p)
 			}
 			continue
 		}
@@ -51,9 +51,9 @@
 	}
 }
 
-// turnUnits sets units on their way back that need no new slot, since they hold one already. It returns how many units
-// are under way and which ones have yet to be sent: those that are done with the target version.
-func (l *Leader) turnUnits(now int64, p *Progress) (underWay int, toSend []int) {
+// prepareRollback starts the rollback of units that need no new slot, since they hold one or need none. It returns how
+// many units are in progress, and which ones have yet to be restarted: those that are done with the target version.
+func (l *Leader) prepareRollback(now int64, p *Progress) (underWay int, toRestart []int) {
 	for i := range p.Units {
 		unit := &p.Units[i]
 		switch {
@@ -68,17 +68,17 @@
 			l.setPhase(now, p, i, unit.Phase, "it goes back")
 			underWay++
 		case p.Plan.Kind == KindVersion && !unit.RollingBack:
-			toSend = append(toSend, i)
+			toRestart = append(toRestart, i)
 		case unit.Phase != PhaseDone:
 			underWay++
 		}
 	}
-	return underWay, toSend
+	return underWay, toRestart
 }
 
-// sendAgain lets a unit leave once more under the slot that it holds, because it came back with another version than the
-// previous one. After maxAttempts the unit becomes stuck instead.
-func (l *Leader) sendAgain(now int64, p *Progress, i int) {
+// retryRollback lets a unit leave once more under the slot that it holds, because it came back with another version
+// than the previous one. After maxAttempts the unit becomes stuck instead.
+func (l *Leader) retryRollback(now int64, p *Progress, i int) {
 	unit := &p.Units[i]
 	report := &l.members[p.Plan.Units[i]].report
 	if unit.Attempts >= maxAttempts {
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -2,30 +2,32 @@
 
 import "fmt"
 
-// How a router that holds a slot moves from phase to phase, and what it has to prove for the slot to be freed. If slots
-// were freed by time instead, the next router could leave while this one is down.
+// How a router that holds a slot moves from phase to phase, and which conditions it must meet for the slot to be freed.
+// If slots were freed by time instead, the next router could leave while this one is down.
 
 const (
-	// minCommandsServed is the number of commands that a router has to answer after its return to prove that it serves:
-	// about a second's work once clients have connected to it again.
+	// minCommandsServed is the number of commands that a router must answer after its return to count as serving: about
+	// a second's load once clients have connected to it again.
 	minCommandsServed = 20
 
-	// idleWatches is a number of the plan's WatchTimes. A router that has answered fewer than minCommandsServed counts as
-	// proven that long after its return: one that no client uses must not hold its slot for ever.
-	idleWatches = 4
+	// idleWatchTimes is a multiple of the plan's WatchTime. A router that has answered fewer than minCommandsServed
+	// counts as healthy that long after its return: a router that no client uses must not hold its slot forever.
+	idleWatchTimes = 4
 
-	// maxFailedShare is the share of failed commands above which a returned router is not healthy. A router that reaches no
-	// node must keep its slot; a database that fails some commands of all routers alike must not make them keep theirs.
+	// maxFailedShare is the share of failed commands above which a returned router is not healthy. A router that
+	// reaches no node must keep its slot; a database that fails some commands of all routers alike must not make them
+	// keep theirs.
 	maxFailedShare = 0.5
 )
 
-// advanceUnit moves a unit that holds a slot from phase to phase, by what members report.
+// advanceUnit moves a unit that holds a slot from phase to phase, based on members' reports.
 //
-// A router in PhaseLeaving that goes out of sight counts as having left. If it was only cut off and never heard that it is
-// to leave, it is in sight again with the same process and doesn't leave: then it is told again.
+// A router in PhaseLeaving that stops reporting counts as having left. If it was only partitioned and never received
+// the instruction to leave, it reports again with the same process and is not leaving; then it is instructed again.
 //
-// A router that on the way back came with the wrong version is sent again (sendAgain) only if it is ready. So a version
-// that starts and never gets ready is not sent back: the unit becomes stuck for lack of progress.
+// A router that came back from a rollback's restart with the wrong version is restarted again (retryRollback) only if
+// it is ready. So a version that starts and never gets ready is not retried: the unit becomes stuck for lack of
+// progress.
 func (l *Leader) advanceUnit(now int64, p *Progress, i int) {
 	if p.Plan.Kind == KindNodes {
 		l.advanceNode(now, p, i)
@@ -34,45 +36,45 @@
 	name := p.Plan.Units[i]
 	unit := &p.Units[i]
 	member := l.members[name]
-	inSight := l.inSight(now, name)
-	isBack := inSight && member.report.Incarnation != unit.Incarnation
+	reporting := l.isReporting(now, name)
+	isBack := reporting && member.report.Incarnation != unit.Incarnation
 	switch unit.Phase {
 	case PhaseLeaving:
 		if isBack {
 			l.setPhase(now, p, i, PhaseReturning, "it is back")
-		} else if !inSight || member.report.Leaving {
+		} else if !reporting || member.report.Leaving {
 			l.setPhase(now, p, i, PhaseUnavailable, "it left")
 		}
 	case PhaseUnavailable:
 		if isBack {
 			l.setPhase(now, p, i, PhaseReturning, "it is back")
-		} else if inSight && !member.report.Leaving {
+		} else if reporting && !member.report.Leaving {
 			l.setPhase(now, p, i, PhaseLeaving, "it was cut off and has not left")
 		}
 	case PhaseReturning, PhaseStuck:
-		if l.missingProof(now, p, i) == "" {
+		if l.unmetCondition(now, p, i) == "" {
 			l.setPhase(now, p, i, PhaseDone, "it serves")
 			return
 		}
 		wrongVersion := p.Plan.Kind == KindVersion && unit.RollingBack && isBack && member.report.Ready && member.report.Version != p.Plan.PreviousVersion
 		if unit.Phase == PhaseReturning && wrongVersion {
-			l.sendAgain(now, p, i)
+			l.retryRollback(now, p, i)
 		}
 	}
 }
 
-// missingProof returns what a unit with a slot still lacks to count as done, "" for nothing. For a node that is still
-// leaving it names who may still use it.
-func (l *Leader) missingProof(now int64, p *Progress, i int) string {
+// unmetCondition returns the condition that a unit with a slot has yet to meet to count as done, "" for none. For a
+// node that is still leaving it names what may still use it.
+func (l *Leader) unmetCondition(now int64, p *Progress, i int) string {
 	unit := &p.Units[i]
 	name := p.Plan.Units[i]
 	if p.Plan.Kind == KindNodes {
 		if unit.Phase == PhaseLeaving {
-			return l.stillUsedBy(now, name)
+			return l.drainBlocker(now, name)
 		}
-		return l.missingNodeProof(name)
+		return l.unmetNodeCondition(name)
 	}
-	if !l.inSight(now, name) {
+	if !l.isReporting(now, name) {
 		return "it is not in sight"
 	}
 	member := l.members[name]
@@ -87,14 +89,14 @@
 	case l.isVoter(name) && report.MayHaveForgotten:
 		return "it votes, and has not been written to yet"
 	}
-	return member.missingService(now, p.Plan.WatchTime)
+	return member.unmetServiceCondition(now, p.Plan.WatchTime)
 }
 
-// missingService returns what a router that is back still lacks in answered commands, "" for nothing.
-func (m *memberState) missingService(now, watchTime int64) string {
+// unmetServiceCondition returns what a router that is back has yet to meet in answered commands, "" for nothing.
+func (m *memberState) unmetServiceCondition(now, watchTime int64) string {
 	served := m.report.Counts.minus(m.countsAtReturn)
 	if served.Commands < minCommandsServed {
-		if now-m.returnedAt < idleWatches*watchTime {
+		if now-m.returnedAt < idleWatchTimes*watchTime {
 			return fmt.Sprintf("it has answered %d commands", served.Commands)
 		}
 		return ""
--- a/internal/rollout/voter.go
+++ b/internal/rollout/voter.go
@@ -1,7 +1,7 @@
 package rollout
 
-// Voter is a voter's part: it keeps the newest record, and refuses leaders of an earlier term than the latest that it has
-// heard of.
+// Voter is the role of a voter: it keeps the newest record, and refuses leaders of an earlier term than the latest that
+// it knows of.
 type Voter struct {
 	incarnation      uint64
 	mayHaveForgotten bool // it has kept nothing since its process started
@@ -9,15 +9,15 @@
 	record           *Record
 }
 
-// VoterState is what a voter answers to a leader's read.
+// VoterState is a voter's answer to a leader's read.
 type VoterState struct {
 	Record           *Record // nil for none
 	Incarnation      uint64
 	MayHaveForgotten bool // it has kept nothing since its process started, and may have before
 }
 
-// NewVoter makes a voter's part in the process with this incarnation. kept is the record that durable storage holds, nil
-// if there is none: a running router stores none and passes nil, the simulation passes one.
+// NewVoter returns the Voter of the process with this incarnation. kept is the record in durable storage, nil if there
+// is none: a running router stores none and passes nil, the simulation passes one.
 func NewVoter(incarnation uint64, kept *Record) *Voter {
 	v := &Voter{incarnation: incarnation, mayHaveForgotten: kept == nil, record: kept}
 	if kept != nil {
@@ -26,8 +26,8 @@
 	return v
 }
 
-// Read answers a leader that begins under this term, and promises to accept no write of an earlier one. It refuses a term
-// earlier than the latest that it has heard of.
+// Read answers a leader that starts under this term, and promises to accept no write of an earlier one. It refuses a
+// term earlier than the latest that it knows of.
 func (v *Voter) Read(term uint64) (state VoterState, accepted bool) {
 	if term < v.promisedTerm {
 		return VoterState{}, false
@@ -36,8 +36,9 @@
 	return VoterState{v.record, v.incarnation, v.mayHaveForgotten}, true
 }
 
-// Write keeps a record, unless a later leader has begun or a newer record is kept. A write that was sent to another
-// incarnation is refused: this process has forgotten what that one promised, and would accept a former leader's late write.
+// Write keeps a record, unless a later leader has started or a newer record is kept. A write that was sent to another
+// incarnation is refused: this process has forgotten what that one promised, and would accept a former leader's late
+// write.
 func (v *Voter) Write(r *Record, incarnation uint64) (accepted bool) {
 	if incarnation != v.incarnation || r.Term < v.promisedTerm {
 		return false
--- a/internal/rollout/voter_test.go
+++ b/internal/rollout/voter_test.go
@@ -11,8 +11,8 @@
 // TestMain fixes the seed of generated tests.
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// TestVoterKeepsNewestRecord has a former leader's writes come late, and writes that were meant for the voter's former
-// process. Kept, they would undo what a later leader decided, and a slot would be granted twice.
+// TestVoterKeepsNewestRecord has delayed writes of a former leader, and writes meant for the voter's former process. If
+// they were accepted they would undo what a later leader decided, and a slot would be granted twice.
 func TestVoterKeepsNewestRecord(t *testing.T) {
 	v := NewVoter(7, nil)
 	if state, accepted := v.Read(5); !accepted || !state.MayHaveForgotten || state.Incarnation != 7 || state.Record != nil {
@@ -26,7 +26,7 @@
 		{5, 1, 6, false}, // to its former process
 		{5, 2, 7, true},
 		{5, 1, 7, false}, // older
-		{5, 2, 7, true},  // the same again
+		{5, 2, 7, true},  // repeated
 		{6, 1, 7, true},
 		{5, 9, 7, false},
 	} {
@@ -35,15 +35,15 @@
 		}
 	}
 	if state, accepted := v.Read(5); accepted {
-		t.Error("it answers a former leader", state)
+		t.Error("it answered a former leader", state)
 	}
 	if state, accepted := NewVoter(8, &Record{Term: 6}).Read(7); !accepted || state.MayHaveForgotten {
-		t.Error("what was kept counts as forgotten")
+		t.Error("a stored record counts as forgotten")
 	}
 }
 
-// TestVoterAgainstModel plays generated reads and writes: what is kept is the greatest write that was accepted, and none is
-// accepted below a promise.
+// TestVoterAgainstModel generates reads and writes: the voter keeps the greatest write that it accepted, and accepts
+// none below a promise.
 func TestVoterAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, promised, newest := NewVoter(1, nil), uint64(0), [2]uint64{}
@@ -52,19 +52,19 @@
 			if rapid.Bool().Draw(t, "read") {
 				state, accepted := v.Read(term)
 				if accepted != (term >= promised) {
-					t.Fatalf("read %d behind %d: %v", term, promised, accepted)
+					t.Fatalf("read under term %d, promised %d: accepted %v", term, promised, accepted)
 				}
 				if accepted {
 					promised = term
 					if state.Record != nil && [2]uint64{state.Record.Term, state.Record.Seq} != newest {
-						t.Fatalf("it kept %d/%d, want %v", state.Record.Term, state.Record.Seq, newest)
+						t.Fatalf("kept %d/%d, want %v", state.Record.Term, state.Record.Seq, newest)
 					}
 				}
 				continue
 			}
 			want := term >= promised && (term > newest[0] || term == newest[0] && seq >= newest[1])
 			if accepted := v.Write(&Record{Term: term, Seq: seq}, 1); accepted != want {
-				t.Fatalf("write %d/%d behind %v, promised %d: %v", term, seq, newest, promised, accepted)
+				t.Fatalf("write %d/%d after %v, promised %d: accepted %v", term, seq, newest, promised, accepted)
 			} else if accepted {
 				promised, newest = term, [2]uint64{term, seq}
 			}
