--- a/internal/rollout/action.go
+++ b/internal/rollout/action.go
@@ -39,8 +39,8 @@
 		Err   error
 	}
 
-	// HandOverLead gives up leadership to another instance, because this one is the next to leave by a plan.
-	HandOverLead struct {
+	// TransferLeadership gives up leadership to another instance, because this one is the next to leave by a plan.
+	TransferLeadership struct {
 		PlanID string
 	}
 
@@ -69,13 +69,13 @@
 	QueryDrainedNodes struct{}
 )
 
-func (ReadVoter) isAction()         {}
-func (WriteVoter) isAction()        {}
-func (RequestReport) isAction()     {}
-func (SendStatement) isAction()     {}
-func (ReplyToCommand) isAction()    {}
-func (HandOverLead) isAction()      {}
-func (LogEvent) isAction()          {}
-func (LeaveService) isAction()      {}
-func (DrainNodes) isAction()        {}
-func (QueryDrainedNodes) isAction() {}
+func (ReadVoter) isAction()          {}
+func (WriteVoter) isAction()         {}
+func (RequestReport) isAction()      {}
+func (SendStatement) isAction()      {}
+func (ReplyToCommand) isAction()     {}
+func (TransferLeadership) isAction() {}
+func (LogEvent) isAction()           {}
+func (LeaveService) isAction()       {}
+func (DrainNodes) isAction()         {}
+func (QueryDrainedNodes) isAction()  {}
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -306,7 +306,7 @@
 			reason = a.Err.Error()
 		}
 		fmt.Fprintf(out, "reply %q %q\n", a.Token, reason)
-	case HandOverLead:
+	case TransferLeadership:
 		fmt.Fprintf(out, "hand-over %q\n", a.PlanID)
 	case LogEvent:
 		fmt.Fprintf(out, "log %q %q\n", a.PlanID, a.Text)
--- a/internal/rollout/waves.go
+++ b/internal/rollout/waves.go
@@ -99,7 +99,7 @@
 func (l *Leader) transferLeadership(now int64, p *Progress) {
 	if now >= l.nextTransferAt {
 		l.nextTransferAt = now + leadershipTransferInterval
-		l.emit(HandOverLead{p.Plan.ID})
+		l.emit(TransferLeadership{p.Plan.ID})
 	}
 }
 
--- a/internal/rolloutservice/dispatch.go
+++ b/internal/rolloutservice/dispatch.go
@@ -128,7 +128,7 @@
 		}
 	case rollout.ReplyToCommand:
 		s.reply(a)
-	case rollout.HandOverLead:
+	case rollout.TransferLeadership:
 		slog.Info("lets another router lead, for it is to leave itself", "plan", a.PlanID)
 		s.handOver("")
 	case rollout.QueryDrainedNodes:
--- a/internal/simulation/rolloutsim/actions.go
+++ b/internal/simulation/rolloutsim/actions.go
@@ -42,7 +42,7 @@
 		w.leave(r, a)
 	case rollout.DrainNodes:
 		w.drainNodes(r, a.Nodes)
-	case rollout.HandOverLead:
+	case rollout.TransferLeadership:
 		w.handOverLead(r)
 	case rollout.LogEvent:
 		w.trace("%s: %s %s", r.name, a.PlanID, a.Text)
--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -48,7 +48,7 @@
 			reason = a.Err.Error()
 		}
 		fmt.Fprintf(out, "reply %q %q\n", a.Token, reason)
-	case rollout.HandOverLead:
+	case rollout.TransferLeadership:
 		fmt.Fprintf(out, "hand-over %q\n", a.PlanID)
 	case rollout.LeaveService:
 		fmt.Fprintf(out, "leave %d %d %d\n", a.Slot.Term, a.Slot.Number, a.Version)
