--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -230,7 +230,7 @@
 			again = f.executeOne(action) || again
 		}
 	}
-	_, record := f.leader.Leading()
+	_, record := f.leader.Committed()
 	fmt.Fprintf(f.out, "leads %v: %s\n", record != nil, f.leader.NotLeadingReason())
 }
 
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -81,9 +81,9 @@
 	l.emit(LogEvent{PlanID: planID, Text: fmt.Sprintf(format, args...)})
 }
 
-// Leading returns the term under which it leads and the committed record, which a majority of voters keeps; 0 and nil
+// Committed returns the term under which it leads and the committed record, which a majority of voters keeps; 0 and nil
 // if it does not lead.
-func (l *Leader) Leading() (term uint64, r *Record) {
+func (l *Leader) Committed() (term uint64, r *Record) {
 	if l.committed == nil {
 		return 0, nil
 	}
--- a/internal/rollout/leader_test.go
+++ b/internal/rollout/leader_test.go
@@ -28,7 +28,7 @@
 	for range 7 {
 		f.advance(second)
 	}
-	if term, _ := f.leader.Leading(); term != 1 {
+	if term, _ := f.leader.Committed(); term != 1 {
 		t.Fatal("the leader does not lead: ", f.leader.NotLeadingReason())
 	}
 	return f
@@ -69,7 +69,7 @@
 
 // plan returns the first plan of the committed record.
 func (f *testFleet) plan() *Progress {
-	_, record := f.leader.Leading()
+	_, record := f.leader.Committed()
 	return record.Plans[0]
 }
 
--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -128,7 +128,7 @@
 }
 
 func (s *Service) status() Status {
-	term, record := s.leader.Leading()
+	term, record := s.leader.Committed()
 	status := Status{
 		Router:           s.self,
 		Leads:            term > 0,
--- a/internal/simulation/rolloutsim/actions.go
+++ b/internal/simulation/rolloutsim/actions.go
@@ -11,7 +11,7 @@
 		w.carryOutOne(r, action)
 	}
 	if w.holdsLease(r) {
-		if _, record := r.leader.Leading(); record != nil && record != w.committed {
+		if _, record := r.leader.Committed(); record != nil && record != w.committed {
 			w.checkCommitted(record)
 		}
 	}
--- a/internal/simulation/rolloutsim/mistakes.go
+++ b/internal/simulation/rolloutsim/mistakes.go
@@ -74,7 +74,7 @@
 }
 
 func (w *World) reportNothingOpen(leader *router) {
-	_, record := leader.leader.Leading()
+	_, record := leader.leader.Committed()
 	if record == nil {
 		return
 	}
--- a/internal/simulation/rolloutsim/operators.go
+++ b/internal/simulation/rolloutsim/operators.go
@@ -37,7 +37,7 @@
 	if r == nil {
 		return
 	}
-	if _, record := r.leader.Leading(); record == nil {
+	if _, record := r.leader.Committed(); record == nil {
 		return
 	}
 	if c.Type == rollout.CommandStart {
