--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -154,7 +154,7 @@
 		}
 		if other.Primary {
 			hasPrimary = true
-		} else if other.NearLogEnd {
+		} else if other.CaughtUp {
 			replicas++
 		}
 	}
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -21,9 +21,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestFleet(t, 3,
-				NodeState{Name: "a", Group: 1, Primary: true, Up: true, NearLogEnd: true},
-				NodeState{Name: "b", Group: 1, Up: true, NearLogEnd: c.caughtUp},
-				NodeState{Name: "c", Group: 1, Up: true, NearLogEnd: c.caughtUp})
+				NodeState{Name: "a", Group: 1, Primary: true, Up: true, CaughtUp: true},
+				NodeState{Name: "b", Group: 1, Up: true, CaughtUp: c.caughtUp},
+				NodeState{Name: "c", Group: 1, Up: true, CaughtUp: c.caughtUp})
 			f.leader.HandleCommand(f.now, &Command{Type: CommandStart, Token: "1", Plan: Plan{ID: "p", Kind: KindNodes, Units: []string{"a", "b", "c"}, WaveSizes: []int{3},
 				Budget: Budget{MaxShare: 1, MinReplicas: c.minReplicas}}})
 			for range 3 {
@@ -87,15 +87,15 @@
 			"1 of group 1 are out, and 1 may be"},
 		"group's work": {nodes, func(b *Budget, _ *testFleet, _ *unavailability) { b.MaxGroupWork = 0.4 }, "a", ErrGroupWork,
 			"group 1 would be without 50% of its usual work"},
-		"no other primary": {nodes, func(_ *Budget, f *testFleet, _ *unavailability) { f.leader.nodes["b"].NearLogEnd = false }, "a", ErrNoPrimary,
+		"no other primary": {nodes, func(_ *Budget, f *testFleet, _ *unavailability) { f.leader.nodes["b"].CaughtUp = false }, "a", ErrNoPrimary,
 			"group 1 would have no primary, and none that could become one"},
 		"too few replicas": {nodes, func(b *Budget, _ *testFleet, _ *unavailability) { b.MinReplicas = 1 }, "a", ErrTooFewReplicas,
 			"group 1 would have 0 replicas near the log's end, and 1 must stay"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestFleet(t, 6,
-				NodeState{Name: "a", Group: 1, Primary: true, Up: true, NearLogEnd: true, WorkShare: 0.5},
-				NodeState{Name: "b", Group: 1, Up: true, NearLogEnd: true, WorkShare: 0.5})
+				NodeState{Name: "a", Group: 1, Primary: true, Up: true, CaughtUp: true, WorkShare: 0.5},
+				NodeState{Name: "b", Group: 1, Up: true, CaughtUp: true, WorkShare: 0.5})
 			p := &Progress{Plan: c.plan}
 			u := f.leader.countUnavailable(f.now, c.plan.Kind == KindNodes)
 			c.change(&p.Plan.Budget, f, u)
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -50,7 +50,7 @@
 // unmetNodeCondition returns the condition that a returned node has yet to meet to count as done, "" for none.
 func (l *Leader) unmetNodeCondition(name string) string {
 	node := l.nodes[name]
-	if node == nil || !node.Up || !node.NearLogEnd && !node.Primary {
+	if node == nil || !node.Up || !node.CaughtUp && !node.Primary {
 		return "it is not up, or its log lags"
 	}
 	answers := uint64(0)
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -19,7 +19,7 @@
 	Group      int
 	Primary    bool
 	Up         bool    // discovery lists it as up, and it is not silent
-	NearLogEnd bool    // IsNearLogEnd of its position
+	CaughtUp   bool    // IsNearLogEnd of its position
 	WorkShare  float64 // its share of its group's usual load; only the simulation and tests set it, the router leaves it 0
 }
 
--- a/internal/serve/rollout_router.go
+++ b/internal/serve/rollout_router.go
@@ -50,12 +50,12 @@
 		var all []rolloutservice.Node
 		for _, status := range r.engine.NodeStatuses() {
 			state := rollout.NodeState{
-				Name:       status.Name,
-				Zone:       status.Zone,
-				Group:      status.Shard,
-				Primary:    status.Primary,
-				Up:         status.Available,
-				NearLogEnd: rollout.IsNearLogEnd(now - status.Position),
+				Name:     status.Name,
+				Zone:     status.Zone,
+				Group:    status.Shard,
+				Primary:  status.Primary,
+				Up:       status.Available,
+				CaughtUp: rollout.IsNearLogEnd(now - status.Position),
 			}
 			all = append(all, rolloutservice.Node{NodeState: state, OpenCommands: status.OpenAttempts, Answers: status.Answered})
 		}
--- a/internal/simulation/rolloutsim/mistakes.go
+++ b/internal/simulation/rolloutsim/mistakes.go
@@ -59,7 +59,7 @@
 	for _, n := range w.nodes {
 		state := n.state()
 		state.Up = true
-		state.NearLogEnd = true
+		state.CaughtUp = true
 		leader.leader.SetNode(state)
 	}
 }
@@ -94,8 +94,8 @@
 func (w *World) reportGroupsOfTheirOwn(leader *router) {
 	for i, n := range w.nodes {
 		group := 1000 + i
-		leader.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: group, Primary: false, Up: n.up, NearLogEnd: n.nearLogEnd})
-		leader.leader.SetNode(rollout.NodeState{Name: n.name + "+", Group: group, Primary: true, Up: true, NearLogEnd: true})
-		leader.leader.SetNode(rollout.NodeState{Name: n.name + "-", Group: group, Up: true, NearLogEnd: true})
+		leader.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: group, Primary: false, Up: n.up, CaughtUp: n.nearLogEnd})
+		leader.leader.SetNode(rollout.NodeState{Name: n.name + "+", Group: group, Primary: true, Up: true, CaughtUp: true})
+		leader.leader.SetNode(rollout.NodeState{Name: n.name + "-", Group: group, Up: true, CaughtUp: true})
 	}
 }
