--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -19,13 +19,13 @@
 	Group      int
 	Primary    bool
 	Up         bool    // discovery lists it as up, and it is not silent
-	CaughtUp   bool    // IsNearLogEnd of its position
+	CaughtUp   bool    // IsCaughtUp of its position
 	WorkShare  float64 // its share of its group's usual load; only the simulation and tests set it, the router leaves it 0
 }
 
-// IsNearLogEnd reports whether a replica whose position is this many microseconds behind the clock could take its
+// IsCaughtUp reports whether a replica whose position is this many microseconds behind the clock could take its
 // primary's place.
-func IsNearLogEnd(behind int64) bool { return behind <= maxCaughtUpLag }
+func IsCaughtUp(behind int64) bool { return behind <= maxCaughtUpLag }
 
 // memberState is what a leader knows of one member.
 type memberState struct {
--- a/internal/serve/rollout_router.go
+++ b/internal/serve/rollout_router.go
@@ -55,7 +55,7 @@
 				Group:    status.Shard,
 				Primary:  status.Primary,
 				Up:       status.Available,
-				CaughtUp: rollout.IsNearLogEnd(now - status.Position),
+				CaughtUp: rollout.IsCaughtUp(now - status.Position),
 			}
 			all = append(all, rolloutservice.Node{NodeState: state, OpenCommands: status.OpenAttempts, Answers: status.Answered})
 		}
