--- a/internal/rollout/refusal.go
+++ b/internal/rollout/refusal.go
@@ -28,7 +28,7 @@
 	ErrTooFewReplicas  = errors.New("the group would have too few caught-up replicas")
 	ErrVotersOut       = errors.New("too few voters would remember the record")
 	ErrUnavailable     = errors.New("the unit is already unavailable")
-	ErrTooFewInSight   = errors.New("too few of the plan's routers are reporting")
+	ErrTooFewReporting = errors.New("too few of the plan's routers are reporting")
 )
 
 // Refusal is the error for an operator's command that is refused, or for a unit that may not leave service. Its text is
--- a/internal/rollout/waves.go
+++ b/internal/rollout/waves.go
@@ -76,7 +76,7 @@
 	return false
 }
 
-// checkReporting returns ErrTooFewInSight if too few of a plan's routers are reporting for any to leave, else nil. It
+// checkReporting returns ErrTooFewReporting if too few of a plan's routers are reporting for any to leave, else nil. It
 // does not apply to nodes.
 func (l *Leader) checkReporting(now int64, p *Progress) error {
 	if p.Plan.Kind == KindNodes {
@@ -89,7 +89,7 @@
 		}
 	}
 	if float64(reporting) <= minReportingShare*float64(len(p.Units)) {
-		return refuse(ErrTooFewInSight, "%d of %d are in sight", reporting, len(p.Units))
+		return refuse(ErrTooFewReporting, "%d of %d are in sight", reporting, len(p.Units))
 	}
 	return nil
 }
