--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -11,7 +11,7 @@
 	total       int
 	byZone      map[string]int
 	byGroup     map[int]int     // nodes
-	workByGroup map[int]float64 // share of each group's usual load that its unavailable nodes account for
+	loadByGroup map[int]float64 // share of each group's usual load that its unavailable nodes account for
 	voters      int             // voting routers that are unavailable or may have forgotten the record
 	holdsSlot   map[string]bool // by unit
 }
@@ -19,7 +19,7 @@
 // countUnavailable counts what is unavailable now: units that hold a slot of any plan, members that are not reporting
 // or accept no commands, nodes that are not up.
 func (l *Leader) countUnavailable(now int64, nodes bool) *unavailability {
-	u := &unavailability{byZone: map[string]int{}, byGroup: map[int]int{}, workByGroup: map[int]float64{}, holdsSlot: map[string]bool{}}
+	u := &unavailability{byZone: map[string]int{}, byGroup: map[int]int{}, loadByGroup: map[int]float64{}, holdsSlot: map[string]bool{}}
 	known := l.plannedUnits(nodes, u.holdsSlot)
 	if nodes {
 		for name := range l.nodes {
@@ -75,7 +75,7 @@
 	if node := l.nodes[name]; node != nil {
 		u.byZone[node.Zone]++
 		u.byGroup[node.Group]++
-		u.workByGroup[node.Group] += node.WorkShare
+		u.loadByGroup[node.Group] += node.LoadShare
 	} else if member := l.members[name]; member != nil {
 		u.byZone[member.report.Zone]++
 	}
@@ -143,8 +143,8 @@
 	if u.byGroup[group] >= b.MaxPerGroup {
 		return refuse(ErrGroupBudgetUsed, "%d of group %d are out, and %d may be", u.byGroup[group], group, b.MaxPerGroup)
 	}
-	if work := u.workByGroup[group] + node.WorkShare; b.MaxGroupWork > 0 && work > b.MaxGroupWork {
-		return refuse(ErrGroupWork, "group %d would be without %.0f%% of its usual work", group, 100*work)
+	if load := u.loadByGroup[group] + node.LoadShare; b.MaxGroupWork > 0 && load > b.MaxGroupWork {
+		return refuse(ErrGroupWork, "group %d would be without %.0f%% of its usual work", group, 100*load)
 	}
 	hasPrimary := false
 	replicas := 0 // caught-up ones
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -94,8 +94,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestFleet(t, 6,
-				NodeState{Name: "a", Group: 1, Primary: true, Up: true, CaughtUp: true, WorkShare: 0.5},
-				NodeState{Name: "b", Group: 1, Up: true, CaughtUp: true, WorkShare: 0.5})
+				NodeState{Name: "a", Group: 1, Primary: true, Up: true, CaughtUp: true, LoadShare: 0.5},
+				NodeState{Name: "b", Group: 1, Up: true, CaughtUp: true, LoadShare: 0.5})
 			p := &Progress{Plan: c.plan}
 			u := f.leader.countUnavailable(f.now, c.plan.Kind == KindNodes)
 			c.change(&p.Plan.Budget, f, u)
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -20,7 +20,7 @@
 	Primary    bool
 	Up         bool    // discovery lists it as up, and it is not silent
 	CaughtUp   bool    // IsCaughtUp of its position
-	WorkShare  float64 // its share of its group's usual load; only the simulation and tests set it, the router leaves it 0
+	LoadShare  float64 // its share of its group's usual load; only the simulation and tests set it, the router leaves it 0
 }
 
 // IsCaughtUp reports whether a replica whose position is this many microseconds behind the clock could take its
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -63,7 +63,7 @@
 	for group := range 3 {
 		for place := range 3 {
 			f.nodes = append(f.nodes, &NodeState{Name: fmt.Sprintf("s-%d%c", group, 'a'+place), Zone: fmt.Sprint("z", place), Group: group, Primary: place == 0, Up: true,
-				CaughtUp: f.rng.IntN(4) > 0, WorkShare: []float64{0.5, 0.25, 0.25}[place]})
+				CaughtUp: f.rng.IntN(4) > 0, LoadShare: []float64{0.5, 0.25, 0.25}[place]})
 		}
 	}
 	pick := func(values ...float64) float64 { return values[f.rng.IntN(len(values))] }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -35,7 +35,7 @@
 	MaxPerZone     int     // units of one zone; 0 for no limit
 	MaxPerGroup    int     // nodes of one group; 0 for one
 	MinReplicas    int     // replicas of a group that must stay in service and be caught up
-	MaxGroupWork   float64 // share of a group's usual load that its unavailable nodes may account for; 0 for no limit. No effect while NodeState.WorkShare is 0
+	MaxGroupWork   float64 // share of a group's usual load that its unavailable nodes may account for; 0 for no limit. No effect while NodeState.LoadShare is 0
 }
 
 // Plan is a rollout that an operator requests. It never changes once started.
--- a/internal/simulation/rolloutsim/nodes.go
+++ b/internal/simulation/rolloutsim/nodes.go
@@ -34,7 +34,7 @@
 
 // state is the node as a router that knows all of it sees it.
 func (n *node) state() rollout.NodeState {
-	return rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: n.up, CaughtUp: n.nearLogEnd, WorkShare: 1.0 / nodesPerGroup}
+	return rollout.NodeState{Name: n.name, Zone: n.zone, Group: n.group, Primary: n.primary, Up: n.up, CaughtUp: n.nearLogEnd, LoadShare: 1.0 / nodesPerGroup}
 }
 
 // handOver lets a replica lead in a primary's place, if one can.
