--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -143,7 +143,7 @@
 	if u.byGroup[group] >= b.MaxPerGroup {
 		return refuse(ErrGroupBudgetUsed, "%d of group %d are out, and %d may be", u.byGroup[group], group, b.MaxPerGroup)
 	}
-	if load := u.loadByGroup[group] + node.LoadShare; b.MaxGroupWork > 0 && load > b.MaxGroupWork {
+	if load := u.loadByGroup[group] + node.LoadShare; b.MaxGroupLoad > 0 && load > b.MaxGroupLoad {
 		return refuse(ErrGroupWork, "group %d would be without %.0f%% of its usual work", group, 100*load)
 	}
 	hasPrimary := false
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -205,7 +205,7 @@
 	if c.Type == CommandStart {
 		c.Plan = Plan{ID: c.PlanID, Kind: Kind(1 + f.rng.IntN(3)), TargetVersion: 2, PreviousVersion: 1, WatchTime: 1_000_000 * f.rng.Int64N(4), DrainTime: 1_000_000 * f.rng.Int64N(9),
 			ProgressTimeout: 10_000_000 * f.rng.Int64N(4), NoRollback: f.rng.IntN(4) == 0, Budget: Budget{MaxUnavailable: f.rng.IntN(4), MaxShare: float64(f.rng.IntN(4)) / 4,
-				MaxPerZone: f.rng.IntN(3), MaxPerGroup: f.rng.IntN(3), MinReplicas: f.rng.IntN(3), MaxGroupWork: float64(f.rng.IntN(3)) / 3}}
+				MaxPerZone: f.rng.IntN(3), MaxPerGroup: f.rng.IntN(3), MinReplicas: f.rng.IntN(3), MaxGroupLoad: float64(f.rng.IntN(3)) / 3}}
 		if c.Plan.Kind == KindNodes {
 			for _, i := range f.rng.Perm(len(f.nodes))[:1+f.rng.IntN(len(f.nodes))] {
 				c.Plan.Units = append(c.Plan.Units, f.nodes[i].Name)
@@ -322,7 +322,7 @@
 		fmt.Fprintf(out, "plan %q %d %q %d %d %d %d %d %d %v\n", plan.ID, uint8(plan.Kind), plan.Units, plan.TargetVersion, plan.PreviousVersion, plan.WaveSizes, plan.WatchTime, plan.DrainTime,
 			plan.ProgressTimeout, plan.NoRollback)
 		b := plan.Budget
-		fmt.Fprintf(out, "budget %d %g %d %d %d %g\n", b.MaxUnavailable, b.MaxShare, b.MaxPerZone, b.MaxPerGroup, b.MinReplicas, b.MaxGroupWork)
+		fmt.Fprintf(out, "budget %d %g %d %d %d %g\n", b.MaxUnavailable, b.MaxShare, b.MaxPerZone, b.MaxPerGroup, b.MinReplicas, b.MaxGroupLoad)
 		fmt.Fprintf(out, "progress %d %q %d\n", uint8(p.State), p.Reason, p.Wave)
 		for _, unit := range p.Units {
 			fmt.Fprintf(out, "unit %d %d %d %d %v %d\n", uint8(unit.Phase), unit.Slot.Term, unit.Slot.Number, unit.Incarnation, unit.RollingBack, unit.Attempts)
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -35,7 +35,7 @@
 	MaxPerZone     int     // units of one zone; 0 for no limit
 	MaxPerGroup    int     // nodes of one group; 0 for one
 	MinReplicas    int     // replicas of a group that must stay in service and be caught up
-	MaxGroupWork   float64 // share of a group's usual load that its unavailable nodes may account for; 0 for no limit. No effect while NodeState.LoadShare is 0
+	MaxGroupLoad   float64 // share of a group's usual load that its unavailable nodes may account for; 0 for no limit. No effect while NodeState.LoadShare is 0
 }
 
 // Plan is a rollout that an operator requests. It never changes once started.
@@ -127,7 +127,7 @@
 }
 
 func (b *Budget) outOfBounds() bool {
-	inRange := b.MaxShare >= 0 && b.MaxShare <= 1 && b.MaxGroupWork >= 0 // false for NaN
+	inRange := b.MaxShare >= 0 && b.MaxShare <= 1 && b.MaxGroupLoad >= 0 // false for NaN
 	return !inRange || b.MaxUnavailable < 0 || b.MaxPerZone < 0 || b.MaxPerGroup < 0
 }
 
--- a/internal/rolloutservice/codec_test.go
+++ b/internal/rolloutservice/codec_test.go
@@ -24,7 +24,7 @@
 // own for messages; they must not change.
 
 var goldenPlan = rollout.Plan{ID: "p-1", Kind: rollout.KindVersion, Units: []string{"r1", "r0", "r2"}, TargetVersion: 7, PreviousVersion: 6, WaveSizes: []int{1, 2}, WatchTime: 30_000_000,
-	DrainTime: 4_000_000, ProgressTimeout: 120_000_000, NoRollback: true, Budget: rollout.Budget{MaxUnavailable: 2, MaxShare: 0.25, MaxPerZone: 1, MaxPerGroup: 3, MinReplicas: 4, MaxGroupWork: 0.5}}
+	DrainTime: 4_000_000, ProgressTimeout: 120_000_000, NoRollback: true, Budget: rollout.Budget{MaxUnavailable: 2, MaxShare: 0.25, MaxPerZone: 1, MaxPerGroup: 3, MinReplicas: 4, MaxGroupLoad: 0.5}}
 
 var goldenRecord = &rollout.Record{Term: 9, Seq: 300, SlotsGranted: 17, Members: []string{"r0", "r1", "r2"}, Tokens: []string{"a", "b"}, Plans: []*rollout.Progress{
 	{Plan: goldenPlan, State: rollout.StateRollingBack, Reason: "an operator's word", Wave: 1, Units: []rollout.Unit{
--- a/internal/rolloutservice/plan_file.go
+++ b/internal/rolloutservice/plan_file.go
@@ -43,7 +43,7 @@
 			MaxPerZone:     budget.Integer("zone", 0, 0, rollout.MaxUnits),
 			MaxPerGroup:    budget.Integer("group", 0, 0, 100),
 			MinReplicas:    budget.Integer("replicas", 0, 0, 100),
-			MaxGroupWork:   budget.Number("work", 0, 0, 100) / 100,
+			MaxGroupLoad:   budget.Number("work", 0, 0, 100) / 100,
 		},
 	}
 	for _, text := range part.Texts("waves") {
--- a/internal/rolloutservice/wire_form.go
+++ b/internal/rolloutservice/wire_form.go
@@ -293,11 +293,11 @@
 }
 
 func newWireBudget(b rollout.Budget) wireBudget {
-	return wireBudget{Most: b.MaxUnavailable, Share: b.MaxShare, Zone: b.MaxPerZone, Group: b.MaxPerGroup, Replicas: b.MinReplicas, Work: b.MaxGroupWork}
+	return wireBudget{Most: b.MaxUnavailable, Share: b.MaxShare, Zone: b.MaxPerZone, Group: b.MaxPerGroup, Replicas: b.MinReplicas, Work: b.MaxGroupLoad}
 }
 
 func (w wireBudget) budget() rollout.Budget {
-	return rollout.Budget{MaxUnavailable: w.Most, MaxShare: w.Share, MaxPerZone: w.Zone, MaxPerGroup: w.Group, MinReplicas: w.Replicas, MaxGroupWork: w.Work}
+	return rollout.Budget{MaxUnavailable: w.Most, MaxShare: w.Share, MaxPerZone: w.Zone, MaxPerGroup: w.Group, MinReplicas: w.Replicas, MaxGroupLoad: w.Work}
 }
 
 func newWireCommand(c *rollout.Command) *wireCommand {
--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -20,7 +20,7 @@
 		a := p.Plan
 		fmt.Fprintf(out, "plan %q %d %q %d %d %d %d %d %d %v\n", a.ID, uint8(a.Kind), a.Units, a.TargetVersion, a.PreviousVersion, a.WaveSizes, a.WatchTime, a.DrainTime, a.ProgressTimeout, a.NoRollback)
 		b := a.Budget
-		fmt.Fprintf(out, "budget %d %g %d %d %d %g\n", b.MaxUnavailable, b.MaxShare, b.MaxPerZone, b.MaxPerGroup, b.MinReplicas, b.MaxGroupWork)
+		fmt.Fprintf(out, "budget %d %g %d %d %d %g\n", b.MaxUnavailable, b.MaxShare, b.MaxPerZone, b.MaxPerGroup, b.MinReplicas, b.MaxGroupLoad)
 		fmt.Fprintf(out, "progress %d %q %d\n", uint8(p.State), p.Reason, p.Wave)
 		for _, u := range p.Units {
 			fmt.Fprintf(out, "unit %d %d %d %d %v %d\n", uint8(u.Phase), u.Slot.Term, u.Slot.Number, u.Incarnation, u.RollingBack, u.Attempts)
