--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -144,7 +144,7 @@
 		return refuse(ErrGroupBudgetUsed, "%d of group %d are out, and %d may be", u.byGroup[group], group, b.MaxPerGroup)
 	}
 	if load := u.loadByGroup[group] + node.LoadShare; b.MaxGroupLoad > 0 && load > b.MaxGroupLoad {
-		return refuse(ErrGroupWork, "group %d would be without %.0f%% of its usual work", group, 100*load)
+		return refuse(ErrGroupLoad, "group %d would be without %.0f%% of its usual work", group, 100*load)
 	}
 	hasPrimary := false
 	replicas := 0 // caught-up ones
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -85,7 +85,7 @@
 			"b is out already"},
 		"group used": {nodes, func(_ *Budget, _ *testFleet, u *unavailability) { u.byGroup[1] = 1 }, "b", ErrGroupBudgetUsed,
 			"1 of group 1 are out, and 1 may be"},
-		"group's work": {nodes, func(b *Budget, _ *testFleet, _ *unavailability) { b.MaxGroupLoad = 0.4 }, "a", ErrGroupWork,
+		"group's work": {nodes, func(b *Budget, _ *testFleet, _ *unavailability) { b.MaxGroupLoad = 0.4 }, "a", ErrGroupLoad,
 			"group 1 would be without 50% of its usual work"},
 		"no other primary": {nodes, func(_ *Budget, f *testFleet, _ *unavailability) { f.leader.nodes["b"].CaughtUp = false }, "a", ErrNoPrimary,
 			"group 1 would have no primary, and none that could become one"},
--- a/internal/rollout/refusal.go
+++ b/internal/rollout/refusal.go
@@ -23,7 +23,7 @@
 	ErrBudgetUsed      = errors.New("the disruption budget is used up")
 	ErrZoneBudgetUsed  = errors.New("the disruption budget of the unit's zone is used up")
 	ErrGroupBudgetUsed = errors.New("the disruption budget of the node's group is used up")
-	ErrGroupWork       = errors.New("the group would lose too large a share of its usual load")
+	ErrGroupLoad       = errors.New("the group would lose too large a share of its usual load")
 	ErrNoPrimary       = errors.New("the group would have no primary")
 	ErrTooFewReplicas  = errors.New("the group would have too few caught-up replicas")
 	ErrVotersOut       = errors.New("too few voters would remember the record")
