--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -124,14 +124,14 @@
 	return nil
 }
 
-// checkVoters returns ErrVotersOut if, without this voter, no majority of voters would remember the record. A voter
+// checkVoters returns ErrTooFewVoters if, without this voter, no majority of voters would remember the record. A voter
 // that restarts has forgotten it, and counts as unavailable until the record is written to it again. Without this check
 // a plan could restart a majority of the voters, and no leader could start until an operator gives the command begin.
 // With fewer than three voters none may ever leave by a plan.
 func (l *Leader) checkVoters(name string, u *unavailability) error {
 	tolerated := (len(l.voters) - 1) / 2
 	if l.isVoter(name) && u.voters+1 > tolerated {
-		return refuse(ErrVotersOut, "%d of %d voters are out or have forgotten", u.voters, len(l.voters))
+		return refuse(ErrTooFewVoters, "%d of %d voters are out or have forgotten", u.voters, len(l.voters))
 	}
 	return nil
 }
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -80,7 +80,7 @@
 		"zone used": {routers, func(b *Budget, _ *testFleet, u *unavailability) { b.MaxPerZone, u.byZone["z"] = 1, 1 }, "r1", ErrZoneBudgetUsed,
 			"1 of zone z are out, and 1 may be"},
 		"not reporting":  {routers, func(*Budget, *testFleet, *unavailability) {}, "r9", ErrUnavailable, "r9 is not in sight"},
-		"the only voter": {routers, func(*Budget, *testFleet, *unavailability) {}, "r0", ErrVotersOut, "0 of 1 voters are out or have forgotten"},
+		"the only voter": {routers, func(*Budget, *testFleet, *unavailability) {}, "r0", ErrTooFewVoters, "0 of 1 voters are out or have forgotten"},
 		"a node that is down": {nodes, func(_ *Budget, f *testFleet, _ *unavailability) { f.leader.nodes["b"].Up = false }, "b", ErrUnavailable,
 			"b is out already"},
 		"group used": {nodes, func(_ *Budget, _ *testFleet, u *unavailability) { u.byGroup[1] = 1 }, "b", ErrGroupBudgetUsed,
--- a/internal/rollout/refusal.go
+++ b/internal/rollout/refusal.go
@@ -26,7 +26,7 @@
 	ErrGroupLoad       = errors.New("the group would lose too large a share of its usual load")
 	ErrNoPrimary       = errors.New("the group would have no primary")
 	ErrTooFewReplicas  = errors.New("the group would have too few caught-up replicas")
-	ErrVotersOut       = errors.New("too few voters would remember the record")
+	ErrTooFewVoters    = errors.New("too few voters would remember the record")
 	ErrUnavailable     = errors.New("the unit is already unavailable")
 	ErrTooFewReporting = errors.New("too few of the plan's routers are reporting")
 )
