--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -234,5 +234,5 @@
 
 // Run begins anew from what the voters still have.
 func (l *fleetBeginCommand) Run(out io.Writer) error {
-	return l.send(out, rollout.Command{Type: rollout.CommandBegin})
+	return l.send(out, rollout.Command{Type: rollout.CommandForceRecovery})
 }
--- a/internal/rollout/generated_test.go
+++ b/internal/rollout/generated_test.go
@@ -198,7 +198,7 @@
 	if f.rng.IntN(2) == 0 {
 		c.Unit = node.Name
 	}
-	c.Type = []CommandType{CommandStart, CommandStart, CommandStart, CommandHalt, CommandResume, CommandResume, CommandRollBack, CommandForget, CommandReturn, CommandBegin, 77}[f.rng.IntN(11)]
+	c.Type = []CommandType{CommandStart, CommandStart, CommandStart, CommandHalt, CommandResume, CommandResume, CommandRollBack, CommandForget, CommandReturn, CommandForceRecovery, 77}[f.rng.IntN(11)]
 	if c.Type == CommandForget && f.rng.IntN(2) == 0 {
 		c.PlanID = ""
 	}
--- a/internal/rollout/operator_command.go
+++ b/internal/rollout/operator_command.go
@@ -13,13 +13,13 @@
 
 // The types of operators' commands, with the fields of Command that each needs besides its token.
 const (
-	CommandStart    CommandType = iota + 1 // Plan: start it
-	CommandHalt                            // PlanID: no further unit leaves
-	CommandResume                          // PlanID: continue a halted plan
-	CommandRollBack                        // PlanID: roll back what it updated; also for a finished plan, see applyCommand
-	CommandForget                          // PlanID, Unit: remove the unit from the plan and free its slot. Unit alone: remove a missing member
-	CommandReturn                          // PlanID, Unit: return a drained node
-	CommandBegin                           // lead from the records of the voters that answer, though some have forgotten theirs
+	CommandStart         CommandType = iota + 1 // Plan: start it
+	CommandHalt                                 // PlanID: no further unit leaves
+	CommandResume                               // PlanID: continue a halted plan
+	CommandRollBack                             // PlanID: roll back what it updated; also for a finished plan, see applyCommand
+	CommandForget                               // PlanID, Unit: remove the unit from the plan and free its slot. Unit alone: remove a missing member
+	CommandReturn                               // PlanID, Unit: return a drained node
+	CommandForceRecovery                        // lead from the records of the voters that answer, though some have forgotten theirs
 )
 
 var commandNames = [...]string{"", "start", "halt", "resume", "back", "forget", "return", "begin"}
@@ -33,7 +33,7 @@
 }
 
 // Command is an operator's command. One whose token was accepted before is accepted as the same command and has no
-// further effect, so it can be repeated until it is answered. CommandBegin is the exception: its token is not kept, and
+// further effect, so it can be repeated until it is answered. CommandForceRecovery is the exception: its token is not kept, and
 // a leader that has started refuses a repeat.
 type Command struct {
 	Type   CommandType
@@ -49,7 +49,7 @@
 // HandleCommand handles an operator's command. A refusal is replied at once, an acceptance when the change is
 // committed.
 func (l *Leader) HandleCommand(now int64, c *Command) {
-	if c.Type == CommandBegin && l.term > 0 && l.record == nil {
+	if c.Type == CommandForceRecovery && l.term > 0 && l.record == nil {
 		l.recoverRecord(now, true)
 		if l.record == nil {
 			l.emit(ReplyToCommand{c.Token, refuse(ErrNotLeading, "%s", l.notLeadingReason)})
--- a/internal/rollout/replication_test.go
+++ b/internal/rollout/replication_test.go
@@ -25,7 +25,7 @@
 	if l.record != nil {
 		t.Fatal("the record was recovered without an operator")
 	}
-	l.HandleCommand(20*second, &Command{Type: CommandBegin, Token: "begin"})
+	l.HandleCommand(20*second, &Command{Type: CommandForceRecovery, Token: "begin"})
 	if l.record == nil || len(l.record.Members) != 3 || l.record.Term != 2 || l.record.Tokens[0] != "t" {
 		t.Errorf("record recovered by the command begin: %+v", l.record)
 	}
--- a/internal/rolloutservice/codec_test.go
+++ b/internal/rolloutservice/codec_test.go
@@ -65,7 +65,7 @@
 	{"command back", commandMessage{&rollout.Command{Type: rollout.CommandRollBack, Token: "t4", PlanID: "p-1"}}},
 	{"command forget", commandMessage{&rollout.Command{Type: rollout.CommandForget, Token: "t5", PlanID: "p-1", Unit: "r1"}}},
 	{"command return", commandMessage{&rollout.Command{Type: rollout.CommandReturn, Token: "t6", PlanID: "p-2", Unit: "s-0a"}}},
-	{"command begin", commandMessage{&rollout.Command{Type: rollout.CommandBegin, Token: "t7"}}},
+	{"command begin", commandMessage{&rollout.Command{Type: rollout.CommandForceRecovery, Token: "t7"}}},
 	{"reply accepted", commandReply{"t1", true, ""}},
 	{"reply refused", commandReply{"t1", false, "no plan \"p-9\""}},
 }
--- a/internal/simulation/rolloutsim/operators.go
+++ b/internal/simulation/rolloutsim/operators.go
@@ -59,6 +59,6 @@
 	token := w.newToken()
 	w.trace("%s is in doubt: %s", r.name, r.leader.NotLeadingReason())
 	w.recoveredByCommand = true
-	r.leader.HandleCommand(w.Now, &rollout.Command{Type: rollout.CommandBegin, Token: token})
+	r.leader.HandleCommand(w.Now, &rollout.Command{Type: rollout.CommandForceRecovery, Token: token})
 	w.carryOut(r)
 }
