--- a/internal/rolloutservice/codec.go
+++ b/internal/rolloutservice/codec.go
@@ -11,16 +11,16 @@
 	"cairntiller/internal/rollout"
 )
 
-// Messages between members are CBOR (RFC 8949) under s2 compression, described in docs/releases.md. The names and the
-// order of fields in the types below are that form, and nothing else in the program uses them: a field of internal/rollout
-// may change its name, its counterpart here may not. A change that an earlier version can't read takes another
-// formatVersion; who can't read a message drops it.
+// Messages between members are CBOR (RFC 8949) compressed with s2; docs/releases.md describes them. The wire types hold
+// the names and the order of fields of this format, and nothing else in the program uses them: a field of
+// internal/rollout may be renamed, its counterpart here may not. A change that an earlier version can't read needs a
+// new formatVersion; a member that can't read a message drops it.
 const (
 	formatVersion   = 1
-	maxUnpackedSize = 4 << 20 // bytes of a message: a record of some thousands of units, and no more memory for a wrong one
+	maxUnpackedSize = 4 << 20 // bytes of a message: a record of some thousands of units, and a limit on the memory for a malformed one
 )
 
-// messageKind says which sort of message a wireMessage is. The numbers are sent.
+// messageKind is the kind of a wireMessage. The numbers are sent.
 type messageKind uint8
 
 const (
@@ -36,7 +36,7 @@
 	kindCommandReply
 )
 
-// wireMessage is the form of every message; fields that its kind does not need stay empty.
+// wireMessage is the wire format of every message; fields that its kind does not use stay empty.
 type wireMessage struct {
 	Version   int
 	Kind      messageKind
@@ -55,20 +55,21 @@
 var (
 	decoding = codec.StrictDecoder(10, 2*rollout.MaxUnits, 64)
 
-	// ErrFormatVersion is a message of a form that this version of the program does not know.
-	ErrFormatVersion = errors.New("unknown version")
-	// ErrMalformed is a message that no member sends.
-	ErrMalformed = errors.New("a message out of bounds")
+	// ErrFormatVersion is the error for a message in a format that this version of the program does not know.
+	ErrFormatVersion = errors.New("unknown message format version")
+	// ErrMalformed is the error for a message that no member sends.
+	ErrMalformed = errors.New("malformed message")
 )
 
-// encode packs a message.
+// encode encodes and compresses a message.
 func encode(m message) []byte {
 	w := m.wire()
 	w.Version = formatVersion
 	return s2.Encode(nil, codec.Encode(w))
 }
 
-// decode reads a message, all or nothing. Its errors are ErrFormatVersion, ErrMalformed, or what CBOR and s2 say.
+// decode decodes a message, completely or not at all. Its errors are ErrFormatVersion, ErrMalformed, and those of CBOR
+// and s2.
 func decode(packed []byte) (message, error) {
 	size, err := s2.DecodedLen(packed)
 	if err != nil || size > maxUnpackedSize {
@@ -91,7 +92,7 @@
 	return w.message()
 }
 
-// check returns ErrMalformed for a record that no member sends, whatever the message's kind is.
+// check returns ErrMalformed for a record that no member sends, regardless of the message's kind.
 func (w *wireMessage) check() error {
 	if err := w.Record.check(); err != nil {
 		return err
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// message returns the message that was sent in this form.
+// message returns the message that w encodes.
 func (w *wireMessage) message() (message, error) {
 	switch w.Kind {
 	case kindReport:
@@ -142,7 +143,7 @@
 		if w.Kept == nil {
 			return nil, ErrMalformed
 		}
-		return readAnswer{w.Term, w.OK, w.Kept.kept()}, nil
+		return readAnswer{w.Term, w.OK, w.Kept.voterState()}, nil
 	case kindWriteRequest:
 		if w.Record == nil {
 			return nil, ErrMalformed
@@ -197,14 +198,14 @@
 	return wireMessage{Kind: kindCommandReply, Token: m.token, OK: m.accepted, Why: m.reason}
 }
 
-// EncodeCommand returns an operator's command as the admin socket's "fleet-word" takes it: JSON with the names of
+// EncodeCommand returns an operator's command in the form of the admin socket's "fleet-word": JSON with the names of
 // wireCommand.
 func EncodeCommand(c rollout.Command) (string, error) {
 	text, err := json.Marshal(newWireCommand(&c))
 	return string(text), err
 }
 
-// decodeCommand reads what EncodeCommand returned.
+// decodeCommand is the inverse of EncodeCommand.
 func decodeCommand(text string) (*rollout.Command, error) {
 	var w wireCommand
 	if err := json.Unmarshal([]byte(text), &w); err != nil {
--- a/internal/rolloutservice/codec_test.go
+++ b/internal/rolloutservice/codec_test.go
@@ -19,9 +19,9 @@
 	"cairntiller/internal/rollout"
 )
 
-// Members of two versions of the program talk to each other while a version goes round the fleet, and an operator's
-// command may come from either. The files in testdata were written by the version before this package had types of its
-// own for messages; they must not change.
+// During an upgrade members of two versions of the program exchange messages, and an operator's command may come from
+// either version. The files in testdata were written by the version before this package had its own types for messages;
+// they must not change.
 
 var goldenPlan = rollout.Plan{ID: "p-1", Kind: rollout.KindVersion, Units: []string{"r1", "r0", "r2"}, TargetVersion: 7, PreviousVersion: 6, WaveSizes: []int{1, 2}, WatchTime: 30_000_000,
 	DrainTime: 4_000_000, ProgressTimeout: 120_000_000, NoRollback: true, Budget: rollout.Budget{MaxUnavailable: 2, MaxShare: 0.25, MaxPerZone: 1, MaxPerGroup: 3, MinReplicas: 4, MaxGroupLoad: 0.5}}
@@ -70,7 +70,7 @@
 	{"reply refused", commandReply{"t1", false, "no plan \"p-9\""}},
 }
 
-// readGolden reads lines of a name, a tab and a text.
+// readGolden reads lines that consist of a name, a tab and a text.
 func readGolden(t *testing.T, path string) (names []string, texts map[string]string) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -83,7 +83,7 @@
 	for lines.Scan() {
 		name, text, found := strings.Cut(lines.Text(), "\t")
 		if !found {
-			t.Fatalf("%s: a line without a tab: %q", path, lines.Text())
+			t.Fatalf("%s: line without a tab: %q", path, lines.Text())
 		}
 		names = append(names, name)
 		texts[name] = text
@@ -94,17 +94,17 @@
 	return names, texts
 }
 
-// TestGoldenMessages encodes each message to the recorded bytes and decodes the recorded bytes to the same message.
+// TestGoldenMessages encodes each message to the recorded bytes, and decodes the recorded bytes to the same message.
 func TestGoldenMessages(t *testing.T) {
 	names, texts := readGolden(t, "testdata/messages.golden")
 	if len(names) != len(goldenMessages) {
-		t.Fatalf("%d messages were recorded, and there are %d", len(names), len(goldenMessages))
+		t.Fatalf("%d messages are recorded, want %d", len(names), len(goldenMessages))
 	}
 	for _, golden := range goldenMessages {
 		t.Run(golden.name, func(t *testing.T) {
 			want, err := hex.DecodeString(texts[golden.name])
 			if err != nil || len(want) == 0 {
-				t.Fatal("not recorded: ", err)
+				t.Fatal("no recorded bytes: ", err)
 			}
 			if got := encode(golden.message); !bytes.Equal(got, want) {
 				t.Errorf("encoded to %x, want %x", got, want)
@@ -120,19 +120,19 @@
 	}
 }
 
-// TestMutatedMessages changes bytes of the recorded messages at random: the same ones are refused as when the hash was
-// recorded, which was when records with an unknown phase, state or wave began to be, and what is taken is taken as the same
-// message.
+// TestMutatedMessages changes bytes of the recorded messages at random. The same ones are rejected as when the hash was
+// recorded, which was when records with an unknown phase, state or wave began to be rejected; an accepted message
+// encodes to the recorded hash.
 func TestMutatedMessages(t *testing.T) {
 	const (
-		wantTaken   = 6549
-		wantRefused = 45451
-		wantHash    = 0x8872c165a0e2673a
+		wantAccepted = 6549
+		wantRejected = 45451
+		wantHash     = 0x8872c165a0e2673a
 	)
 	names, texts := readGolden(t, "testdata/messages.golden")
 	rng := rand.New(rand.NewPCG(1, 2))
 	digest := xxhash.New()
-	taken, refused := 0, 0
+	accepted, rejected := 0, 0
 	for _, name := range names {
 		packed, err := hex.DecodeString(texts[name])
 		if err != nil {
@@ -149,11 +149,11 @@
 			}
 			m, err := decode(s2.Encode(nil, mutated))
 			if err != nil {
-				refused++
+				rejected++
 				digest.Write([]byte{0})
 				continue
 			}
-			taken++
+			accepted++
 			digest.Write([]byte{1})
 			again, err := s2.Decode(nil, encode(m))
 			if err != nil {
@@ -162,8 +162,8 @@
 			digest.Write(again)
 		}
 	}
-	if taken != wantTaken || refused != wantRefused || digest.Sum64() != wantHash {
-		t.Errorf("%d taken, %d refused, hash %#016x; want %d, %d, %#016x", taken, refused, digest.Sum64(), wantTaken, wantRefused, uint64(wantHash))
+	if accepted != wantAccepted || rejected != wantRejected || digest.Sum64() != wantHash {
+		t.Errorf("%d accepted, %d rejected, hash %#016x; want %d, %d, %#016x", accepted, rejected, digest.Sum64(), wantAccepted, wantRejected, uint64(wantHash))
 	}
 }
 
@@ -202,15 +202,15 @@
 		check(name, string(text))
 	}
 	for name := range texts {
-		t.Errorf("%s was recorded, and not compared", name)
+		t.Errorf("%s is recorded but was not compared", name)
 	}
 }
 
-// TestMalformedMessages refuses messages that lack what their kind needs, that carry a wrong record, that are too large when
-// unpacked, or that another version of the form wrote.
+// TestMalformedMessages checks that messages are rejected that lack what their kind needs, carry an invalid record, are
+// too large when decompressed, or have another format version.
 func TestMalformedMessages(t *testing.T) {
 	pack := func(w wireMessage) []byte { return s2.Encode(nil, codec.Encode(w)) }
-	wrongPlan := &wireRecord{Plans: []*wireProgress{{Plan: wirePlan{ID: "p", Kind: 9, Units: []string{"r1"}}, Units: make([]wireUnit, 1)}}}
+	invalidPlan := &wireRecord{Plans: []*wireProgress{{Plan: wirePlan{ID: "p", Kind: 9, Units: []string{"r1"}}, Units: make([]wireUnit, 1)}}}
 	tooFewUnits := newWireRecord(goldenRecord)
 	tooFewUnits.Plans[0].Units = tooFewUnits.Plans[0].Units[:2]
 	for name, c := range map[string]struct {
@@ -224,8 +224,8 @@
 		"command without a command":     {pack(wireMessage{Version: formatVersion, Kind: kindCommand}), ErrMalformed},
 		"no kind":                       {pack(wireMessage{Version: formatVersion}), ErrMalformed},
 		"an unknown kind":               {pack(wireMessage{Version: formatVersion, Kind: kindCommandReply + 1}), ErrMalformed},
-		"a wrong plan":                  {pack(wireMessage{Version: formatVersion, Kind: kindWriteRequest, Record: wrongPlan}), ErrMalformed},
-		"a wrong plan, not needed":      {pack(wireMessage{Version: formatVersion, Kind: kindDrainQuery, Record: wrongPlan}), ErrMalformed},
+		"an invalid plan":               {pack(wireMessage{Version: formatVersion, Kind: kindWriteRequest, Record: invalidPlan}), ErrMalformed},
+		"an unused invalid plan":        {pack(wireMessage{Version: formatVersion, Kind: kindDrainQuery, Record: invalidPlan}), ErrMalformed},
 		"no plan":                       {pack(wireMessage{Version: formatVersion, Kind: kindWriteRequest, Record: &wireRecord{Plans: []*wireProgress{nil}}}), ErrMalformed},
 		"too few units":                 {pack(wireMessage{Version: formatVersion, Kind: kindReadAnswer, Kept: &wireKept{Record: tooFewUnits}}), ErrMalformed},
 		"a later version":               {pack(wireMessage{Version: formatVersion + 1, Kind: kindDrainQuery}), ErrFormatVersion},
--- a/internal/rolloutservice/dispatch.go
+++ b/internal/rolloutservice/dispatch.go
@@ -11,8 +11,8 @@
 	"cairntiller/internal/rollout"
 )
 
-// maxCommandSenders is how many commands' senders are kept until their replies: operators are few, and one that was
-// dropped gives its command again.
+// maxCommandSenders is the number of commands whose senders are kept until the reply: operators are few, and one whose
+// command was dropped repeats it.
 const maxCommandSenders = 256
 
 // sendMessage sends a message to a member; one to this instance itself does not go over the network.
@@ -23,22 +23,23 @@
 	}
 	if err := s.send(to, membership.KindRollout, encode(m)); err != nil {
 		messagesUnsent.Add()
-		slog.Debug("a rollout message was not sent", "to", to, "err", err)
+		slog.Debug("cannot send rollout message", "to", to, "err", err)
 	}
 }
 
-// Receive queues a member's message; it never blocks. One that can't be read is counted and dropped.
+// Receive queues a member's message; it never blocks. A message that can't be decoded is counted and dropped.
 func (s *Service) Receive(from string, body []byte) {
 	m, err := decode(body)
 	if err != nil {
-		messagesUnread.Add()
-		slog.Debug("a rollout message can't be read", "from", from, "err", err)
+		messagesUnreadable.Add()
+		slog.Debug("cannot decode rollout message", "from", from, "err", err)
 		return
 	}
 	s.post(func(now int64) { s.handle(now, from, m) })
 }
 
-// handle passes a message to the leader, the member or the voter. The leader's are dropped unless the lease is held.
+// handle passes a message to the leader, the member or the voter. Messages to the leader are dropped unless the lease
+// is held.
 func (s *Service) handle(now int64, from string, m message) {
 	switch m := m.(type) {
 	case reportMessage:
@@ -51,8 +52,8 @@
 	case statementMessage:
 		s.knownLeader = from
 		if m.fromVoter {
-			// Its sender need not lead. Reports stop, also those to a leader that is known by now, until the next request or
-			// statement of a leader comes.
+			// Its sender need not lead. Reports stop, even to a leader that is already known, until the next request or
+			// statement of a leader arrives.
 			s.knownLeader = ""
 		}
 		s.member.HandleStatement(m.statement)
@@ -94,23 +95,23 @@
 		return
 	}
 	if len(s.commandSenders) >= maxCommandSenders {
-		clear(s.commandSenders) // they give their commands again
+		clear(s.commandSenders) // their senders repeat the commands
 	}
 	s.commandSenders[c.Token] = from
 	s.leader.HandleCommand(now, c)
 }
 
-// carryOut carries out the actions of the member and the leader, in their order.
-func (s *Service) carryOut() {
+// runActions executes the actions of the member and the leader, in order.
+func (s *Service) runActions() {
 	for _, action := range s.member.TakeActions() {
-		s.carryOutOne(action)
+		s.runAction(action)
 	}
 	for _, action := range s.leader.TakeActions() {
-		s.carryOutOne(action)
+		s.runAction(action)
 	}
 }
 
-func (s *Service) carryOutOne(action rollout.Action) {
+func (s *Service) runAction(action rollout.Action) {
 	switch a := action.(type) {
 	case rollout.ReadVoter:
 		s.sendMessage(a.Voter, readRequest{a.Term})
@@ -129,8 +130,8 @@
 	case rollout.ReplyToCommand:
 		s.reply(a)
 	case rollout.TransferLeadership:
-		slog.Info("lets another router lead, for it is to leave itself", "plan", a.PlanID)
-		s.handOver("")
+		slog.Info("transferring rollout leadership: this router is the next to leave", "plan", a.PlanID)
+		s.transferLeadership("")
 	case rollout.QueryDrainedNodes:
 		for _, voter := range s.voters {
 			s.sendMessage(voter, drainQuery{})
@@ -158,7 +159,8 @@
 	}
 }
 
-// drain sets the nodes to which the router sends nothing new, and records when each that was drained is back.
+// drain sets the nodes to which the router sends no new commands, and records when each node that is no longer drained
+// was returned.
 func (s *Service) drain(names []string) {
 	drainChanges.Add()
 	now := s.clock()
@@ -173,27 +175,29 @@
 	s.drained = names
 	s.router.Drain(names)
 	s.nextQueryAt = 0
-	slog.Info("drained by plans", "nodes", names)
+	slog.Info("nodes drained by plans changed", "nodes", names)
 }
 
-// leave lets the router leave in order; its supervisor starts the version that is named. If that can't be written the
-// router stays; the leader is not told, and waits for it to leave until the plan halts for lack of progress.
+// leave makes the router shut down in order; its supervisor starts the requested version. If the version can't be
+// written the router stays; the leader is not told, and waits for it to leave until the plan halts for lack of
+// progress.
 func (s *Service) leave(a rollout.LeaveService) {
 	if a.Version > 0 && s.settings.NextVersionFile != "" {
 		if err := writeNextVersion(s.settings.NextVersionFile, a.Version); err != nil {
-			slog.Error("stays: the next version can't be written", "err", err)
+			slog.Error("not leaving service: cannot write the next version", "err", err)
 			return
 		}
 	}
 	timesLeft.Add()
 	s.leaving = true
-	slog.Info("leaves service by a plan", "term", a.Slot.Term, "slot", a.Slot.Number, "version", a.Version)
+	slog.Info("leaving service for a rollout plan", "term", a.Slot.Term, "slot", a.Slot.Number, "version", a.Version)
 	s.report(s.clock())
 	s.router.Leave()
 }
 
-// writeNextVersion replaces the file by a rename, so that a supervisor that reads it meanwhile sees one version or the
-// other. A write that fails may leave a part of the number: the file then stays as it is.
+// writeNextVersion replaces the file by a rename, so that a supervisor that reads it at the same time sees either the
+// old or the new version. A failed write may leave part of the number in the temporary file; then the file itself is
+// not replaced.
 func writeNextVersion(path string, version uint64) error {
 	part := path + ".part"
 	if err := os.WriteFile(part, []byte(strconv.FormatUint(version, 10)+"\n"), 0o644); err != nil {
--- a/internal/rolloutservice/fuzz_test.go
+++ b/internal/rolloutservice/fuzz_test.go
@@ -6,24 +6,25 @@
 	"cairntiller/internal/rollout"
 )
 
-// FuzzDecode: a member sends a record with a phase, state or wave that there is none of. Seen: the router that is asked for
-// its status ends by a panic. Whatever bytes come, what is taken can be shown to an operator and sent on.
+// FuzzDecode checks that every message that decodes can be shown to an operator and encoded again. The fault it guards
+// against: a member sent a record with an unknown phase, state or wave, and a router that was asked for its status
+// panicked.
 func FuzzDecode(f *testing.F) {
 	for _, golden := range goldenMessages {
 		f.Add(encode(golden.message))
 	}
-	spoilt := func(spoil func(p *rollout.Progress)) {
+	addCorrupted := func(corrupt func(p *rollout.Progress)) {
 		record := goldenRecord.Clone()
-		spoil(record.Plans[0])
+		corrupt(record.Plans[0])
 		f.Add(encode(writeRequest{1, record}))
 		f.Add(encode(readAnswer{1, true, rollout.VoterState{Record: record}}))
 	}
-	spoilt(func(p *rollout.Progress) { p.Units[0].Phase = rollout.PhaseForgotten + 1 })
-	spoilt(func(p *rollout.Progress) { p.Units[0].Phase = 255 })
-	spoilt(func(p *rollout.Progress) { p.State = rollout.StateRolledBack + 1 })
-	spoilt(func(p *rollout.Progress) { p.State = 0 })
-	spoilt(func(p *rollout.Progress) { p.Wave = -1 })
-	spoilt(func(p *rollout.Progress) { p.Wave = 1 << 40 })
+	addCorrupted(func(p *rollout.Progress) { p.Units[0].Phase = rollout.PhaseForgotten + 1 })
+	addCorrupted(func(p *rollout.Progress) { p.Units[0].Phase = 255 })
+	addCorrupted(func(p *rollout.Progress) { p.State = rollout.StateRolledBack + 1 })
+	addCorrupted(func(p *rollout.Progress) { p.State = 0 })
+	addCorrupted(func(p *rollout.Progress) { p.Wave = -1 })
+	addCorrupted(func(p *rollout.Progress) { p.Wave = 1 << 40 })
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, err := decode(raw)
 		if err != nil {
@@ -43,12 +44,12 @@
 			status.addRecord(record)
 			for _, p := range status.Plans {
 				if p.State == "" || p.Wave < 1 {
-					t.Fatalf("taken: %+v", p)
+					t.Fatalf("accepted an invalid plan: %+v", p)
 				}
 			}
 		}
 		if _, err := decode(encode(m)); err != nil {
-			t.Fatalf("%v: %+v", err, m)
+			t.Fatalf("cannot decode the encoded message again: %v: %+v", err, m)
 		}
 	})
 }
--- a/internal/rolloutservice/next_version_test.go
+++ b/internal/rolloutservice/next_version_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestNextVersionStaysAfterAFailedWrite: the disk is full, here by a limit on the size of files, while the next version is
-// written. Seen: the part that was written replaces the file, and the supervisor starts another version than any plan has.
+// TestNextVersionStaysAfterAFailedWrite has a write of the next version fail because the disk is full, simulated by a
+// limit on file sizes. The fault it guards against: the partly written file replaced the file, and the supervisor
+// started a version that is in no plan.
 func TestNextVersionStaysAfterAFailedWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "next")
 	if err := writeNextVersion(path, 7); err != nil {
@@ -31,9 +32,9 @@
 		t.Fatal("a write past the limit succeeded")
 	}
 	if raw, err := os.ReadFile(path); err != nil || string(raw) != "7\n" {
-		t.Errorf("the next version is %q, %v; want that of before", raw, err)
+		t.Errorf("the next version is %q, %v; want the previous one", raw, err)
 	}
 	if _, err := os.Stat(path + ".part"); err == nil {
-		t.Error("the part that was written is left behind")
+		t.Error("the partly written file was not removed")
 	}
 }
--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -12,27 +12,27 @@
 	"cairntiller/internal/rollout"
 )
 
-// What operators may ask of a running router by its admin socket; cmd/cairntiller speaks it.
+// The requests that a running router answers on its admin socket; cmd/cairntiller is the client.
 
 const (
-	// commandTimeout is the longest time for an operator's request at the admin socket. A command that meets a leader's end
-	// waits for the lease to run out (up to maxLeaseLength) and for the next leader to begin, which may take longer than
-	// the rest. Then the operator gets ErrNoReply and repeats the command with its token.
+	// commandTimeout is the time limit of an operator's request at the admin socket. A command that arrives when a
+	// leader fails waits for the lease to expire (up to maxLeaseLength) and for the next leader to start, which may
+	// exceed the limit. Then the operator gets ErrNoReply and repeats the command with its token.
 	commandTimeout = 15 * time.Second
 
-	// commandRetryInterval is the time between sendings of a command that was not answered, or not by a leader.
+	// commandRetryInterval is the time between attempts to send a command that was not answered, or not by a leader.
 	commandRetryInterval = time.Second
 )
 
-// notLeadingReason is the reason in an instance's reply to a command that came to it though it does not lead. The text is
-// sent, and the sender, which sends the command again then, recognizes it.
+// notLeadingReason is the reason in the reply of an instance that received a command though it does not lead. The text
+// is sent; the sender recognizes it and sends the command again.
 const notLeadingReason = "that router does not lead any more"
 
-// ErrNoReply is a command that no leader has answered in time. It may have been accepted: given again with the same
-// token it is the same command.
+// ErrNoReply is the error for a command that no leader answered in time. The command may have been accepted: repeated
+// with the same token it is the same command.
 var ErrNoReply = errors.New("no reply of a leader")
 
-// CommandRefused is a leader's refusal of a command, in its words for operators.
+// CommandRefused is a leader's refusal of a command, with the leader's text for operators.
 type CommandRefused struct {
 	Reason string
 }
@@ -40,23 +40,23 @@
 // Error returns the reason.
 func (e *CommandRefused) Error() string { return e.Reason }
 
-// PlanStatus is one plan as the router that was asked knows it.
+// PlanStatus is the state of one plan as known to the router that was asked.
 type PlanStatus struct {
 	ID      string         `json:"id"`
 	Kind    string         `json:"kind"`
 	State   string         `json:"state"`
 	Reason  string         `json:"why"`
-	Wave    int            `json:"wave"` // the present one, the first being 1
+	Wave    int            `json:"wave"` // the current one, counted from 1
 	Units   int            `json:"units"`
 	Phases  map[string]int `json:"phases"`            // units by phase
 	Holding []string       `json:"holding,omitempty"` // units with a slot, with their phase
 }
 
-// Status is how rollouts stand, as one router knows it.
+// Status is the state of all rollouts as known to one router.
 type Status struct {
 	Router           string       `json:"router"`
 	Leads            bool         `json:"leads"`
-	Leader           string       `json:"leader,omitempty"` // as far as this router has heard
+	Leader           string       `json:"leader,omitempty"` // the latest that this router knows of
 	NotLeadingReason string       `json:"doubt,omitempty"`  // why it holds the lease and does not lead
 	Term             uint64       `json:"term,omitempty"`
 	Plans            []PlanStatus `json:"plans"`
@@ -86,13 +86,13 @@
 	}
 }
 
-// Settled reports whether nothing more happens by itself: the plan is finished, rolled back or halted.
+// Settled reports whether nothing more happens without an operator: the plan is finished, rolled back or halted.
 func (p *PlanStatus) Settled() bool {
 	return p.State == rollout.StateFinished.String() || p.State == rollout.StateRolledBack.String() || p.State == rollout.StateHalted.String()
 }
 
-// Serve answers operators: "fleet-status" with a Status; "fleet-word" and a command's text, once it was accepted, with the
-// token that it came with.
+// Serve answers operators' requests: "fleet-status" with a Status; "fleet-word" with a command's text, once the command
+// is accepted, with its token.
 func (s *Service) Serve(server *adminsocket.Server) {
 	server.Handle("fleet-status", func(ctx context.Context, session *adminsocket.Session) error {
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
@@ -114,8 +114,8 @@
 	})
 }
 
-// Status returns how rollouts stand as this router knows it: by the record under which it leads, else by the one that its
-// voter keeps, else without plans. The error is the context's.
+// Status returns the state of rollouts as this router knows it: from the record under which it leads, else from the one
+// that its voter keeps, else without plans. The error is the context's.
 func (s *Service) Status(ctx context.Context) (Status, error) {
 	answer := make(chan Status, 1)
 	s.post(func(int64) { answer <- s.status() })
@@ -145,17 +145,17 @@
 	return status
 }
 
-// Execute sends an operator's command to the leader and waits until a majority of voters keeps what it does. It is sent
-// again until it is accepted or refused, always with the same token; a command without a token gets a random one. The
-// error is a CommandRefused, or ErrNoReply once ctx is done.
+// Execute sends an operator's command to the leader and waits until its effect is committed. It sends the command again
+// until it is accepted or refused, always with the same token; a command without a token gets a random one. The error
+// is a CommandRefused, or ErrNoReply once ctx is done.
 func (s *Service) Execute(ctx context.Context, c rollout.Command) error {
 	if c.Token == "" {
 		c.Token = newToken()
 	}
 	replies := make(chan commandReply, 1)
-	s.post(func(int64) { s.waiting[c.Token] = replies })
-	defer s.post(func(int64) { delete(s.waiting, c.Token) })
-	last := "no router is known to lead"
+	s.post(func(int64) { s.pendingReplies[c.Token] = replies })
+	defer s.post(func(int64) { delete(s.pendingReplies, c.Token) })
+	lastReason := "no leader is known"
 	for {
 		s.post(func(int64) { s.sendToLeader(commandMessage{&c}) })
 		select {
@@ -166,10 +166,10 @@
 			if reply.reason != notLeadingReason {
 				return &CommandRefused{reply.reason}
 			}
-			last = reply.reason
+			lastReason = reply.reason
 		case <-time.After(commandRetryInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%w: %s", ErrNoReply, last)
+			return fmt.Errorf("%w: %s", ErrNoReply, lastReason)
 		}
 	}
 }
@@ -196,12 +196,12 @@
 	if !reply.accepted {
 		reply.reason = cmp.Or(reply.reason, "refused")
 	}
-	waiting := s.waiting[reply.token]
-	if waiting == nil {
+	replies := s.pendingReplies[reply.token]
+	if replies == nil {
 		return
 	}
 	select {
-	case waiting <- reply:
-	default: // it has one already
+	case replies <- reply:
+	default: // it already has one
 	}
 }
--- a/internal/rolloutservice/plan_file.go
+++ b/internal/rolloutservice/plan_file.go
@@ -8,8 +8,8 @@
 	"cairntiller/internal/sexp"
 )
 
-// A plan's file is an S-expression with one part, (plan …). docs/operate/releases.md describes it for operators; its words
-// are mapped to rollout.Plan here and nowhere else.
+// A plan's file is an S-expression with one part, (plan …). docs/operate/releases.md describes it for operators; only
+// this file maps its names to rollout.Plan.
 
 const (
 	maxVersion  = 1 << 40
@@ -18,7 +18,7 @@
 
 var kindsByName = map[string]rollout.Kind{"restart": rollout.KindRestart, "version": rollout.KindVersion, "nodes": rollout.KindNodes}
 
-// ReadPlan reads an operator's plan from a file. The error names every fault with its place.
+// ReadPlan reads an operator's plan from a file. The error names every fault with its position.
 func ReadPlan(path string) (p rollout.Plan, err error) {
 	file, err := sexp.ReadFile(path)
 	if err != nil {
@@ -49,14 +49,14 @@
 	for _, text := range part.Texts("waves") {
 		size, err := strconv.Atoi(text)
 		if err != nil || size < 1 {
-			part.AddFault("waves", strconv.Quote(text), "how many units, such as 3")
+			part.AddFault("waves", strconv.Quote(text), "a number of units, such as 3")
 		}
 		p.WaveSizes = append(p.WaveSizes, size)
 	}
 	if p.Kind == 0 {
 		part.AddFault("kind", strconv.Quote(kind), "one of nodes, restart, version")
 	} else if err := p.Validate(); err != nil {
-		part.AddFault("", err.Error(), "a plan that can be played")
+		part.AddFault("", err.Error(), "a valid plan")
 	}
 	if slices.Contains(p.Units, "") {
 		part.AddFault("units", "an empty name", "names of members or nodes")
--- a/internal/rolloutservice/service.go
+++ b/internal/rolloutservice/service.go
@@ -18,39 +18,40 @@
 const LeaseName = "releases"
 
 const (
-	inboxSize      = 4096 // events that wait; a thousand routers report each second, and one event takes microseconds
-	maxBatch       = 256  // events handled before the actions that they led to are carried out
+	inboxSize      = 4096 // queued events; a thousand routers report each second, and one event takes microseconds
+	maxBatch       = 256  // events handled before the resulting actions are executed
 	tickInterval   = 250 * time.Millisecond
 	reportInterval = int64(1_000_000) // us between reports to the leader
 
 	campaignInterval = 5 * time.Second   // between checks whether this instance is to compete for the lease
-	maxCandidates    = 3                 // instances that compete: while a plan has one of them out, another one leads
-	maxLeaseLength   = int64(10_000_000) // us that the lease lasts at most: after a leader's end nobody new leaves for so long
+	maxCandidates    = 3                 // competing instances: while a plan has one of them out of service, another one leads
+	maxLeaseLength   = int64(10_000_000) // us; the lease's maximum length: after a leader fails, no unit leaves for that long
 
-	returnedReportTime = int64(120_000_000) // us for which a node that is back is reported on, until its answers have proven it
+	returnedReportTime = int64(120_000_000) // us for which a returned node's answers are reported, until they show that it serves
 )
 
 var (
-	timesLeading     = metrics.New("times that this router led rollouts")
-	timesLeft        = metrics.New("times that this router left service by a plan")
-	drainChanges     = metrics.New("changes of drained nodes")
-	messagesUnread   = metrics.New("rollout messages unread")
-	messagesDropped  = metrics.New("rollout messages dropped, too many")
-	messagesUnsent   = metrics.New("rollout messages unsent")
-	messagesFenced   = metrics.New("rollout messages kept back, lease not held")
-	commandsAccepted = metrics.New("operator commands on plans accepted")
-	commandsRejected = metrics.New("operator commands on plans refused")
+	timesLeading       = metrics.New("times that this router led rollouts")
+	timesLeft          = metrics.New("times that this router left service by a plan")
+	drainChanges       = metrics.New("changes of drained nodes")
+	messagesUnreadable = metrics.New("rollout messages unread")
+	messagesDropped    = metrics.New("rollout messages dropped, too many")
+	messagesUnsent     = metrics.New("rollout messages unsent")
+	messagesFenced     = metrics.New("rollout messages kept back, lease not held")
+	commandsAccepted   = metrics.New("operator commands on plans accepted")
+	commandsRejected   = metrics.New("operator commands on plans refused")
 )
 
-// Router is what the service needs of the router beside it. Its methods may be called from any goroutine and never block.
+// Router is the router that the service controls. Its methods may be called from any goroutine and never block.
 type Router interface {
-	// Counts returns what it has served, whether it accepts commands, and how long it took to be ready, in us.
+	// Counts returns the router's command counts, whether it accepts commands, and how long its startup took, in us.
 	Counts() (counts rollout.CommandCounts, ready bool, startupTime int64)
-	// Drain sends no new commands to these nodes, and lets them go to all others again.
+	// Drain replaces the set of nodes to which the router sends no new commands.
 	Drain(nodes []string)
-	// QueryNodes asks for the nodes that it knows, with what is open at each; answer may be called on any goroutine.
+	// QueryNodes requests the nodes that the router knows, with the commands that are open at each; answer may be
+	// called on any goroutine.
 	QueryNodes(answer func([]Node))
-	// Leave lets it leave in order, as on SIGTERM.
+	// Leave makes the router shut down in order, as on SIGTERM.
 	Leave()
 }
 
@@ -61,20 +62,20 @@
 	Answers      uint64 // of the node since the router started
 }
 
-// Config holds what New needs. Only Settings may be empty. The functions may be called from any goroutine.
+// Config holds the arguments of New. Only Settings may be empty. The functions may be called from any goroutine.
 type Config struct {
 	Self         string   // this instance's name among the members
 	Settings     Settings // the part "releases" of the operator's file
 	Voters       []string // names of the members that keep the record
-	LongestLease int64    // us that the leases' settings allow for a lease
-	Router       Router   // the router beside the service
+	LongestLease int64    // us; the longest lease that the leases' settings allow
+	Router       Router   // the router that the service controls
 	Leases       *leaseservice.Service
-	Clock        func() int64                                   // us, never goes back
+	Clock        func() int64                                   // us, monotonic
 	Members      func() []string                                // names of the other live members
 	Send         func(to string, kind uint8, body []byte) error // sends a direct message to a member
 }
 
-// Service is one instance's part.
+// Service is the part of one instance.
 type Service struct {
 	self        string
 	settings    Settings
@@ -90,14 +91,14 @@
 	stopped    chan struct{}
 	goroutines sync.WaitGroup
 
-	// The rest belongs to the goroutine that runs run.
+	// The rest belongs to the goroutine of run.
 	leader       *rollout.Leader
 	member       *rollout.Member
 	voter        *rollout.Voter // nil if it does not vote
 	incarnation  uint64
 	guard        *leaseservice.Guard
 	term         uint64 // of the lease; 0 if it is not held
-	knownLeader  string // to whom it reports, "" for nobody
+	knownLeader  string // to which it reports, "" if none
 	nextReportAt int64
 	nextQueryAt  int64
 	drained      []string
@@ -106,19 +107,19 @@
 	leaving      bool
 	knownMembers map[string]bool
 
-	commandSenders map[string]string            // who sent a command here, by its token
-	waiting        map[string]chan commandReply // who waits here for the reply to a command, by its token
+	commandSenders map[string]string            // the senders of commands to this instance, by token
+	pendingReplies map[string]chan commandReply // the callers of Execute that wait for the reply to a command, by token
 }
 
-// returnedNode is a node that is back: since when, and how many answers it had given until then.
+// returnedNode is a node that was returned to service: when, and how many answers it had given until then.
 type returnedNode struct {
 	at      int64
 	answers uint64
 }
 
-// New makes an instance's part, which does nothing before Start.
+// New returns an instance's Service, which does nothing before Start.
 func New(config Config) *Service {
-	// Two processes of a member have the same number only if the clock was set back to the very microsecond.
+	// Two processes of a member get the same number only if the clock was set back to exactly the same microsecond.
 	incarnation := uint64(time.Now().UnixMicro())
 	s := &Service{
 		self:           config.Self,
@@ -139,7 +140,7 @@
 		nodes:          map[string]Node{},
 		knownMembers:   map[string]bool{},
 		commandSenders: map[string]string{},
-		waiting:        map[string]chan commandReply{},
+		pendingReplies: map[string]chan commandReply{},
 	}
 	if slices.Contains(config.Voters, config.Self) {
 		s.voter = rollout.NewVoter(incarnation, nil)
@@ -147,19 +148,19 @@
 	return s
 }
 
-// Start begins to report, to vote, and to compete for the lease.
+// Start starts reporting, voting, and competing for the lease.
 func (s *Service) Start() {
 	s.goroutines.Go(s.run)
 	s.goroutines.Go(s.campaign)
 }
 
-// Stop ends this instance's part and gives the lead up, so that another one need not wait until the lease runs out.
+// Stop stops the service and releases the lease, so that another instance need not wait until it expires.
 func (s *Service) Stop() {
 	close(s.stopped)
 	s.goroutines.Wait()
 }
 
-// post queues an event for the goroutine that runs run; it never blocks. If the queue is full the event is dropped and
+// post queues an event for the goroutine of run; it never blocks. If the queue is full the event is dropped and
 // counted, whatever it is.
 func (s *Service) post(event func(now int64)) {
 	select {
@@ -169,8 +170,8 @@
 	}
 }
 
-// campaign competes for the lease while this instance is one of the maxCandidates that are first by hash (lease.Eligible),
-// until Stop.
+// campaign competes for the lease while this instance is one of the maxCandidates that are first by hash
+// (lease.Eligible), until Stop.
 func (s *Service) campaign() {
 	var guard *leaseservice.Guard
 	for {
@@ -186,14 +187,14 @@
 	}
 }
 
-// campaignOnce requests the lease if this instance is eligible. If it is not eligible and does not lead, it withdraws an
-// earlier request. It returns the request under way, nil for none.
+// campaignOnce requests the lease if this instance is eligible. If it is not eligible and does not lead, it withdraws
+// an earlier request. It returns the pending request, nil for none.
 func (s *Service) campaignOnce(guard *leaseservice.Guard) *leaseservice.Guard {
 	eligible := lease.Eligible(s.self, s.members(), LeaseName, maxCandidates)
 	if eligible && guard == nil {
 		requested, err := s.leases.RequestLease(lease.Request{Lease: LeaseName, Length: s.leaseLength}, s.leaseChanged)
 		if err != nil {
-			slog.Error("does not stand for the lead of rollouts", "err", err)
+			slog.Error("cannot request the lease of the rollout leader", "err", err)
 			return requested
 		}
 		s.post(func(int64) { s.guard = requested })
@@ -222,7 +223,7 @@
 		case e.Change == leaseservice.Lost:
 			s.stepDown()
 		case e.Change == leaseservice.YieldRequested:
-			s.handOver(e.Next)
+			s.transferLeadership(e.Next)
 		}
 	})
 }
@@ -232,16 +233,17 @@
 	s.leader.StepDown()
 }
 
-// handOver gives the lead up, to next if it is not "". A write under way can be left: records are written complete.
-func (s *Service) handOver(next string) {
+// transferLeadership releases the lease, to next if it is not "". A write in progress can be abandoned: records are
+// always written as a whole.
+func (s *Service) transferLeadership(next string) {
 	if guard := s.guard; guard != nil && s.term > 0 {
 		s.stepDown()
 		go guard.Release(next)
 	}
 }
 
-// holdsLease reports whether the lease is held right now, under the term of this lead. What it is asked for is not sent
-// otherwise, and counted.
+// holdsLease reports whether the lease is held right now, under the term of this leadership. If not, the caller does
+// not send its message, which is counted here.
 func (s *Service) holdsLease() bool {
 	if s.guard == nil {
 		return false
@@ -270,7 +272,7 @@
 			event := <-s.inbox
 			event(s.clock())
 		}
-		s.carryOut()
+		s.runActions()
 	}
 }
 
@@ -291,7 +293,7 @@
 	}
 }
 
-// tickLeader gives the leader the present members and nodes, and ticks it.
+// tickLeader passes the current members and nodes to the leader, and ticks it.
 func (s *Service) tickLeader(now int64) {
 	present := map[string]bool{s.self: true}
 	s.leader.MemberUp(s.self)
@@ -318,11 +320,11 @@
 	}
 }
 
-// report sends this router's report to the leader that it knows.
+// report sends this router's report to the known leader.
 func (s *Service) report(now int64) {
 	s.nextReportAt = now + reportInterval
 	counts, ready, startupTime := s.router.Counts()
-	heard, _ := s.member.Statement()
+	lastStatement, _ := s.member.Statement()
 	report := &rollout.Report{
 		Member:        s.self,
 		Zone:          s.settings.Zone,
@@ -330,8 +332,8 @@
 		Version:       s.settings.Version,
 		Ready:         ready,
 		Leaving:       s.leaving,
-		Term:          heard.Term,
-		Seq:           heard.Seq,
+		Term:          lastStatement.Term,
+		Seq:           lastStatement.Seq,
 		Counts:        counts,
 		StartupTime:   startupTime,
 		ResidentBytes: residentBytes(),
@@ -342,13 +344,13 @@
 	for _, name := range s.drained {
 		report.Nodes = append(report.Nodes, rollout.NodeUse{Node: name, OpenCommands: s.nodes[name].OpenCommands})
 	}
-	for name, back := range s.returned {
-		if now-back.at > returnedReportTime {
+	for name, returned := range s.returned {
+		if now-returned.at > returnedReportTime {
 			delete(s.returned, name)
 			continue
 		}
 		answers := s.nodes[name].Answers
-		report.Nodes = append(report.Nodes, rollout.NodeUse{Node: name, Answers: answers - min(back.answers, answers)})
+		report.Nodes = append(report.Nodes, rollout.NodeUse{Node: name, Answers: answers - min(returned.answers, answers)})
 	}
 	s.sendMessage(s.knownLeader, reportMessage{report})
 }
--- a/internal/rolloutservice/service_test.go
+++ b/internal/rolloutservice/service_test.go
@@ -11,17 +11,18 @@
 	"cairntiller/internal/rollout"
 )
 
-// idleRouter is a router that serves and does nothing else.
+// idleRouter is a router that accepts commands and gets none.
 type idleRouter struct{}
 
 func (idleRouter) Counts() (rollout.CommandCounts, bool, int64) {
 	return rollout.CommandCounts{}, true, 1
 }
-func (idleRouter) Drain([]string)               {}
-func (idleRouter) QueryNodes(take func([]Node)) { take(nil) }
-func (idleRouter) Leave()                       {}
+func (idleRouter) Drain([]string)                 {}
+func (idleRouter) QueryNodes(answer func([]Node)) { answer(nil) }
+func (idleRouter) Leave()                         {}
 
-// newTestService makes the service of a fleet of one, which votes for itself; its leases run, and it does not yet.
+// newTestService returns the service of a fleet of one, which votes for itself. Its leases are started, the service is
+// not.
 func newTestService(t *testing.T) (*Service, *leaseservice.Service) {
 	t.Helper()
 	send := func(string, uint8, []byte) error { return nil }
@@ -29,7 +30,7 @@
 	leases := leaseservice.New("a", "test", settings, leaseservice.Clock, send)
 	leases.Start()
 	t.Cleanup(leases.Stop)
-	nobody := func() []string { return nil }
+	noMembers := func() []string { return nil }
 	return New(Config{
 		Self:         "a",
 		Voters:       []string{"a"},
@@ -37,7 +38,7 @@
 		Router:       idleRouter{},
 		Leases:       leases,
 		Clock:        leaseservice.Clock,
-		Members:      nobody,
+		Members:      noMembers,
 		Send:         send,
 	}), leases
 }
@@ -50,14 +51,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it does not lead")
+			t.Fatal("the service does not lead")
 		}
 	}
 }
 
-// TestStopGivesTheLeadUp stops a router that leads: its lease is free at once. Were it free only when it has run out, nobody
-// would lead for that long each time that a leader restarts.
-func TestStopGivesTheLeadUp(t *testing.T) {
+// TestStopReleasesLease stops a router that leads, and checks that its lease is free at once. If it became free only by
+// expiring, no instance would lead for that long each time a leader restarts.
+func TestStopReleasesLease(t *testing.T) {
 	s, leases := newTestService(t)
 	s.Start()
 	awaitLead(t, s)
@@ -71,7 +72,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it still holds the lease")
+			t.Fatal("the lease is still held after Stop")
 		}
 	}
 }
@@ -93,7 +94,7 @@
 		t.Errorf("an unknown plan: %v", err)
 	}
 	plan := rollout.Plan{ID: "p", Kind: rollout.KindRestart, Units: []string{"a"}}
-	for range 2 { // with its token it is the same command
+	for range 2 { // with the same token it is the same command
 		if err := s.Execute(t.Context(), rollout.Command{Type: rollout.CommandStart, Token: "t", Plan: plan}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rolloutservice/settings.go
+++ b/internal/rolloutservice/settings.go
@@ -12,10 +12,11 @@
 	Given           bool // the file has this part; without it the service is off
 	Zone            string
 	Version         uint64
-	NextVersionFile string // to which the version that the supervisor is to start next is written; "" for none
+	NextVersionFile string // file to which the version that the supervisor is to start next is written; "" for none
 }
 
-// ReadSettings reads them from the part "releases" of the operator's file, and adds its faults to the part.
+// ReadSettings reads the settings from the part "releases" of the operator's file, and adds faults that it finds to the
+// part.
 func ReadSettings(p *sexp.Part) Settings {
 	settings := Settings{
 		Given:           p.Present(),
--- a/internal/rolloutservice/wire_form.go
+++ b/internal/rolloutservice/wire_form.go
@@ -2,9 +2,9 @@
 
 import "cairntiller/internal/rollout"
 
-// The forms of what messages carry, beside the functions that map them to internal/rollout and back. A list that is nil
-// and one that is empty are sent differently and stay what they are. The names of fields are sent and can't change; a
-// comment gives the field of internal/rollout where that is named otherwise.
+// The wire types of messages, with the functions that convert them to and from internal/rollout. A nil list and an
+// empty one are encoded differently and are kept distinct. The names of fields are sent and can't change; a comment
+// names the field of internal/rollout if it is called differently.
 
 type wireReport struct {
 	Member    string
@@ -100,7 +100,7 @@
 	Zone     int     // MaxPerZone
 	Group    int     // MaxPerGroup
 	Replicas int     // MinReplicas
-	Work     float64 // MaxGroupWork
+	Work     float64 // MaxGroupLoad
 }
 
 // wireCommand is an operator's command, in messages and on the admin socket.
@@ -112,14 +112,14 @@
 	Unit  string
 }
 
-// mapAll maps each element of a list; nil stays nil.
-func mapAll[From, To any](all []From, one func(From) To) []To {
-	if all == nil {
+// mapAll converts each element of a list; nil stays nil.
+func mapAll[From, To any](list []From, convert func(From) To) []To {
+	if list == nil {
 		return nil
 	}
-	mapped := make([]To, len(all))
-	for i, from := range all {
-		mapped[i] = one(from)
+	mapped := make([]To, len(list))
+	for i, from := range list {
+		mapped[i] = convert(from)
 	}
 	return mapped
 }
@@ -155,16 +155,16 @@
 		Counts:           rollout.CommandCounts{Commands: w.Served.Commands, Failed: w.Served.Failed, Late: w.Served.Late, Rejected: w.Served.Throttled},
 		StartupTime:      w.StartedIn,
 		ResidentBytes:    w.Heap,
-		Nodes:            mapAll(w.Open, wireOpen.open),
+		Nodes:            mapAll(w.Open, wireOpen.nodeUse),
 		MayHaveForgotten: w.Blank,
 	}
 }
 
-func newWireOpen(o rollout.NodeUse) wireOpen {
-	return wireOpen{Node: o.Node, Commands: o.OpenCommands, Answered: o.Answers}
+func newWireOpen(use rollout.NodeUse) wireOpen {
+	return wireOpen{Node: use.Node, Commands: use.OpenCommands, Answered: use.Answers}
 }
 
-func (w wireOpen) open() rollout.NodeUse {
+func (w wireOpen) nodeUse() rollout.NodeUse {
 	return rollout.NodeUse{Node: w.Node, OpenCommands: w.Commands, Answers: w.Answered}
 }
 
@@ -196,11 +196,11 @@
 
 func (w wireSlot) slot() rollout.Slot { return rollout.Slot{Term: w.Term, Number: w.N} }
 
-func newWireKept(k rollout.VoterState) *wireKept {
-	return &wireKept{Record: newWireRecord(k.Record), Born: k.Incarnation, Blank: k.MayHaveForgotten}
+func newWireKept(state rollout.VoterState) *wireKept {
+	return &wireKept{Record: newWireRecord(state.Record), Born: state.Incarnation, Blank: state.MayHaveForgotten}
 }
 
-func (w *wireKept) kept() rollout.VoterState {
+func (w *wireKept) voterState() rollout.VoterState {
 	return rollout.VoterState{Record: w.Record.record(), Incarnation: w.Born, MayHaveForgotten: w.Blank}
 }
 
