--- a/internal/rolloutservice/operator_api.go
+++ b/internal/rolloutservice/operator_api.go
@@ -32,13 +32,13 @@
 // with the same token it is the same command.
 var ErrNoReply = errors.New("no reply of a leader")
 
-// CommandRefused is a leader's refusal of a command, with the leader's text for operators.
-type CommandRefused struct {
+// RefusedError is a leader's refusal of a command, with the leader's text for operators.
+type RefusedError struct {
 	Reason string
 }
 
 // Error returns the reason.
-func (e *CommandRefused) Error() string { return e.Reason }
+func (e *RefusedError) Error() string { return e.Reason }
 
 // PlanStatus is the state of one plan as known to the router that was asked.
 type PlanStatus struct {
@@ -147,7 +147,7 @@
 
 // Execute sends an operator's command to the leader and waits until its effect is committed. It sends the command again
 // until it is accepted or refused, always with the same token; a command without a token gets a random one. The error
-// is a CommandRefused, or ErrNoReply once ctx is done.
+// is a RefusedError, or ErrNoReply once ctx is done.
 func (s *Service) Execute(ctx context.Context, c rollout.Command) error {
 	if c.Token == "" {
 		c.Token = newToken()
@@ -164,7 +164,7 @@
 				return nil
 			}
 			if reply.reason != notLeadingReason {
-				return &CommandRefused{reply.reason}
+				return &RefusedError{reply.reason}
 			}
 			lastReason = reply.reason
 		case <-time.After(commandRetryInterval):
--- a/internal/rolloutservice/service_test.go
+++ b/internal/rolloutservice/service_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("before it leads: %v, want %v", err, ErrNoReply)
 	}
 	awaitLead(t, s)
-	var refused *CommandRefused
+	var refused *RefusedError
 	if err := s.Execute(t.Context(), rollout.Command{Type: rollout.CommandHalt, PlanID: "p"}); !errors.As(err, &refused) || refused.Reason != `no plan "p"` {
 		t.Errorf("an unknown plan: %v", err)
 	}
