--- a/internal/rollout/action.go
+++ b/internal/rollout/action.go
@@ -44,7 +44,7 @@
 		PlanID string
 	}
 
-	// LogEvent is to be logged.
+	// LogEvent requests a line in the log.
 	LogEvent struct {
 		PlanID string // "" for none
 		Text   string
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -40,9 +40,9 @@
 	// machine's fault.
 	minCrashes = 2
 
-	// maxCrashProbability is the probability below which a plan halts: that of so many of all crashes falling on the
-	// canary cohort by chance. A plain count would not do: when nearly all routers are updated, nearly all crashes fall
-	// on them.
+	// maxCrashProbability is the significance level for crashes: a plan halts if at least as many of all crashes would
+	// fall on the canary cohort by chance with a lower probability. A plain count would not do: when nearly all routers
+	// are updated, nearly all crashes fall on them.
 	maxCrashProbability = 1e-3
 
 	// upperQuantile is the quantile of the baseline's startup times and memory with which the canary cohort is
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// prepareRollback starts the rollback of units that need no new slot, since they hold one or need none. It returns how
+// prepareRollback starts the rollback of units that need no new slot, since they already hold one. It returns how
 // many units are in progress, and which ones have yet to be restarted: those that are done with the target version.
 func (l *Leader) prepareRollback(now int64, p *Progress) (underWay int, toRestart []int) {
 	for i := range p.Units {
