--- a/internal/lease/acquisition.go
+++ b/internal/lease/acquisition.go
@@ -169,7 +169,7 @@
 		} else if r.phase == holding && answer.Term >= max(r.term, r.carryOverTerm) && v.term != answer.Term {
 			c.carryOver(now, r)
 		}
-	case HeldByOther, OtherGoesFirst:
+	case HeldByOther, ReservedForOther:
 		v.heldByOtherUntil = now + answer.Wait
 		v.nextRequestAt = now + max(answer.Wait, retryInterval)
 	case Abstaining, CoolingDown:
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -120,7 +120,7 @@
 	reserved := now < g.reservedUntil && len(g.queue) > 0 && g.queue[0].name != requester.name
 	if reserved && !answer.CarryOver {
 		v.enqueueWaiter(now, g, requester, answer.WantedLease)
-		return refusal(answer, OtherGoesFirst, g.reservedUntil-now)
+		return refusal(answer, ReservedForOther, g.reservedUntil-now)
 	}
 	return v.grant(now, g, requester, generation, answer)
 }
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -139,15 +139,15 @@
 
 // The verdicts; all but Granted refuse the lease. Their numbers are sent on the wire.
 const (
-	Granted        Verdict = iota + 1
-	HeldByOther            // another process holds it, for LeaseVerdict.Wait at most
-	TermTooLow             // the term must be above LeaseVerdict.Term
-	OtherGoesFirst         // reserved for the first in the queue, for LeaseVerdict.Wait at most
-	CoolingDown            // the candidate let too many leases lapse, and is granted none for LeaseVerdict.Wait
-	Abstaining             // the voter has just started
-	OtherVoterSet          // candidate and voter use different voter sets
-	OutOfBounds            // a length or a name is out of bounds
-	NoCapacity             // the voter tracks its maximum number of leases
+	Granted          Verdict = iota + 1
+	HeldByOther              // another process holds it, for LeaseVerdict.Wait at most
+	TermTooLow               // the term must be above LeaseVerdict.Term
+	ReservedForOther         // reserved for the first in the queue, for LeaseVerdict.Wait at most
+	CoolingDown              // the candidate let too many leases lapse, and is granted none for LeaseVerdict.Wait
+	Abstaining               // the voter has just started
+	OtherVoterSet            // candidate and voter use different voter sets
+	OutOfBounds              // a length or a name is out of bounds
+	NoCapacity               // the voter tracks its maximum number of leases
 	verdictCount
 )
 
