--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -262,7 +262,7 @@
 
 // Receive handles a voter's message.
 func (c *Candidate) Receive(now int64, m Message) {
-	voter, known := c.voterIndex[m.Common().From]
+	voter, known := c.voterIndex[m.CommonHeader().From]
 	if !known {
 		return
 	}
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -4,8 +4,8 @@
 // *Release from a candidate to a voter, a *GrantResponse, *RenewResponse or *TurnNotice from a voter to a candidate, or
 // a *VoterStatus from a voter to a voter. It must not be modified after a Send action has returned it.
 type Message interface {
-	// Common returns the header, which every message has.
-	Common() *Header
+	// CommonHeader returns the header, which every message has.
+	CommonHeader() *Header
 }
 
 // Header is the header of every message.
@@ -15,8 +15,8 @@
 	SetNumber   uint64 // of the voter set that the sender has adopted; in a request, of the one that the receiver is believed to have adopted
 }
 
-// Common returns the header.
-func (h *Header) Common() *Header { return h }
+// CommonHeader returns the header.
+func (h *Header) CommonHeader() *Header { return h }
 
 // RequestHeader is the header of a candidate's messages.
 type RequestHeader struct {
--- a/internal/leaseservice/codec.go
+++ b/internal/leaseservice/codec.go
@@ -98,7 +98,7 @@
 
 // toWire returns a message as it is sent. Each kind sends its list of leases, an empty one included.
 func toWire(message lease.Message) wireMessage {
-	header := message.Common()
+	header := message.CommonHeader()
 	w := wireMessage{Version: messageVersion, Incarnation: header.Incarnation, SetNumber: header.SetNumber, Leases: []wireLease{}}
 	switch m := message.(type) {
 	case *lease.GrantRequest:
--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -134,7 +134,7 @@
 }
 
 func formOfMessage(message lease.Message) recordedMessage {
-	header := message.Common()
+	header := message.CommonHeader()
 	r := recordedMessage{from: header.From, incarnation: header.Incarnation, setNumber: header.SetNumber}
 	ofRequest := func(kind int, h *lease.RequestHeader) {
 		r.kind, r.requestID, r.generation = kind, h.RequestID, h.Generation
--- a/internal/simulation/leasesim/mistakes.go
+++ b/internal/simulation/leasesim/mistakes.go
@@ -63,7 +63,7 @@
 
 // tamperFormerVoter lets every process of a voter speak as the first that was heard.
 func (s *Simulation) tamperFormerVoter(p *process, message Message) {
-	pair := p.name + "<" + message.Common().From
+	pair := p.name + "<" + message.CommonHeader().From
 	switch m := message.(type) {
 	case *lease.GrantResponse:
 		if told := p.toldIncarnation[pair]; told != 0 {
--- a/internal/simulation/leasesim/network.go
+++ b/internal/simulation/leasesim/network.go
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	s.hash(hashedArrival, p.index, hashOf(m), int64(m.Common().Incarnation))
+	s.hash(hashedArrival, p.index, hashOf(m), int64(m.CommonHeader().Incarnation))
 	s.tamper(p, m)
 	defer s.measure(p, time.Now())
 	own := p.clock(s.Now)
