--- a/internal/leaseservice/candidate_loop.go
+++ b/internal/leaseservice/candidate_loop.go
@@ -7,11 +7,11 @@
 	"cairntiller/internal/lease"
 )
 
-// minCandidateTick is the least time between ticks that messages cause, in us. An answer has its effect at once, and many
-// answers that come together cause one tick.
-const minCandidateTick = 5_000
+// minTickInterval is the shortest time between ticks triggered by messages, in us. An answer takes effect at once,
+// while many answers that arrive together trigger one tick.
+const minTickInterval = 5_000
 
-// runCandidate runs the candidate until the end.
+// runCandidate runs the candidate until the service stops.
 func (s *Service) runCandidate() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -31,24 +31,24 @@
 		for n := 0; n < maxBatch && len(s.candidateInbox) > 0; n++ {
 			s.candidate.Receive(s.clock(), <-s.candidateInbox)
 		}
-		if now := s.clock(); due || now-lastTick >= minCandidateTick {
+		if now := s.clock(); due || now-lastTick >= minTickInterval {
 			s.candidate.Tick(now)
 			lastTick = now
 		}
 		for _, action := range s.candidate.TakeActions() {
-			s.carryOutForCandidate(action)
+			s.executeCandidateAction(action)
 		}
 	}
 }
 
-// carryOutForCandidate carries out an action of the candidate, and notifies the lease's guard of a change.
-func (s *Service) carryOutForCandidate(action lease.Action) {
+// executeCandidateAction executes an action of the candidate, and notifies the lease's guard of a change.
+func (s *Service) executeCandidateAction(action lease.Action) {
 	switch a := action.(type) {
 	case lease.Send:
 		s.sendMessage(a.To, a.Message)
 	case lease.Acquired:
 		leasesAcquired.Add()
-		slog.Info("lease held", "lease", a.Lease, "term", a.Term, "left_us", a.Until-s.clock())
+		slog.Info("lease acquired", "lease", a.Lease, "term", a.Term, "left_us", a.Until-s.clock())
 		if guard := s.guards[a.Lease]; guard != nil {
 			guard.extend(Acquired, a.Term, a.Until)
 		}
@@ -64,7 +64,7 @@
 		}
 	case lease.YieldRequested:
 		yieldsRequested.Add()
-		slog.Info("lease wanted", "lease", a.Lease, "term", a.Term, "by", a.Next, "why", a.Reason)
+		slog.Info("lease yield requested", "lease", a.Lease, "term", a.Term, "by", a.Next, "why", a.Reason)
 		if guard := s.guards[a.Lease]; guard != nil {
 			guard.yield(a.Term, a.Next, a.Reason)
 		}
@@ -76,24 +76,24 @@
 	}
 }
 
-// requestYield asks the holder of a lease on this instance to give it up, if it holds it under a term that is meant; it
-// never blocks.
-func (s *Service) requestYield(lease string, meant termFilter, reason string) {
-	ask := func(int64) {
+// requestYield asks the holder of a lease on this instance to release it, if it holds the lease under a term that the
+// filter matches. It never blocks.
+func (s *Service) requestYield(lease string, matches termFilter, reason string) {
+	yield := func(int64) {
 		term, _ := s.candidate.HeldTerm(lease)
 		guard := s.guards[lease]
 		if guard == nil || term == 0 {
 			return
 		}
-		if !meant(guard, term) {
-			yieldsRefused.Add()
-			slog.Warn("lease not given up: the request is for an earlier holder, or names no term", "lease", lease, "term", term, "why", reason)
+		if !matches(guard, term) {
+			freeRequestsRefused.Add()
+			slog.Warn("request to release a lease refused: it is for an earlier term, or names no term", "lease", lease, "term", term, "why", reason)
 			return
 		}
 		guard.yield(term, "", reason)
 	}
 	select {
-	case s.candidateCalls <- ask:
+	case s.candidateCalls <- yield:
 	default:
 		messagesDropped.Add()
 	}
--- a/internal/leaseservice/clock_linux.go
+++ b/internal/leaseservice/clock_linux.go
@@ -2,12 +2,12 @@
 
 import "golang.org/x/sys/unix"
 
-// Clock is the machine's clock since it started, in us. It goes on while the machine is suspended, which the runtime's
-// own does not: a holder that slept must not think that its lease had slept too.
+// Clock returns the time since the machine booted, in us. Unlike the Go runtime's monotonic clock it also advances
+// while the machine is suspended: a holder must not believe that its lease did not run out during that time.
 func Clock() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // every kernel that this runs on has it
+		panic(err) // every supported kernel has this clock
 	}
 	return t.Nano() / 1000
 }
--- a/internal/leaseservice/clock_other.go
+++ b/internal/leaseservice/clock_other.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-var zero = time.Now()
+var clockStart = time.Now()
 
-// Clock is a monotonic clock in us. If it stands still while the machine sleeps, machines that sleep must not hold
-// leases.
-func Clock() int64 { return time.Since(zero).Microseconds() + 1 }
+// Clock returns a monotonic time in us. If it stops while the machine is suspended, machines that can be suspended must
+// not hold leases.
+func Clock() int64 { return time.Since(clockStart).Microseconds() + 1 }
--- a/internal/leaseservice/codec.go
+++ b/internal/leaseservice/codec.go
@@ -9,19 +9,19 @@
 	"cairntiller/internal/lease"
 )
 
-// The form of messages: CBOR arrays (RFC 8949), described in docs/leases.md. A change that others can't read takes
-// another version, and a member that can't read a message drops it: to the sender it is as if it were lost.
+// Messages are CBOR arrays (RFC 8949), described in docs/leases.md. An incompatible change needs another version. A
+// member drops a message that it can't decode; for the sender this is the same as a lost message.
 const (
 	messageVersion = 1
-	// maxLeases is how many leases a message may name: far over what fits a datagram.
+	// maxLeases limits the leases that a message may name, to far more than fit a datagram.
 	maxLeases = 128
-	// maxTime bounds clocks and waits, in us, so that sums of them don't overflow.
+	// maxTime limits clock readings and waits, in us, so that their sums don't overflow.
 	maxTime = int64(1) << 60
-	// maxTerm bounds terms and tickets, so that there is always a later one.
+	// maxTerm limits terms and tickets, so that a later term always exists.
 	maxTerm = uint64(1) << 62
 )
 
-// The kinds of messages on the wire.
+// Kinds of messages on the wire.
 const (
 	kindGrantRequest uint8 = iota + 1
 	kindRenewRequest
@@ -32,14 +32,14 @@
 	kindVoterStatus
 )
 
-// Why a member's message is dropped; one that is no message at all gives the decoder's error.
+// Reasons for dropping a member's message. If a field has the wrong type, Decode returns the decoder's error instead.
 var (
-	ErrOutOfBounds    = errors.New("a field out of bounds")
+	ErrOutOfBounds    = errors.New("field out of bounds")
 	ErrUnknownVersion = errors.New("unknown version")
 )
 
-// wireMessage is every kind of lease.Message as it is sent; the order of the fields is that of the array. A kind leaves the
-// fields that it does not have at zero.
+// wireMessage is the wire format of every kind of lease.Message; the order of the fields is that of the array. Fields
+// that a kind does not use are zero.
 type wireMessage struct {
 	_            struct{} `cbor:",toarray"`
 	Version      int
@@ -59,7 +59,7 @@
 	Leases       []wireLease
 }
 
-// wireLease is one lease of a message as it is sent.
+// wireLease is the wire format of one lease in a message.
 type wireLease struct {
 	_         struct{} `cbor:",toarray"`
 	Lease     string
@@ -74,20 +74,20 @@
 	Wait      int64
 }
 
-var decoding = codec.StrictDecoder(6, maxLeases, 16)
+var strictDecoder = codec.StrictDecoder(6, maxLeases, 16)
 
-// Encode puts a message on the wire, without its sender, whom the membership names.
+// Encode encodes a message, without its sender, which package membership reports.
 func Encode(m lease.Message) []byte {
 	return codec.Encode(toWire(m))
 }
 
-// Decode reads a member's message, all or nothing: one field out of bounds makes the whole message invalid.
+// Decode decodes a member's message. One field out of bounds makes the whole message invalid.
 func Decode(from string, raw []byte) (lease.Message, error) {
 	if err := checkVersion(raw); err != nil {
 		return nil, err
 	}
 	var w wireMessage
-	if err := decoding.Unmarshal(raw, &w); err != nil {
+	if err := strictDecoder.Unmarshal(raw, &w); err != nil {
 		return nil, err
 	}
 	if !w.inBounds() {
@@ -96,7 +96,7 @@
 	return fromWire(from, &w)
 }
 
-// toWire returns a message as it is sent. Each kind sends its list of leases, an empty one included.
+// toWire converts a message to its wire format. Each kind sends its list of leases, even if it is empty.
 func toWire(message lease.Message) wireMessage {
 	header := message.CommonHeader()
 	w := wireMessage{Version: messageVersion, Incarnation: header.Incarnation, SetNumber: header.SetNumber, Leases: []wireLease{}}
@@ -121,11 +121,11 @@
 		w.setResponse(&m.ResponseHeader)
 		for i := range m.Leases {
 			answer := &m.Leases[i]
-			one := wantedToWire(&answer.WantedLease)
-			one.Verdict = uint8(answer.Verdict)
-			one.Holder = answer.Holder
-			one.Wait = answer.Wait
-			w.Leases = append(w.Leases, one)
+			item := wantedToWire(&answer.WantedLease)
+			item.Verdict = uint8(answer.Verdict)
+			item.Holder = answer.Holder
+			item.Wait = answer.Wait
+			w.Leases = append(w.Leases, item)
 		}
 	case *lease.RenewResponse:
 		w.Kind = kindRenewResponse
@@ -177,7 +177,7 @@
 	}
 }
 
-// fromWire returns the message that a member sent.
+// fromWire converts a message from its wire format.
 func fromWire(from string, w *wireMessage) (lease.Message, error) {
 	header := lease.Header{From: from, Incarnation: w.Incarnation, SetNumber: w.SetNumber}
 	request := lease.RequestHeader{Header: header, RequestID: w.RequestID, Generation: w.Generation}
@@ -201,27 +201,27 @@
 		return &lease.RenewRequest{RequestHeader: request}, nil
 	case kindRelease:
 		m := &lease.Release{RequestHeader: request}
-		for _, one := range w.Leases {
-			m.Leases = append(m.Leases, lease.ReleasedLease{Lease: one.Lease, Term: one.Term, Next: one.Holder})
+		for _, item := range w.Leases {
+			m.Leases = append(m.Leases, lease.ReleasedLease{Lease: item.Lease, Term: item.Term, Next: item.Holder})
 		}
 		return m, nil
 	case kindGrantResponse:
 		m := &lease.GrantResponse{ResponseHeader: response}
 		for i := range w.Leases {
-			one := &w.Leases[i]
-			m.Leases = append(m.Leases, lease.LeaseVerdict{WantedLease: wantedFromWire(one), Verdict: lease.Verdict(one.Verdict), Holder: one.Holder, Wait: one.Wait})
+			item := &w.Leases[i]
+			m.Leases = append(m.Leases, lease.LeaseVerdict{WantedLease: wantedFromWire(item), Verdict: lease.Verdict(item.Verdict), Holder: item.Holder, Wait: item.Wait})
 		}
 		return m, nil
 	case kindRenewResponse:
 		m := &lease.RenewResponse{ResponseHeader: response, RenewedCount: w.RenewedCount}
-		for _, one := range w.Leases {
-			m.Waiting = append(m.Waiting, lease.WaitingLease{Lease: one.Lease, Term: one.Term, First: one.Holder, Priority: one.Priority, WaitedFor: one.Wait})
+		for _, item := range w.Leases {
+			m.Waiting = append(m.Waiting, lease.WaitingLease{Lease: item.Lease, Term: item.Term, First: item.Holder, Priority: item.Priority, WaitedFor: item.Wait})
 		}
 		return m, nil
 	case kindTurnNotice:
 		m := &lease.TurnNotice{Header: header, VoterClock: w.VoterClock}
-		for _, one := range w.Leases {
-			m.Leases = append(m.Leases, lease.FreeLease{Lease: one.Lease, Term: one.Term})
+		for _, item := range w.Leases {
+			m.Leases = append(m.Leases, lease.FreeLease{Lease: item.Lease, Term: item.Term})
 		}
 		return m, nil
 	case kindVoterStatus:
@@ -231,32 +231,32 @@
 	return nil, ErrOutOfBounds
 }
 
-func wantedFromWire(one *wireLease) lease.WantedLease {
+func wantedFromWire(w *wireLease) lease.WantedLease {
 	return lease.WantedLease{
-		Lease:     one.Lease,
-		Term:      one.Term,
-		Length:    one.Length,
-		Full:      one.Full,
-		CarryOver: one.CarryOver,
-		Priority:  one.Priority,
-		Ticket:    one.Ticket,
+		Lease:     w.Lease,
+		Term:      w.Term,
+		Length:    w.Length,
+		Full:      w.Full,
+		CarryOver: w.CarryOver,
+		Priority:  w.Priority,
+		Ticket:    w.Ticket,
 	}
 }
 
-// checkVersion reads a message's version by itself, since one of a later version may have other fields.
+// checkVersion checks a message's version separately, since a message of a later version may have other fields.
 func checkVersion(raw []byte) error {
 	var fields []cbor.RawMessage
-	if err := decoding.Unmarshal(raw, &fields); err != nil || len(fields) == 0 {
+	if err := strictDecoder.Unmarshal(raw, &fields); err != nil || len(fields) == 0 {
 		return ErrOutOfBounds
 	}
 	version := 0
-	if decoding.Unmarshal(fields[0], &version) != nil || version != messageVersion {
+	if strictDecoder.Unmarshal(fields[0], &version) != nil || version != messageVersion {
 		return ErrUnknownVersion
 	}
 	return nil
 }
 
-// inBounds reports whether a message's fields may be believed, those included that its kind does not have.
+// inBounds reports whether all fields of a message are in bounds, including those that its kind does not use.
 func (w *wireMessage) inBounds() bool {
 	if w.Kind < kindGrantRequest || w.Kind > kindVoterStatus || len(w.SetNames) > lease.MaxVoters || w.RenewedCount < 0 || w.TermFloor > maxTerm {
 		return false
@@ -271,10 +271,10 @@
 			return false
 		}
 	}
-	return within(w.LongestLease, maxLeaseLength) && within(w.SetAge, maxTime) && within(w.VoterClock, maxTime)
+	return inRange(w.LongestLease, maxLeaseLength) && inRange(w.SetAge, maxTime) && inRange(w.VoterClock, maxTime)
 }
 
-// inBounds reports whether what a message says of one lease may be believed.
+// inBounds reports whether the fields of one lease are in bounds.
 func (l *wireLease) inBounds() bool {
 	if l.Lease == "" || len(l.Lease) > lease.MaxNameLength || len(l.Holder) > lease.MaxNameLength {
 		return false
@@ -282,8 +282,8 @@
 	if l.Term > maxTerm || l.Ticket > maxTerm || l.Verdict > uint8(lease.NoCapacity) {
 		return false
 	}
-	return within(l.Length, maxLeaseLength) && within(l.Wait, maxTime)
+	return inRange(l.Length, maxLeaseLength) && inRange(l.Wait, maxTime)
 }
 
-// within reports whether a time is from 0 to a bound.
-func within(t, bound int64) bool { return t >= 0 && t <= bound }
+// inRange reports whether a value is from 0 to a limit.
+func inRange(value, limit int64) bool { return value >= 0 && value <= limit }
--- a/internal/leaseservice/codec_test.go
+++ b/internal/leaseservice/codec_test.go
@@ -8,8 +8,8 @@
 	"cairntiller/internal/membership"
 )
 
-// FuzzDecode: a member sends a message with a term or a time that overflows, and a voter's clock runs backwards. Whatever
-// bytes come, what is taken is within its bounds and goes out again as it came in.
+// FuzzDecode guards against a message whose terms or times overflow, after which a voter's clock would run backwards.
+// Any message that is accepted must be within its bounds and encode to an equal message.
 func FuzzDecode(f *testing.F) {
 	request := lease.RequestHeader{Header: lease.Header{Incarnation: 1, SetNumber: 1}, RequestID: 9, Generation: 2}
 	f.Add(Encode(&lease.GrantRequest{RequestHeader: request, Leases: []lease.WantedLease{{Lease: "x", Term: 5, Length: 7, Full: true, Ticket: 4}}}))
--- a/internal/leaseservice/free_test.go
+++ b/internal/leaseservice/free_test.go
@@ -9,11 +9,11 @@
 	"cairntiller/internal/membership"
 )
 
-// TestLateFree: an operator frees a lease, and the request reaches a holder under a later term: the lease has passed on, or
-// came back. Seen: that holder gives it up without cause. A request of a version before, which names no term, frees only what
-// has been held for longer than it can have been under way.
+// TestLateFree guards against a request to free a lease that reaches a holder under a later term, because the lease was
+// handed over in the meantime. That holder released it without cause. A request of an earlier version, which names no
+// term, must free only a lease that has been held for longer than the request can have been in flight.
 func TestLateFree(t *testing.T) {
-	_, all := three(t)
+	_, all := startThree(t)
 	yields := make(chan Event, 9)
 	guard, err := all[1].RequestLease(lease.Request{Lease: "task", Length: 1_000_000}, func(e Event) {
 		if e.Change == YieldRequested {
@@ -24,53 +24,53 @@
 		t.Fatal(err)
 	}
 	held := func() bool { term, _ := guard.Held(); return term > 0 }
-	eventually(t, "the lease is held", held)
-	early, _ := guard.Held()
+	eventually(t, "lease held", held)
+	earlierTerm, _ := guard.Held()
 	guard.Release("")
-	eventually(t, "it is held under a later term", func() bool { term, _ := guard.Held(); return term > early })
+	eventually(t, "lease held under a later term", func() bool { term, _ := guard.Held(); return term > earlierTerm })
 	term, _ := guard.Held()
 
-	counted := yieldsRefused.Count()
-	refused := func(what string) {
+	refusals := freeRequestsRefused.Count()
+	expectRefusal := func(what string) {
 		t.Helper()
-		counted++
-		eventually(t, what+" is refused", func() bool { return yieldsRefused.Count() == counted || len(yields) > 0 })
+		refusals++
+		eventually(t, what+" refused", func() bool { return freeRequestsRefused.Count() == refusals || len(yields) > 0 })
 		if len(yields) > 0 {
-			t.Fatalf("%s: the lease held under term %d is to be given up", what, term)
+			t.Fatalf("%s: release of the lease held under term %d requested", what, term)
 		}
 	}
 	for _, asker := range []*Service{all[0], all[1]} { // another instance, and the holder's own operator
-		if err := asker.free(LeaseStatus{Lease: "task", Holder: "b", Term: early}); err != nil {
+		if err := asker.sendFreeRequest(LeaseStatus{Lease: "task", Holder: "b", Term: earlierTerm}); err != nil {
 			t.Fatal(err)
 		}
-		refused("a free of the term before, by " + asker.self)
+		expectRefusal("request for the previous term, by " + asker.self)
 	}
 	withoutTerm := codec.Encode(queryMessage{Version: queryVersion, FreeLease: "task"})
 	all[1].Receive("a", membership.KindLeaseQuery, withoutTerm)
-	refused("a free without a term, of a lease just held")
+	expectRefusal("request without a term, for a lease just acquired")
 
 	all[1].onCandidate(func(int64) {
 		old := *guard.held.Load()
 		old.since -= freeRequestLifetime
 		guard.held.Store(&old)
 	})
-	frees := map[string]func(){
-		"a free without a term": func() { all[1].Receive("a", membership.KindLeaseQuery, withoutTerm) },
-		"a free of the term": func() {
-			if err := all[0].free(LeaseStatus{Lease: "task", Holder: "b", Term: term}); err != nil {
+	requests := map[string]func(){
+		"request without a term": func() { all[1].Receive("a", membership.KindLeaseQuery, withoutTerm) },
+		"request for the term": func() {
+			if err := all[0].sendFreeRequest(LeaseStatus{Lease: "task", Holder: "b", Term: term}); err != nil {
 				t.Error(err)
 			}
 		},
 	}
-	for what, free := range frees {
+	for what, free := range requests {
 		free()
 		select {
 		case e := <-yields:
 			if e.Term != term {
-				t.Errorf("%s: the holder under term %d is asked, want %d", what, e.Term, term)
+				t.Errorf("%s: release under term %d requested, want %d", what, e.Term, term)
 			}
 		case <-time.After(20 * time.Second):
-			t.Errorf("%s does not reach the holder", what)
+			t.Errorf("%s did not reach the holder", what)
 		}
 	}
 }
--- a/internal/leaseservice/golden_test.go
+++ b/internal/leaseservice/golden_test.go
@@ -16,7 +16,7 @@
 	"cairntiller/internal/lease"
 )
 
-// goldenMessages are one message of every kind, with every field that it may carry.
+// goldenMessages returns one message of every kind, with every field that it may have.
 func goldenMessages() map[string]lease.Message {
 	candidate := lease.Header{From: "a", Incarnation: 11, SetNumber: 3}
 	voter := lease.Header{From: "a", Incarnation: 5, SetNumber: 3}
@@ -72,12 +72,13 @@
 	return golden
 }
 
-// TestGoldenMessages guards a fleet of two versions. Members of the version before send and read these bytes; if one
-// field moved, each version would drop the other's messages as if lost, and no majority of voters would answer.
+// TestGoldenMessages guards compatibility in a cluster with two versions of the program. Members of the previous
+// version send and read these bytes; if one field moved, each version would drop the other's messages, and no majority
+// of voters would answer.
 func TestGoldenMessages(t *testing.T) {
 	golden, messages := readGolden(t, "messages.txt"), goldenMessages()
 	if len(golden) != len(messages) {
-		t.Errorf("%d messages are recorded, %d are checked", len(golden), len(messages))
+		t.Errorf("%d messages recorded, %d checked", len(golden), len(messages))
 	}
 	for name, m := range messages {
 		t.Run(name, func(t *testing.T) {
@@ -86,17 +87,17 @@
 			}
 			got, err := Decode("a", golden[name])
 			if err != nil || !reflect.DeepEqual(got, m) {
-				t.Errorf("recorded bytes read as %+v, %v; want %+v", got, err, m)
+				t.Errorf("recorded bytes decoded as %+v, %v; want %+v", got, err, m)
 			}
 		})
 	}
 }
 
-// TestGoldenQueries guards the questions by which operators' commands learn what voters know, in a fleet of two versions.
+// TestGoldenQueries guards the compatibility of queries of the voters in a cluster with two versions of the program.
 func TestGoldenQueries(t *testing.T) {
 	golden, queries := readGolden(t, "queries.txt"), goldenQueries()
 	if len(golden) != len(queries) {
-		t.Errorf("%d are recorded, %d are checked", len(golden), len(queries))
+		t.Errorf("%d queries recorded, %d checked", len(golden), len(queries))
 	}
 	for name, p := range queries {
 		t.Run(name, func(t *testing.T) {
@@ -104,21 +105,21 @@
 				t.Errorf("encoded as %x, recorded %x", got, golden[name])
 			}
 			var got queryMessage
-			if err := decoding.Unmarshal(golden[name], &got); err != nil || !reflect.DeepEqual(got, p) {
-				t.Errorf("recorded bytes read as %+v, %v; want %+v", got, err, p)
+			if err := strictDecoder.Unmarshal(golden[name], &got); err != nil || !reflect.DeepEqual(got, p) {
+				t.Errorf("recorded bytes decoded as %+v, %v; want %+v", got, err, p)
 			}
 		})
 	}
 }
 
-// goldenActions are what the voter of the recorded file wanted kept, and its floor.
+// goldenActions returns the actions that the recorded file stores, and the voter's term floor.
 func goldenActions() (actions []lease.Action, floor uint64) {
 	return []lease.Action{lease.StoreVoterSet{Number: 3}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "nightly", Term: 7, Holder: "b", Incarnation: 11}},
 		lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "task", Term: 1 << 50, Holder: "c", Incarnation: 1<<63 - 1}}, lease.StoreGrant{GrantRecord: lease.GrantRecord{Lease: "x", Term: 2, Holder: "a", Incarnation: 1}},
 		lease.DeleteGrant{Lease: "x"}}, 1<<50 + 9
 }
 
-// storedBytes are all keys and values of a voter's file, by bucket and key.
+// storedBytes returns all keys and values of a voter's file, by bucket and key.
 func storedBytes(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -141,8 +142,8 @@
 	return all
 }
 
-// TestGoldenStore guards a voter's records over a change of version, forth and back. A voter that could not read what
-// the version before wrote would not vote; one whose records the version before can't read could not be rolled back.
+// TestGoldenStore guards an upgrade and a rollback of a voter. A voter that could not read the previous version's
+// records would not vote; one whose records the previous version can't read could not be rolled back.
 func TestGoldenStore(t *testing.T) {
 	golden := readGolden(t, "records.txt")
 	folder := t.TempDir()
@@ -155,27 +156,27 @@
 	}
 	s.close()
 	if got := storedBytes(t, filepath.Join(folder, storeName)); !reflect.DeepEqual(got, golden) {
-		t.Errorf("it writes %x, recorded %x", got, golden)
+		t.Errorf("wrote %x, recorded %x", got, golden)
 	}
 
-	whole, err := os.ReadFile(filepath.Join("testdata", "voter-v1.db")) // as the version before wrote it
+	recorded, err := os.ReadFile(filepath.Join("testdata", "voter-v1.db")) // written by the previous version
 	if err != nil {
 		t.Fatal(err)
 	}
-	former := t.TempDir()
-	if err := os.WriteFile(filepath.Join(former, storeName), whole, 0o600); err != nil {
+	oldFolder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(oldFolder, storeName), recorded, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, stored, err := openStore(former, "kandy", "a")
+	s, stored, err := openStore(oldFolder, "kandy", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.close()
 	want := storedState{termFloor: 1<<50 + 9, setNumber: 3, grants: []lease.GrantRecord{{Lease: "nightly", Holder: "b", Term: 7, Incarnation: 11}, {Lease: "task", Holder: "c", Term: 1 << 50, Incarnation: 1<<63 - 1}}}
 	if !reflect.DeepEqual(stored, want) {
-		t.Errorf("the former version's file read as %+v", stored)
+		t.Errorf("file of the previous version read as %+v", stored)
 	}
-	if got := storedBytes(t, filepath.Join(former, storeName)); !reflect.DeepEqual(got, golden) {
-		t.Errorf("the former version's file holds %x, recorded %x", got, golden)
+	if got := storedBytes(t, filepath.Join(oldFolder, storeName)); !reflect.DeepEqual(got, golden) {
+		t.Errorf("file of the previous version contains %x, recorded %x", got, golden)
 	}
 }
--- a/internal/leaseservice/guard.go
+++ b/internal/leaseservice/guard.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// ErrNotHeld means that an act may not begin: the lease is not held, or not for as long as the act may take.
+// ErrNotHeld means that an operation must not start: the lease is not held, or may end before the operation does.
 var ErrNotHeld = errors.New("the lease is not held for long enough")
 
 // Change is the kind of an Event.
 type Change uint8
 
-// The changes.
+// Kinds of changes.
 const (
 	Acquired Change = iota + 1
 	Extended
 	Lost
-	YieldRequested // somebody else should have it: end what runs under it and call Guard.Release
+	YieldRequested // another member should have the lease: end what runs under it and call Guard.Release
 )
 
-// String returns the change's name as operators' commands read it. They may be of another version, so the names stay.
+// String returns the change's name as operators' commands read it. A command may be of another version of the program,
+// so the names must not change.
 func (c Change) String() string {
 	switch c {
 	case Acquired:
@@ -37,32 +38,32 @@
 	return ""
 }
 
-// Event is one change. Until is on the leases' clock, in us.
+// Event reports one change. Until is on the leases' clock, in us.
 type Event struct {
 	Change Change
 	Term   uint64
 	Until  int64  // Acquired, Extended
-	Next   string // YieldRequested: member that waits first, "" if none is known
+	Next   string // YieldRequested: member that is first in the queue, "" if none is known
 	Reason string // Lost, YieldRequested
 }
 
-// Guard is a lease that this instance requests, and perhaps holds; acts under the lease go through it. Its methods may be
-// called from any goroutine.
+// Guard represents a lease that this instance requests and may hold; operations under the lease run through it. Its
+// methods may be called from any goroutine.
 type Guard struct {
 	service *Service
 	lease   string
-	onEvent func(Event) // must not block; nil if the guard itself yields
-	held    atomic.Pointer[tenure]
+	onEvent func(Event) // must not block; nil if the guard yields by itself
+	held    atomic.Pointer[heldLease]
 
-	mu       sync.Mutex
-	closed   bool // no act may begin: the lease is being given up
-	cancels  map[int]context.CancelFunc
-	lastAct  int
-	allEnded chan struct{} // closed when the last running act has ended; nil if nobody waits for it
+	mu            sync.Mutex
+	closing       bool // no operation may start, because the lease is being released
+	cancels       map[int]context.CancelFunc
+	lastOperation int
+	allEnded      chan struct{} // closed when the last running operation has ended; nil if close does not wait
 }
 
-// tenure is until when a lease is held under a term, and since when.
-type tenure struct {
+// heldLease is the term under which a lease is held, until when, and since when.
+type heldLease struct {
 	term  uint64
 	until int64
 	since int64
@@ -72,8 +73,7 @@
 	return &Guard{service: s, lease: lease, onEvent: onEvent, cancels: map[int]context.CancelFunc{}}
 }
 
-// Held returns the term under which the lease is held and until when, in us of the leases' clock; 0 if it is not held any
-// more.
+// Held returns the term under which the lease is held and until when, in us of the leases' clock; 0 if it is not held.
 func (g *Guard) Held() (term uint64, until int64) {
 	if t := g.held.Load(); t != nil && g.service.clock() < t.until {
 		return t.term, t.until
@@ -81,45 +81,46 @@
 	return 0, 0
 }
 
-// Do runs an act under the lease, if it is held for as long as the act may take at most; else it returns ErrNotHeld. The
-// act gets the term, to be passed on to whoever can check it, and a context that ends at the bound and when the lease is
-// lost. What it does must be over then.
+// Do runs an operation under the lease if the lease is held for at least the timeout; otherwise it returns ErrNotHeld.
+// The operation receives the term, as a fencing token for receivers that can check it, and a context that ends at the
+// timeout or when the lease is lost. The operation must have ended by then.
 //
-// The check is the last thing before the act. Checked any earlier, a wait in between could let the lease pass on, and two
-// instances would act at once. A process that is stopped between the check and the act still acts late: only a receiver
-// that checks the term, or one that ends the act from outside, closes that.
-func (g *Guard) Do(ctx context.Context, bound time.Duration, act func(ctx context.Context, term uint64) error) error {
-	ctx, cancel := context.WithTimeout(ctx, bound)
+// The check is the last step before the operation. If it came earlier, the lease could pass to another instance during
+// a wait in between, and two instances would act at once. A process that is stopped between the check and the operation
+// still acts late; only a receiver that checks the term, or a supervisor that ends the operation from outside, prevents
+// that.
+func (g *Guard) Do(ctx context.Context, timeout time.Duration, operation func(ctx context.Context, term uint64) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	number, ok := g.beginAct(cancel)
+	number, ok := g.beginOperation(cancel)
 	if !ok {
 		return ErrNotHeld
 	}
-	defer g.endAct(number)
+	defer g.endOperation(number)
 	held := g.held.Load()
-	if held == nil || g.service.clock()+bound.Microseconds() > held.until {
-		actsRejected.Add()
+	if held == nil || g.service.clock()+timeout.Microseconds() > held.until {
+		operationsRejected.Add()
 		return ErrNotHeld
 	}
-	err := act(ctx, held.term)
+	err := operation(ctx, held.term)
 	g.countOverrun(held)
 	return err
 }
 
-// beginAct notes that an act runs, unless the lease is being given up.
-func (g *Guard) beginAct(cancel context.CancelFunc) (number int, ok bool) {
+// beginOperation registers a running operation, unless the lease is being released.
+func (g *Guard) beginOperation(cancel context.CancelFunc) (number int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed {
+	if g.closing {
 		return 0, false
 	}
-	g.lastAct++
-	g.cancels[g.lastAct] = cancel
-	return g.lastAct, true
+	g.lastOperation++
+	g.cancels[g.lastOperation] = cancel
+	return g.lastOperation, true
 }
 
-// endAct notes that an act has ended, and wakes close after the last one.
-func (g *Guard) endAct(number int) {
+// endOperation removes an operation that has ended, and wakes close after the last one.
+func (g *Guard) endOperation(number int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.cancels, number)
@@ -129,22 +130,23 @@
 	}
 }
 
-// countOverrun counts an act that ended after its lease had: the tenure under which it began is over and was not extended.
-func (g *Guard) countOverrun(began *tenure) {
-	if g.service.clock() <= began.until {
+// countOverrun counts an operation that ended after its lease expired: the term under which it started is over and was
+// not extended in time.
+func (g *Guard) countOverrun(atStart *heldLease) {
+	if g.service.clock() <= atStart.until {
 		return
 	}
-	now := g.held.Load()
-	if now == nil || now.term != began.term || g.service.clock() > now.until {
-		actsOverrun.Add()
+	current := g.held.Load()
+	if current == nil || current.term != atStart.term || g.service.clock() > current.until {
+		operationsOverrun.Add()
 	}
 }
 
-// close lets no act begin any more, ends those that run, and waits for them.
+// close prevents operations from starting, cancels those that run, and waits for them.
 func (g *Guard) close() {
 	g.mu.Lock()
-	g.closed = true
-	g.cancelActs()
+	g.closing = true
+	g.cancelOperations()
 	if len(g.cancels) > 0 && g.allEnded == nil {
 		g.allEnded = make(chan struct{})
 	}
@@ -155,8 +157,8 @@
 	}
 }
 
-// cancelActs ends the contexts of the acts that run; the mutex is held.
-func (g *Guard) cancelActs() {
+// cancelOperations cancels the contexts of running operations; the caller holds the mutex.
+func (g *Guard) cancelOperations() {
 	for _, cancel := range g.cancels {
 		cancel()
 	}
@@ -164,12 +166,12 @@
 
 func (g *Guard) reopen() {
 	g.mu.Lock()
-	g.closed = false
+	g.closing = false
 	g.mu.Unlock()
 }
 
-// Release ends the acts that run and gives the lease up to the member next, which the voters put first in line, or to the
-// first in line if next is "". The request stays.
+// Release ends the running operations and hands the lease over to the member next, which the voters put at the front of
+// the queue, or to the first in the queue if next is "". The request stays.
 func (g *Guard) Release(next string) {
 	g.close()
 	g.service.onCandidate(func(now int64) {
@@ -179,7 +181,7 @@
 	})
 }
 
-// Withdraw ends the acts that run, gives the lease up and requests it no more.
+// Withdraw ends the running operations, releases the lease and ends the request.
 func (g *Guard) Withdraw() {
 	g.close()
 	g.service.onCandidate(func(now int64) {
@@ -189,7 +191,7 @@
 	})
 }
 
-// Abandon requests the lease no more and lets it run out: what runs under it can't be known to have ended.
+// Abandon ends the request and lets the lease expire, because what runs under it may not have ended.
 func (g *Guard) Abandon() {
 	g.service.onCandidate(func(now int64) {
 		g.service.candidate.Abandon(now, g.lease)
@@ -197,35 +199,35 @@
 	})
 }
 
-// extend notes that the lease is held until a time. It runs on the candidate's goroutine, as lose and yield do.
+// extend records that the lease is held until a time. It runs on the candidate's goroutine, as do lose and yield.
 func (g *Guard) extend(change Change, term uint64, until int64) {
 	since := g.service.clock()
-	if before := g.held.Load(); before != nil && before.term == term {
-		since = before.since
+	if previous := g.held.Load(); previous != nil && previous.term == term {
+		since = previous.since
 	}
-	g.held.Store(&tenure{term, until, since})
-	g.tell(Event{Change: change, Term: term, Until: until})
+	g.held.Store(&heldLease{term, until, since})
+	g.notify(Event{Change: change, Term: term, Until: until})
 }
 
-// lose notes that the lease is held no more, and ends the acts under it.
+// lose records that the lease is no longer held, and cancels the operations under it.
 func (g *Guard) lose(term uint64, reason string) {
 	g.held.Store(nil)
 	g.mu.Lock()
-	g.cancelActs()
+	g.cancelOperations()
 	g.mu.Unlock()
-	g.tell(Event{Change: Lost, Term: term, Reason: reason})
+	g.notify(Event{Change: Lost, Term: term, Reason: reason})
 }
 
-// yield asks for the lease to be given up; a guard without a listener does so itself.
+// yield asks for the release of the lease; a guard without onEvent releases it by itself.
 func (g *Guard) yield(term uint64, next, reason string) {
 	if g.onEvent == nil {
 		go g.Release(next)
 		return
 	}
-	g.tell(Event{Change: YieldRequested, Term: term, Next: next, Reason: reason})
+	g.notify(Event{Change: YieldRequested, Term: term, Next: next, Reason: reason})
 }
 
-func (g *Guard) tell(e Event) {
+func (g *Guard) notify(e Event) {
 	if g.onEvent != nil {
 		g.onEvent(e)
 	}
--- a/internal/leaseservice/operator_api.go
+++ b/internal/leaseservice/operator_api.go
@@ -14,53 +14,53 @@
 	"cairntiller/internal/lease"
 )
 
-// What operators may ask of a running router; cmd/cairntiller speaks it.
+// Requests that operators can send to a running router; cmd/cairntiller is the client.
 
 const (
 	// listTimeout is how long a list waits for the voters' answers.
 	listTimeout = 5 * time.Second
-	// maxPendingEvents is how many changes wait to be sent to a command. Extensions are left out while more than half of
-	// that wait.
+	// maxPendingEvents limits the events waiting to be sent to a command. Extensions are dropped while more than half
+	// of that wait.
 	maxPendingEvents = 64
-	// defaultLeaseLength is the length of the lease that an operator's command holds if it names none, in us. A shorter
-	// longest lease bounds it; HoldUpdate tells the command which it is.
+	// defaultLeaseLength is the length of the lease for a command that requests none, in us. It is shortened to the
+	// longest lease if that is shorter; HoldUpdate reports the length to the command.
 	defaultLeaseLength = 10_000_000
 )
 
-// UnknownLeaseError means that no voter that answered knows a lease.
+// UnknownLeaseError means that none of the voters that answered knows a lease.
 type UnknownLeaseError struct{ Lease string }
 
 // Error names the lease.
 func (e *UnknownLeaseError) Error() string {
-	return fmt.Sprintf("no voter that answered knows a lease %q", e.Lease)
+	return fmt.Sprintf("none of the voters that answered knows lease %q", e.Lease)
 }
 
-// NoHolderError means that nobody holds a lease that is to be freed.
+// NoHolderError means that no process holds a lease that is to be freed.
 type NoHolderError struct{ Lease string }
 
 // Error names the lease.
-func (e *NoHolderError) Error() string { return fmt.Sprintf("nobody holds %q", e.Lease) }
+func (e *NoHolderError) Error() string { return fmt.Sprintf("lease %q has no holder", e.Lease) }
 
-// ArgumentError means that a number in an operator's request is not one, or out of bounds.
+// ArgumentError means that an argument of an operator's request is not an integer or is out of bounds.
 type ArgumentError struct {
 	Name, Value string
 	Min, Max    int64
 }
 
-// Error says what was given and what may stand there.
+// Error names the argument, its value and the bounds.
 func (e *ArgumentError) Error() string {
-	return fmt.Sprintf("%s %q, want a whole number from %d to %d", e.Name, e.Value, e.Min, e.Max)
+	return fmt.Sprintf("%s is %q, want an integer from %d to %d", e.Name, e.Value, e.Min, e.Max)
 }
 
-// LeaseStatus is one lease as the voters know it.
+// LeaseStatus is the state of one lease, merged from the voters' reports.
 type LeaseStatus struct {
 	Lease       string   `json:"lease"`
 	Holder      string   `json:"holder,omitempty"`
 	Term        uint64   `json:"term"`
 	RemainingMS int64    `json:"left_ms,omitempty"`
 	Waiting     int      `json:"waiting,omitempty"`
-	GrantedBy   []string `json:"voters"` // that grant it to the holder, or know it as free
-	Answers     int      `json:"of"`     // voters that answered
+	GrantedBy   []string `json:"voters"` // that grant it to the holder, or report it free
+	Answers     int      `json:"of"`     // number of voters that answered
 }
 
 // VoterStatus is one voter's status in a list.
@@ -69,16 +69,16 @@
 	Answers    bool   `json:"answers"`
 	SetNumber  uint64 `json:"set,omitempty"`
 	AbstainsMS int64  `json:"abstains_ms,omitempty"`
-	Reason     string `json:"why,omitempty"` // it is out of service, or only a part of its answer came
+	Reason     string `json:"why,omitempty"` // why it is out of service, or that its answer is incomplete
 }
 
-// Overview is the answer to a list.
+// Overview is the answer to a list request.
 type Overview struct {
 	Voters []VoterStatus `json:"voters"`
 	Leases []LeaseStatus `json:"leases"`
 }
 
-// HoldUpdate is one change sent to a command that holds a lease. Until is on the machine's clock since it started, in us.
+// HoldUpdate reports one change to a command that holds a lease. Until is in us since the machine booted.
 type HoldUpdate struct {
 	Change string `json:"change"` // a Change's String: held, extended, lost, wanted
 	Lease  string `json:"lease"`
@@ -89,14 +89,14 @@
 	Reason string `json:"why,omitempty"`
 }
 
-// CommandEnded is what a command says when what ran under its lease is over.
+// CommandEnded is sent by a command when what ran under its lease has ended.
 type CommandEnded struct {
 	Ended bool `json:"ended"`
 }
 
-// MergeReports merges the voters' reports, by leases' names. The holder of a lease is the one that most of them grant it to;
-// of two with as many, the one with the higher term: a voter that restarted may have granted a trial to another candidate
-// for a moment, under a later term.
+// MergeReports merges the voters' reports by lease. The holder of a lease is the process to which most voters grant it;
+// in a tie, the one with the higher term: a voter that restarted may have granted a trial to another candidate under a
+// later term.
 func MergeReports(reports []VoterReport) (leases []LeaseStatus) {
 	type grant struct {
 		holder string
@@ -131,14 +131,14 @@
 	return leases
 }
 
-// RegisterCommands lets operators ask: leases (list or show), lease-hold and lease-free.
+// RegisterCommands registers the operators' commands leases (list or show), lease-hold and lease-free.
 func (s *Service) RegisterCommands(server *adminsocket.Server) {
 	server.Handle("leases", s.listLeases)
 	server.Handle("lease-hold", s.holdLease)
 	server.Handle("lease-free", s.freeLease)
 }
 
-// overview asks the voters what they know.
+// overview queries the voters and merges their reports.
 func (s *Service) overview(ctx context.Context) Overview {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -150,7 +150,7 @@
 	return o
 }
 
-// voterStatus returns one voter's status, by its report if it answered.
+// voterStatus returns one voter's status, from its report if it answered.
 func (s *Service) voterStatus(name string, reports []VoterReport) VoterStatus {
 	status := VoterStatus{Voter: name}
 	for _, report := range reports {
@@ -170,66 +170,66 @@
 	return status
 }
 
-// listLeases answers with the overview, of one lease alone if the request names it.
-func (s *Service) listLeases(ctx context.Context, x *adminsocket.Session) error {
+// listLeases answers with the overview, limited to one lease if the request names it.
+func (s *Service) listLeases(ctx context.Context, session *adminsocket.Session) error {
 	o := s.overview(ctx)
-	if x.Name != "" {
-		o.Leases = slices.DeleteFunc(o.Leases, func(status LeaseStatus) bool { return status.Lease != x.Name })
+	if session.Name != "" {
+		o.Leases = slices.DeleteFunc(o.Leases, func(status LeaseStatus) bool { return status.Lease != session.Name })
 		if len(o.Leases) == 0 {
-			return &UnknownLeaseError{Lease: x.Name}
+			return &UnknownLeaseError{Lease: session.Name}
 		}
 	}
-	return x.Reply(o)
+	return session.Reply(o)
 }
 
-// freeLease asks a lease's holder to give it up (free.go).
-func (s *Service) freeLease(ctx context.Context, x *adminsocket.Session) error {
+// freeLease asks a lease's holder to release it (free.go).
+func (s *Service) freeLease(ctx context.Context, session *adminsocket.Session) error {
 	leases := s.overview(ctx).Leases
-	found := slices.IndexFunc(leases, func(status LeaseStatus) bool { return status.Lease == x.Name })
+	found := slices.IndexFunc(leases, func(status LeaseStatus) bool { return status.Lease == session.Name })
 	if found < 0 {
-		return &UnknownLeaseError{Lease: x.Name}
+		return &UnknownLeaseError{Lease: session.Name}
 	}
 	status := leases[found]
 	if status.Holder == "" {
-		return &NoHolderError{Lease: x.Name}
+		return &NoHolderError{Lease: session.Name}
 	}
-	if err := s.free(status); err != nil {
+	if err := s.sendFreeRequest(status); err != nil {
 		return err
 	}
-	return x.Reply(status)
+	return session.Reply(status)
 }
 
-// wholeNumber reads a whole number of a request, 0 if it is not given.
-func wholeNumber(x *adminsocket.Session, name string, least, most int64) (int64, error) {
-	value := x.Args[name]
+// integerArgument parses an integer argument of a request, 0 if it is missing.
+func integerArgument(session *adminsocket.Session, name string, minimum, maximum int64) (int64, error) {
+	value := session.Args[name]
 	if value == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || n < least || n > most {
-		return 0, &ArgumentError{Name: name, Value: value, Min: least, Max: most}
+	if err != nil || n < minimum || n > maximum {
+		return 0, &ArgumentError{Name: name, Value: value, Min: minimum, Max: maximum}
 	}
 	return n, nil
 }
 
-// requestOf reads which lease a command wants to hold.
-func (s *Service) requestOf(x *adminsocket.Session) (lease.Request, error) {
-	length, errLength := wholeNumber(x, "length_us", minLeaseLength, s.settings.LongestLease)
-	yieldAfter, errYield := wholeNumber(x, "turn_us", 0, 1<<50)
-	priority, errPriority := wholeNumber(x, "priority", -100, 100)
+// parseLeaseRequest returns the lease request of a command.
+func (s *Service) parseLeaseRequest(session *adminsocket.Session) (lease.Request, error) {
+	length, errLength := integerArgument(session, "length_us", minLeaseLength, s.settings.LongestLease)
+	yieldAfter, errYield := integerArgument(session, "turn_us", 0, 1<<50)
+	priority, errPriority := integerArgument(session, "priority", -100, 100)
 	if err := errors.Join(errLength, errYield, errPriority); err != nil {
 		return lease.Request{}, err
 	}
 	if length == 0 {
 		length = min(defaultLeaseLength, s.settings.LongestLease)
 	}
-	return lease.Request{Lease: x.Name, Length: length, YieldAfter: yieldAfter, Priority: int8(priority)}, nil
+	return lease.Request{Lease: session.Name, Length: length, YieldAfter: yieldAfter, Priority: int8(priority)}, nil
 }
 
-// holdLease requests a lease on behalf of a command, sends it each change, and gives the lease up once the command has
-// ended. If the connection ends without CommandEnded, the lease is left to run out, because the command may still run.
-func (s *Service) holdLease(ctx context.Context, x *adminsocket.Session) error {
-	wanted, err := s.requestOf(x)
+// holdLease requests a lease on behalf of a command, sends it each change, and releases the lease once the command has
+// ended. If the connection ends without CommandEnded, the lease is left to expire, because the command may still run.
+func (s *Service) holdLease(ctx context.Context, session *adminsocket.Session) error {
+	wanted, err := s.parseLeaseRequest(session)
 	if err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 	commandEnded := make(chan bool, 1)
 	go func() {
 		var message CommandEnded
-		err := x.ReadLine(&message)
+		err := session.ReadLine(&message)
 		commandEnded <- err == nil && message.Ended
 	}()
 	next := ""
@@ -259,13 +259,13 @@
 			if e.Change == YieldRequested {
 				next = e.Next
 			}
-			update := HoldUpdate{Change: e.Change.String(), Lease: x.Name, Term: e.Term, Until: e.Until, Length: wanted.Length, Next: e.Next, Reason: e.Reason}
-			if x.Reply(update) != nil {
+			update := HoldUpdate{Change: e.Change.String(), Lease: session.Name, Term: e.Term, Until: e.Until, Length: wanted.Length, Next: e.Next, Reason: e.Reason}
+			if session.Reply(update) != nil {
 				guard.Abandon()
 				return nil
 			}
-		case said := <-commandEnded:
-			if !said {
+		case ended := <-commandEnded:
+			if !ended {
 				guard.Abandon()
 				return nil
 			}
--- a/internal/leaseservice/service.go
+++ b/internal/leaseservice/service.go
@@ -16,42 +16,43 @@
 )
 
 const (
-	// maxInbox is how many messages wait for the candidate or the voter: seconds of a large fleet's.
+	// maxInbox limits the messages waiting for the candidate or the voter: several seconds' worth in a large cluster.
 	maxInbox = 8192
-	// maxCalls is how many functions wait to run on the candidate's or the voter's goroutine.
+	// maxCalls limits the functions waiting to run on the candidate's or the voter's goroutine.
 	maxCalls = 64
-	// tickInterval is the time between looks at what is due.
+	// tickInterval is the time between regular ticks.
 	tickInterval = 50 * time.Millisecond
-	// maxBatch is how many messages are handled before what they caused is carried out: one sync of the disk for all.
+	// maxBatch is how many messages are handled before the resulting actions are executed, with one disk sync for all
+	// of them.
 	maxBatch = 512
-	// shutdownWait is how long a shutdown waits for commands that run under a lease to end.
-	shutdownWait = 1500 * time.Millisecond
-	// minLeaseLength is the shortest lease, in us: a few renewals on a slow network fit into it.
+	// shutdownTimeout is how long a shutdown waits for commands under a lease to end.
+	shutdownTimeout = 1500 * time.Millisecond
+	// minLeaseLength is the shortest lease, in us: long enough for a few renewals on a slow network.
 	minLeaseLength = 1_000_000
-	// maxLeaseLength is the longest lease that the operator's file may allow, or a message may tell of, in us.
+	// maxLeaseLength is the longest lease that the operator's file may allow or a message may contain, in us.
 	maxLeaseLength = 600_000_000
 )
 
-// ErrAlreadyRequested means that this instance requests the lease already.
-var ErrAlreadyRequested = errors.New("this instance asks for that lease already")
+// ErrAlreadyRequested means that this instance already requests the lease.
+var ErrAlreadyRequested = errors.New("this instance already requests the lease")
 
-// InvalidRequestError means that a requested lease's name or length is out of bounds.
+// InvalidRequestError means that the name or length of a requested lease is out of bounds.
 type InvalidRequestError struct {
 	Lease     string
 	Length    int64 // us
-	MaxLength int64 // us, by the operator's file
+	MaxLength int64 // us, from the operator's file
 }
 
-// Error says what was requested and what is possible.
+// Error names the request and the bounds.
 func (e *InvalidRequestError) Error() string {
-	return fmt.Sprintf("lease %q for %d us: want a name of 1 to %d bytes and %d to %d us", e.Lease, e.Length, lease.MaxNameLength,
+	return fmt.Sprintf("invalid request of lease %q for %d us: want a name of 1 to %d bytes and a length of %d to %d us", e.Lease, e.Length, lease.MaxNameLength,
 		int64(minLeaseLength), e.MaxLength)
 }
 
-// OutdatedVotersError means that the operator's file names an earlier voter set than the voter had gone by.
+// OutdatedVotersError means that the operator's file names an older voter set than the voter has adopted.
 type OutdatedVotersError struct {
 	Path       string // of the voter's file
-	Stored     uint64 // number of the set in it
+	Stored     uint64 // number of the set stored there
 	Configured uint64 // number of the set in the operator's file
 }
 
@@ -60,7 +61,7 @@
 	return fmt.Sprintf("%s: voters number %d were in force, and the operator's file names number %d", e.Path, e.Stored, e.Configured)
 }
 
-// Service is one instance's part in the fleet's leases.
+// Service takes part in the cluster's leases for one instance.
 type Service struct {
 	self        string
 	settings    Settings
@@ -76,10 +77,10 @@
 
 	// The voter's goroutine owns these.
 	voter        *lease.Voter // nil if it is out of service
-	store        *store       // nil if all is in memory
+	store        *store       // nil without persistent storage
 	voterInbox   chan lease.Message
 	voterCalls   chan func(now int64)
-	listing      listing
+	snapshot     leaseSnapshot
 	voterFailure atomic.Pointer[error]
 
 	queries queries
@@ -87,8 +88,9 @@
 	running sync.WaitGroup
 }
 
-// New makes an instance's part. clock is Clock outside of tests. send sends a message to one member and must not block
-// for long. A voter whose file can't be used does not vote, see VoterFault; the instance can hold leases all the same.
+// New returns the service of an instance. clock is Clock except in tests. send sends a message to one member and must
+// not block for long. If the voter's file can't be used, the voter is out of service, see VoterFault; the instance can
+// still hold leases.
 func New(self, cluster string, settings Settings, clock func() int64, send func(to string, kind uint8, body []byte) error) *Service {
 	s := &Service{
 		self:           self,
@@ -105,15 +107,15 @@
 	}
 	voters := settings.Voters
 	s.candidate = lease.NewCandidate(self, s.incarnation, settings.MaxDrift, voters.Number, voters.Names)
-	// The wall clock at the end of the abstinence: no term of before is above it, as far as clocks are right.
+	// The wall clock at the end of the abstention: no earlier term is above it, provided that clocks are correct.
 	termFloor := uint64(max(0, time.Now().UnixMicro())) + uint64(settings.LongestLease)
 	stored, err := s.openStore(cluster)
 	if err != nil {
-		s.failVoter(fmt.Errorf("this instance does not vote: %w; mend or move the file away, then it abstains once and votes again", err))
+		s.failVoter(fmt.Errorf("this instance does not vote: %w; repair the file or move it away, then the voter abstains once and votes again", err))
 		return s
 	}
 	if stored.termFloor > termFloor {
-		slog.Warn("the wall clock went back, or was ahead; terms go on from the record", "record", stored.termFloor,
+		slog.Warn("wall clock is behind the stored term floor: it went back, or was ahead before; terms continue from the stored floor", "record", stored.termFloor,
 			"clock", termFloor-uint64(settings.LongestLease))
 		termFloor = stored.termFloor
 	}
@@ -137,8 +139,9 @@
 	return stored, nil
 }
 
-// newIncarnation draws a random 62-bit number; two processes with the same one are not to be expected. It tells this process
-// from others of its name to the voters, and is unrelated to the incarnation of package membership, a start time.
+// newIncarnation returns a random 62-bit number, so that two processes almost certainly differ. It distinguishes this
+// process from others of its name at the voters, and is unrelated to the incarnation in package membership, a start
+// time.
 func newIncarnation() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
@@ -159,15 +162,15 @@
 	return nil
 }
 
-// Start begins to request and to vote.
+// Start starts the candidate and the voter.
 func (s *Service) Start() {
 	s.running.Go(s.runCandidate)
 	s.running.Go(s.runVoter)
 	voters := s.settings.Voters
-	slog.Info("leases", "voters", voters.Names, "number", voters.Number, "votes", slices.Contains(voters.Names, s.self), "stored", s.store != nil)
+	slog.Info("lease service started", "voters", voters.Names, "number", voters.Number, "votes", slices.Contains(voters.Names, s.self), "stored", s.store != nil)
 }
 
-// Receive passes on a member's message to the candidate, the voter or a query; it never blocks.
+// Receive dispatches a member's message to the candidate, the voter or a query; it never blocks.
 func (s *Service) Receive(from string, kind uint8, body []byte) {
 	if kind == membership.KindLeaseQuery {
 		s.receiveQuery(from, body)
@@ -176,14 +179,15 @@
 	m, err := Decode(from, body)
 	if err != nil {
 		messagesUnreadable.Add()
-		slog.Debug("a lease message can't be read", "from", from, "err", err)
+		slog.Debug("lease message can't be decoded", "from", from, "err", err)
 		return
 	}
 	messagesReceived.Add()
 	s.deliver(m)
 }
 
-// deliver hands a message to the candidate or the voter. If too many wait it is dropped, as if the network had lost it.
+// deliver queues a message for the candidate or the voter. If the queue is full, the message is dropped as if the
+// network had lost it.
 func (s *Service) deliver(m lease.Message) {
 	inbox := s.candidateInbox
 	if lease.ForVoter(m) {
@@ -196,7 +200,7 @@
 	}
 }
 
-// sendMessage sends a message to a member, which may be this one.
+// sendMessage sends a message to a member, possibly to this one.
 func (s *Service) sendMessage(to string, m lease.Message) {
 	messagesSent.Add()
 	if to == s.self {
@@ -205,25 +209,25 @@
 	}
 	if err := s.send(to, membership.KindLease, Encode(m)); err != nil {
 		messagesUnsent.Add()
-		slog.Debug("a lease message was not sent", "to", to, "err", err)
+		slog.Debug("lease message not sent", "to", to, "err", err)
 	}
 }
 
-// logWarning logs what the candidate or the voter finds worth a line.
+// logWarning logs a warning of the candidate or the voter.
 func logWarning(w lease.Warning) {
-	slog.Warn("leases", "about", w.About, "note", w.Text)
+	slog.Warn("lease warning", "about", w.About, "note", w.Text)
 }
 
-// onCandidate runs a function on the candidate's goroutine and waits for it, or for the end.
-func (s *Service) onCandidate(do func(now int64)) { s.runOn(s.candidateCalls, do) }
+// onCandidate runs a function on the candidate's goroutine and waits until it returns or the service stops.
+func (s *Service) onCandidate(function func(now int64)) { s.runOn(s.candidateCalls, function) }
 
-// onVoter runs a function on the voter's goroutine and waits for it, or for the end.
-func (s *Service) onVoter(do func(now int64)) { s.runOn(s.voterCalls, do) }
+// onVoter runs a function on the voter's goroutine and waits until it returns or the service stops.
+func (s *Service) onVoter(function func(now int64)) { s.runOn(s.voterCalls, function) }
 
-func (s *Service) runOn(calls chan<- func(now int64), do func(now int64)) {
+func (s *Service) runOn(calls chan<- func(now int64), function func(now int64)) {
 	done := make(chan struct{})
 	call := func(now int64) {
-		do(now)
+		function(now)
 		close(done)
 	}
 	select {
@@ -237,9 +241,10 @@
 	}
 }
 
-// RequestLease begins to request a lease. onEvent is called with each change, on the candidate's goroutine, and must not
-// block; nil lets the guard yield by itself, and acts go through Guard.Do alone. The error is ErrAlreadyRequested or an
-// *InvalidRequestError. After Stop it is ErrAlreadyRequested for every valid request, although nobody requests the lease.
+// RequestLease begins to request a lease. onEvent is called with each change, on the candidate's goroutine, and must
+// not block; if it is nil, the guard yields by itself, and operations must run through Guard.Do. The error is
+// ErrAlreadyRequested or an *InvalidRequestError. After Stop, a valid request returns ErrAlreadyRequested although the
+// lease is not requested.
 func (s *Service) RequestLease(wanted lease.Request, onEvent func(Event)) (*Guard, error) {
 	validName := wanted.Lease != "" && len(wanted.Lease) <= lease.MaxNameLength
 	if !validName || wanted.Length < minLeaseLength || wanted.Length > s.settings.LongestLease {
@@ -261,7 +266,7 @@
 	return guard, nil
 }
 
-// SetVoters passes on the voter set that the operator's file names now, to the candidate and the voter. The error is a
+// SetVoters passes a new voter set from the operator's file to the candidate and the voter. The error is a
 // *lease.VoterSetError if the voter refuses it.
 func (s *Service) SetVoters(voters lease.VoterSet) (err error) {
 	s.onCandidate(func(int64) { s.candidate.SetVoters(voters.Number, voters.Names) })
@@ -275,19 +280,19 @@
 
 // MemberGone tells the voter that a member left or failed; it never blocks.
 func (s *Service) MemberGone(name string) {
-	tell := func(now int64) {
+	memberGone := func(now int64) {
 		if s.voter != nil {
 			s.voter.MemberGone(now, name)
 		}
 	}
 	select {
-	case s.voterCalls <- tell:
+	case s.voterCalls <- memberGone:
 	default:
 		messagesDropped.Add()
 	}
 }
 
-// Shutdown gives up what is held and ends this instance's part.
+// Shutdown releases the held leases and stops the service.
 func (s *Service) Shutdown() {
 	var guards []*Guard
 	s.onCandidate(func(int64) {
@@ -299,23 +304,23 @@
 		if guard.onEvent == nil {
 			guard.Withdraw()
 		} else {
-			s.requestYield(guard.lease, anyTerm, "this instance leaves") // what runs under it is not ours to end
+			s.requestYield(guard.lease, matchAnyTerm, "this instance is shutting down") // the owner of onEvent must end what runs under the lease
 		}
 	}
-	for end := time.Now().Add(shutdownWait); time.Now().Before(end); time.Sleep(tickInterval / 4) {
-		left := 0
-		s.onCandidate(func(int64) { left = len(s.guards) })
-		if left == 0 {
+	for end := time.Now().Add(shutdownTimeout); time.Now().Before(end); time.Sleep(tickInterval / 4) {
+		remaining := 0
+		s.onCandidate(func(int64) { remaining = len(s.guards) })
+		if remaining == 0 {
 			break
 		}
 	}
 	if len(guards) > 0 {
-		time.Sleep(4 * tickInterval) // the voters are told more than once
+		time.Sleep(4 * tickInterval) // time to send the releases more than once
 	}
 	s.Stop()
 }
 
-// Stop ends this instance's part without telling anybody.
+// Stop stops the service without releasing its leases.
 func (s *Service) Stop() {
 	close(s.stopped)
 	s.running.Wait()
--- a/internal/leaseservice/service_test.go
+++ b/internal/leaseservice/service_test.go
@@ -12,15 +12,15 @@
 	"cairntiller/internal/lease"
 )
 
-// hub joins instances in one process; drop says which messages are lost.
-type hub struct {
+// testNetwork connects instances in one process; drop selects messages to lose.
+type testNetwork struct {
 	mu   sync.Mutex
 	all  map[string]*Service
 	drop func(from, to string, kind uint8) bool
 }
 
-// join starts an instance; an empty folder leaves its voter without a file.
-func (h *hub) join(t *testing.T, name, folder string, voters ...string) *Service {
+// join starts an instance; with an empty folder its voter has no file.
+func (h *testNetwork) join(t *testing.T, name, folder string, voters ...string) *Service {
 	t.Helper()
 	settings := Settings{Given: true, LongestLease: 1_000_000, MaxDrift: 10_000, MaxLeases: 100, Folder: folder, Voters: lease.VoterSet{Number: 1, Names: voters}}
 	s := New(name, "test", settings, Clock, func(to string, kind uint8, body []byte) error {
@@ -39,9 +39,9 @@
 	return s
 }
 
-// three starts three instances that all vote, without files.
-func three(t *testing.T) (*hub, []*Service) {
-	h := &hub{all: map[string]*Service{}}
+// startThree starts three instances that all vote, without files.
+func startThree(t *testing.T) (*testNetwork, []*Service) {
+	h := &testNetwork{all: map[string]*Service{}}
 	var all []*Service
 	for _, name := range []string{"a", "b", "c"} {
 		all = append(all, h.join(t, name, "", "a", "b", "c"))
@@ -54,8 +54,8 @@
 	return h, all
 }
 
-// want requests a lease whose guard yields by itself.
-func want(t *testing.T, s *Service, name string) *Guard {
+// requestLease requests a lease whose guard yields by itself.
+func requestLease(t *testing.T, s *Service, name string) *Guard {
 	t.Helper()
 	guard, err := s.RequestLease(lease.Request{Lease: name, Length: 1_000_000}, nil)
 	if err != nil {
@@ -64,39 +64,39 @@
 	return guard
 }
 
-// eventually waits until something is so.
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(90 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(90 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in time: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-// TestOneHolderOverWire: three instances request one lease by encoded messages, and hand it over three times. If two of them
-// acted at once, work that must be done once would be done twice.
+// TestOneHolderOverWire guards against two holders at once, which would do work twice that must be done once. Three
+// instances request one lease through encoded messages, and hand it over three times.
 func TestOneHolderOverWire(t *testing.T) {
-	_, all := three(t)
-	var inside, most, acts atomic.Int32
+	_, all := startThree(t)
+	var running, maxRunning, completed atomic.Int32
 	var guards []*Guard
-	over := make(chan struct{})
+	stop := make(chan struct{})
 	var done sync.WaitGroup
 	for _, s := range all {
-		guard := want(t, s, "task")
+		guard := requestLease(t, s, "task")
 		guards = append(guards, guard)
 		done.Go(func() {
 			for {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case <-time.After(2 * time.Millisecond):
 				}
 				guard.Do(context.Background(), 100*time.Millisecond, func(context.Context, uint64) error {
-					most.Store(max(most.Load(), inside.Add(1)))
+					maxRunning.Store(max(maxRunning.Load(), running.Add(1)))
 					time.Sleep(time.Millisecond)
-					inside.Add(-1)
-					acts.Add(1)
+					running.Add(-1)
+					completed.Add(1)
 					return nil
 				})
 			}
@@ -105,48 +105,49 @@
 	holder := func() int {
 		return slices.IndexFunc(guards, func(one *Guard) bool { term, _ := one.Held(); return term > 0 })
 	}
-	eventually(t, "somebody holds it", func() bool { return holder() >= 0 })
+	eventually(t, "a holder", func() bool { return holder() >= 0 })
 	for range 3 {
 		first := holder()
 		if first < 0 {
 			continue
 		}
 		guards[first].Release("")
-		eventually(t, "another one holds it", func() bool {
+		eventually(t, "another holder", func() bool {
 			n := holder()
-			if n == first { // nobody else had asked yet
+			if n == first { // no other instance had requested it yet
 				guards[first].Release("")
 			}
 			return n >= 0 && n != first
 		})
 	}
-	eventually(t, "acts", func() bool { return acts.Load() > 20 })
-	close(over)
+	eventually(t, "20 operations", func() bool { return completed.Load() > 20 })
+	close(stop)
 	done.Wait()
-	if most.Load() > 1 {
-		t.Error("two acted at once")
+	if maxRunning.Load() > 1 {
+		t.Error("two instances acted at once")
 	}
 	lines := MergeReports(all[0].QueryVoters(t.Context()))
 	if len(lines) != 1 || lines[0].Lease != "task" || lines[0].Answers != 3 || len(lines[0].GrantedBy) < 2 {
-		t.Errorf("voters told %+v", lines)
+		t.Errorf("merged reports %+v", lines)
 	}
 	if _, err := all[0].RequestLease(lease.Request{Lease: "task", Length: 1_000_000}, nil); !errors.Is(err, ErrAlreadyRequested) {
-		t.Errorf("a second wish for it: %v", err)
+		t.Errorf("second request: error %v, want ErrAlreadyRequested", err)
 	}
 	var invalid *InvalidRequestError
 	if _, err := all[0].RequestLease(lease.Request{Lease: "other", Length: 2_000_000}, nil); !errors.As(err, &invalid) {
-		t.Errorf("a lease above the longest was requested: %v", err)
+		t.Errorf("length above the longest lease: error %v, want an InvalidRequestError", err)
 	}
 }
 
-// TestGuardEnds: the holder is cut off from the voters in the middle of an act, and the lease passes on while the act runs. No
-// act may begin that could outlast the lease, and what runs must be ended when it is lost.
+// TestGuardEnds guards against an operation that runs while another instance already holds the lease, after the holder
+// was cut off from the voters. No operation may start that could outlast the lease, and a running one is canceled when
+// the lease is lost.
 func TestGuardEnds(t *testing.T) {
-	h, all := three(t)
-	guard := want(t, all[0], "task")
-	eventually(t, "it is held", func() bool { term, _ := guard.Held(); return term > 0 })
-	if err := guard.Do(t.Context(), 2*time.Second, func(context.Context, uint64) error { t.Error("it acts"); return nil }); !errors.Is(err, ErrNotHeld) {
-		t.Errorf("an act of twice the lease's length: %v", err)
+	h, all := startThree(t)
+	guard := requestLease(t, all[0], "task")
+	eventually(t, "lease held", func() bool { term, _ := guard.Held(); return term > 0 })
+	if err := guard.Do(t.Context(), 2*time.Second, func(context.Context, uint64) error { t.Error("operation was started"); return nil }); !errors.Is(err, ErrNotHeld) {
+		t.Errorf("operation of twice the lease's length: error %v, want ErrNotHeld", err)
 	}
 	h.mu.Lock()
 	h.drop = func(string, string, uint8) bool { return true }
@@ -154,13 +155,13 @@
 	began := time.Now()
 	err := guard.Do(t.Context(), 500*time.Millisecond, func(ctx context.Context, _ uint64) error { <-ctx.Done(); return ctx.Err() })
 	if took := time.Since(began); err == nil || errors.Is(err, ErrNotHeld) || took > 700*time.Millisecond {
-		t.Errorf("an act cut off from the voters ended after %v: %v", took, err)
+		t.Errorf("operation cut off from the voters ended after %v: %v", took, err)
 	}
-	eventually(t, "it is lost", func() bool { term, _ := guard.Held(); return term == 0 })
+	eventually(t, "lease lost", func() bool { term, _ := guard.Held(); return term == 0 })
 }
 
-// TestVoterOutOfService: an operator copied a voter's file to another instance. That voter must not vote, its instance must
-// say why, and its own requests must go on.
+// TestVoterOutOfService guards against a voter's file that was copied to another instance. That voter must not vote,
+// its instance must report why, and its own requests must continue.
 func TestVoterOutOfService(t *testing.T) {
 	folder := t.TempDir()
 	s, _, err := openStore(folder, "test", "other")
@@ -168,7 +169,7 @@
 		t.Fatal(err)
 	}
 	s.close()
-	h := &hub{all: map[string]*Service{}}
+	h := &testNetwork{all: map[string]*Service{}}
 	a, b, c := h.join(t, "a", folder, "a", "b", "c"), h.join(t, "b", "", "a", "b", "c"), h.join(t, "c", t.TempDir(), "a", "b", "c")
 	defer c.Stop()
 	defer b.Stop()
@@ -176,25 +177,25 @@
 	if !errors.Is(a.VoterFault(), ErrOtherVoter) || b.VoterFault() != nil || c.VoterFault() != nil {
 		t.Fatal(a.VoterFault(), b.VoterFault(), c.VoterFault())
 	}
-	guard := want(t, a, "task")
-	eventually(t, "two voters are enough", func() bool { term, _ := guard.Held(); return term > 0 })
+	guard := requestLease(t, a, "task")
+	eventually(t, "lease held with two of three voters", func() bool { term, _ := guard.Held(); return term > 0 })
 	o := a.overview(t.Context())
 	if o.Voters[0].Reason == "" || o.Voters[0].Answers || !o.Voters[1].Answers {
 		t.Errorf("%+v", o)
 	}
 }
 
-// TestVoterSetRefused: an operator's file skipped a change of voters, which could give a lease two holders. The voter must
-// keep to its set, and the caller must be able to tell why; the next number is taken.
+// TestVoterSetRefused guards against an operator's file that skips a change of voters, after which a lease could have
+// two holders. The voter must keep its set and return a typed error; the next number is accepted.
 func TestVoterSetRefused(t *testing.T) {
-	_, all := three(t)
+	_, all := startThree(t)
 	err := all[0].SetVoters(lease.VoterSet{Number: 3, Names: []string{"a", "b"}})
 	var refused *lease.VoterSetError
 	if !errors.As(err, &refused) || !errors.Is(err, lease.ErrSetSkipped) || refused.Offered != 3 || refused.InForce != 1 {
 		t.Fatal(err)
 	}
 	if want := "voter set number 3 skips ahead of number 1, which is in force: change voters one step at a time"; err.Error() != want {
-		t.Errorf("%q, want %q", err, want)
+		t.Errorf("error %q, want %q", err, want)
 	}
 	if err := all[0].SetVoters(lease.VoterSet{Number: 2, Names: []string{"a", "b"}}); err != nil {
 		t.Error(err)
--- a/internal/leaseservice/settings.go
+++ b/internal/leaseservice/settings.go
@@ -8,17 +8,17 @@
 	"cairntiller/internal/sexp"
 )
 
-// Settings are what the operator's file says of leases.
+// Settings are the lease settings in the operator's file.
 type Settings struct {
 	Given        bool
 	Voters       lease.VoterSet
 	LongestLease int64 // us
-	MaxDrift     int64 // by how many parts of a million a machine's clock may be off
-	MaxLeases    int   // that a voter keeps
+	MaxDrift     int64 // bound on a clock's rate error, in parts per million
+	MaxLeases    int   // that a voter tracks
 	Folder       string
 }
 
-// ReadSettings takes them from the part (leases …) of the operator's file, and notes there what is wrong.
+// ReadSettings reads the part (leases …) of the operator's file, and adds its faults to the part.
 func ReadSettings(p *sexp.Part) Settings {
 	const partsPerPercent = 10_000
 	voters := p.Part("voters")
@@ -40,7 +40,7 @@
 	return s
 }
 
-// checkVoters notes what is wrong with a voter set.
+// checkVoters adds the faults of a voter set.
 func checkVoters(p *sexp.Part, voters lease.VoterSet) {
 	n := len(voters.Names)
 	distinct := slices.Compact(slices.Sorted(slices.Values(voters.Names)))
@@ -48,12 +48,12 @@
 	case n == 0 || n > lease.MaxVoters-1:
 		p.AddFault("names", fmt.Sprintf("%d voters", n), "the names of 1, 3, 5 or 7 members")
 	case len(distinct) != n:
-		p.AddFault("names", "a name twice", "each voter once")
+		p.AddFault("names", "a duplicate name", "each voter once")
 	case len(voters.Previous) > 0 && !lease.ValidSuccessor(voters.Previous, voters.Names):
-		p.AddFault("before", "a set that differs by more than one voter", "the set before, one voter more or less")
+		p.AddFault("before", "a set that differs by more than one voter", "the previous set, which has one voter more or less")
 	case len(voters.Previous) > 0 && voters.Number == 1:
-		p.AddFault("number", "1 with a set before it", "a number above the former one's")
+		p.AddFault("number", "number 1 with a previous set", "a number above that of the previous set")
 	case n%2 == 0 && len(voters.Previous) == 0:
-		p.AddFault("names", fmt.Sprintf("%d voters", n), "an odd number: an even one bears no more losses than one fewer; while one is replaced, name the former ones in (before …)")
+		p.AddFault("names", fmt.Sprintf("%d voters", n), "an odd number: an even one tolerates no more failures than one voter fewer; while a voter is replaced, name the previous set in (before …)")
 	}
 }
--- a/internal/leaseservice/settings_test.go
+++ b/internal/leaseservice/settings_test.go
@@ -8,8 +8,8 @@
 	"cairntiller/internal/sexp"
 )
 
-// TestReadSettings: an operator names two voters, or one twice, or replaces two at a time, and two holders become possible.
-// Each must be a fault of the file.
+// TestReadSettings guards against voter sets that allow two holders: two voters, one name twice, or two voters replaced
+// at a time. Each must be reported as a fault of the file.
 func TestReadSettings(t *testing.T) {
 	for text, want := range map[string]bool{
 		`(leases (voters (names "a" "b" "c")))`: true,
--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -17,14 +17,15 @@
 	"cairntiller/internal/lease"
 )
 
-// A voter's file is one of the storage library bbolt, whose commits are atomic and synced. Bucket meta holds the owner,
-// the term floor and the number of the voter set; bucket leases a record for each lease under its name. Each record is
-// CBOR with a checksum behind it over key and value, for the library checks its own pages only as far as their form.
+// A voter's file is a bbolt database, whose commits are atomic and synced. The bucket meta contains the owner, the term
+// floor and the number of the voter set; the bucket leases contains a record for each lease, under its name. Each
+// record is CBOR followed by a checksum over key and value, because bbolt checks only the structure of its pages.
 const (
 	storeName    = "leases.db"
 	storeVersion = 1
-	// storeTimeout is how long an open waits for another process to let go of the file: one that is about to end.
-	storeTimeout = time.Second
+	// storeLockTimeout is how long opening the file waits for another process, which may be about to exit, to unlock
+	// it.
+	storeLockTimeout = time.Second
 	// checksumSize is the size of a record's checksum, in bytes.
 	checksumSize = 8
 )
@@ -33,16 +34,16 @@
 	metaBucket   = []byte("meta")
 	leasesBucket = []byte("leases")
 	ownerKey     = []byte("owner")
-	floorKey     = []byte("floor")
-	setKey       = []byte("set")
+	termFloorKey = []byte("floor")
+	setNumberKey = []byte("set")
 )
 
-// Why a voter's file is refused.
+// Reasons for refusing a voter's file.
 var (
 	ErrDamaged    = errors.New("a record does not match its sum")
 	ErrOtherVoter = errors.New("it belongs to another voter")
 	ErrNewer      = errors.New("it was written by a later version")
-	ErrInUse      = errors.New("another process has it")
+	ErrInUse      = errors.New("it is in use by another process")
 )
 
 // store is an open voter's file.
@@ -51,14 +52,14 @@
 	path string
 }
 
-// storedState is what a voter's file held when it was opened.
+// storedState is the content of a voter's file when it was opened.
 type storedState struct {
 	grants    []lease.GrantRecord
 	termFloor uint64
 	setNumber uint64
 }
 
-// ownerRecord says whose file it is.
+// ownerRecord identifies the voter to which a file belongs.
 type ownerRecord struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
@@ -66,7 +67,7 @@
 	Voter   string
 }
 
-// grantRecord is a lease's last term and holder.
+// grantRecord contains a lease's last term and holder.
 type grantRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Term        uint64
@@ -74,12 +75,12 @@
 	Incarnation uint64
 }
 
-// openStore opens a voter's file in a folder, or makes it, and reads it. A file that is damaged, in use, another voter's
-// or a later version's is refused with one of the errors above, and left as it is.
+// openStore opens or creates a voter's file in a folder, and reads it. A file that is damaged, in use, another voter's
+// or of a later version is refused with one of the errors above, and left unchanged.
 func openStore(folder, cluster, voter string) (s *store, stored storedState, err error) {
 	path := filepath.Join(folder, storeName)
-	// The library maps the file into memory. If the file was cut short, reading a page that should be there would end
-	// the process; this makes it a panic, as the library's own on pages that can't be.
+	// bbolt maps the file into memory. If the file was truncated, reading a missing page would end the process; this
+	// turns the fault into a panic, like those of bbolt itself on invalid pages.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -93,7 +94,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, storedState{}, err
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: storeTimeout})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: storeLockTimeout})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return nil, storedState{}, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
@@ -121,11 +122,11 @@
 	return s, stored, nil
 }
 
-// checkPages checks the form of the file's pages. The library does so on a goroutine of its own, where a fault could not
-// be caught, so a file that is cut short is found first.
+// checkPages checks the structure of the file's pages. bbolt does so on a goroutine of its own, where a fault can't be
+// recovered from, so a truncated file is detected first.
 func checkPages(tx *bbolt.Tx, path string) error {
 	if file, err := os.Stat(path); err != nil || file.Size() < tx.Size() {
-		return fmt.Errorf("%w: the file is cut short", ErrDamaged)
+		return fmt.Errorf("%w: the file is truncated", ErrDamaged)
 	}
 	for fault := range tx.Check() {
 		return fmt.Errorf("%w: %v", ErrDamaged, fault)
@@ -141,7 +142,8 @@
 	return meta, leases, err
 }
 
-// checkOwner refuses a file of another voter, fleet or later version; a new file becomes this voter's.
+// checkOwner refuses a file of another voter, of another cluster or of a later version. A new file becomes this
+// voter's.
 func checkOwner(meta *bbolt.Bucket, cluster, voter string) error {
 	raw := meta.Get(ownerKey)
 	if raw == nil {
@@ -152,7 +154,7 @@
 		return err
 	}
 	if owner.Version > storeVersion {
-		return fmt.Errorf("%w: %d, this one knows %d", ErrNewer, owner.Version, storeVersion)
+		return fmt.Errorf("%w: format %d, this program supports %d", ErrNewer, owner.Version, storeVersion)
 	}
 	if owner.Cluster != cluster || owner.Voter != voter {
 		return fmt.Errorf("%w: %q of cluster %q", ErrOtherVoter, owner.Voter, owner.Cluster)
@@ -160,12 +162,12 @@
 	return nil
 }
 
-// readState reads what the voter stored.
+// readState reads the voter's stored state.
 func readState(meta, leases *bbolt.Bucket) (stored storedState, err error) {
-	if stored.termFloor, err = getNumber(meta, floorKey); err != nil {
+	if stored.termFloor, err = getNumber(meta, termFloorKey); err != nil {
 		return storedState{}, err
 	}
-	if stored.setNumber, err = getNumber(meta, setKey); err != nil {
+	if stored.setNumber, err = getNumber(meta, setNumberKey); err != nil {
 		return storedState{}, err
 	}
 	err = leases.ForEach(func(name, raw []byte) error {
@@ -189,7 +191,7 @@
 	return n, err
 }
 
-// checksum is over key and value together, so that a value under another key is found too.
+// checksum covers key and value together, so that a value under the wrong key is detected.
 func checksum(key, value []byte) uint64 {
 	digest := xxhash.New()
 	digest.Write(key)
@@ -208,15 +210,15 @@
 	if size < 0 || binary.BigEndian.Uint64(raw[size:]) != checksum(key, raw[:size]) {
 		return fmt.Errorf("%w: %q", ErrDamaged, key)
 	}
-	if err := decoding.Unmarshal(raw[:size], record); err != nil {
+	if err := strictDecoder.Unmarshal(raw[:size], record); err != nil {
 		return fmt.Errorf("%w: %q: %v", ErrDamaged, key, err)
 	}
 	return nil
 }
 
-// write stores what a voter wants stored, and its term floor, all in one commit; when it returns it is on the disk.
+// write stores the voter's records and its term floor in one commit, which is durable when write returns.
 func (s *store) write(actions []lease.Action, termFloor uint64) (err error) {
-	defer func() { // the library panics on pages that can't be
+	defer func() { // bbolt panics on invalid pages
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%s: %w: %v", s.path, ErrDamaged, r)
 		}
@@ -229,7 +231,7 @@
 				return err
 			}
 		}
-		return putRecord(meta, floorKey, termFloor)
+		return putRecord(meta, termFloorKey, termFloor)
 	})
 }
 
@@ -238,7 +240,7 @@
 	case lease.StoreGrant:
 		return putRecord(leases, []byte(a.Lease), grantRecord{Term: a.Term, Holder: a.Holder, Incarnation: a.Incarnation})
 	case lease.StoreVoterSet:
-		return putRecord(meta, setKey, a.Number)
+		return putRecord(meta, setNumberKey, a.Number)
 	case lease.DeleteGrant:
 		return leases.Delete([]byte(a.Lease))
 	}
--- a/internal/leaseservice/store_test.go
+++ b/internal/leaseservice/store_test.go
@@ -14,8 +14,9 @@
 	"cairntiller/internal/lease"
 )
 
-// TestStore: a voter reads a record that is damaged, or another voter's, and grants a term for the second time. What was
-// stored must be there again, and a file that is damaged, in use, another voter's or newer must be refused.
+// TestStore guards against a voter that reads a damaged record or another voter's, and then grants a term for the
+// second time. What was stored must be read back, and a file that is damaged, in use, another voter's or newer must be
+// refused.
 func TestStore(t *testing.T) {
 	folder := t.TempDir()
 	s, stored, err := openStore(folder, "kandy", "a")
@@ -28,7 +29,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := openStore(folder, "kandy", "a"); !errors.Is(err, ErrInUse) {
-		t.Error("two processes have one file:", err)
+		t.Error("two processes opened one file:", err)
 	}
 	s.close()
 	s, stored, err = openStore(folder, "kandy", "a")
@@ -38,30 +39,30 @@
 	}
 	s.close()
 	path := filepath.Join(folder, storeName)
-	whole, err := os.ReadFile(path)
+	contents, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := func(what string, raw []byte, cluster, name string, want error) {
+	expectRefused := func(what string, raw []byte, cluster, name string, want error) {
 		t.Helper()
 		other := t.TempDir()
-		at := filepath.Join(other, storeName)
-		if err := os.WriteFile(at, raw, 0o600); err != nil {
+		otherPath := filepath.Join(other, storeName)
+		if err := os.WriteFile(otherPath, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, _, err := openStore(other, cluster, name)
 		if err == nil {
 			s.close()
-			t.Errorf("%s: taken", what)
+			t.Errorf("%s: accepted", what)
 		} else if want != nil && !errors.Is(err, want) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	refused("copied from another voter", whole, "kandy", "b", ErrOtherVoter)
-	refused("of another fleet", whole, "galle", "a", ErrOtherVoter)
-	for cut := 4096; cut < len(whole); cut += 4096 { // it ended the process, by a fault that can't be caught
+	expectRefused("copied from another voter", contents, "kandy", "b", ErrOtherVoter)
+	expectRefused("of another cluster", contents, "galle", "a", ErrOtherVoter)
+	for cut := 4096; cut < len(contents); cut += 4096 { // a truncated file ended the process with a fault that can't be recovered from
 		other := t.TempDir()
-		if err := os.WriteFile(filepath.Join(other, storeName), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(other, storeName), contents[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, again, err := openStore(other, "kandy", "a")
@@ -69,20 +70,20 @@
 			s.close()
 		}
 		if err == nil && !reflect.DeepEqual(again.grants, stored.grants) || err != nil && !errors.Is(err, ErrDamaged) && cut > 8192 {
-			t.Errorf("cut at %d: %v, %v", cut, again, err)
+			t.Errorf("truncated at %d: %v, %v", cut, again, err)
 		}
 	}
-	for _, text := range []string{"kandy", "y\x83"} { // the owner's record, a lease's
-		if !bytes.Contains(whole, []byte(text)) {
-			t.Fatalf("%q is not in the file", text)
+	for _, text := range []string{"kandy", "y\x83"} { // the owner's record, and a lease's
+		if !bytes.Contains(contents, []byte(text)) {
+			t.Fatalf("%q not found in the file", text)
 		}
-		flipped := slices.Clone(whole)
-		for i := range flipped { // in each page that has it
-			if i+len(text) <= len(flipped) && string(whole[i:i+len(text)]) == text {
+		flipped := slices.Clone(contents)
+		for i := range flipped { // on each page that contains it
+			if i+len(text) <= len(flipped) && string(contents[i:i+len(text)]) == text {
 				flipped[i+len(text)-1] ^= 4
 			}
 		}
-		refused("flipped in "+text, flipped, "kandy", "a", nil)
+		expectRefused("bit flipped in "+text, flipped, "kandy", "a", nil)
 	}
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -94,6 +95,6 @@
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
 	}
-	newer, _ := os.ReadFile(path)
-	refused("of a later version", newer, "kandy", "a", ErrNewer)
+	newerFile, _ := os.ReadFile(path)
+	expectRefused("of a later version", newerFile, "kandy", "a", ErrNewer)
 }
--- a/internal/leaseservice/voter_loop.go
+++ b/internal/leaseservice/voter_loop.go
@@ -8,8 +8,8 @@
 	"cairntiller/internal/lease"
 )
 
-// runVoter runs the voter until the end. What it wants stored is stored, for many answers at once, before any of them
-// goes out: a voter that forgot a grant which it had announced could grant its term to another process.
+// runVoter runs the voter until the service stops. The records of a batch of requests are stored before any response to
+// them is sent: a voter that forgets a grant that it has announced could grant the same term to another process.
 func (s *Service) runVoter() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -19,14 +19,14 @@
 		case <-s.stopped:
 			return
 		case m := <-s.voterInbox:
-			s.voterReceive(m)
+			s.receiveForVoter(m)
 		case call := <-s.voterCalls:
 			call(s.clock())
 		case <-ticker.C:
 			due = true
 		}
 		for n := 0; n < maxBatch && len(s.voterInbox) > 0; n++ {
-			s.voterReceive(<-s.voterInbox)
+			s.receiveForVoter(<-s.voterInbox)
 		}
 		if s.voter == nil {
 			continue
@@ -34,22 +34,22 @@
 		if due {
 			s.voter.Tick(s.clock())
 		}
-		s.carryOutForVoter(s.voter.TakeActions())
+		s.executeVoterActions(s.voter.TakeActions())
 	}
 }
 
-func (s *Service) voterReceive(m lease.Message) {
+func (s *Service) receiveForVoter(m lease.Message) {
 	if s.voter != nil {
 		s.voter.Receive(s.clock(), m)
 	}
 }
 
-// carryOutForVoter carries out the voter's actions. If its records can't be stored, no message goes out and it votes no
-// more.
-func (s *Service) carryOutForVoter(actions []lease.Action) {
-	if s.store != nil && slices.ContainsFunc(actions, mustBeStored) {
+// executeVoterActions executes the voter's actions. If its records can't be stored, no message is sent and the voter
+// stops voting.
+func (s *Service) executeVoterActions(actions []lease.Action) {
+	if s.store != nil && slices.ContainsFunc(actions, needsStorage) {
 		if err := s.store.write(actions, s.voter.TermFloor()); err != nil {
-			voterStorageFailure.Add()
+			voterStorageFailures.Add()
 			s.failVoter(fmt.Errorf("this instance votes no more: %w", err))
 			s.store.close()
 			s.voter = nil
@@ -66,8 +66,8 @@
 	}
 }
 
-// mustBeStored reports whether an action changes what a voter's file holds.
-func mustBeStored(action lease.Action) bool {
+// needsStorage reports whether an action changes the voter's file.
+func needsStorage(action lease.Action) bool {
 	switch action.(type) {
 	case lease.StoreGrant, lease.DeleteGrant, lease.StoreVoterSet:
 		return true
--- a/internal/leaseservice/voter_query_test.go
+++ b/internal/leaseservice/voter_query_test.go
@@ -9,8 +9,9 @@
 	"cairntiller/internal/membership"
 )
 
-// TestMergeReportsWithContender: a voter came back and granted another candidate a trial under a later term. The list named
-// that one as the holder, and lease free asked the wrong router. The holder is whom most voters grant the lease to.
+// TestMergeReportsWithContender guards against naming the wrong holder: a voter had restarted and granted a trial to
+// another candidate under a later term, the list named that candidate, and lease free asked the wrong router. The
+// holder is the process to which most voters grant the lease.
 func TestMergeReportsWithContender(t *testing.T) {
 	held := []lease.LeaseState{{Lease: "task", Holder: "a", Term: 5, Remaining: 900_000, Waiting: 2}}
 	lines := MergeReports([]VoterReport{{Voter: "a", Leases: held}, {Voter: "b", Leases: held},
@@ -20,15 +21,16 @@
 	}
 }
 
-// TestListOfManyLeases: a voter told its 80 leases in one burst, which overran the asker's socket, and the operator saw a
-// part without a word that it was one. Each page is asked for until it comes, and a voter that did not tell all is shown so.
+// TestListOfManyLeases guards against an incomplete list without an indication: a voter sent its 80 leases in one
+// burst, which overflowed the receiver's socket buffer. Each page is requested until it arrives, and a voter whose
+// answer is incomplete is marked.
 func TestListOfManyLeases(t *testing.T) {
-	h, all := three(t)
-	const many = 80
-	for n := range many {
-		want(t, all[1], fmt.Sprintf("%03d", n))
+	h, all := startThree(t)
+	const leaseCount = 80
+	for n := range leaseCount {
+		requestLease(t, all[1], fmt.Sprintf("%03d", n))
 	}
-	told := func() (lines, whole int) {
+	list := func() (lines, whole int) {
 		for _, line := range MergeReports(all[0].QueryVoters(t.Context())) {
 			if lines++; len(line.GrantedBy) == 3 && line.Holder == "b" {
 				whole++
@@ -36,25 +38,25 @@
 		}
 		return lines, whole
 	}
-	eventually(t, "all are held and told", func() bool { lines, whole := told(); return lines == many && whole == many })
-	sent := 0
-	lose := func(drop func(from, to string, kind uint8) bool) {
+	eventually(t, "all leases held and listed", func() bool { lines, whole := list(); return lines == leaseCount && whole == leaseCount })
+	queries := 0
+	setDrop := func(drop func(from, to string, kind uint8) bool) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.drop = drop
 	}
-	lose(func(_, _ string, kind uint8) bool {
+	setDrop(func(_, _ string, kind uint8) bool {
 		if kind != membership.KindLeaseQuery {
 			return false
 		}
-		sent++
-		return sent%5 == 0
+		queries++
+		return queries%5 == 0
 	})
-	if lines, whole := told(); lines != many || whole != many {
-		t.Errorf("%d told of, %d of them by all voters", lines, whole)
+	if lines, whole := list(); lines != leaseCount || whole != leaseCount {
+		t.Errorf("%d leases listed, %d of them by all voters", lines, whole)
 	}
 	pages := 0
-	lose(func(from, _ string, kind uint8) bool {
+	setDrop(func(from, _ string, kind uint8) bool {
 		if from != "c" || kind != membership.KindLeaseQuery {
 			return false
 		}
