--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -40,7 +40,7 @@
 
 // Reasons for refusing a voter's file.
 var (
-	ErrDamaged    = errors.New("a record does not match its sum")
+	ErrCorrupted  = errors.New("a record does not match its sum")
 	ErrOtherVoter = errors.New("it belongs to another voter")
 	ErrNewer      = errors.New("it was written by a later version")
 	ErrInUse      = errors.New("it is in use by another process")
@@ -75,7 +75,7 @@
 	Incarnation uint64
 }
 
-// openStore opens or creates a voter's file in a folder, and reads it. A file that is damaged, in use, another voter's
+// openStore opens or creates a voter's file in a folder, and reads it. A file that is corrupted, in use, another voter's
 // or of a later version is refused with one of the errors above, and left unchanged.
 func openStore(folder, cluster, voter string) (s *store, stored storedState, err error) {
 	path := filepath.Join(folder, storeName)
@@ -84,7 +84,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%s: %w: %v", path, ErrDamaged, r)
+			err = fmt.Errorf("%s: %w: %v", path, ErrCorrupted, r)
 		}
 		if err != nil && s != nil {
 			s.db.Close()
@@ -126,10 +126,10 @@
 // recovered from, so a truncated file is detected first.
 func checkPages(tx *bbolt.Tx, path string) error {
 	if file, err := os.Stat(path); err != nil || file.Size() < tx.Size() {
-		return fmt.Errorf("%w: the file is truncated", ErrDamaged)
+		return fmt.Errorf("%w: the file is truncated", ErrCorrupted)
 	}
 	for fault := range tx.Check() {
-		return fmt.Errorf("%w: %v", ErrDamaged, fault)
+		return fmt.Errorf("%w: %v", ErrCorrupted, fault)
 	}
 	return nil
 }
@@ -208,10 +208,10 @@
 func decodeRecord(key, raw []byte, record any) error {
 	size := len(raw) - checksumSize
 	if size < 0 || binary.BigEndian.Uint64(raw[size:]) != checksum(key, raw[:size]) {
-		return fmt.Errorf("%w: %q", ErrDamaged, key)
+		return fmt.Errorf("%w: %q", ErrCorrupted, key)
 	}
 	if err := strictDecoder.Unmarshal(raw[:size], record); err != nil {
-		return fmt.Errorf("%w: %q: %v", ErrDamaged, key, err)
+		return fmt.Errorf("%w: %q: %v", ErrCorrupted, key, err)
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 func (s *store) write(actions []lease.Action, termFloor uint64) (err error) {
 	defer func() { // bbolt panics on invalid pages
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%s: %w: %v", s.path, ErrDamaged, r)
+			err = fmt.Errorf("%s: %w: %v", s.path, ErrCorrupted, r)
 		}
 	}()
 	return s.db.Update(func(tx *bbolt.Tx) error {
--- a/internal/leaseservice/store_test.go
+++ b/internal/leaseservice/store_test.go
@@ -14,8 +14,8 @@
 	"cairntiller/internal/lease"
 )
 
-// TestStore guards against a voter that reads a damaged record or another voter's, and then grants a term for the
-// second time. What was stored must be read back, and a file that is damaged, in use, another voter's or newer must be
+// TestStore guards against a voter that reads a corrupted record or another voter's, and then grants a term for the
+// second time. What was stored must be read back, and a file that is corrupted, in use, another voter's or newer must be
 // refused.
 func TestStore(t *testing.T) {
 	folder := t.TempDir()
@@ -69,7 +69,7 @@
 		if err == nil {
 			s.close()
 		}
-		if err == nil && !reflect.DeepEqual(again.grants, stored.grants) || err != nil && !errors.Is(err, ErrDamaged) && cut > 8192 {
+		if err == nil && !reflect.DeepEqual(again.grants, stored.grants) || err != nil && !errors.Is(err, ErrCorrupted) && cut > 8192 {
 			t.Errorf("truncated at %d: %v, %v", cut, again, err)
 		}
 	}
