--- a/internal/leaseservice/store.go
+++ b/internal/leaseservice/store.go
@@ -40,10 +40,10 @@
 
 // Reasons for refusing a voter's file.
 var (
-	ErrCorrupted  = errors.New("a record does not match its sum")
-	ErrOtherVoter = errors.New("it belongs to another voter")
-	ErrNewer      = errors.New("it was written by a later version")
-	ErrInUse      = errors.New("it is in use by another process")
+	ErrCorrupted    = errors.New("a record does not match its sum")
+	ErrOtherVoter   = errors.New("it belongs to another voter")
+	ErrNewerVersion = errors.New("it was written by a later version")
+	ErrInUse        = errors.New("it is in use by another process")
 )
 
 // store is an open voter's file.
@@ -154,7 +154,7 @@
 		return err
 	}
 	if owner.Version > storeVersion {
-		return fmt.Errorf("%w: format %d, this program supports %d", ErrNewer, owner.Version, storeVersion)
+		return fmt.Errorf("%w: format %d, this program supports %d", ErrNewerVersion, owner.Version, storeVersion)
 	}
 	if owner.Cluster != cluster || owner.Voter != voter {
 		return fmt.Errorf("%w: %q of cluster %q", ErrOtherVoter, owner.Voter, owner.Cluster)
--- a/internal/leaseservice/store_test.go
+++ b/internal/leaseservice/store_test.go
@@ -96,5 +96,5 @@
 		t.Fatal(err)
 	}
 	newerFile, _ := os.ReadFile(path)
-	expectRefused("of a later version", newerFile, "kandy", "a", ErrNewer)
+	expectRefused("of a later version", newerFile, "kandy", "a", ErrNewerVersion)
 }
