--- a/internal/lease/acquisition.go
+++ b/internal/lease/acquisition.go
@@ -30,7 +30,7 @@
 	// waiterTimeout, after which a voter removes the candidate from the queue.
 	maxRequestInterval = 5_000_000
 	// batchInterval rounds up the request times of waiting candidates to its next multiple, in us, so that one message
-	// carries many requests. It delays no hand-over, because the voter sends a TurnNotice.
+	// carries many requests. It delays no hand-over, because the voter sends a ReservationNotice.
 	batchInterval = 200_000
 	// firstBackoff is the base of the wait between attempts, in us. It doubles with each failed attempt in a row, the
 	// first one included. Jitter makes the wait up to half longer or shorter, so that candidates whose votes split
@@ -131,10 +131,10 @@
 	return busyUntil[newest.majority()-free-1]
 }
 
-// handleTurnNotice requests leases that a voter reserves for this process. One voter's notice is not enough while a
+// handleReservationNotice requests leases that a voter reserves for this process. One voter's notice is not enough while a
 // majority may still have granted the lease to another process: a voter that restarted does not know the current holder
 // and may send its notice too early.
-func (c *Candidate) handleTurnNotice(now int64, voter int, m *TurnNotice) {
+func (c *Candidate) handleReservationNotice(now int64, voter int, m *ReservationNotice) {
 	for _, free := range m.Leases {
 		c.highestTerm = max(c.highestTerm, free.Term)
 		r := c.find(free.Lease)
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -267,9 +267,9 @@
 		return
 	}
 	switch m := m.(type) {
-	case *TurnNotice:
+	case *ReservationNotice:
 		c.voters[voter].setNumber = m.SetNumber
-		c.handleTurnNotice(now, voter, m)
+		c.handleReservationNotice(now, voter, m)
 	case *GrantResponse:
 		sentAt, counts := c.handleResponse(now, voter, &m.ResponseHeader)
 		if !counts {
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -1,8 +1,8 @@
 package lease
 
 // Message is a message between a candidate and a voter, or between two voters: a *GrantRequest, *RenewRequest or
-// *Release from a candidate to a voter, a *GrantResponse, *RenewResponse or *TurnNotice from a voter to a candidate, or
-// a *VoterStatus from a voter to a voter. It must not be modified after a Send action has returned it.
+// *Release from a candidate to a voter, a *GrantResponse, *RenewResponse or *ReservationNotice from a voter to a
+// candidate, or a *VoterStatus from a voter to a voter. It must not be modified after a Send action has returned it.
 type Message interface {
 	// CommonHeader returns the header, which every message has.
 	CommonHeader() *Header
@@ -102,8 +102,8 @@
 	WaitedFor int64  // us that First has waited; on the wire, but unused
 }
 
-// TurnNotice tells the first candidate in the queue that leases are free and reserved for it.
-type TurnNotice struct {
+// ReservationNotice tells the first candidate in the queue that leases are free and reserved for it.
+type ReservationNotice struct {
 	Header
 	VoterClock int64 // us; on the wire, but unused
 	Leases     []FreeLease
--- a/internal/lease/wait_queue.go
+++ b/internal/lease/wait_queue.go
@@ -85,7 +85,7 @@
 	g.queue = slices.Insert(slices.Delete(g.queue, index, index+1), 0, next)
 	g.reservedUntil = now + reservationLength
 	free := FreeLease{Lease: g.lease, Term: max(g.term, v.termFloor)}
-	v.send(next.name, &TurnNotice{Header: v.header(), VoterClock: now, Leases: []FreeLease{free}})
+	v.send(next.name, &ReservationNotice{Header: v.header(), VoterClock: now, Leases: []FreeLease{free}})
 }
 
 // MemberGone removes a member that left or failed from all queues. Its own grants expire as usual.
--- a/internal/lease/wait_queue_test.go
+++ b/internal/lease/wait_queue_test.go
@@ -13,7 +13,7 @@
 			if !ok {
 				continue
 			}
-			if _, ok := sent.Message.(*TurnNotice); ok {
+			if _, ok := sent.Message.(*ReservationNotice); ok {
 				name = sent.To
 			}
 		}
--- a/internal/leaseservice/codec.go
+++ b/internal/leaseservice/codec.go
@@ -28,7 +28,7 @@
 	kindRelease
 	kindGrantResponse
 	kindRenewResponse
-	kindTurnNotice
+	kindReservationNotice
 	kindVoterStatus
 )
 
@@ -134,8 +134,8 @@
 		for _, waiting := range m.Waiting {
 			w.Leases = append(w.Leases, wireLease{Lease: waiting.Lease, Term: waiting.Term, Holder: waiting.First, Priority: waiting.Priority, Wait: waiting.WaitedFor})
 		}
-	case *lease.TurnNotice:
-		w.Kind = kindTurnNotice
+	case *lease.ReservationNotice:
+		w.Kind = kindReservationNotice
 		w.VoterClock = m.VoterClock
 		for _, free := range m.Leases {
 			w.Leases = append(w.Leases, wireLease{Lease: free.Lease, Term: free.Term})
@@ -218,8 +218,8 @@
 			m.Waiting = append(m.Waiting, lease.WaitingLease{Lease: item.Lease, Term: item.Term, First: item.Holder, Priority: item.Priority, WaitedFor: item.Wait})
 		}
 		return m, nil
-	case kindTurnNotice:
-		m := &lease.TurnNotice{Header: header, VoterClock: w.VoterClock}
+	case kindReservationNotice:
+		m := &lease.ReservationNotice{Header: header, VoterClock: w.VoterClock}
 		for _, item := range w.Leases {
 			m.Leases = append(m.Leases, lease.FreeLease{Lease: item.Lease, Term: item.Term})
 		}
--- a/internal/leaseservice/counters.go
+++ b/internal/leaseservice/counters.go
@@ -2,7 +2,7 @@
 
 import "cairntiller/internal/metrics"
 
-// Counters of leases.
+// Metrics of the lease service.
 var (
 	leasesAcquired       = metrics.New("leases held")
 	leasesLost           = metrics.New("leases lost")
--- a/internal/leaseservice/golden_test.go
+++ b/internal/leaseservice/golden_test.go
@@ -32,7 +32,7 @@
 		"renewed": &lease.RenewResponse{ResponseHeader: lease.ResponseHeader{Header: voter, Requester: 11, RequestID: 10, EndedGrants: 1<<64 - 1,
 			Generation: 2, VoterClock: 99}, RenewedCount: 300,
 			Waiting: []lease.WaitingLease{{Lease: "task", Term: 6, First: "c", Priority: 1, WaitedFor: 2_000_000}}},
-		"vacant": &lease.TurnNotice{Header: voter, VoterClock: 99, Leases: []lease.FreeLease{{Lease: "task", Term: 6}}},
+		"vacant": &lease.ReservationNotice{Header: voter, VoterClock: 99, Leases: []lease.FreeLease{{Lease: "task", Term: 6}}},
 		"standing": &lease.VoterStatus{Header: voter, SetNames: []string{"a", "b", "c"}, VoterClock: 99, TermFloor: 1 << 60, LongestLease: 10_000_000,
 			SetAge: 5},
 	}
--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -166,7 +166,7 @@
 		for _, l := range m.Waiting {
 			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term, Priority: l.Priority}, Holder: l.First, Wait: l.WaitedFor})
 		}
-	case *lease.TurnNotice:
+	case *lease.ReservationNotice:
 		r.kind, r.voterClock = 6, m.VoterClock
 		for _, l := range m.Leases {
 			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term}})
--- a/internal/simulation/leasesim/network.go
+++ b/internal/simulation/leasesim/network.go
@@ -95,7 +95,7 @@
 	case *lease.RenewResponse:
 		kind = 5
 		requestID = m.RequestID
-	case *lease.TurnNotice:
+	case *lease.ReservationNotice:
 		kind = 6
 	case *lease.VoterStatus:
 		kind = 7
