--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -134,7 +134,7 @@
 }
 
 func formOfMessage(message lease.Message) recordedMessage {
-	header := message.Common()
+	header := message.CommonHeader()
 	r := recordedMessage{from: header.From, incarnation: header.Incarnation, setNumber: header.SetNumber}
 	ofRequest := func(kind int, h *lease.RequestHeader) {
 		r.kind, r.requestID, r.generation = kind, h.RequestID, h.Generation
@@ -166,7 +166,7 @@
 		for _, l := range m.Waiting {
 			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term, Priority: l.Priority}, Holder: l.First, Wait: l.WaitedFor})
 		}
-	case *lease.TurnNotice:
+	case *lease.ReservationNotice:
 		r.kind, r.voterClock = 6, m.VoterClock
 		for _, l := range m.Leases {
 			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term}})
