--- a/internal/sql/catalogue.go
+++ b/internal/sql/catalogue.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// Volatility is what calling a function may do.
+// Volatility tells what a call of a function may do.
 type Volatility uint8
 
-// The volatilities, the strongest first. The zero value stands for an unknown function: it may write.
+// The volatilities, strongest first. The zero value is that of an unknown function, which may write.
 const (
-	MayWrite     Volatility = iota // it may write, or do what only one server may
-	SessionBound                   // it changes or reads the session it runs in
-	ReadOnly                       // it reads at the most
+	MayWrite     Volatility = iota // may write, or do something that may run on only one server
+	SessionBound                   // changes or reads the state of its session
+	ReadOnly                       // at most reads
 )
 
-// Catalogue knows functions, types and relations by name.
+// Catalogue holds what is known of functions, types and relations, by name.
 type Catalogue struct {
-	functions        map[string]Volatility // by the name as it is written, folded, with its schema where it has one
+	functions        map[string]Volatility // by folded name, with the schema if it was given with one
 	types            map[string]bool
-	writingRelations map[string]bool // relations that write when they are read: views over functions, foreign tables
+	writingRelations map[string]bool // relations whose reads may write: foreign tables, views that call functions
 }
 
-// NewCatalogue knows what comes with a server, and nothing else.
+// NewCatalogue returns a catalogue of the functions and types that are built into PostgreSQL.
 func NewCatalogue() *Catalogue {
 	c := &Catalogue{functions: map[string]Volatility{}, types: map[string]bool{}, writingRelations: map[string]bool{}}
 	for _, name := range strings.Fields(readOnlyFunctions) {
@@ -34,16 +34,17 @@
 	return c
 }
 
-// SetFunction adds a function of the operator's, or stands over one that comes with the server.
+// SetFunction adds a user-defined function, or overrides the volatility of a built-in one.
 func (c *Catalogue) SetFunction(name string, v Volatility) { c.functions[name] = v }
 
-// AddType adds a type whose input does nothing but read.
+// AddType adds a type whose input function doesn't write.
 func (c *Catalogue) AddType(name string) { c.types[name] = true }
 
 // AddWritingRelation marks a relation that writes when it is read.
 func (c *Catalogue) AddWritingRelation(name string) { c.writingRelations[name] = true }
 
-// functionVolatility is what calling a function by a name may do. A schema other than the server's own is another function.
+// functionVolatility returns the volatility of a function. A name with a schema other than pg_catalog is a different
+// function from the built-in one.
 func (c *Catalogue) functionVolatility(name string) Volatility {
 	if v, known := c.functions[name]; known {
 		return v
@@ -58,10 +59,10 @@
 	return c.types[name] || c.types[strings.TrimPrefix(name, "pg_catalog.")]
 }
 
-// readOnlyFunctions are functions that come with PostgreSQL and only compute or read, from chapter 9 of its manual. Volatile ones
-// stand here where running them on any server does no harm (random, clock_timestamp). Left out on purpose, beside all that
-// writes: what runs a query given as a text (query_to_xml, ts_stat, ts_rewrite), what reads files, what acts on other
-// sessions, what waits (pg_sleep), and what a standby refuses.
+// readOnlyFunctions are built-in functions of PostgreSQL that only compute or read, from chapter 9 of its manual.
+// Volatile functions are included if running them on any server is harmless (random, clock_timestamp). Excluded on
+// purpose, besides functions that write, are those that run a query passed as a string (query_to_xml, ts_stat,
+// ts_rewrite), read files, act on other sessions, wait (pg_sleep), or fail on a standby.
 const readOnlyFunctions = `
 abs cbrt ceil ceiling degrees div erf erfc exp factorial floor gamma gcd lcm lgamma ln log log10 min_scale mod pi power
 radians round scale sign sqrt trim_scale trunc width_bucket random random_normal acos acosd asin asind atan atand atan2
@@ -131,14 +132,14 @@
 pg_is_in_recovery pg_last_wal_receive_lsn pg_last_wal_replay_lsn pg_last_xact_replay_timestamp pg_wal_lsn_diff
 `
 
-// sessionFunctions are functions that change the session, or whose answer is the session's own.
+// sessionFunctions are built-in functions that change the session, or whose result depends on it.
 const sessionFunctions = `
 set_config setseed currval lastval pg_advisory_lock pg_advisory_lock_shared pg_advisory_unlock pg_advisory_unlock_all
 pg_advisory_unlock_shared pg_advisory_xact_lock pg_advisory_xact_lock_shared pg_try_advisory_lock
 pg_try_advisory_lock_shared pg_try_advisory_xact_lock pg_try_advisory_xact_lock_shared pg_listening_channels
 `
 
-// builtinTypes are types that come with the server: reading a text as one of them runs no function of a user's.
+// builtinTypes are built-in types: converting a string to one of them runs no user-defined function.
 const builtinTypes = `
 bigint bigserial bit bool boolean box bytea bpchar char character cidr circle date datemultirange daterange dec decimal
 double float float4 float8 inet int int2 int4 int4multirange int4range int8 int8multirange int8range integer interval json
@@ -148,12 +149,12 @@
 tstzmultirange tstzrange tsvector uuid varbit varchar xid xid8 xml varying refcursor unknown void
 `
 
-// builtinOperators are those that come with the server; any other may run a user's function.
+// builtinOperators are built-in operators; any other may run a user-defined function.
 var builtinOperators = func() map[string]bool {
 	all := map[string]bool{}
-	for _, one := range strings.Fields(`+ - * / % ^ |/ ||/ @ & | # ~ << >> < > = <= >= <> != || ~* !~ !~* ~~ ~~* !~~ !~~* ^@ ~<~ ~<=~ ~>=~ ~>~
+	for _, operator := range strings.Fields(`+ - * / % ^ |/ ||/ @ & | # ~ << >> < > = <= >= <> != || ~* !~ !~* ~~ ~~* !~~ !~~* ^@ ~<~ ~<=~ ~>=~ ~>~
 		:: := .. -> ->> #> #>> @> <@ ? ?| ?& #- @? @@ @@@ && &< &> -|- <<| |>> &<| |&> <^ >^ ?# ?- ?-| ?|| ~= ## <-> <=> @-@ !! <<= >>= *= !! <% %>`) {
-		all[one] = true
+		all[operator] = true
 	}
 	return all
 }()
--- a/internal/sql/classify.go
+++ b/internal/sql/classify.go
@@ -2,89 +2,89 @@
 
 import "strings"
 
-// Class is what a statement may do, as far as it decides where it can run.
+// Class tells what a statement may do, which decides where it can run.
 type Class uint8
 
-// The classes, each stronger than the one before it. What is not proven to be weaker is a write.
+// The classes in ascending order of strength. A statement that is not proven to be of a weaker class is a Write.
 const (
 	Read        Class = iota
 	Transaction       // BEGIN, COMMIT and the like
-	Session           // it changes the session, or depends on what the session did
+	Session           // changes the session or depends on its state
 	Write
 )
 
 // String names the class as the command line prints it.
 func (c Class) String() string { return [...]string{"read", "transaction", "session", "write"}[c] }
 
-// Statement is what was read of a text.
+// Statement is the result of classifying a text.
 type Statement struct {
 	Class  Class
-	Reason string // why it is no read
+	Reason string // why it is not a read
 	Tables []string
 	Calls  []string
-	// SessionDependent is set if the class depends on what the session has prepared, and not on the text alone. Such a
-	// statement isn't cached.
+	// SessionDependent is set if the class depends on the session's prepared statements and not on the text alone. Such
+	// a statement isn't cached.
 	SessionDependent bool
 }
 
-// PreparedClass returns the class of the statement that was prepared under a name, false where none is known.
+// PreparedClass returns the class of a prepared statement by its name, and false if none is known.
 type PreparedClass func(name string) (Class, bool)
 
-// Classify reads a text of one or more statements; the class is the strongest of theirs. A text that is not understood
-// is a write; one that can't be cut into tokens, or lies over the bounds, is refused with an *Error.
-func (c *Catalogue) Classify(text string, how StringSyntax, prepared PreparedClass) (Statement, error) {
-	r := &classifier{catalogue: c, prepared: prepared}
-	return r.result, r.classifyText(text, how)
+// Classify classifies a text of one or more statements; its class is the strongest of theirs. A text that can't be
+// parsed is a write; one that can't be split into tokens or exceeds a limit is rejected with an *Error.
+func (c *Catalogue) Classify(text string, syntax StringSyntax, prepared PreparedClass) (Statement, error) {
+	walker := &classifier{catalogue: c, prepared: prepared}
+	return walker.result, walker.classifyText(text, syntax)
 }
 
-// classifier walks a statement's tree and raises the class with each thing it finds.
+// classifier walks a parse tree and raises the class to the strongest that it finds.
 type classifier struct {
 	catalogue   *Catalogue
-	tree        *parse
+	tree        *parser
 	prepared    PreparedClass
 	result      Statement
-	castOperand int32 // first atom within the brackets of the CAST being read
+	castOperand int32 // first atom inside the parentheses of the CAST being visited
 }
 
-func (r *classifier) raiseClass(to Class, why string) {
-	if to > r.result.Class {
-		r.result.Class, r.result.Reason = to, why
+func (c *classifier) raiseClass(class Class, reason string) {
+	if class > c.result.Class {
+		c.result.Class, c.result.Reason = class, reason
 	}
 }
 
-func (r *classifier) classifyText(text string, how StringSyntax) error {
-	p, err := parseText(text, how)
+func (c *classifier) classifyText(text string, syntax StringSyntax) error {
+	p, err := parseText(text, syntax)
 	if p == nil {
 		return err
 	}
-	r.tree = p
+	c.tree = p
 	if err != nil {
-		if err.(*Error).Reason != reasonNotUnderstood {
+		if err.(*Error).Reason != reasonNotParsed {
 			return err
 		}
-		if err = p.scanRest(); err != nil { // what follows must be whole too, for a refusal is no matter of the grammar
+		if err = p.scanRest(); err != nil { // text after the syntax error may still fail in the lexer, which rejects it
 			return err
 		}
-		r.raiseClass(Write, "not understood "+strings.TrimSuffix(p.err.Error(), ": "+reasonNotUnderstood))
+		c.raiseClass(Write, "not understood "+strings.TrimSuffix(p.err.Error(), ": "+reasonNotParsed))
 		return nil
 	}
 	if p.lex.AmbiguousString {
-		r.raiseClass(Write, "where a text ends depends on standard_conforming_strings, which is not known")
+		c.raiseClass(Write, "where a text ends depends on standard_conforming_strings, which is not known")
 	}
-	some := 0
-	for at := p.all.first; at != 0; at = p.nodes[at].next {
-		if p.nodes[at].kind != nNothing {
-			some++
+	nonEmpty := 0
+	for id := p.statements.first; id != 0; id = p.nodes[id].next {
+		if p.nodes[id].kind != nodeEmpty {
+			nonEmpty++
 		}
 	}
-	for at := p.all.first; at != 0; at = p.nodes[at].next {
-		if p.nodes[at].kind == nOther {
-			if err := r.visitOtherStatement(at, some == 1, how); err != nil {
+	for id := p.statements.first; id != 0; id = p.nodes[id].next {
+		if p.nodes[id].kind == nodeOther {
+			if err := c.visitOtherStatement(id, nonEmpty == 1, syntax); err != nil {
 				return err
 			}
 			continue
 		}
-		r.visit(at)
+		c.visit(id)
 	}
 	return nil
 }
--- a/internal/sql/classify_test.go
+++ b/internal/sql/classify_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func classed(t *testing.T, c *Catalogue, text string) Statement {
+// mustClassify classifies a text, with the prepared statements "reads" and "writes". It reports an error of Classify.
+func mustClassify(t *testing.T, c *Catalogue, text string) Statement {
 	t.Helper()
 	s, err := c.Classify(text, StandardStrings, func(name string) (Class, bool) {
 		switch name {
@@ -24,7 +25,8 @@
 	return s
 }
 
-func catalogue() *Catalogue {
+// testCatalogue returns a catalogue with a few user-defined functions, a type and a relation.
+func testCatalogue() *Catalogue {
 	c := NewCatalogue()
 	c.SetFunction("shop.price", ReadOnly)
 	c.SetFunction("audit", MayWrite)
@@ -33,9 +35,9 @@
 	return c
 }
 
-// TestReads are statements of the usual kinds that must not be called writes.
-func TestReads(t *testing.T) {
-	c := catalogue()
+// TestClassifyReads checks that usual kinds of reads are not classified as writes.
+func TestClassifyReads(t *testing.T) {
+	c := testCatalogue()
 	for _, text := range []string{
 		"SELECT 1", "select * from a", "SELECT a.b, c FROM a JOIN d ON a.x = d.x WHERE b IN (1, 2) AND NOT (c = 3 OR d.e IS NULL)",
 		"select count(*), max(x) from t group by y having count(*) > 2 order by 1 desc limit 10 offset 5",
@@ -60,15 +62,16 @@
 		"select a.b like ('x'), 'y' not like (c), (d) ilike (e), f not ilike 'z' escape '!' from g",
 		"select coalesce(a, b), greatest(1, 2), left(x, 3), jsonb_agg(row_to_json(t)) from t",
 	} {
-		if s := classed(t, c, text); s.Class != Read {
-			t.Errorf("%q is called a %v: %s", text, s.Class, s.Reason)
+		if s := mustClassify(t, c, text); s.Class != Read {
+			t.Errorf("%q is classified as %v: %s", text, s.Class, s.Reason)
 		}
 	}
 }
 
-// TestWritesAreNeverReads: each hides its write in another way.
-func TestWritesAreNeverReads(t *testing.T) {
-	c := catalogue()
+// TestClassifyWrites checks statements that write, each in a different way: none may be classified as a read, which
+// would run on a replica.
+func TestClassifyWrites(t *testing.T) {
+	c := testCatalogue()
 	for _, text := range []string{
 		"insert into a values (1)", "update a set b = 1", "DELETE FROM a", "merge into a using b on true when matched then delete",
 		"with x as (insert into a values (1) returning *) select * from x", "with x as (select 1) delete from a",
@@ -101,7 +104,7 @@
 	} {
 		s, err := c.Classify(text, StandardStrings, func(name string) (Class, bool) { return Write, name == "writes" })
 		if err == nil && s.Class != Write {
-			t.Errorf("%q is called a %v", text, s.Class)
+			t.Errorf("%q is classified as %v", text, s.Class)
 		}
 		if err == nil && s.Reason == "" {
 			t.Errorf("%q: no reason", text)
@@ -109,8 +112,8 @@
 	}
 }
 
-func TestSessionAndTransaction(t *testing.T) {
-	c := catalogue()
+func TestClassifySessionAndTransaction(t *testing.T) {
+	c := testCatalogue()
 	for text, want := range map[string]Class{
 		"begin": Transaction, "start transaction read only": Transaction, "commit": Transaction, "rollback to a": Transaction,
 		"savepoint a": Transaction, "set transaction isolation level serializable": Transaction, "set x = 1": Session,
@@ -119,14 +122,14 @@
 		"select pg_advisory_lock(1)": Session, "select currval('s')": Session, "select set_config('a', 'b', false)": Session,
 		"begin; select 1; commit": Transaction, "begin; set x = 1": Session,
 	} {
-		if s := classed(t, c, text); s.Class != want {
-			t.Errorf("%q is called a %v, want %v: %s", text, s.Class, want, s.Reason)
+		if s := mustClassify(t, c, text); s.Class != want {
+			t.Errorf("%q is classified as %v, want %v: %s", text, s.Class, want, s.Reason)
 		}
 	}
 }
 
 func TestTablesAndCalls(t *testing.T) {
-	s := classed(t, catalogue(), `select lower(a.x), shop.price(1) from shop.a, "B" c join d on true, (select 1 from e) f, generate_series(1, 2) g`)
+	s := mustClassify(t, testCatalogue(), `select lower(a.x), shop.price(1) from shop.a, "B" c join d on true, (select 1 from e) f, generate_series(1, 2) g`)
 	if want := []string{"shop.a", "B", "d", "e"}; !slices.Equal(sorted(s.Tables), sorted(want)) {
 		t.Errorf("tables %q, want %q", s.Tables, want)
 	}
@@ -141,44 +144,45 @@
 	return all
 }
 
-// TestRefusedWhole: a text that can't be cut is refused, wherever the grammar gave up before.
-func TestRefusedWhole(t *testing.T) {
-	c := catalogue()
+// TestLexerErrorsBehindSyntaxErrors checks that a text that can't be split into tokens is rejected, even if the parser
+// stopped at an earlier syntax error. It also checks strings whose end depends on the string syntax.
+func TestLexerErrorsBehindSyntaxErrors(t *testing.T) {
+	c := testCatalogue()
 	for _, text := range []string{"select 'a", "select 1 select 'a", "select (((" + strings.Repeat("(", 300), "explain analyze select 'a"} {
 		var e *Error
 		if _, err := c.Classify(text, StandardStrings, nil); !errors.As(err, &e) {
-			t.Errorf("%.30q: %v", text, err)
+			t.Errorf("%.30q: %v, want an *Error", text, err)
 		}
 	}
 	if s, err := c.Classify(`select 'a\' from b`, UnknownStrings, nil); err != nil || s.Class != Write {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("unknown syntax: %+v, %v, want a write", s, err)
 	}
 	if s, err := c.Classify(`select 'a\' from b`, StandardStrings, nil); err != nil || s.Class != Read {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("standard syntax: %+v, %v, want a read", s, err)
 	}
 }
 
-// FuzzClass: the class does not weaken where a comment, white space or case is changed, nor where the statement is put
-// in brackets behind FROM or in a common table.
+// FuzzClass checks that a write stays a write if comments, white space or case change, or if the statement becomes a
+// subquery in FROM or a common table expression.
 func FuzzClass(f *testing.F) {
 	for _, seed := range []string{"select nextval('s')", "select a from b for update", "with x as (delete from a) select 1",
 		"select 1 union select f(2)", "select t.audit from t", "values (f(1))", "select a, b from c where d = 'e'"} {
 		f.Add(seed)
 	}
-	c := catalogue()
+	c := testCatalogue()
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := c.Classify(text, StandardStrings, nil)
-		if err != nil || strings.HasPrefix(s.Reason, reasonNotUnderstood) || strings.Contains(text, ";") {
+		if err != nil || strings.HasPrefix(s.Reason, reasonNotParsed) || strings.Contains(text, ";") {
 			return
 		}
 		l, _ := NewLexer(text, StandardStrings)
-		switch head, _ := l.Next(); fold(l.Text(head)) {
+		switch first, _ := l.Next(); fold(l.Text(first)) {
 		case "select", "with", "values", "table", "insert", "update", "delete", "merge":
 		default:
-			return // no query: it can stand in no bracket
+			return // not a query, so it can't be a subquery
 		}
 		l, _ = NewLexer(text, StandardStrings)
-		var wide strings.Builder
+		var rewritten strings.Builder
 		for {
 			tok, err := l.Next()
 			if err != nil || tok.Kind == End {
@@ -191,12 +195,12 @@
 					word = up
 				}
 			}
-			wide.WriteString(word + " /* ; */ ")
+			rewritten.WriteString(word + " /* ; */ ")
 		}
-		for _, again := range []string{wide.String(), "select * from (" + text + "\n) q", "with q as (" + text + "\n) select * from q"} {
-			w, err := c.Classify(again, StandardStrings, nil)
+		for _, variant := range []string{rewritten.String(), "select * from (" + text + "\n) q", "with q as (" + text + "\n) select * from q"} {
+			w, err := c.Classify(variant, StandardStrings, nil)
 			if err == nil && w.Class < s.Class && s.Class == Write {
-				t.Fatalf("%q is a %v (%s), %q a %v", text, s.Class, s.Reason, again, w.Class)
+				t.Fatalf("%q is classified as %v (%s), %q as %v", text, s.Class, s.Reason, variant, w.Class)
 			}
 		}
 	})
--- a/internal/sql/grammar.go
+++ b/internal/sql/grammar.go
@@ -11,7 +11,7 @@
 type yySymType struct {
 	yys  int
 	tok  Token
-	list list
+	list nodeList
 	node int32
 }
 
@@ -551,261 +551,261 @@
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:30
 		{
-			yyVAL.list = yylex.(*parse).begin(yyDollar[1].node)
-			yylex.(*parse).all = yyVAL.list
+			yyVAL.list = yylex.(*parser).newList(yyDollar[1].node)
+			yylex.(*parser).statements = yyVAL.list
 		}
 	case 2:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:31
 		{
-			yyVAL.list = yylex.(*parse).add(yyDollar[1].list, yyDollar[3].node)
-			yylex.(*parse).all = yyVAL.list
+			yyVAL.list = yylex.(*parser).appendNode(yyDollar[1].list, yyDollar[3].node)
+			yylex.(*parser).statements = yyVAL.list
 		}
 	case 3:
 		yyDollar = yyS[yypt-0 : yypt+1]
 //line grammar.y:34
 		{
-			yyVAL.node = yylex.(*parse).node(nNothing, Token{}, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeEmpty, Token{}, nodeList{})
 		}
 	case 6:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:37
 		{
-			yyVAL.node = yylex.(*parse).with(yyDollar[1].tok, yyDollar[2].list, yyDollar[3].node)
+			yyVAL.node = yylex.(*parser).newWith(yyDollar[1].tok, yyDollar[2].list, yyDollar[3].node)
 		}
 	case 7:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:38
 		{
-			yyVAL.node = yylex.(*parse).node(nQuery, Token{}, yylex.(*parse).join(yylex.(*parse).begin(yyDollar[1].node), yyDollar[2].list))
+			yyVAL.node = yylex.(*parser).newNode(nodeQuery, Token{}, yylex.(*parser).concat(yylex.(*parser).newList(yyDollar[1].node), yyDollar[2].list))
 		}
 	case 8:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:39
 		{
-			yyVAL.node = yylex.(*parse).node(nOther, yyDollar[1].tok, yyDollar[2].list)
+			yyVAL.node = yylex.(*parser).newNode(nodeOther, yyDollar[1].tok, yyDollar[2].list)
 		}
 	case 9:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:40
 		{
-			yyVAL.node = yylex.(*parse).node(nOther, yyDollar[1].tok, yyDollar[2].list)
+			yyVAL.node = yylex.(*parser).newNode(nodeOther, yyDollar[1].tok, yyDollar[2].list)
 		}
 	case 10:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:44
 		{
-			yyVAL.node = yylex.(*parse).node(nParen, yyDollar[1].tok, yylex.(*parse).begin(yyDollar[2].node))
+			yyVAL.node = yylex.(*parser).newNode(nodeParen, yyDollar[1].tok, yylex.(*parser).newList(yyDollar[2].node))
 		}
 	case 11:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:45
 		{
-			yyVAL.node = yylex.(*parse).node(nSet, yyDollar[2].tok, yylex.(*parse).add(yylex.(*parse).begin(yyDollar[1].node), yyDollar[3].node))
+			yyVAL.node = yylex.(*parser).newNode(nodeSetOp, yyDollar[2].tok, yylex.(*parser).appendNode(yylex.(*parser).newList(yyDollar[1].node), yyDollar[3].node))
 		}
 	case 12:
 		yyDollar = yyS[yypt-5 : yypt+1]
 //line grammar.y:46
 		{
-			yyVAL.node = yylex.(*parse).node(nSet, yyDollar[2].tok, yylex.(*parse).add(yylex.(*parse).begin(yyDollar[1].node), yylex.(*parse).node(nParen, yyDollar[3].tok, yylex.(*parse).begin(yyDollar[4].node))))
+			yyVAL.node = yylex.(*parser).newNode(nodeSetOp, yyDollar[2].tok, yylex.(*parser).appendNode(yylex.(*parser).newList(yyDollar[1].node), yylex.(*parser).newNode(nodeParen, yyDollar[3].tok, yylex.(*parser).newList(yyDollar[4].node))))
 		}
 	case 13:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:49
 		{
-			yyVAL.node = yylex.(*parse).node(nQuery, Token{}, yylex.(*parse).join(yylex.(*parse).begin(yyDollar[1].node), yyDollar[2].list))
+			yyVAL.node = yylex.(*parser).newNode(nodeQuery, Token{}, yylex.(*parser).concat(yylex.(*parser).newList(yyDollar[1].node), yyDollar[2].list))
 		}
 	case 14:
 		yyDollar = yyS[yypt-4 : yypt+1]
 //line grammar.y:50
 		{
-			yyVAL.node = yylex.(*parse).with(yyDollar[1].tok, yyDollar[2].list, yylex.(*parse).node(nQuery, Token{}, yylex.(*parse).join(yylex.(*parse).begin(yyDollar[3].node), yyDollar[4].list)))
+			yyVAL.node = yylex.(*parser).newWith(yyDollar[1].tok, yyDollar[2].list, yylex.(*parser).newNode(nodeQuery, Token{}, yylex.(*parser).concat(yylex.(*parser).newList(yyDollar[3].node), yyDollar[4].list)))
 		}
 	case 16:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:54
 		{
-			yyVAL.node = yylex.(*parse).node(nSet, yyDollar[2].tok, yylex.(*parse).add(yylex.(*parse).begin(yyDollar[1].node), yyDollar[3].node))
+			yyVAL.node = yylex.(*parser).newNode(nodeSetOp, yyDollar[2].tok, yylex.(*parser).appendNode(yylex.(*parser).newList(yyDollar[1].node), yyDollar[3].node))
 		}
 	case 17:
 		yyDollar = yyS[yypt-5 : yypt+1]
 //line grammar.y:55
 		{
-			yyVAL.node = yylex.(*parse).node(nSet, yyDollar[2].tok, yylex.(*parse).add(yylex.(*parse).begin(yyDollar[1].node), yylex.(*parse).node(nParen, yyDollar[3].tok, yylex.(*parse).begin(yyDollar[4].node))))
+			yyVAL.node = yylex.(*parser).newNode(nodeSetOp, yyDollar[2].tok, yylex.(*parser).appendNode(yylex.(*parser).newList(yyDollar[1].node), yylex.(*parser).newNode(nodeParen, yyDollar[3].tok, yylex.(*parser).newList(yyDollar[4].node))))
 		}
 	case 18:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:58
 		{
-			yyVAL.node = yylex.(*parse).node(nSelect, yyDollar[1].tok, yylex.(*parse).join(yylex.(*parse).begin(yylex.(*parse).node(nClause, yyDollar[1].tok, yyDollar[2].list)), yyDollar[3].list))
+			yyVAL.node = yylex.(*parser).newNode(nodeSelect, yyDollar[1].tok, yylex.(*parser).concat(yylex.(*parser).newList(yylex.(*parser).newNode(nodeClause, yyDollar[1].tok, yyDollar[2].list)), yyDollar[3].list))
 		}
 	case 19:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:59
 		{
-			yyVAL.node = yylex.(*parse).node(nSelect, yyDollar[1].tok, yylex.(*parse).begin(yylex.(*parse).node(nClause, yyDollar[1].tok, yyDollar[2].list)))
+			yyVAL.node = yylex.(*parser).newNode(nodeSelect, yyDollar[1].tok, yylex.(*parser).newList(yylex.(*parser).newNode(nodeClause, yyDollar[1].tok, yyDollar[2].list)))
 		}
 	case 20:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:60
 		{
-			yyVAL.node = yylex.(*parse).node(nSelect, yyDollar[1].tok, yylex.(*parse).begin(yylex.(*parse).node(nClause, yyDollar[1].tok, yyDollar[2].list)))
+			yyVAL.node = yylex.(*parser).newNode(nodeSelect, yyDollar[1].tok, yylex.(*parser).newList(yylex.(*parser).newNode(nodeClause, yyDollar[1].tok, yyDollar[2].list)))
 		}
 	case 21:
 		yyDollar = yyS[yypt-0 : yypt+1]
 //line grammar.y:63
 		{
-			yyVAL.list = list{}
+			yyVAL.list = nodeList{}
 		}
 	case 22:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:64
 		{
-			yyVAL.list = yylex.(*parse).add(yyDollar[1].list, yyDollar[2].node)
+			yyVAL.list = yylex.(*parser).appendNode(yyDollar[1].list, yyDollar[2].node)
 		}
 	case 23:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:67
 		{
-			yyVAL.node = yylex.(*parse).node(nClause, yyDollar[1].tok, yyDollar[2].list)
+			yyVAL.node = yylex.(*parser).newNode(nodeClause, yyDollar[1].tok, yyDollar[2].list)
 		}
 	case 24:
 		yyDollar = yyS[yypt-0 : yypt+1]
 //line grammar.y:70
 		{
-			yyVAL.list = list{}
+			yyVAL.list = nodeList{}
 		}
 	case 25:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:71
 		{
-			yyVAL.list = yylex.(*parse).add(yyDollar[1].list, yyDollar[2].node)
+			yyVAL.list = yylex.(*parser).appendNode(yyDollar[1].list, yyDollar[2].node)
 		}
 	case 26:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:74
 		{
-			yyVAL.node = yylex.(*parse).node(nClause, yyDollar[1].tok, yyDollar[2].list)
+			yyVAL.node = yylex.(*parser).newNode(nodeClause, yyDollar[1].tok, yyDollar[2].list)
 		}
 	case 38:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:81
 		{
-			yyVAL.node = yylex.(*parse).node(nWrite, yyDollar[1].tok, yyDollar[2].list)
+			yyVAL.node = yylex.(*parser).newNode(nodeDML, yyDollar[1].tok, yyDollar[2].list)
 		}
 	case 43:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:86
 		{
-			yyVAL.node = yylex.(*parse).node(nRow, Token{}, yyDollar[1].list)
+			yyVAL.node = yylex.(*parser).newNode(nodeRow, Token{}, yyDollar[1].list)
 		}
 	case 46:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:89
 		{
-			yyVAL.node = yylex.(*parse).with(yyDollar[1].tok, yyDollar[2].list, yyDollar[3].node)
+			yyVAL.node = yylex.(*parser).newWith(yyDollar[1].tok, yyDollar[2].list, yyDollar[3].node)
 		}
 	case 48:
 		yyDollar = yyS[yypt-0 : yypt+1]
 //line grammar.y:94
 		{
-			yyVAL.list = list{}
+			yyVAL.list = nodeList{}
 		}
 	case 49:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:95
 		{
-			yyVAL.list = yylex.(*parse).add(yyDollar[1].list, yyDollar[2].node)
+			yyVAL.list = yylex.(*parser).appendNode(yyDollar[1].list, yyDollar[2].node)
 		}
 	case 50:
 		yyDollar = yyS[yypt-0 : yypt+1]
 //line grammar.y:98
 		{
-			yyVAL.list = list{}
+			yyVAL.list = nodeList{}
 		}
 	case 51:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:99
 		{
-			yyVAL.list = yylex.(*parse).add(yyDollar[1].list, yyDollar[2].node)
+			yyVAL.list = yylex.(*parser).appendNode(yyDollar[1].list, yyDollar[2].node)
 		}
 	case 52:
 		yyDollar = yyS[yypt-0 : yypt+1]
 //line grammar.y:102
 		{
-			yyVAL.list = list{}
+			yyVAL.list = nodeList{}
 		}
 	case 53:
 		yyDollar = yyS[yypt-2 : yypt+1]
 //line grammar.y:103
 		{
-			yyVAL.list = yylex.(*parse).add(yyDollar[1].list, yyDollar[2].node)
+			yyVAL.list = yylex.(*parser).appendNode(yyDollar[1].list, yyDollar[2].node)
 		}
 	case 60:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:108
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 61:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:109
 		{
-			yyVAL.node = yylex.(*parse).node(nParen, yyDollar[1].tok, yylex.(*parse).begin(yyDollar[2].node))
+			yyVAL.node = yylex.(*parser).newNode(nodeParen, yyDollar[1].tok, yylex.(*parser).newList(yyDollar[2].node))
 		}
 	case 62:
 		yyDollar = yyS[yypt-3 : yypt+1]
 //line grammar.y:110
 		{
-			yyVAL.node = yylex.(*parse).node(nBracket, yyDollar[1].tok, yyDollar[2].list)
+			yyVAL.node = yylex.(*parser).newNode(nodeBracket, yyDollar[1].tok, yyDollar[2].list)
 		}
 	case 64:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:114
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 65:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:115
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 66:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:116
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 68:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:120
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 69:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:121
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 70:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:122
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 71:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:123
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	case 72:
 		yyDollar = yyS[yypt-1 : yypt+1]
 //line grammar.y:124
 		{
-			yyVAL.node = yylex.(*parse).node(nAtom, yyDollar[1].tok, list{})
+			yyVAL.node = yylex.(*parser).newNode(nodeAtom, yyDollar[1].tok, nodeList{})
 		}
 	}
 	goto yystack /* stack new state and value */
--- a/internal/sql/grammar.y
+++ b/internal/sql/grammar.y
@@ -1,13 +1,13 @@
-// The grammar of statements, as far as routing needs it. Clauses, brackets, queries within queries and the parts that
-// write are told apart; what stands within a clause is kept as a row of atoms, which classify.go reads. It takes more than
-// servers do: what a server refuses harms nobody. What it does not take is a write (classify.go).
+// The grammar of statements, as far as routing needs it. It recognizes clauses, parentheses, subqueries and the parts
+// that write; the contents of a clause stay a row of atoms, which classify.go visits. It accepts more than a server
+// does, which is safe because the server rejects the statement. What it doesn't accept counts as a write (classify.go).
 %{
 package sql
 %}
 
 %union {
 	tok  Token
-	list list
+	list nodeList
 	node int32
 }
 
@@ -18,107 +18,107 @@
 %token <tok> SETOP
 %token <tok> '(' ')' '[' ']' ',' ';' '.' ':'
 
-%type <list> text soup loose any clauses tails rest
-%type <node> statement query dml body part clause tail atom latom xatom inner front
-%type <tok>  plain clauseword tailword dmlword
+%type <list> statements atoms innerAtoms anyAtoms clauses tails row
+%type <node> statement query dml body selectCore clause tail atom innerAtom anyAtom parenContents leadingParen
+%type <tok>  plainToken clauseKeyword tailKeyword dmlKeyword
 
-%start text
+%start statements
 
 %%
 
-text:
-	statement            { $$ = yylex.(*parse).begin($1); yylex.(*parse).all = $$ }
-|	text ';' statement   { $$ = yylex.(*parse).add($1, $3); yylex.(*parse).all = $$ }
+statements:
+	statement            { $$ = yylex.(*parser).newList($1); yylex.(*parser).statements = $$ }
+|	statements ';' statement { $$ = yylex.(*parser).appendNode($1, $3); yylex.(*parser).statements = $$ }
 
 statement:
-	/* nothing */        { $$ = yylex.(*parse).node(nNothing, Token{}, list{}) }
+	/* nothing */        { $$ = yylex.(*parser).newNode(nodeEmpty, Token{}, nodeList{}) }
 |	query
 |	dml
-|	WITH soup dml        { $$ = yylex.(*parse).with($1, $2, $3) }
-|	front tails          { $$ = yylex.(*parse).node(nQuery, Token{}, yylex.(*parse).join(yylex.(*parse).begin($1), $2)) }
-|	WORD any             { $$ = yylex.(*parse).node(nOther, $1, $2) }
-|	FETCH any            { $$ = yylex.(*parse).node(nOther, $1, $2) }
+|	WITH atoms dml       { $$ = yylex.(*parser).newWith($1, $2, $3) }
+|	leadingParen tails   { $$ = yylex.(*parser).newNode(nodeQuery, Token{}, yylex.(*parser).concat(yylex.(*parser).newList($1), $2)) }
+|	WORD anyAtoms        { $$ = yylex.(*parser).newNode(nodeOther, $1, $2) }
+|	FETCH anyAtoms       { $$ = yylex.(*parser).newNode(nodeOther, $1, $2) }
 
-/* a statement that begins with a bracket */
-front:
-	'(' inner ')'        { $$ = yylex.(*parse).node(nParen, $1, yylex.(*parse).begin($2)) }
-|	front SETOP part     { $$ = yylex.(*parse).node(nSet, $2, yylex.(*parse).add(yylex.(*parse).begin($1), $3)) }
-|	front SETOP '(' inner ')' { $$ = yylex.(*parse).node(nSet, $2, yylex.(*parse).add(yylex.(*parse).begin($1), yylex.(*parse).node(nParen, $3, yylex.(*parse).begin($4)))) }
+/* a statement that begins with a parenthesis */
+leadingParen:
+	'(' parenContents ')' { $$ = yylex.(*parser).newNode(nodeParen, $1, yylex.(*parser).newList($2)) }
+|	leadingParen SETOP selectCore { $$ = yylex.(*parser).newNode(nodeSetOp, $2, yylex.(*parser).appendNode(yylex.(*parser).newList($1), $3)) }
+|	leadingParen SETOP '(' parenContents ')' { $$ = yylex.(*parser).newNode(nodeSetOp, $2, yylex.(*parser).appendNode(yylex.(*parser).newList($1), yylex.(*parser).newNode(nodeParen, $3, yylex.(*parser).newList($4)))) }
 
 query:
-	body tails           { $$ = yylex.(*parse).node(nQuery, Token{}, yylex.(*parse).join(yylex.(*parse).begin($1), $2)) }
-|	WITH soup body tails { $$ = yylex.(*parse).with($1, $2, yylex.(*parse).node(nQuery, Token{}, yylex.(*parse).join(yylex.(*parse).begin($3), $4))) }
+	body tails           { $$ = yylex.(*parser).newNode(nodeQuery, Token{}, yylex.(*parser).concat(yylex.(*parser).newList($1), $2)) }
+|	WITH atoms body tails { $$ = yylex.(*parser).newWith($1, $2, yylex.(*parser).newNode(nodeQuery, Token{}, yylex.(*parser).concat(yylex.(*parser).newList($3), $4))) }
 
 body:
-	part
-|	body SETOP part      { $$ = yylex.(*parse).node(nSet, $2, yylex.(*parse).add(yylex.(*parse).begin($1), $3)) }
-|	body SETOP '(' inner ')' { $$ = yylex.(*parse).node(nSet, $2, yylex.(*parse).add(yylex.(*parse).begin($1), yylex.(*parse).node(nParen, $3, yylex.(*parse).begin($4)))) }
+	selectCore
+|	body SETOP selectCore { $$ = yylex.(*parser).newNode(nodeSetOp, $2, yylex.(*parser).appendNode(yylex.(*parser).newList($1), $3)) }
+|	body SETOP '(' parenContents ')' { $$ = yylex.(*parser).newNode(nodeSetOp, $2, yylex.(*parser).appendNode(yylex.(*parser).newList($1), yylex.(*parser).newNode(nodeParen, $3, yylex.(*parser).newList($4)))) }
 
-part:
-	SELECT soup clauses  { $$ = yylex.(*parse).node(nSelect, $1, yylex.(*parse).join(yylex.(*parse).begin(yylex.(*parse).node(nClause, $1, $2)), $3)) }
-|	VALUES soup          { $$ = yylex.(*parse).node(nSelect, $1, yylex.(*parse).begin(yylex.(*parse).node(nClause, $1, $2))) }
-|	TABLE soup           { $$ = yylex.(*parse).node(nSelect, $1, yylex.(*parse).begin(yylex.(*parse).node(nClause, $1, $2))) }
+selectCore:
+	SELECT atoms clauses { $$ = yylex.(*parser).newNode(nodeSelect, $1, yylex.(*parser).concat(yylex.(*parser).newList(yylex.(*parser).newNode(nodeClause, $1, $2)), $3)) }
+|	VALUES atoms         { $$ = yylex.(*parser).newNode(nodeSelect, $1, yylex.(*parser).newList(yylex.(*parser).newNode(nodeClause, $1, $2))) }
+|	TABLE atoms          { $$ = yylex.(*parser).newNode(nodeSelect, $1, yylex.(*parser).newList(yylex.(*parser).newNode(nodeClause, $1, $2))) }
 
 clauses:
-	/* nothing */        { $$ = list{} }
-|	clauses clause       { $$ = yylex.(*parse).add($1, $2) }
+	/* nothing */        { $$ = nodeList{} }
+|	clauses clause       { $$ = yylex.(*parser).appendNode($1, $2) }
 
 clause:
-	clauseword soup      { $$ = yylex.(*parse).node(nClause, $1, $2) }
+	clauseKeyword atoms  { $$ = yylex.(*parser).newNode(nodeClause, $1, $2) }
 
 tails:
-	/* nothing */        { $$ = list{} }
-|	tails tail           { $$ = yylex.(*parse).add($1, $2) }
+	/* nothing */        { $$ = nodeList{} }
+|	tails tail           { $$ = yylex.(*parser).appendNode($1, $2) }
 
 tail:
-	tailword soup        { $$ = yylex.(*parse).node(nClause, $1, $2) }
+	tailKeyword atoms    { $$ = yylex.(*parser).newNode(nodeClause, $1, $2) }
 
-clauseword: INTO | FROM | WHERE | GROUP | HAVING | WINDOW
+clauseKeyword: INTO | FROM | WHERE | GROUP | HAVING | WINDOW
 
-tailword: ORDER | LIMIT | OFFSET | FETCH | FOR
+tailKeyword: ORDER | LIMIT | OFFSET | FETCH | FOR
 
 dml:
-	dmlword any          { $$ = yylex.(*parse).node(nWrite, $1, $2) }
+	dmlKeyword anyAtoms  { $$ = yylex.(*parser).newNode(nodeDML, $1, $2) }
 
-dmlword: INSERT | UPDATE | DELETE | MERGE
+dmlKeyword: INSERT | UPDATE | DELETE | MERGE
 
-inner:
-	rest                 { $$ = yylex.(*parse).node(nRow, Token{}, $1) }
+parenContents:
+	row                  { $$ = yylex.(*parser).newNode(nodeRow, Token{}, $1) }
 |	query
 |	dml
-|	WITH soup dml        { $$ = yylex.(*parse).with($1, $2, $3) }
+|	WITH atoms dml       { $$ = yylex.(*parser).newWith($1, $2, $3) }
 
-rest: loose
+row: innerAtoms
 
-soup:
-	/* nothing */        { $$ = list{} }
-|	soup atom            { $$ = yylex.(*parse).add($1, $2) }
+atoms:
+	/* nothing */        { $$ = nodeList{} }
+|	atoms atom           { $$ = yylex.(*parser).appendNode($1, $2) }
 
-loose:
-	/* nothing */        { $$ = list{} }
-|	loose latom          { $$ = yylex.(*parse).add($1, $2) }
+innerAtoms:
+	/* nothing */        { $$ = nodeList{} }
+|	innerAtoms innerAtom { $$ = yylex.(*parser).appendNode($1, $2) }
 
-any:
-	/* nothing */        { $$ = list{} }
-|	any xatom            { $$ = yylex.(*parse).add($1, $2) }
+anyAtoms:
+	/* nothing */        { $$ = nodeList{} }
+|	anyAtoms anyAtom     { $$ = yylex.(*parser).appendNode($1, $2) }
 
-plain: WORD | LITERAL | OPERATOR | ',' | '.' | ':'
+plainToken: WORD | LITERAL | OPERATOR | ',' | '.' | ':'
 
 atom:
-	plain                { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-|	'(' inner ')'        { $$ = yylex.(*parse).node(nParen, $1, yylex.(*parse).begin($2)) }
-|	'[' loose ']'        { $$ = yylex.(*parse).node(nBracket, $1, $2) }
+	plainToken           { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+|	'(' parenContents ')' { $$ = yylex.(*parser).newNode(nodeParen, $1, yylex.(*parser).newList($2)) }
+|	'[' innerAtoms ']'   { $$ = yylex.(*parser).newNode(nodeBracket, $1, $2) }
 
-latom:
+innerAtom:
 	atom
-|	clauseword           { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-|	tailword             { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-|	SETOP                { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-
-xatom:
-	latom
-|	SELECT               { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-|	VALUES               { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-|	TABLE                { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-|	WITH                 { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
-|	dmlword              { $$ = yylex.(*parse).node(nAtom, $1, list{}) }
+|	clauseKeyword        { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+|	tailKeyword          { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+|	SETOP                { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+
+anyAtom:
+	innerAtom
+|	SELECT               { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+|	VALUES               { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+|	TABLE                { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+|	WITH                 { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
+|	dmlKeyword           { $$ = yylex.(*parser).newNode(nodeAtom, $1, nodeList{}) }
--- a/internal/sql/lex.go
+++ b/internal/sql/lex.go
@@ -6,22 +6,22 @@
 	"unicode/utf8"
 )
 
-// Limits of one text. A text over one of them is refused before more work is done on it.
+// Limits of one text. A text that exceeds one is rejected before any more work is done on it.
 const (
-	MaxBytes  = 1 << 20 // of a text: far over what a person or a program writes for one command
-	MaxTokens = 1 << 16 // a list of some ten thousand values
-	MaxDepth  = 256     // brackets within one another: deeper ones come from generators gone wrong
+	MaxBytes  = 1 << 20 // length of a text: far more than a person or a program writes for one command
+	MaxTokens = 1 << 16 // enough for a list of tens of thousands of values
+	MaxDepth  = 256     // nested brackets: deeper nesting comes from faulty generators
 )
 
-// Kind is what a token is.
+// Kind is the kind of a token.
 type Kind uint8
 
 // The kinds of tokens.
 const (
 	End           Kind = iota
-	Word               // an identifier or a key word, folded to lower case
-	Quoted             // an identifier in double quotes, as it stands within them
-	StringLiteral      // a text, in whatever quotes
+	Word               // an identifier or a keyword without quotes
+	Quoted             // an identifier in double quotes
+	StringLiteral      // a string constant, in any kind of quotes
 	BitString          // B'...' or X'...'
 	Number             // any number
 	Parameter          // $1
@@ -29,54 +29,56 @@
 	Punctuation        // one of ( ) [ ] , ; . : and :: := .. =>
 )
 
-// Token is one token: its kind and where it stands in the text.
+// Token is a token: its kind and its position in the text.
 type Token struct {
 	Kind     Kind
-	From, To int32 // bytes
+	From, To int32 // byte offsets; To is exclusive
 }
 
-// Error says why a text is refused, and where.
+// Error tells why a text is rejected, and where.
 type Error struct {
-	Offset int // byte of the text, from 0
+	Offset int // byte offset in the text
 	Reason string
 }
 
-// Error gives the place and the reason.
+// Error returns the offset and the reason.
 func (e *Error) Error() string { return fmt.Sprintf("at byte %d: %s", e.Offset, e.Reason) }
 
-// StringSyntax is how a server reads a backslash within plain quotes: its setting standard_conforming_strings.
+// StringSyntax tells how a server interprets a backslash in a plain string, which its setting
+// standard_conforming_strings decides.
 type StringSyntax uint8
 
-// The ways to read it. Where it is unknown, a statement in which the end of a string depends on it counts as a write.
+// The string syntaxes. If it is unknown, a statement in which the end of a string depends on it counts as a write.
 const (
 	StandardStrings  StringSyntax = iota // a backslash is an ordinary character
-	BackslashStrings                     // a backslash escapes what follows it
+	BackslashStrings                     // a backslash escapes the next character
 	UnknownStrings
 )
 
-// Lexer cuts a text into tokens.
+// Lexer splits a text into tokens.
 type Lexer struct {
 	text     string
 	strings  StringSyntax
-	at       int
+	pos      int
 	tokens   int
 	depth    int
-	brackets [MaxDepth]byte // the brackets that are open
-	// AmbiguousString is set where a plain string held a backslash while it is unknown how the server reads it: another
-	// reading may end the string elsewhere.
+	brackets [MaxDepth]byte // open brackets, outermost first
+	// AmbiguousString is set if a plain string contains a backslash and the server's syntax is unknown: the server may
+	// end the string elsewhere.
 	AmbiguousString bool
 }
 
-// NewLexer returns a lexer for a text. The error is an *Error where the text is too long or not UTF-8.
-func NewLexer(text string, how StringSyntax) (*Lexer, error) {
+// NewLexer returns a lexer for a text. It returns an *Error if the text is too long, isn't UTF-8 or contains a zero
+// byte.
+func NewLexer(text string, syntax StringSyntax) (*Lexer, error) {
 	l := &Lexer{}
-	if err := l.reset(text, how); err != nil {
+	if err := l.reset(text, syntax); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-func (l *Lexer) reset(text string, how StringSyntax) error {
+func (l *Lexer) reset(text string, syntax StringSyntax) error {
 	if len(text) > MaxBytes {
 		return &Error{MaxBytes, fmt.Sprintf("%d bytes, %d at most", len(text), MaxBytes)}
 	}
@@ -94,14 +96,15 @@
 	if i := strings.IndexByte(text, 0); i >= 0 {
 		return &Error{i, "a zero byte"}
 	}
-	*l = Lexer{text: text, strings: how}
+	*l = Lexer{text: text, strings: syntax}
 	return nil
 }
 
-// Text returns a token as it stands in the text.
+// Text returns a token as it is written in the text.
 func (l *Lexer) Text(t Token) string { return l.text[t.From:t.To] }
 
-// Name returns an identifier as the server takes it: folded to lower case, or as it stands within its quotes.
+// Name returns an identifier as the server interprets it: folded to lower case, or as written inside its quotes. The
+// escapes of U&"..." are not decoded.
 func (l *Lexer) Name(t Token) string {
 	s := l.Text(t)
 	switch t.Kind {
@@ -116,7 +119,7 @@
 	return s
 }
 
-// fold lowers ASCII letters alone, as servers do for names in UTF-8.
+// fold converts ASCII letters alone to lower case, as servers do for names in UTF-8.
 func fold(s string) string {
 	for i := 0; i < len(s); i++ {
 		if s[i] >= 'A' && s[i] <= 'Z' {
@@ -132,14 +135,14 @@
 	return s
 }
 
-// Classes of bytes.
+// Character classes of bytes.
 const (
-	isSpace = 1 << iota
-	isStart // of an identifier
-	isPart  // of one, behind its start
+	isSpace      = 1 << iota
+	isIdentStart // first byte of an identifier
+	isIdentPart  // later byte of an identifier
 	isDigit
 	isOperator
-	isSelf // stands alone
+	isPunct // a token of its own
 )
 
 var byteClass = func() (c [256]uint8) {
@@ -148,28 +151,28 @@
 	}
 	for b := 0; b < 256; b++ {
 		if b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '_' || b >= 0x80 {
-			c[b] |= isStart | isPart
+			c[b] |= isIdentStart | isIdentPart
 		}
 		if b >= '0' && b <= '9' {
-			c[b] |= isDigit | isPart
+			c[b] |= isDigit | isIdentPart
 		}
 	}
-	c['$'] |= isPart
+	c['$'] |= isIdentPart
 	for _, b := range "+-*/<>=~!@#%^&|`?" {
 		c[b] |= isOperator
 	}
 	for _, b := range "()[],;." {
-		c[b] |= isSelf
+		c[b] |= isPunct
 	}
 	return c
 }()
 
-func (l *Lexer) fail(at int, why string) (Token, error) {
-	l.at = len(l.text)
-	return Token{}, &Error{at, why}
+func (l *Lexer) fail(offset int, reason string) (Token, error) {
+	l.pos = len(l.text)
+	return Token{}, &Error{offset, reason}
 }
 
-// byteAt returns a byte of the text, 0 behind its end.
+// byteAt returns the byte at an offset, or 0 past the end of the text.
 func (l *Lexer) byteAt(i int) byte {
 	if i < len(l.text) {
 		return l.text[i]
@@ -177,35 +180,35 @@
 	return 0
 }
 
-// Next returns the next token, End behind the last. The error is an *Error.
+// Next returns the next token, and End after the last. The error is an *Error.
 func (l *Lexer) Next() (Token, error) {
 	if err := l.skipSpaceAndComments(); err != nil {
 		return l.fail(err.Offset, err.Reason)
 	}
-	if l.at >= len(l.text) {
+	if l.pos >= len(l.text) {
 		return Token{Kind: End, From: int32(len(l.text)), To: int32(len(l.text))}, nil
 	}
 	if l.tokens++; l.tokens > MaxTokens {
-		return l.fail(l.at, fmt.Sprintf("over %d tokens", MaxTokens))
+		return l.fail(l.pos, fmt.Sprintf("over %d tokens", MaxTokens))
 	}
-	from := l.at
+	from := l.pos
 	kind, err := l.scanToken()
 	if err != nil {
 		return l.fail(err.Offset, err.Reason)
 	}
-	return Token{kind, int32(from), int32(l.at)}, nil
+	return Token{kind, int32(from), int32(l.pos)}, nil
 }
 
-// skipSpaceAndComments passes white space and comments, which may be within one another.
+// skipSpaceAndComments skips white space and comments. Block comments may be nested.
 func (l *Lexer) skipSpaceAndComments() *Error {
-	for l.at < len(l.text) {
-		c := l.text[l.at]
+	for l.pos < len(l.text) {
+		c := l.text[l.pos]
 		switch {
 		case byteClass[c]&isSpace != 0:
-			l.at++
-		case c == '-' && l.byteAt(l.at+1) == '-':
+			l.pos++
+		case c == '-' && l.byteAt(l.pos+1) == '-':
 			l.skipLineComment()
-		case c == '/' && l.byteAt(l.at+1) == '*':
+		case c == '/' && l.byteAt(l.pos+1) == '*':
 			if err := l.skipBlockComment(); err != nil {
 				return err
 			}
@@ -217,79 +220,79 @@
 }
 
 func (l *Lexer) skipLineComment() {
-	if i := strings.IndexAny(l.text[l.at:], "\n\r"); i >= 0 {
-		l.at += i
+	if i := strings.IndexAny(l.text[l.pos:], "\n\r"); i >= 0 {
+		l.pos += i
 	} else {
-		l.at = len(l.text)
+		l.pos = len(l.text)
 	}
 }
 
 func (l *Lexer) skipBlockComment() *Error {
-	from, depth := l.at, 0
-	for l.at < len(l.text) {
+	from, depth := l.pos, 0
+	for l.pos < len(l.text) {
 		switch {
-		case l.text[l.at] == '/' && l.byteAt(l.at+1) == '*':
+		case l.text[l.pos] == '/' && l.byteAt(l.pos+1) == '*':
 			depth++
-			l.at += 2
-		case l.text[l.at] == '*' && l.byteAt(l.at+1) == '/':
+			l.pos += 2
+		case l.text[l.pos] == '*' && l.byteAt(l.pos+1) == '/':
 			depth--
-			l.at += 2
+			l.pos += 2
 			if depth == 0 {
 				return nil
 			}
 		default:
-			l.at++
+			l.pos++
 		}
 	}
 	return &Error{from, "a comment that does not end"}
 }
 
-// scanToken reads the token that begins here.
+// scanToken scans the token at the current position.
 func (l *Lexer) scanToken() (Kind, *Error) {
-	c, next := l.text[l.at], l.byteAt(l.at+1)
+	c, next := l.text[l.pos], l.byteAt(l.pos+1)
 	switch {
 	case c == '\'':
-		return StringLiteral, l.scanString(l.at, l.strings == BackslashStrings, l.strings == UnknownStrings)
+		return StringLiteral, l.scanString(l.pos, l.strings == BackslashStrings, l.strings == UnknownStrings)
 	case (c == 'e' || c == 'E') && next == '\'':
 		return StringLiteral, l.scanPrefixedString(1, true)
 	case (c == 'b' || c == 'B' || c == 'x' || c == 'X') && next == '\'':
 		return BitString, l.scanPrefixedString(1, false)
 	case (c == 'n' || c == 'N') && next == '\'':
-		from := l.at
-		l.at++
+		from := l.pos
+		l.pos++
 		return StringLiteral, l.scanString(from, l.strings == BackslashStrings, l.strings == UnknownStrings)
-	case (c == 'u' || c == 'U') && next == '&' && l.byteAt(l.at+2) == '\'':
-		// Where the server reads backslashes as escapes it refuses this form, so only one reading is possible.
+	case (c == 'u' || c == 'U') && next == '&' && l.byteAt(l.pos+2) == '\'':
+		// A server that treats backslashes as escapes rejects this form, so it isn't ambiguous.
 		return StringLiteral, l.scanPrefixedString(2, false)
-	case (c == 'u' || c == 'U') && next == '&' && l.byteAt(l.at+2) == '"':
-		l.at += 2
+	case (c == 'u' || c == 'U') && next == '&' && l.byteAt(l.pos+2) == '"':
+		l.pos += 2
 		return Quoted, l.scanQuotedIdentifier()
 	case c == '"':
 		return Quoted, l.scanQuotedIdentifier()
-	case byteClass[c]&isStart != 0:
-		for l.at < len(l.text) && byteClass[l.text[l.at]]&isPart != 0 {
-			l.at++
+	case byteClass[c]&isIdentStart != 0:
+		for l.pos < len(l.text) && byteClass[l.text[l.pos]]&isIdentPart != 0 {
+			l.pos++
 		}
 		return Word, nil
 	case byteClass[c]&isDigit != 0 || c == '.' && byteClass[next]&isDigit != 0:
 		return Number, l.scanNumber()
 	case c == '$':
 		return l.scanDollar()
-	case c == ':' || byteClass[c]&isSelf != 0:
+	case c == ':' || byteClass[c]&isPunct != 0:
 		return Punctuation, l.scanPunctuation(c, next)
 	case byteClass[c]&isOperator != 0:
 		return l.scanOperator()
 	}
-	return 0, &Error{l.at, fmt.Sprintf("the character %q", c)}
+	return 0, &Error{l.pos, fmt.Sprintf("the character %q", c)}
 }
 
-// scanPunctuation reads a punctuation mark and keeps track of brackets.
+// scanPunctuation scans a punctuation token and keeps track of open brackets.
 func (l *Lexer) scanPunctuation(c, next byte) *Error {
-	from := l.at
-	l.at++
+	from := l.pos
+	l.pos++
 	switch {
 	case c == ':' && (next == ':' || next == '='), c == '.' && next == '.':
-		l.at++
+		l.pos++
 	case c == '(' || c == '[':
 		if l.depth == MaxDepth {
 			return &Error{from, fmt.Sprintf("brackets over %d deep", MaxDepth)}
@@ -305,10 +308,10 @@
 	return nil
 }
 
-// scanOperator reads operator characters up to a comment. Of several it ends in + or - only where one of ~!@#%^&|`? is
-// among them.
+// scanOperator scans an operator, which ends where a comment begins. Several characters that end in + or - are one
+// operator only if they contain one of ~!@#%^&|`?.
 func (l *Lexer) scanOperator() (Kind, *Error) {
-	from, end := l.at, l.at
+	from, end := l.pos, l.pos
 	for end < len(l.text) && byteClass[l.text[end]]&isOperator != 0 {
 		if two := l.text[end:min(end+2, len(l.text))]; two == "--" || two == "/*" {
 			break
@@ -320,7 +323,7 @@
 			end--
 		}
 	}
-	l.at = end
+	l.pos = end
 	if l.text[from:end] == "=>" {
 		return Punctuation, nil
 	}
--- a/internal/sql/lex_literals.go
+++ b/internal/sql/lex_literals.go
@@ -2,58 +2,58 @@
 
 import "strings"
 
-func (l *Lexer) scanPrefixedString(by int, escapes bool) *Error {
-	from := l.at
-	l.at += by
+func (l *Lexer) scanPrefixedString(prefixLen int, escapes bool) *Error {
+	from := l.pos
+	l.pos += prefixLen
 	return l.scanString(from, escapes, false)
 }
 
-// scanString reads a string in single quotes, with what continues it on a later line.
-func (l *Lexer) scanString(from int, escapes, doubtful bool) *Error {
-	for l.at++; l.at < len(l.text); l.at++ {
-		switch l.text[l.at] {
+// scanString scans a string in single quotes, including its continuations on later lines.
+func (l *Lexer) scanString(from int, escapes, ambiguous bool) *Error {
+	for l.pos++; l.pos < len(l.text); l.pos++ {
+		switch l.text[l.pos] {
 		case '\\':
-			if doubtful {
+			if ambiguous {
 				l.AmbiguousString = true
 			}
 			if escapes {
-				l.at++
+				l.pos++
 			}
 		case '\'':
-			if l.byteAt(l.at+1) == '\'' {
-				l.at++
+			if l.byteAt(l.pos+1) == '\'' {
+				l.pos++
 				continue
 			}
-			l.at++
+			l.pos++
 			if !l.continuesOnNextLine() {
 				return nil
 			}
 		}
 	}
-	l.at = len(l.text)
+	l.pos = len(l.text)
 	return &Error{from, "a text that does not end"}
 }
 
-// continuesOnNextLine passes to the opening quote of a text's next part: only white space with a line's end may stand between,
-// and line comments within it.
+// continuesOnNextLine reports whether another part of the string follows, and advances to its opening quote. The parts
+// are separated by white space that contains a newline; line comments may follow the newline.
 func (l *Lexer) continuesOnNextLine() bool {
-	at, line := l.at, false
+	at, newline := l.pos, false
 	for at < len(l.text) {
 		c := l.text[at]
 		switch {
 		case c == '\n' || c == '\r':
-			line = true
+			newline = true
 			at++
 		case byteClass[c]&isSpace != 0:
 			at++
-		case line && c == '-' && l.byteAt(at+1) == '-':
+		case newline && c == '-' && l.byteAt(at+1) == '-':
 			i := strings.IndexAny(l.text[at:], "\n\r")
 			if i < 0 {
 				return false
 			}
 			at += i
-		case line && c == '\'':
-			l.at = at
+		case newline && c == '\'':
+			l.pos = at
 			return true
 		default:
 			return false
@@ -63,17 +63,17 @@
 }
 
 func (l *Lexer) scanQuotedIdentifier() *Error {
-	from := l.at
-	for l.at++; l.at < len(l.text); l.at++ {
-		if l.text[l.at] != '"' {
+	from := l.pos
+	for l.pos++; l.pos < len(l.text); l.pos++ {
+		if l.text[l.pos] != '"' {
 			continue
 		}
-		if l.byteAt(l.at+1) == '"' {
-			l.at++
+		if l.byteAt(l.pos+1) == '"' {
+			l.pos++
 			continue
 		}
-		l.at++
-		if l.at-from <= 2 {
+		l.pos++
+		if l.pos-from <= 2 {
 			return &Error{from, "a name without a letter"}
 		}
 		return nil
@@ -81,94 +81,95 @@
 	return &Error{from, "a name that does not end"}
 }
 
-// scanNumber reads digits of any base, with underscores between them, a fraction and an exponent; a letter right behind is
-// junk.
+// scanNumber scans digits of any base, with underscores between them, a fraction and an exponent. A letter directly
+// after a number is an error.
 func (l *Lexer) scanNumber() *Error {
-	from := l.at
-	if l.text[l.at] == '0' {
-		base := ""
-		switch l.byteAt(l.at + 1) {
+	from := l.pos
+	if l.text[l.pos] == '0' {
+		digits := ""
+		switch l.byteAt(l.pos + 1) {
 		case 'x', 'X':
-			base = "0123456789abcdefABCDEF"
+			digits = "0123456789abcdefABCDEF"
 		case 'o', 'O':
-			base = "01234567"
+			digits = "01234567"
 		case 'b', 'B':
-			base = "01"
+			digits = "01"
 		}
-		if base != "" {
-			l.at += 2
-			if !l.scanDigits(base, true) {
+		if digits != "" {
+			l.pos += 2
+			if !l.scanDigits(digits, true) {
 				return &Error{from, "a number without digits"}
 			}
 			return l.rejectTrailingLetter(from)
 		}
 	}
-	const ten = "0123456789"
-	l.scanDigits(ten, false)
-	if l.byteAt(l.at) == '.' && l.byteAt(l.at+1) != '.' { // "1..2" is a range
-		l.at++
-		l.scanDigits(ten, false)
+	const decimalDigits = "0123456789"
+	l.scanDigits(decimalDigits, false)
+	if l.byteAt(l.pos) == '.' && l.byteAt(l.pos+1) != '.' { // "1..2" is a range
+		l.pos++
+		l.scanDigits(decimalDigits, false)
 	}
-	if c := l.byteAt(l.at); c == 'e' || c == 'E' {
-		at := l.at
-		l.at++
-		if c := l.byteAt(l.at); c == '+' || c == '-' {
-			l.at++
+	if c := l.byteAt(l.pos); c == 'e' || c == 'E' {
+		at := l.pos
+		l.pos++
+		if c := l.byteAt(l.pos); c == '+' || c == '-' {
+			l.pos++
 		}
-		if !l.scanDigits(ten, false) {
+		if !l.scanDigits(decimalDigits, false) {
 			return &Error{at, "an exponent without digits"}
 		}
 	}
 	return l.rejectTrailingLetter(from)
 }
 
-// scanDigits passes digits, with single underscores between them, or before the first where that is allowed.
-func (l *Lexer) scanDigits(of string, before bool) (any bool) {
-	for l.at < len(l.text) {
-		switch c := l.text[l.at]; {
-		case strings.IndexByte(of, c) >= 0:
-			any = true
-			l.at++
-		case c == '_' && (any || before) && strings.IndexByte(of, l.byteAt(l.at+1)) >= 0 && l.at+1 < len(l.text):
-			l.at++
+// scanDigits skips digits with single underscores between them, and before the first if leadingUnderscore is set. It
+// reports whether there were any digits.
+func (l *Lexer) scanDigits(digits string, leadingUnderscore bool) (found bool) {
+	for l.pos < len(l.text) {
+		switch c := l.text[l.pos]; {
+		case strings.IndexByte(digits, c) >= 0:
+			found = true
+			l.pos++
+		case c == '_' && (found || leadingUnderscore) && strings.IndexByte(digits, l.byteAt(l.pos+1)) >= 0 && l.pos+1 < len(l.text):
+			l.pos++
 		default:
-			return any
+			return found
 		}
 	}
-	return any
+	return found
 }
 
-// rejectTrailingLetter refuses a letter right behind a number, as the server does.
+// rejectTrailingLetter returns an error if a letter directly follows a number, as the server does.
 func (l *Lexer) rejectTrailingLetter(from int) *Error {
-	if byteClass[l.byteAt(l.at)]&isStart != 0 {
+	if byteClass[l.byteAt(l.pos)]&isIdentStart != 0 {
 		return &Error{from, "a number with a letter behind it"}
 	}
 	return nil
 }
 
-// scanDollar reads a parameter or a text in dollar quotes.
+// scanDollar scans a parameter or a dollar-quoted string.
 func (l *Lexer) scanDollar() (Kind, *Error) {
-	from := l.at
-	l.at++
-	if byteClass[l.byteAt(l.at)]&isDigit != 0 {
-		for byteClass[l.byteAt(l.at)]&isDigit != 0 {
-			l.at++
+	from := l.pos
+	l.pos++
+	if byteClass[l.byteAt(l.pos)]&isDigit != 0 {
+		for byteClass[l.byteAt(l.pos)]&isDigit != 0 {
+			l.pos++
 		}
 		return Parameter, l.rejectTrailingLetter(from)
 	}
-	for l.at < len(l.text) && l.text[l.at] != '$' && byteClass[l.text[l.at]]&isPart != 0 {
-		l.at++
+	for l.pos < len(l.text) && l.text[l.pos] != '$' && byteClass[l.text[l.pos]]&isIdentPart != 0 {
+		l.pos++
 	}
-	if l.byteAt(l.at) != '$' {
+	if l.byteAt(l.pos) != '$' {
 		return 0, &Error{from, "a dollar that begins nothing"}
 	}
-	l.at++
-	tag := l.text[from:l.at]
-	end := strings.Index(l.text[l.at:], tag)
+	l.pos++
+	tag := l.text[from:l.pos]
+	end := strings.Index(l.text[l.pos:], tag)
 	if end < 0 {
-		l.at = len(l.text)
+		l.pos = len(l.text)
 		return 0, &Error{from, "a text that does not end"}
 	}
-	l.at += end + len(tag)
+	l.pos += end + len(tag)
 	return StringLiteral, nil
 }
--- a/internal/sql/lex_test.go
+++ b/internal/sql/lex_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// tokens are a text's tokens in words, and its error.
-func tokens(text string, how StringSyntax) (all []string, l *Lexer, err error) {
-	l, err = NewLexer(text, how)
+// tokenize returns the tokens of a text, each as a letter for its kind, a colon and its text, with the lexer and its
+// error.
+func tokenize(text string, syntax StringSyntax) (all []string, l *Lexer, err error) {
+	l, err = NewLexer(text, syntax)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -27,7 +28,7 @@
 	}
 }
 
-func TestTokens(t *testing.T) {
+func TestLexer(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                             "",
 		" \t\r\n\f\v":                  "",
@@ -56,32 +57,33 @@
 		"2*-1":                         "n:2 o:* o:- n:1",
 		"e 'a' b.x 'y' u & 'z'":        "w:e t:'a' w:b m:. w:x t:'y' w:u o:& t:'z'",
 	} {
-		got, l, err := tokens(text, StandardStrings)
+		got, l, err := tokenize(text, StandardStrings)
 		if s := strings.Join(got, " "); err != nil || s != want || l.depth != 0 {
 			t.Errorf("%q: %s, %v, want %s", text, s, err, want)
 		}
 	}
 }
 
-// TestBackslashes: where a text ends depends on a setting of the server; where that is not known, it is said.
-func TestBackslashes(t *testing.T) {
+// TestBackslashesInStrings checks that the end of a plain string depends on the string syntax, and that a string is
+// reported as ambiguous if the syntax is unknown.
+func TestBackslashesInStrings(t *testing.T) {
 	const text = `SELECT 'a\' ; DELETE FROM x; --'`
-	got, l, err := tokens(text, StandardStrings)
+	got, l, err := tokenize(text, StandardStrings)
 	if err != nil || len(got) != 7 || l.AmbiguousString {
 		t.Errorf("standard: %q, %v", got, err)
 	}
-	if got, _, err = tokens(text, BackslashStrings); err != nil || len(got) != 2 {
+	if got, _, err = tokenize(text, BackslashStrings); err != nil || len(got) != 2 {
 		t.Errorf("backslash: %q, %v", got, err)
 	}
-	if _, l, err = tokens(text, UnknownStrings); err != nil || !l.AmbiguousString {
+	if _, l, err = tokenize(text, UnknownStrings); err != nil || !l.AmbiguousString {
 		t.Errorf("unknown: %v", err)
 	}
-	if _, l, err = tokens(`SELECT E'\'' , $$\$$, '/'`, UnknownStrings); err != nil || l.AmbiguousString {
-		t.Errorf("nothing in it depends on the setting: %v", err)
+	if _, l, err = tokenize(`SELECT E'\'' , $$\$$, '/'`, UnknownStrings); err != nil || l.AmbiguousString {
+		t.Errorf("reported as ambiguous, or rejected: %v", err)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestLexerErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"select 'a":                          "7: a text that does not end",
 		"'a\n":                               "0: a text that does not end",
@@ -107,20 +109,20 @@
 		strings.Repeat("/*", 1<<19):          "0: a comment that does not end",
 		strings.Repeat("'a'\n", 1<<17) + "'": "0: a text that does not end",
 	} {
-		began := time.Now()
-		_, _, err := tokens(text, StandardStrings)
+		start := time.Now()
+		_, _, err := tokenize(text, StandardStrings)
 		var e *Error
 		if !errors.As(err, &e) || !strings.HasPrefix(fmt.Sprintf("%d: %s", e.Offset, e.Reason), want) {
 			t.Errorf("%.20q: %v, want %s", text, err, want)
 		}
-		if took := time.Since(began); took > time.Second {
-			t.Errorf("%.20q: refused after %v", text, took)
+		if took := time.Since(start); took > time.Second {
+			t.Errorf("%.20q: rejected after %v, want at most 1 s", text, took)
 		}
 	}
 }
 
-// FuzzTokens: no panic, tokens in order, and the same tokens where comments and white space are added between them and
-// letters outside quotes change their case.
+// FuzzTokens checks that the lexer doesn't panic, that tokens are in order, and that their kinds stay the same if
+// comments and white space are added between them and letters outside quotes change case.
 func FuzzTokens(f *testing.F) {
 	for _, seed := range []string{"SELECT a FROM b WHERE c = 'd'", `E'\'' $$x$$ "q"`, "1.5e3::int[1:2]", "/*/**/*/ -- x\n;",
 		"'a'\n'b'", "a<-1 @-", "U&'\\0061' UESCAPE '!'"} {
@@ -131,7 +133,7 @@
 		if err != nil {
 			return
 		}
-		var wide strings.Builder
+		var rewritten strings.Builder
 		var kinds []Kind
 		last := int32(0)
 		for {
@@ -140,7 +142,7 @@
 				return
 			}
 			if tok.From < last || tok.To < tok.From {
-				t.Fatalf("%+v after %d", tok, last)
+				t.Fatalf("token %+v begins before the end of the previous one, %d", tok, last)
 			}
 			if last = tok.To; tok.Kind == End {
 				break
@@ -150,34 +152,34 @@
 			if tok.Kind == Word {
 				s = strings.ToUpper(s)
 				if strings.ToLower(s) != fold(l.Text(tok)) || len(s) != len(l.Text(tok)) {
-					return // letters whose case is no matter of ASCII
+					return // contains letters whose case mapping isn't that of ASCII
 				}
 			}
-			wide.WriteString(s + " /* ' */ ")
+			rewritten.WriteString(s + " /* ' */ ")
 		}
-		again, err := NewLexer(wide.String(), StandardStrings)
+		again, err := NewLexer(rewritten.String(), StandardStrings)
 		if err != nil {
-			return // too long by now
+			return // too long after the change
 		}
 		for i := 0; ; i++ {
 			tok, err := again.Next()
 			if err != nil {
-				t.Fatalf("%q as %q: %v", text, wide.String(), err)
+				t.Fatalf("%q rewritten as %q: %v", text, rewritten.String(), err)
 			}
 			if tok.Kind == End {
 				if i != len(kinds) {
-					t.Fatalf("%q: %d tokens, then %d", text, len(kinds), i)
+					t.Fatalf("%q: %d tokens, rewritten %d", text, len(kinds), i)
 				}
 				return
 			}
 			if i >= len(kinds) || tok.Kind != kinds[i] {
-				t.Fatalf("%q as %q: token %d is another", text, wide.String(), i)
+				t.Fatalf("%q rewritten as %q: token %d differs", text, rewritten.String(), i)
 			}
 		}
 	})
 }
 
-func BenchmarkUsual(b *testing.B) {
+func BenchmarkLexer(b *testing.B) {
 	const text = `SELECT p.price, s.name FROM prices p JOIN stalls s ON s.id = p.stall WHERE p.day = $1 AND s.district = 'kandy' ORDER BY 1 LIMIT 20`
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/sql/other_statements.go
+++ b/internal/sql/other_statements.go
@@ -2,106 +2,107 @@
 
 import "strings"
 
-// visitOtherStatement reads a statement that its first word names. single tells that it is alone in its text.
-func (r *classifier) visitOtherStatement(at int32, single bool, how StringSyntax) error {
-	n := r.tree.nodes[at]
-	all := r.siblings(n.first)
+// visitOtherStatement classifies a statement by its first word. single tells whether it is the only one in the text.
+func (c *classifier) visitOtherStatement(id int32, single bool, syntax StringSyntax) error {
+	n := c.tree.nodes[id]
+	row := c.siblings(n.first)
 	word := func(k int) string {
-		if k < len(all) {
-			return r.keywordAt(all[k])
+		if k < len(row) {
+			return c.keywordAt(row[k])
 		}
 		return ""
 	}
-	switch head := fold(r.tree.lex.Text(n.tok)); head {
+	switch head := fold(c.tree.lex.Text(n.tok)); head {
 	case "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release":
 		if word(0) == "prepared" {
-			r.raiseClass(Write, "it ends a prepared transaction")
+			c.raiseClass(Write, "it ends a prepared transaction")
 			return nil
 		}
-		r.raiseClass(Transaction, strings.ToUpper(head))
+		c.raiseClass(Transaction, strings.ToUpper(head))
 	case "set":
 		if word(0) == "transaction" {
-			r.raiseClass(Transaction, "SET TRANSACTION")
+			c.raiseClass(Transaction, "SET TRANSACTION")
 			return nil
 		}
-		r.raiseClass(Session, "SET")
+		c.raiseClass(Session, "SET")
 	case "reset", "discard", "listen", "unlisten", "deallocate", "fetch", "move", "close":
-		r.raiseClass(Session, strings.ToUpper(head))
+		c.raiseClass(Session, strings.ToUpper(head))
 	case "show":
 	case "declare":
-		r.raiseClass(Session, "DECLARE")
-		return r.classifyInner(all, single, how, "DECLARE")
+		c.raiseClass(Session, "DECLARE")
+		return c.classifyInner(row, single, syntax, "DECLARE")
 	case "prepare":
 		if word(0) == "transaction" {
-			r.raiseClass(Write, "PREPARE TRANSACTION")
+			c.raiseClass(Write, "PREPARE TRANSACTION")
 			return nil
 		}
-		r.raiseClass(Session, "PREPARE") // what it prepares runs with EXECUTE
+		c.raiseClass(Session, "PREPARE") // the prepared statement runs only with EXECUTE
 	case "execute":
-		r.raiseClass(Session, "EXECUTE")
-		r.result.SessionDependent = true
-		if len(all) == 0 || !r.isName(all[0]) {
-			r.raiseClass(Write, "EXECUTE of nothing")
+		c.raiseClass(Session, "EXECUTE")
+		c.result.SessionDependent = true
+		if len(row) == 0 || !c.isName(row[0]) {
+			c.raiseClass(Write, "EXECUTE of nothing")
 			return nil
 		}
-		name := r.tree.lex.Name(r.tree.nodes[all[0]].tok)
-		if r.prepared == nil {
-			r.raiseClass(Write, "EXECUTE of "+name+", which is not known")
-		} else if class, known := r.prepared(name); !known || class == Write {
-			r.raiseClass(Write, "EXECUTE of "+name+", which writes or is not known")
+		name := c.tree.lex.Name(c.tree.nodes[row[0]].tok)
+		if c.prepared == nil {
+			c.raiseClass(Write, "EXECUTE of "+name+", which is not known")
+		} else if class, known := c.prepared(name); !known || class == Write {
+			c.raiseClass(Write, "EXECUTE of "+name+", which writes or is not known")
 		}
-		r.visitRow(n.first, func(int) bracketRole { return notCall })
+		c.visitRow(n.first, func(int) parenRole { return notCall })
 	case "explain":
-		if r.explainExecutes(all) {
-			return r.classifyInner(all, single, how, "EXPLAIN ANALYZE")
+		if c.explainExecutes(row) {
+			return c.classifyInner(row, single, syntax, "EXPLAIN ANALYZE")
 		}
 	case "copy":
-		r.visitCopy(all)
+		c.visitCopy(row)
 	default:
-		r.raiseClass(Write, strings.ToUpper(head))
+		c.raiseClass(Write, strings.ToUpper(head))
 	}
 	return nil
 }
 
-// classifyInner reads the statement that a part of this one holds; where the text holds others too it counts as a write.
-func (r *classifier) classifyInner(all []int32, single bool, how StringSyntax, what string) error {
-	for _, at := range all {
-		n := &r.tree.nodes[at]
-		if n.kind != nAtom || n.tok.Kind != Word {
+// classifyInner classifies the statement nested in DECLARE or EXPLAIN ANALYZE. It counts as a write if the text
+// contains other statements, too.
+func (c *classifier) classifyInner(row []int32, single bool, syntax StringSyntax, what string) error {
+	for _, id := range row {
+		n := &c.tree.nodes[id]
+		if n.kind != nodeAtom || n.tok.Kind != Word {
 			continue
 		}
-		switch r.tree.keyword(n.tok) {
+		switch c.tree.keyword(n.tok) {
 		case SELECT, VALUES, TABLE, WITH, INSERT, UPDATE, DELETE, MERGE:
 			if !single {
-				r.raiseClass(Write, what+" among other statements")
+				c.raiseClass(Write, what+" among other statements")
 				return nil
 			}
-			inner := &classifier{catalogue: r.catalogue, prepared: r.prepared}
-			if err := inner.classifyText(r.tree.lex.text[n.tok.From:], how); err != nil {
+			inner := &classifier{catalogue: c.catalogue, prepared: c.prepared}
+			if err := inner.classifyText(c.tree.lex.text[n.tok.From:], syntax); err != nil {
 				return err
 			}
-			r.result.Tables, r.result.Calls, r.result.SessionDependent = inner.result.Tables, inner.result.Calls, r.result.SessionDependent || inner.result.SessionDependent
-			r.raiseClass(inner.result.Class, what+": "+inner.result.Reason)
+			c.result.Tables, c.result.Calls, c.result.SessionDependent = inner.result.Tables, inner.result.Calls, c.result.SessionDependent || inner.result.SessionDependent
+			c.raiseClass(inner.result.Class, what+": "+inner.result.Reason)
 			return nil
 		}
 	}
-	r.raiseClass(Write, what+" of what is not understood")
+	c.raiseClass(Write, what+" of what is not understood")
 	return nil
 }
 
-// explainExecutes reports whether EXPLAIN runs what it explains. Any mention of it counts, whatever value it is given.
-func (r *classifier) explainExecutes(all []int32) bool {
-	for _, at := range all {
-		n := &r.tree.nodes[at]
-		if n.kind == nParen {
-			for kid := r.tree.nodes[n.first].first; kid != 0; kid = r.tree.nodes[kid].next {
-				if w := r.keywordAt(kid); w == "analyze" || w == "analyse" {
+// explainExecutes reports whether EXPLAIN executes its statement. Any ANALYZE option counts, whatever its value.
+func (c *classifier) explainExecutes(row []int32) bool {
+	for _, id := range row {
+		n := &c.tree.nodes[id]
+		if n.kind == nodeParen {
+			for child := c.tree.nodes[n.first].first; child != 0; child = c.tree.nodes[child].next {
+				if w := c.keywordAt(child); w == "analyze" || w == "analyse" {
 					return true
 				}
 			}
 			return false
 		}
-		switch r.keywordAt(at) {
+		switch c.keywordAt(id) {
 		case "analyze", "analyse":
 			return true
 		case "verbose":
@@ -112,17 +113,17 @@
 	return false
 }
 
-// visitCopy reads COPY: only to the client, of a table or of a query that reads, is it a read.
-func (r *classifier) visitCopy(all []int32) {
-	for k, at := range all {
-		if r.keywordAt(at) == "to" && k > 0 && k+1 < len(all) && r.keywordAt(all[k+1]) == "stdout" {
-			if first := &r.tree.nodes[all[0]]; first.kind == nParen {
-				r.visit(first.first)
-			} else if r.isName(all[0]) {
-				r.addRelation(r.qualifiedNameFrom(all, 0))
+// visitCopy classifies COPY, which is a read only if it sends a table or the result of a read to the client.
+func (c *classifier) visitCopy(row []int32) {
+	for k, id := range row {
+		if c.keywordAt(id) == "to" && k > 0 && k+1 < len(row) && c.keywordAt(row[k+1]) == "stdout" {
+			if first := &c.tree.nodes[row[0]]; first.kind == nodeParen {
+				c.visit(first.first)
+			} else if c.isName(row[0]) {
+				c.addRelation(c.qualifiedNameFrom(row, 0))
 			}
 			return
 		}
 	}
-	r.raiseClass(Write, "COPY to or from elsewhere than the client")
+	c.raiseClass(Write, "COPY to or from elsewhere than the client")
 }
--- a/internal/sql/parse.go
+++ b/internal/sql/parse.go
@@ -2,73 +2,73 @@
 
 //go:generate go tool goyacc -o grammar.go -v /dev/null grammar.y
 
-// nodeKind is what a node of a statement's tree is.
+// nodeKind is the kind of a node in the parse tree.
 type nodeKind uint8
 
 const (
-	nNothing nodeKind = iota
-	nAtom
-	nParen   // one node within brackets
-	nBracket // a row within square brackets
-	nRow     // atoms in a row, of any kind
-	nQuery   // a body and its tails
-	nSet     // two bodies joined by UNION and the like
-	nSelect  // clauses, the first with SELECT, VALUES or TABLE itself
-	nClause
-	nWith  // the common tables, and what they stand before
-	nWrite // INSERT, UPDATE, DELETE, MERGE
-	nOther // anything else, by its first word
+	nodeEmpty nodeKind = iota
+	nodeAtom
+	nodeParen   // one node in parentheses
+	nodeBracket // a row in square brackets
+	nodeRow     // a sequence of atoms, parentheses and brackets
+	nodeQuery   // a query body and its trailing clauses, such as ORDER BY
+	nodeSetOp   // two bodies joined by UNION, INTERSECT or EXCEPT
+	nodeSelect  // clauses; the first is that of SELECT, VALUES or TABLE
+	nodeClause
+	nodeWith  // common table expressions and the statement that uses them
+	nodeDML   // INSERT, UPDATE, DELETE, MERGE
+	nodeOther // any other statement, identified by its first word
 )
 
-// node is one node; 0 is none.
+// node is a node of the parse tree. Nodes refer to each other by index; index 0 means none.
 type node struct {
 	kind        nodeKind
 	tok         Token
 	first, next int32 // first child, next sibling
 }
 
-// list is nodes in a row.
-type list struct{ first, last int32 }
+// nodeList is a linked list of sibling nodes.
+type nodeList struct{ first, last int32 }
 
-// parse is the tree of one text, and what the generated parser reads its tokens from.
-type parse struct {
-	lex      *Lexer
-	nodes    []node
-	all      list // the statements
-	previous [2]Token
-	err      error
+// parser holds the parse tree of one text and supplies the generated parser with tokens.
+type parser struct {
+	lex        *Lexer
+	nodes      []node
+	statements nodeList // top-level statements
+	previous   [2]Token
+	err        error
 }
 
-// parseText cuts and parses a text; the error is of type *Error.
-func parseText(text string, how StringSyntax) (*parse, error) {
-	l, err := NewLexer(text, how)
+// parseText tokenizes and parses a text. The error is an *Error. The parser is nil if NewLexer fails.
+func parseText(text string, syntax StringSyntax) (*parser, error) {
+	l, err := NewLexer(text, syntax)
 	if err != nil {
 		return nil, err
 	}
-	p := &parse{lex: l, nodes: make([]node, 1, 64)}
+	p := &parser{lex: l, nodes: make([]node, 1, 64)}
 	if yyNewParser().Parse(p) != 0 && p.err == nil {
-		p.err = &Error{l.at, reasonNotUnderstood}
+		p.err = &Error{l.pos, reasonNotParsed}
 	}
 	return p, p.err
 }
 
-func (p *parse) node(kind nodeKind, tok Token, kids list) int32 {
-	p.nodes = append(p.nodes, node{kind: kind, tok: tok, first: kids.first})
+func (p *parser) newNode(kind nodeKind, tok Token, children nodeList) int32 {
+	p.nodes = append(p.nodes, node{kind: kind, tok: tok, first: children.first})
 	return int32(len(p.nodes) - 1)
 }
 
-func (p *parse) begin(n int32) list { return list{n, n} }
+func (p *parser) newList(n int32) nodeList { return nodeList{n, n} }
 
-func (p *parse) add(l list, n int32) list {
+func (p *parser) appendNode(l nodeList, n int32) nodeList {
 	if l.first == 0 {
-		return list{n, n}
+		return nodeList{n, n}
 	}
 	p.nodes[l.last].next = n
 	l.last = n
 	return l
 }
 
-func (p *parse) join(a, b list) list {
+func (p *parser) concat(a, b nodeList) nodeList {
 	switch {
 	case a.first == 0:
 		return b
@@ -76,16 +76,16 @@
 		return a
 	}
 	p.nodes[a.last].next = b.first
-	return list{a.first, b.last}
+	return nodeList{a.first, b.last}
 }
 
-func (p *parse) with(t Token, tables list, rest int32) int32 {
-	clause := p.node(nClause, t, tables)
-	return p.node(nWith, t, p.add(p.begin(clause), rest))
+func (p *parser) newWith(t Token, tables nodeList, rest int32) int32 {
+	clause := p.newNode(nodeClause, t, tables)
+	return p.newNode(nodeWith, t, p.appendNode(p.newList(clause), rest))
 }
 
-// grammarKeywords are the key words that the grammar knows; all of them are reserved in PostgreSQL but those of the second row,
-// which may be names too: where one is, the statement is not understood, and so counts as a write.
+// grammarKeywords are the keywords of the grammar. PostgreSQL reserves all but those of the last line, which may also
+// be names: a statement that uses one as a name may fail to parse and then counts as a write.
 var grammarKeywords = map[string]int{
 	"select": SELECT, "table": TABLE, "with": WITH, "into": INTO, "from": FROM, "where": WHERE, "group": GROUP,
 	"having": HAVING, "window": WINDOW, "order": ORDER, "limit": LIMIT, "offset": OFFSET, "fetch": FETCH, "for": FOR,
@@ -93,13 +93,13 @@
 	"values": VALUES, "insert": INSERT, "update": UPDATE, "delete": DELETE, "merge": MERGE,
 }
 
-// longestKeyword is the length of the longest of them.
+// longestKeyword is the length of the longest key in grammarKeywords.
 const longestKeyword = 9
 
-// Lex gives the generated parser its next token.
-func (p *parse) Lex(v *yySymType) int {
+// Lex returns the next token to the generated parser. ALL and DISTINCT behind a set operation are skipped.
+func (p *parser) Lex(v *yySymType) int {
 	t, err := p.lex.Next()
-	if err == nil && p.keyword(p.previous[1]) == SETOP && p.previous[1].Kind == Word && (p.is(t, "all") || p.is(t, "distinct")) {
+	if err == nil && p.keyword(p.previous[1]) == SETOP && p.previous[1].Kind == Word && (p.isWord(t, "all") || p.isWord(t, "distinct")) {
 		t, err = p.lex.Next()
 	}
 	if err != nil {
@@ -126,9 +126,9 @@
 	return OPERATOR
 }
 
-// classifyWord tells a key word from a name: behind AS and behind a dot any word is a name, and FROM in IS DISTINCT FROM is part
-// of an operator.
-func (p *parse) classifyWord(t Token, before [2]Token) int {
+// classifyWord distinguishes keywords from names: after AS and after a dot any word is a name. FROM in IS DISTINCT
+// FROM, UPDATE in FOR UPDATE and WITH in suffixes such as WITH ORDINALITY are plain words too.
+func (p *parser) classifyWord(t Token, before [2]Token) int {
 	kind := p.keyword(t)
 	if kind == WORD {
 		return WORD
@@ -137,27 +137,27 @@
 	switch {
 	case last.Kind == Punctuation && p.lex.Text(last) == ".":
 		return WORD
-	case kind == FROM && p.is(last, "distinct") && (p.is(before[0], "is") || p.is(before[0], "not")):
+	case kind == FROM && p.isWord(last, "distinct") && (p.isWord(before[0], "is") || p.isWord(before[0], "not")):
 		return WORD
-	case kind == UPDATE && (p.is(last, "for") || p.is(last, "key")):
+	case kind == UPDATE && (p.isWord(last, "for") || p.isWord(last, "key")):
 		return WORD
 	case kind == WITH && p.isTrailingWith():
 		return WORD
-	case p.is(last, "as"):
+	case p.isWord(last, "as"):
 		return WORD
 	}
 	return kind
 }
 
-// isTrailingWith reports whether the WITH just read belongs to what stands before it, by the word behind it.
-func (p *parse) isTrailingWith() bool {
+// isTrailingWith reports whether the WITH just read begins WITH ORDINALITY, WITH TIME ZONE or WITH TIES.
+func (p *parser) isTrailingWith() bool {
 	here := *p.lex
 	t, err := p.lex.Next()
 	*p.lex = here
-	return err == nil && (p.is(t, "ordinality") || p.is(t, "time") || p.is(t, "ties"))
+	return err == nil && (p.isWord(t, "ordinality") || p.isWord(t, "time") || p.isWord(t, "ties"))
 }
 
-func (p *parse) keyword(t Token) int {
+func (p *parser) keyword(t Token) int {
 	if t.To-t.From > longestKeyword {
 		return WORD
 	}
@@ -174,8 +174,8 @@
 	return WORD
 }
 
-// is reports whether a token is a certain word, in whatever case.
-func (p *parse) is(t Token, word string) bool {
+// isWord reports whether a token is the given word, regardless of case.
+func (p *parser) isWord(t Token, word string) bool {
 	if t.Kind != Word || int(t.To-t.From) != len(word) {
 		return false
 	}
@@ -191,17 +191,17 @@
 	return true
 }
 
-// Error notes where the generated parser stopped; a fault of the lexer stands over it.
-func (p *parse) Error(string) {
+// Error records where the generated parser stopped; an error of the lexer takes precedence.
+func (p *parser) Error(string) {
 	if p.err == nil {
-		p.err = &Error{int(p.previous[1].From), reasonNotUnderstood}
+		p.err = &Error{int(p.previous[1].From), reasonNotParsed}
 	}
 }
 
-const reasonNotUnderstood = "not understood"
+const reasonNotParsed = "not understood"
 
-// scanRest cuts what the parser left.
-func (p *parse) scanRest() error {
+// scanRest tokenizes what the parser left unread, and returns the first error.
+func (p *parser) scanRest() error {
 	for {
 		t, err := p.lex.Next()
 		if err != nil || t.Kind == End {
--- a/internal/sql/parse_test.go
+++ b/internal/sql/parse_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestUnderstood(t *testing.T) {
+func TestParse(t *testing.T) {
 	for _, text := range []string{
 		"", ";", "select 1", "SELECT a, b FROM c WHERE d = 1 AND e IN (SELECT f FROM g) GROUP BY a HAVING count(*) > 1 ORDER BY 1 LIMIT 5 OFFSET 2 FOR UPDATE",
 		"select 1 union all select 2 intersect (select 3 limit 1) order by 1", "(select 1) union (select 2)", "((select 1)) limit 1",
@@ -26,17 +26,17 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	for text, at := range map[string]string{
+	for text, want := range map[string]string{
 		"select 1 select 2": "at byte 9", "select (1": "at byte 9", "with a as (select 1)": "at byte 20",
 		"select 1 from a where b = (select": "at byte", "from a": "at byte 0", "select a from b union": "at byte 21",
 		"select 'a": "a text that does not end", "select (values": "at byte", "select (update) from t": "",
 	} {
 		_, err := parseText(text, StandardStrings)
-		if at == "" {
+		if want == "" {
 			continue
 		}
-		if err == nil || !strings.Contains(err.Error(), at) {
-			t.Errorf("%q: %v, want %s", text, err, at)
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
 }
--- a/internal/sql/settings.go
+++ b/internal/sql/settings.go
@@ -2,44 +2,45 @@
 
 import "cairntiller/internal/sexp"
 
-// Settings is what the part (statements ...) of the operator's file says.
+// Settings holds the part (statements ...) of the operator's file.
 type Settings struct {
 	Catalogue    *Catalogue
 	StringSyntax StringSyntax
 	CacheBytes   uint64 // of the shape cache
 }
 
-// ReadSettings reads the part. A function that is named twice is a fault, because its volatility would depend on the order.
+// ReadSettings reads the settings of a part. A function that is listed twice is a fault, because its volatility would
+// depend on the order of the lists.
 func ReadSettings(p *sexp.Part) Settings {
-	k := Settings{Catalogue: NewCatalogue(), CacheBytes: uint64(p.Size("cache", 4<<20, 64<<10, 1<<30))}
+	s := Settings{Catalogue: NewCatalogue(), CacheBytes: uint64(p.Size("cache", 4<<20, 64<<10, 1<<30))}
 	seen := map[string]bool{}
-	for _, one := range []struct {
-		name string
-		v    Volatility
+	for _, list := range []struct {
+		name       string
+		volatility Volatility
 	}{{"harmless", ReadOnly}, {"session", SessionBound}, {"writes", MayWrite}} {
-		for _, f := range p.Texts(one.name) {
-			if seen[f] {
-				p.AddFault(one.name, f+" a second time", "each function under one of harmless, session and writes")
+		for _, name := range p.Texts(list.name) {
+			if seen[name] {
+				p.AddFault(list.name, name+" listed twice", "each function in only one of harmless, session and writes")
 			}
-			seen[f] = true
-			k.Catalogue.SetFunction(f, one.v)
+			seen[name] = true
+			s.Catalogue.SetFunction(name, list.volatility)
 		}
 	}
-	for _, one := range p.Texts("types") {
-		k.Catalogue.AddType(one)
+	for _, name := range p.Texts("types") {
+		s.Catalogue.AddType(name)
 	}
-	for _, one := range p.Texts("writing-views") {
-		k.Catalogue.AddWritingRelation(one)
+	for _, name := range p.Texts("writing-views") {
+		s.Catalogue.AddWritingRelation(name)
 	}
-	switch how := p.Text("strings", "unknown"); how {
+	switch syntax := p.Text("strings", "unknown"); syntax {
 	case "standard":
-		k.StringSyntax = StandardStrings
+		s.StringSyntax = StandardStrings
 	case "backslash":
-		k.StringSyntax = BackslashStrings
+		s.StringSyntax = BackslashStrings
 	case "unknown":
-		k.StringSyntax = UnknownStrings
+		s.StringSyntax = UnknownStrings
 	default:
-		p.AddFault("strings", how, "standard, backslash or unknown: how the servers read a backslash in plain quotes")
+		p.AddFault("strings", syntax, "standard, backslash or unknown: how the servers interpret a backslash in a plain string")
 	}
-	return k
+	return s
 }
--- a/internal/sql/shape.go
+++ b/internal/sql/shape.go
@@ -9,11 +9,11 @@
 	"github.com/maypok86/otter/v2"
 )
 
-// A statement's shape is its tokens without what changes from one use to the next: literals give way to their kind, lists
-// of literals and rows of such lists to one, words to lower case, comments and white space to nothing. What classify.go goes
-// by is all kept, so statements of one shape have one class.
+// The shape of a statement is its tokens, normalized: literals are replaced by a placeholder for their kind, lists of
+// literals and sequences of such lists by one placeholder; words are in lower case, comments and white space are
+// dropped. All that classify.go depends on is kept, so statements of the same shape have the same class.
 
-// Placeholders for literals. No token looks like them, because none begins with a backslash.
+// Placeholders for literals. They can't be confused with a token, because no token begins with a backslash.
 const (
 	stringPlaceholder    = `\s`
 	numberPlaceholder    = `\n`
@@ -22,27 +22,27 @@
 	listPlaceholder      = `(\+)`
 )
 
-// rowSeparator is what stands between two rows in a shape.
+// rowSeparator separates two rows in a shape.
 const rowSeparator = " , "
 
-// shapeBuilder builds shapes in a buffer that it reuses.
+// shapeBuilder builds shapes in a reused buffer.
 type shapeBuilder struct {
-	buf          []byte
-	openBrackets []openBracket // brackets that are open
-	listStart    int           // where the list of literals that has just ended began, -1 for none
+	buf        []byte
+	openParens []openParen // open parentheses, outermost first
+	listStart  int         // offset in buf of the list of literals that just ended, -1 for none
 }
 
-// openBracket is a bracket that is not closed yet.
-type openBracket struct {
-	start        int  // where it stands in the shape
-	previousList int  // where the list of literals before it began, -1 for none
-	literalsOnly bool // nothing but literals and commas since
+// openParen is a parenthesis that is not closed yet.
+type openParen struct {
+	start        int  // offset in the shape
+	previousList int  // offset of the list of literals before it, -1 for none
+	literalsOnly bool // only literals and commas since
 }
 
-// build writes a text's shape to the buffer; the error is the lexer's.
+// build writes the shape of a text to the buffer; the error is the lexer's.
 func (s *shapeBuilder) build(l *Lexer) error {
-	s.buf, s.openBrackets, s.listStart = s.buf[:0], s.openBrackets[:0], -1
-	limit := false
+	s.buf, s.openParens, s.listStart = s.buf[:0], s.openParens[:0], -1
+	afterLimit := false
 	for {
 		t, err := l.Next()
 		if err != nil {
@@ -55,18 +55,18 @@
 			s.buf = append(s.buf, ' ')
 		}
 		text := l.Text(t)
-		if t.Kind == Punctuation && len(text) == 1 && s.addBracket(text[0]) {
+		if t.Kind == Punctuation && len(text) == 1 && s.addParen(text[0]) {
 			continue
 		}
-		if n := len(s.openBrackets); n > 0 && t.Kind != StringLiteral && t.Kind != Number && t.Kind != BitString && t.Kind != Parameter && text != "," {
-			s.openBrackets[n-1].literalsOnly = false
+		if n := len(s.openParens); n > 0 && t.Kind != StringLiteral && t.Kind != Number && t.Kind != BitString && t.Kind != Parameter && text != "," {
+			s.openParens[n-1].literalsOnly = false
 		}
 		switch t.Kind {
 		case StringLiteral:
 			s.buf = append(s.buf, stringPlaceholder...)
 		case Number:
 			s.buf = append(s.buf, numberPlaceholder...)
-			if limit { // a limit's size tells on what the statement costs
+			if afterLimit { // keeps the number of digits, because the size of a LIMIT affects the cost of the statement
 				s.buf = append(s.buf, '0'+byte(min(len(text), 9)))
 			}
 		case BitString:
@@ -84,30 +84,30 @@
 		default:
 			s.buf = append(s.buf, text...)
 		}
-		limit = t.Kind == Word && len(text) == 5 && strings.EqualFold(text, "limit")
+		afterLimit = t.Kind == Word && len(text) == 5 && strings.EqualFold(text, "limit")
 		if text != "," {
 			s.listStart = -1
 		}
 	}
 }
 
-// addBracket writes a bracket and reports whether it was one. At its end a list of literals folds into a placeholder, and into
-// the same one as a list of literals right before it.
-func (s *shapeBuilder) addBracket(c byte) bool {
+// addParen writes c and reports true if it is a parenthesis. A closing one replaces a list of literals by a
+// placeholder, which it merges with the placeholder of the list directly before it.
+func (s *shapeBuilder) addParen(c byte) bool {
 	switch c {
 	case '(':
-		if n := len(s.openBrackets); n > 0 {
-			s.openBrackets[n-1].literalsOnly = false
+		if n := len(s.openParens); n > 0 {
+			s.openParens[n-1].literalsOnly = false
 		}
-		s.openBrackets = append(s.openBrackets, openBracket{len(s.buf), s.listStart, true})
+		s.openParens = append(s.openParens, openParen{len(s.buf), s.listStart, true})
 		s.listStart = -1
 		s.buf = append(s.buf, '(')
 		return true
 	case ')':
-		n := len(s.openBrackets) - 1
-		o := s.openBrackets[n]
-		s.openBrackets = s.openBrackets[:n]
-		if !o.literalsOnly || len(s.buf) == o.start+2 { // something else within, or nothing
+		n := len(s.openParens) - 1
+		o := s.openParens[n]
+		s.openParens = s.openParens[:n]
+		if !o.literalsOnly || len(s.buf) == o.start+2 { // empty, or not only literals
 			s.buf = append(s.buf, ')')
 			s.listStart = -1
 			return true
@@ -115,7 +115,7 @@
 		s.buf = append(s.buf[:o.start], listPlaceholder...)
 		s.listStart = o.start
 		endOfPrevious := o.previousList + len(listPlaceholder)
-		if o.previousList >= 0 && o.start == endOfPrevious+len(rowSeparator) { // one more such row
+		if o.previousList >= 0 && o.start == endOfPrevious+len(rowSeparator) { // merges consecutive rows
 			s.buf = s.buf[:endOfPrevious]
 			s.listStart = o.previousList
 		}
@@ -124,86 +124,87 @@
 	return false
 }
 
-// Entry is what the cache holds of a shape.
+// Entry is the cache entry of a shape.
 type Entry struct {
 	Statement
-	Shape string // a short name for it, of its hash; for logs and routes, and never taken as proof
+	Shape string // short name for logs and routes: a hash, which never identifies a shape in the cache
 }
 
-// Cache keeps what was read of shapes, by their whole text: a hit proves that the shape is the same. It is bounded in bytes,
-// and lets a new shape in only where it is asked for more often than what would go for it (W-TinyLFU, Einziger, Friedman and
-// Manes), so that shapes that come once don't drive the usual ones out. It is safe for several goroutines, each with a
-// Classifier of its own.
+// Cache caches the classification of shapes. Its keys are whole shapes and not hashes, so a hit is always of the same
+// shape. Its size is bounded in bytes; it admits a new shape only if the shape is requested more often than the entry
+// that would be evicted (W-TinyLFU, Einziger, Friedman and Manes), so that shapes seen once don't evict frequent ones.
+// It is safe for concurrent use by several goroutines, each with its own Classifier.
 type Cache struct {
 	catalogue *Catalogue
 	syntax    StringSyntax
 	shapes    *otter.Cache[string, *Entry]
 }
 
-// entryBytes is what an entry takes beside its shape and names.
+// entryBytes is the size of an entry without its shape, reason and names.
 const entryBytes = 256
 
-// NewCache returns a cache of at most that many bytes. The catalogue must not change from here on.
-func NewCache(catalogue *Catalogue, how StringSyntax, bytes uint64) (*Cache, error) {
+// NewCache returns a cache of at most the given bytes. The catalogue must not change afterwards.
+func NewCache(catalogue *Catalogue, syntax StringSyntax, bytes uint64) (*Cache, error) {
 	shapes, err := otter.New(&otter.Options[string, *Entry]{MaximumWeight: bytes,
 		Weigher: func(key string, e *Entry) uint32 {
 			n := entryBytes + len(key) + len(e.Reason)
-			for _, one := range e.Tables {
-				n += 16 + len(one)
+			for _, name := range e.Tables {
+				n += 16 + len(name)
 			}
-			for _, one := range e.Calls {
-				n += 16 + len(one)
+			for _, name := range e.Calls {
+				n += 16 + len(name)
 			}
 			return uint32(n)
 		}})
 	if err != nil {
 		return nil, err
 	}
-	return &Cache{catalogue: catalogue, syntax: how, shapes: shapes}, nil
+	return &Cache{catalogue: catalogue, syntax: syntax, shapes: shapes}, nil
 }
 
-// ShapeCount returns about how many shapes are cached.
+// ShapeCount returns the approximate number of cached shapes.
 func (c *Cache) ShapeCount() int { return c.shapes.EstimatedSize() }
 
-// WeightBytes returns about how many bytes they take.
+// WeightBytes returns the approximate size of the cached shapes.
 func (c *Cache) WeightBytes() uint64 { return c.shapes.WeightedSize() }
 
-// Classifier classifies statements through a cache, one at a time.
+// Classifier classifies statements through a cache. It is not safe for concurrent use.
 type Classifier struct {
 	cache *Cache
 	lexer Lexer
 	shape shapeBuilder
 }
 
-// NewClassifier returns a classifier that uses the cache's.
+// NewClassifier returns a classifier that uses the cache.
 func (c *Cache) NewClassifier() *Classifier { return &Classifier{cache: c} }
 
-// maxShapeBytes bounds a cached shape. Longer ones come from generators and hardly twice.
+// maxShapeBytes is the maximum length of a cached shape. Longer ones come from generators and rarely occur twice.
 const maxShapeBytes = 16 << 10
 
-// Classify classifies a text; hit reports whether its shape was cached. prepared gives the classes of prepared statements.
-func (r *Classifier) Classify(text string, prepared PreparedClass) (e *Entry, hit bool, err error) {
-	l := &r.lexer
-	if err = l.reset(text, r.cache.syntax); err != nil {
+// Classify classifies a text; hit reports whether its shape was cached. prepared returns the classes of prepared
+// statements.
+func (c *Classifier) Classify(text string, prepared PreparedClass) (e *Entry, hit bool, err error) {
+	l := &c.lexer
+	if err = l.reset(text, c.cache.syntax); err != nil {
 		return nil, false, err
 	}
-	if err = r.shape.build(l); err != nil {
+	if err = c.shape.build(l); err != nil {
 		return nil, false, err
 	}
-	// The cache keeps no key that it is only asked for, so the key may stand in the reused buffer.
-	key := unsafe.String(unsafe.SliceData(r.shape.buf), len(r.shape.buf))
+	// A lookup doesn't retain its key, so the key may refer to the reused buffer.
+	key := unsafe.String(unsafe.SliceData(c.shape.buf), len(c.shape.buf))
 	if !l.AmbiguousString {
-		if e, hit = r.cache.shapes.GetIfPresent(key); hit {
+		if e, hit = c.cache.shapes.GetIfPresent(key); hit {
 			return e, true, nil
 		}
 	}
 	e = &Entry{}
-	if e.Statement, err = r.cache.catalogue.Classify(text, r.cache.syntax, prepared); err != nil {
+	if e.Statement, err = c.cache.catalogue.Classify(text, c.cache.syntax, prepared); err != nil {
 		return nil, false, err
 	}
-	e.Shape = shapeName(r.shape.buf)
-	if !l.AmbiguousString && !e.SessionDependent && len(r.shape.buf) <= maxShapeBytes {
-		r.cache.shapes.Set(string(r.shape.buf), e)
+	e.Shape = shapeName(c.shape.buf)
+	if !l.AmbiguousString && !e.SessionDependent && len(c.shape.buf) <= maxShapeBytes {
+		c.cache.shapes.Set(string(c.shape.buf), e)
 	}
 	return e, false, nil
 }
