--- a/internal/sql/lex.go
+++ b/internal/sql/lex.go
@@ -13,25 +13,25 @@
 	MaxDepth  = 256     // nested brackets: deeper nesting comes from faulty generators
 )
 
-// Kind is the kind of a token.
-type Kind uint8
+// TokenKind is the kind of a token.
+type TokenKind uint8
 
 // The kinds of tokens.
 const (
-	End           Kind = iota
-	Word               // an identifier or a keyword without quotes
-	Quoted             // an identifier in double quotes
-	StringLiteral      // a string constant, in any kind of quotes
-	BitString          // B'...' or X'...'
-	Number             // any number
-	Parameter          // $1
-	Operator           // one or more of the operator characters
-	Punctuation        // one of ( ) [ ] , ; . : and :: := .. =>
+	End           TokenKind = iota
+	Word                    // an identifier or a keyword without quotes
+	Quoted                  // an identifier in double quotes
+	StringLiteral           // a string constant, in any kind of quotes
+	BitString               // B'...' or X'...'
+	Number                  // any number
+	Parameter               // $1
+	Operator                // one or more of the operator characters
+	Punctuation             // one of ( ) [ ] , ; . : and :: := .. =>
 )
 
 // Token is a token: its kind and its position in the text.
 type Token struct {
-	Kind     Kind
+	Kind     TokenKind
 	From, To int32 // byte offsets; To is exclusive
 }
 
@@ -248,7 +248,7 @@
 }
 
 // scanToken scans the token at the current position.
-func (l *Lexer) scanToken() (Kind, *Error) {
+func (l *Lexer) scanToken() (TokenKind, *Error) {
 	c, next := l.text[l.pos], l.byteAt(l.pos+1)
 	switch {
 	case c == '\'':
@@ -310,7 +310,7 @@
 
 // scanOperator scans an operator, which ends where a comment begins. Several characters that end in + or - are one
 // operator only if they contain one of ~!@#%^&|`?.
-func (l *Lexer) scanOperator() (Kind, *Error) {
+func (l *Lexer) scanOperator() (TokenKind, *Error) {
 	from, end := l.pos, l.pos
 	for end < len(l.text) && byteClass[l.text[end]]&isOperator != 0 {
 		if two := l.text[end:min(end+2, len(l.text))]; two == "--" || two == "/*" {
--- a/internal/sql/lex_literals.go
+++ b/internal/sql/lex_literals.go
@@ -148,7 +148,7 @@
 }
 
 // scanDollar scans a parameter or a dollar-quoted string.
-func (l *Lexer) scanDollar() (Kind, *Error) {
+func (l *Lexer) scanDollar() (TokenKind, *Error) {
 	from := l.pos
 	l.pos++
 	if byteClass[l.byteAt(l.pos)]&isDigit != 0 {
--- a/internal/sql/lex_test.go
+++ b/internal/sql/lex_test.go
@@ -134,7 +134,7 @@
 			return
 		}
 		var rewritten strings.Builder
-		var kinds []Kind
+		var kinds []TokenKind
 		last := int32(0)
 		for {
 			tok, err := l.Next()
