--- a/internal/sql/expressions.go
+++ b/internal/sql/expressions.go
@@ -69,7 +69,7 @@
 				c.raiseClass(Write, "a text as "+name+", a type that is not known")
 			}
 		}
-	case Word, Quoted:
+	case Word, QuotedIdentifier:
 		if k >= 2 && c.isPunctuation(row[k-1], ".") { // t.f may call f(t)
 			name := c.tree.lex.Name(n.tok)
 			if v, known := c.catalogue.functions[name]; known && v != ReadOnly {
--- a/internal/sql/lex.go
+++ b/internal/sql/lex.go
@@ -18,15 +18,15 @@
 
 // The kinds of tokens.
 const (
-	End           TokenKind = iota
-	Word                    // an identifier or a keyword without quotes
-	Quoted                  // an identifier in double quotes
-	StringLiteral           // a string constant, in any kind of quotes
-	BitString               // B'...' or X'...'
-	Number                  // any number
-	Parameter               // $1
-	Operator                // one or more of the operator characters
-	Punctuation             // one of ( ) [ ] , ; . : and :: := .. =>
+	End              TokenKind = iota
+	Word                       // an identifier or a keyword without quotes
+	QuotedIdentifier           // an identifier in double quotes
+	StringLiteral              // a string constant, in any kind of quotes
+	BitString                  // B'...' or X'...'
+	Number                     // any number
+	Parameter                  // $1
+	Operator                   // one or more of the operator characters
+	Punctuation                // one of ( ) [ ] , ; . : and :: := .. =>
 )
 
 // Token is a token: its kind and its position in the text.
@@ -110,7 +110,7 @@
 	switch t.Kind {
 	case Word:
 		return fold(s)
-	case Quoted:
+	case QuotedIdentifier:
 		if s[0] != '"' { // U&"..."
 			s = s[2:]
 		}
@@ -266,9 +266,9 @@
 		return StringLiteral, l.scanPrefixedString(2, false)
 	case (c == 'u' || c == 'U') && next == '&' && l.byteAt(l.pos+2) == '"':
 		l.pos += 2
-		return Quoted, l.scanQuotedIdentifier()
+		return QuotedIdentifier, l.scanQuotedIdentifier()
 	case c == '"':
-		return Quoted, l.scanQuotedIdentifier()
+		return QuotedIdentifier, l.scanQuotedIdentifier()
 	case byteClass[c]&isIdentStart != 0:
 		for l.pos < len(l.text) && byteClass[l.text[l.pos]]&isIdentPart != 0 {
 			l.pos++
--- a/internal/sql/lex_test.go
+++ b/internal/sql/lex_test.go
@@ -21,7 +21,7 @@
 			return all, l, err
 		}
 		s := l.Text(t)
-		if t.Kind == Word || t.Kind == Quoted {
+		if t.Kind == Word || t.Kind == QuotedIdentifier {
 			s = l.Name(t)
 		}
 		all = append(all, string("ewqtbnpom"[t.Kind])+":"+s)
--- a/internal/sql/parse.go
+++ b/internal/sql/parse.go
@@ -114,7 +114,7 @@
 		return 0
 	case Word:
 		return p.classifyWord(t, before)
-	case Quoted:
+	case QuotedIdentifier:
 		return WORD
 	case StringLiteral, BitString, Number, Parameter:
 		return LITERAL
--- a/internal/sql/tree_walk.go
+++ b/internal/sql/tree_walk.go
@@ -62,7 +62,7 @@
 
 func (c *classifier) isName(id int32) bool {
 	n := &c.tree.nodes[id]
-	return n.kind == nodeAtom && (n.tok.Kind == Word || n.tok.Kind == Quoted)
+	return n.kind == nodeAtom && (n.tok.Kind == Word || n.tok.Kind == QuotedIdentifier)
 }
 
 // isPunctuation reports whether a node is the given punctuation token.
