--- a/internal/sql/shape.go
+++ b/internal/sql/shape.go
@@ -124,8 +124,8 @@
 	return false
 }
 
-// Entry is the cache entry of a shape.
-type Entry struct {
+// CacheEntry is the cache entry of a shape.
+type CacheEntry struct {
 	Statement
 	Shape string // short name for logs and routes: a hash, which never identifies a shape in the cache
 }
@@ -137,7 +137,7 @@
 type Cache struct {
 	catalogue *Catalogue
 	syntax    StringSyntax
-	shapes    *otter.Cache[string, *Entry]
+	shapes    *otter.Cache[string, *CacheEntry]
 }
 
 // entryBytes is the size of an entry without its shape, reason and names.
@@ -145,8 +145,8 @@
 
 // NewCache returns a cache of at most the given bytes. The catalogue must not change afterwards.
 func NewCache(catalogue *Catalogue, syntax StringSyntax, bytes uint64) (*Cache, error) {
-	shapes, err := otter.New(&otter.Options[string, *Entry]{MaximumWeight: bytes,
-		Weigher: func(key string, e *Entry) uint32 {
+	shapes, err := otter.New(&otter.Options[string, *CacheEntry]{MaximumWeight: bytes,
+		Weigher: func(key string, e *CacheEntry) uint32 {
 			n := entryBytes + len(key) + len(e.Reason)
 			for _, name := range e.Tables {
 				n += 16 + len(name)
@@ -183,7 +183,7 @@
 
 // Classify classifies a text; hit reports whether its shape was cached. prepared returns the classes of prepared
 // statements.
-func (c *Classifier) Classify(text string, prepared PreparedClass) (e *Entry, hit bool, err error) {
+func (c *Classifier) Classify(text string, prepared PreparedClass) (e *CacheEntry, hit bool, err error) {
 	l := &c.lexer
 	if err = l.reset(text, c.cache.syntax); err != nil {
 		return nil, false, err
@@ -198,7 +198,7 @@
 			return e, true, nil
 		}
 	}
-	e = &Entry{}
+	e = &CacheEntry{}
 	if e.Statement, err = c.cache.catalogue.Classify(text, c.cache.syntax, prepared); err != nil {
 		return nil, false, err
 	}
