--- a/internal/sql/classify.go
+++ b/internal/sql/classify.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Class tells what a statement may do, which decides where it can run.
+// Class tells what a statement may do, as far as that decides where it can run.
 type Class uint8
 
 // The classes in ascending order of strength. A statement that is not proven to be of a weaker class is a Write.
--- a/internal/sql/classify_test.go
+++ b/internal/sql/classify_test.go
@@ -144,9 +144,9 @@
 	return all
 }
 
-// TestLexerErrorsBehindSyntaxErrors checks that a text that can't be split into tokens is rejected, even if the parser
-// stopped at an earlier syntax error. It also checks strings whose end depends on the string syntax.
-func TestLexerErrorsBehindSyntaxErrors(t *testing.T) {
+// TestLexerErrorsAfterSyntaxErrors checks that a text that can't be split into tokens is rejected, even if the parser
+// stopped at an earlier syntax error. It also checks a string whose end depends on the string syntax.
+func TestLexerErrorsAfterSyntaxErrors(t *testing.T) {
 	c := testCatalogue()
 	for _, text := range []string{"select 'a", "select 1 select 'a", "select (((" + strings.Repeat("(", 300), "explain analyze select 'a"} {
 		var e *Error
--- a/internal/sql/lex.go
+++ b/internal/sql/lex.go
@@ -9,7 +9,7 @@
 // Limits of one text. A text that exceeds one is rejected before any more work is done on it.
 const (
 	MaxBytes  = 1 << 20 // length of a text: far more than a person or a program writes for one command
-	MaxTokens = 1 << 16 // enough for a list of tens of thousands of values
+	MaxTokens = 1 << 16 // enough for a list of more than ten thousand values
 	MaxDepth  = 256     // nested brackets: deeper nesting comes from faulty generators
 )
 
--- a/internal/sql/parse.go
+++ b/internal/sql/parse.go
@@ -96,7 +96,7 @@
 // longestKeyword is the length of the longest key in grammarKeywords.
 const longestKeyword = 9
 
-// Lex returns the next token to the generated parser. ALL and DISTINCT behind a set operation are skipped.
+// Lex returns the next token to the generated parser. ALL and DISTINCT after a set operation are skipped.
 func (p *parser) Lex(v *yySymType) int {
 	t, err := p.lex.Next()
 	if err == nil && p.keyword(p.previous[1]) == SETOP && p.previous[1].Kind == Word && (p.isWord(t, "all") || p.isWord(t, "distinct")) {
