--- a/internal/serve/cluster_services.go
+++ b/internal/serve/cluster_services.go
@@ -15,27 +15,27 @@
 	"cairntiller/internal/versionaudit"
 )
 
-// TestHooks replace parts of the machine in tests and proofs; each may be nil.
+// TestHooks replaces the network and the clock in tests and proofs. Each field may be nil.
 type TestHooks struct {
-	WrapTransport membership.WrapTransport    // stands before the network among routers
-	LeaseClock    func() int64                // of leases
-	OnLeases      func(*leaseservice.Service) // is given the router's lease service, once it runs
+	WrapTransport membership.WrapTransport    // wraps the network transport between routers
+	LeaseClock    func() int64                // clock of the lease service
+	OnLeases      func(*leaseservice.Service) // called with the router's lease service once it runs
 }
 
-// clusterServices are what a router does together with others, and for operators on its machine. Each part is nil if
-// the operator's file does not ask for it.
+// clusterServices holds the services that a router shares with other routers, and the admin socket for operators on its
+// machine. Each service is nil unless the operator's file enables it.
 type clusterServices struct {
-	name         string // the router's
+	name         string // the router's name
 	options      operatorOptions
 	membership   *membership.Service
 	sharedProbes *sharedprobes.Service
 	leases       *leaseservice.Service
 	audit        *versionaudit.Auditor
 	admin        *adminsocket.Server
-	rollouts     atomic.Pointer[rolloutservice.Service] // messages may come before it has begun
+	rollouts     atomic.Pointer[rolloutservice.Service] // atomic: messages may arrive before it has started
 }
 
-// localRouter is the router that the cluster services work for.
+// localRouter is what the cluster services need of the router in this process.
 type localRouter struct {
 	now                 func() int64 // us
 	engine              *engine.Engine
@@ -44,7 +44,7 @@
 	healthChecksAllowed bool
 }
 
-// startClusterServices starts what the operator's file asks for. It is called before the engine runs.
+// startClusterServices starts the services that the operator's file enables. It must be called before the engine runs.
 func startClusterServices(options operatorOptions, name string, local localRouter, hooks TestHooks) (*clusterServices, error) {
 	s := &clusterServices{name: name, options: options}
 	if err := s.start(local, hooks); err != nil {
@@ -62,7 +62,7 @@
 		}
 	}
 	if options.sharedProbes.Enabled && !local.healthChecksAllowed {
-		slog.Warn("the settings allow no health checks, so none are shared")
+		slog.Warn("health checks are not shared: the settings do not allow health checks")
 		options.sharedProbes.Enabled = false
 	}
 	if !options.sharedProbes.Enabled && !options.leases.Given {
@@ -71,9 +71,9 @@
 	if options.sharedProbes.Enabled {
 		s.sharedProbes = sharedprobes.New(local.engine)
 	}
-	joined := make(chan struct{}) // closed once there is a membership: nothing is sent before
+	joined := make(chan struct{}) // closed once s.membership is set; nothing is sent before
 	if options.leases.Given {
-		s.makeLeases(options, joined, hooks)
+		s.createLeases(options, joined, hooks)
 	}
 	if s.membership, err = membership.Start(options.membership, s.membershipEvents(local), hooks.WrapTransport); err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// membershipEvents passes what membership tells to the services that need it.
+// membershipEvents returns the handlers that pass membership events on to the services that need them.
 func (s *clusterServices) membershipEvents(local localRouter) membership.Events {
 	var events membership.Events
 	if s.sharedProbes != nil {
@@ -111,8 +111,8 @@
 	return events
 }
 
-// makeLeases makes the lease service and the version audit, which share its messages.
-func (s *clusterServices) makeLeases(options operatorOptions, joined <-chan struct{}, hooks TestHooks) {
+// createLeases creates the lease service and the version audit; both send their messages through the membership.
+func (s *clusterServices) createLeases(options operatorOptions, joined <-chan struct{}, hooks TestHooks) {
 	send := func(to string, kind uint8, body []byte) error {
 		<-joined
 		return s.membership.SendDatagram(to, kind, body)
@@ -160,7 +160,7 @@
 	}
 }
 
-// receive hands a member's message to the service that it is for.
+// receive passes a member's message to the service that handles its kind.
 func (s *clusterServices) receive(from string, _ uint64, kind uint8, body []byte) {
 	if s.leases == nil {
 		return
@@ -177,63 +177,63 @@
 	}
 }
 
-// noteListVersion tells which version of the endpoint list is in use.
-func (s *clusterServices) noteListVersion(version int64) {
+// setListVersion tells the version audit which version of the endpoint list is in use.
+func (s *clusterServices) setListVersion(version int64) {
 	if s.audit != nil {
 		s.audit.SetVersion(version)
 	}
 }
 
-// reload reads the operator's file again. The cluster's keys and the lease voters change in service; all else takes a
-// restart, which the log says.
+// reload reads the operator's file again. Changes of the cluster's keys and of the lease voters take effect at once; all
+// other changes need a restart, and a warning is logged.
 func (s *clusterServices) reload(path string) {
 	if path == "" {
 		return
 	}
-	fresh, err := readOperatorFile(path, s.name)
+	updated, err := readOperatorFile(path, s.name)
 	if err != nil {
 		rejectedConfigs.Add()
-		slog.Error("operator's file rejected; the old one holds", "err", err)
+		slog.Error("operator's file rejected; keeping the previous one", "err", err)
 		return
 	}
-	if err := s.changeKeys(fresh); err != nil {
-		slog.Error("keys not changed", "err", err)
+	if err := s.changeKeys(updated); err != nil {
+		slog.Error("replacing the cluster keys failed", "err", err)
 		return
 	}
-	s.changeVoters(fresh)
-	fresh.leases.Voters = s.options.leases.Voters
-	if !reflect.DeepEqual(fresh, s.options) {
-		slog.Warn("changes in the operator's file beside keys and voters take effect at a restart")
+	s.changeVoters(updated)
+	updated.leases.Voters = s.options.leases.Voters
+	if !reflect.DeepEqual(updated, s.options) {
+		slog.Warn("changes in the operator's file other than keys and voters take effect only after a restart")
 	}
 }
 
-func (s *clusterServices) changeKeys(fresh operatorOptions) error {
-	if s.membership != nil && !reflect.DeepEqual(fresh.membership.Keys, s.options.membership.Keys) {
-		if err := s.membership.ReplaceKeys(fresh.membership.Keys); err != nil {
+func (s *clusterServices) changeKeys(updated operatorOptions) error {
+	if s.membership != nil && !reflect.DeepEqual(updated.membership.Keys, s.options.membership.Keys) {
+		if err := s.membership.ReplaceKeys(updated.membership.Keys); err != nil {
 			return err
 		}
 		changedKeys.Add()
-		slog.Info("keys changed", "keys", len(fresh.membership.Keys))
+		slog.Info("cluster keys replaced", "keys", len(updated.membership.Keys))
 	}
-	s.options.membership.Keys = fresh.membership.Keys
+	s.options.membership.Keys = updated.membership.Keys
 	return nil
 }
 
-func (s *clusterServices) changeVoters(fresh operatorOptions) {
-	voters := fresh.leases.Voters
+func (s *clusterServices) changeVoters(updated operatorOptions) {
+	voters := updated.leases.Voters
 	if s.leases == nil || reflect.DeepEqual(voters, s.options.leases.Voters) {
 		return
 	}
 	if err := s.leases.SetVoters(voters); err != nil {
 		rejectedConfigs.Add()
-		slog.Error("voters not changed", "why", err)
+		slog.Error("new voters rejected; keeping the previous ones", "why", err)
 		return
 	}
 	slog.Info("voters changed", "number", voters.Number, "names", voters.Names)
 	s.options.leases.Voters = voters
 }
 
-// leave ends the services in order, so that others take over while the router answers what it owes.
+// leave stops the services in order, so that other routers take over while this one answers its open requests.
 func (s *clusterServices) leave() {
 	if s.audit != nil {
 		s.audit.Stop()
@@ -247,7 +247,7 @@
 	s.close()
 }
 
-// close closes the admin socket and leaves the membership. It does not stop the other services; leave does that first.
+// close closes the admin socket and leaves the membership. It does not stop the other services; leave stops them first.
 func (s *clusterServices) close() {
 	if s.admin != nil {
 		s.admin.Close()
--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -19,7 +19,7 @@
 	changedKeys     = metrics.New("keys changed")
 )
 
-// platformConfig is the platform's configuration file, named by RELAY_CONFIG.
+// platformConfig is the platform's configuration file, whose path is in RELAY_CONFIG.
 type platformConfig struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
@@ -27,18 +27,18 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int
 	}
-	Known    json.RawMessage // the endpoint list that the platform last had; may be older than discovery's
+	Known    json.RawMessage // the last endpoint list that the platform had; may be older than discovery's
 	Settings json.RawMessage
 }
 
-// loadedConfig is the platform's configuration with its parts decoded.
+// loadedConfig is the platform's configuration with its settings and endpoint list decoded.
 type loadedConfig struct {
 	platform  platformConfig
-	knownList *discovery.EndpointList // nil for none
+	knownList *discovery.EndpointList // nil if the file has none
 	settings  settings.Values
 }
 
-// loadConfig reads the platform's configuration completely or not at all.
+// loadConfig reads and decodes the platform's configuration; any error rejects all of it.
 func loadConfig() (c loadedConfig, err error) {
 	path := os.Getenv("RELAY_CONFIG")
 	raw, err := os.ReadFile(path)
@@ -59,8 +59,8 @@
 	return c, nil
 }
 
-// withEnvironment returns the configuration at start, in which the environment overrides the file. Once the file
-// is reloaded it no longer does.
+// withEnvironment returns the configuration used at startup, with the environment variables' overrides applied. They do
+// not apply to a reloaded file.
 func (c platformConfig) withEnvironment() platformConfig {
 	override := func(name string, field *string) {
 		if value := os.Getenv(name); value != "" {
@@ -73,29 +73,29 @@
 	return c
 }
 
-// reloadConfig reads the platform's configuration again. It returns it as it holds from now on, and the address of
-// discovery if the file names another than before. All else takes a restart, which the log says.
-func reloadConfig(current platformConfig) (effective platformConfig, movedTo string) {
+// reloadConfig reads the platform's configuration again. It returns the configuration in effect from now on, and
+// discovery's new address if it changed, otherwise "". All other changes need a restart, and a warning is logged.
+func reloadConfig(current platformConfig) (effective platformConfig, newDiscovery string) {
 	loaded, err := loadConfig()
-	fresh := loaded.platform
+	updated := loaded.platform
 	if err == nil {
-		_, _, err = net.SplitHostPort(fresh.Discovery)
+		_, _, err = net.SplitHostPort(updated.Discovery)
 	}
 	if err != nil {
 		rejectedConfigs.Add()
-		slog.Error("configuration rejected; the old one holds", "err", err)
+		slog.Error("configuration rejected; keeping the previous one", "err", err)
 		return current, ""
 	}
 	reloadedConfigs.Add()
-	if fresh.Discovery != current.Discovery {
-		movedTo = fresh.Discovery
+	if updated.Discovery != current.Discovery {
+		newDiscovery = updated.Discovery
 	}
-	slog.Info("configuration reloaded", "discovery", fresh.Discovery, "moved", movedTo != "")
+	slog.Info("configuration reloaded", "discovery", updated.Discovery, "moved", newDiscovery != "")
 	effective = current
-	effective.Discovery = fresh.Discovery
-	effective.Known = fresh.Known
-	if !reflect.DeepEqual(effective, fresh) {
-		slog.Warn("changes beside the address of discovery take effect at a restart")
+	effective.Discovery = updated.Discovery
+	effective.Known = updated.Known
+	if !reflect.DeepEqual(effective, updated) {
+		slog.Warn("configuration changes other than the address of discovery take effect only after a restart")
 	}
-	return effective, movedTo
+	return effective, newDiscovery
 }
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -18,14 +18,14 @@
 	"cairntiller/internal/testcluster/scriptedserver"
 )
 
-// configTemplate is a configuration with addresses to listen on and of discovery.
+// configTemplate is a platform configuration with placeholders for the listen address and the address of discovery.
 const configTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":192,"sockets":1024},
 	"settings":{"az":"a","siblings":1,"round":5,
 	"classes":[{"name":"put","effect":"unsafe","aim":400,"hardLimit":1000,"points":1}],
 	"domain":{"readLevel":["write"]},"limits":{"maxAttempts":8,"cancel":true,"connectTimeout":250,"connIdle":15000}}}`
 
-// writeConfig makes a text the platform's configuration file.
+// writeConfig writes text to a file and sets RELAY_CONFIG to its path.
 func writeConfig(t *testing.T, text string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -35,13 +35,13 @@
 	t.Setenv("RELAY_CONFIG", path)
 }
 
-// endpointJSON is one node as discovery's list names it, the first of a group as its primary.
+// endpointJSON returns the entry of a node in an endpoint list. All nodes are primaries of shard 3.
 func endpointJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":3,"status":%q,"role":"primary","since_ms":0}`,
 		name, address, status)
 }
 
-// startRouter runs a router with a list that it knows, and an agent of discovery's.
+// startRouter starts a router whose configuration has the given known endpoints, with agent as its discovery.
 func startRouter(t *testing.T, known string, agent http.HandlerFunc) (listen string, ended chan error) {
 	t.Helper()
 	discovery := httptest.NewServer(agent)
@@ -52,14 +52,14 @@
 	return listen, runInBackground("")
 }
 
-// runInBackground runs a router with an operator's file, "" for none.
+// runInBackground starts a router with an operator's file, "" for none. The result of Run is sent to the channel.
 func runInBackground(operatorFile string) (ended chan error) {
 	ended = make(chan error, 1)
 	go func() { ended <- Run(operatorFile, TestHooks{}) }()
 	return ended
 }
 
-// freeAddress is an address on which nobody listens.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 	return ln.Addr().String()
 }
 
-// client is one connection to the router, which says what comes back for each query.
+// client is a connection to the router that returns the raw answer to each query.
 type client struct {
 	net.Conn
 	in      *bufio.Reader
@@ -86,13 +86,13 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	one := &client{c, bufio.NewReader(c), ""}
+	connected := &client{c, bufio.NewReader(c), ""}
 	c.Write(pgwire.AppendStartup(nil, pgwire.User, pgwire.Database))
-	one.welcome = one.answer(t)
-	return one
+	connected.welcome = connected.answer(t)
+	return connected
 }
 
-// answer reads up to ReadyForQuery.
+// answer reads an answer, up to and including ReadyForQuery.
 func (c *client) answer(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
@@ -113,7 +113,7 @@
 	return c.answer(t)
 }
 
-// waitReady returns once the router takes commands.
+// waitReady waits until the router accepts commands.
 func (c *client) waitReady(t *testing.T) {
 	t.Helper()
 	for c.ask(t, "")[0] != 'I' {
@@ -121,7 +121,7 @@
 	}
 }
 
-// signalSelf sends a signal to the process, which is the router's.
+// signalSelf sends a signal to the test's own process, in which the router runs.
 func signalSelf(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(syscall.Getpid(), s); err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// reloadUntilCounted has the router reload, and returns once a counter tells that it did.
+// reloadUntilCounted sends SIGHUP and waits until the counter has changed.
 func reloadUntilCounted(t *testing.T, counter *metrics.Counter) {
 	t.Helper()
 	before := counter.Count()
@@ -139,7 +139,7 @@
 	}
 }
 
-// stopRouter has the router end, and waits for it.
+// stopRouter sends SIGTERM and waits until the router has shut down.
 func stopRouter(t *testing.T, ended chan error) {
 	t.Helper()
 	signalSelf(t, syscall.SIGTERM)
--- a/internal/serve/key_file_test.go
+++ b/internal/serve/key_file_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestKeyFileWithoutAKey: a secret's rotation leaves the key file empty for a moment. Seen: check finds no fault, a start
-// ends by a panic, and a running router does so at a SIGHUP and drops all that it owes.
-func TestKeyFileWithoutAKey(t *testing.T) {
+// TestEmptyKeyFile checks that an empty key file, as the rotation of a secret briefly leaves it, is rejected. Once, check
+// found no fault in it, a router panicked at startup, and a running one panicked on SIGHUP and dropped its open requests.
+func TestEmptyKeyFile(t *testing.T) {
 	listen := freeAddress(t)
 	writeConfig(t, strings.Replace(fmt.Sprintf(configTemplate, listen, "127.0.0.1:1"), `"cancel":true`, `"cancel":true,"probes":true`, 1))
 	folder := t.TempDir()
@@ -28,9 +28,9 @@
 	write(path, fmt.Sprintf(`(fleet (listen %q) (key-file %q)) (duties (instances 2))`, freeAddress(t), keyFile))
 	for _, empty := range []string{"", " \n\t\n"} {
 		write(keyFile, empty)
-		for does, err := range map[string]error{"check": CheckFile(path), "start": Run(path, TestHooks{})} {
+		for action, err := range map[string]error{"check": CheckFile(path), "start": Run(path, TestHooks{})} {
 			if err == nil || !strings.Contains(err.Error(), "no key") {
-				t.Errorf("%s with a key file of %q: %v", does, empty, err)
+				t.Errorf("%s with a key file of %q: %v", action, empty, err)
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 		}
 		select {
 		case err := <-ended:
-			t.Fatal("it does not start:", err)
+			t.Fatal("the router does not start:", err)
 		case <-time.After(time.Millisecond):
 		}
 	}
--- a/internal/serve/limits.go
+++ b/internal/serve/limits.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// collectorShare is the part of the memory limit at which the collector works harder.
-	collectorShare = 0.7
-	// reservedSockets are descriptors for the listener, the poller, discovery and the runtime.
+	// gcMemoryShare is the fraction of the memory limit that is set as the Go runtime's soft limit, near which the
+	// garbage collector runs more often.
+	gcMemoryShare = 0.7
+	// reservedSockets is the number of file descriptors kept for the listener, the poller, discovery and the runtime.
 	reservedSockets = 32
-	// clientShare is the part of the other descriptors for clients, the rest is for nodes: a command in flight takes one
-	// at each side, and clients also hold some while they have none in flight.
+	// clientShare is the fraction of the remaining descriptors that client connections may use; node connections get the
+	// rest. A command in flight uses one descriptor on each side; clients get more because idle ones keep theirs too.
 	clientShare = 0.6
 
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// resourceLimits are the process's, as the platform gives them.
+// resourceLimits are the limits of the process, derived from those in the platform's configuration.
 type resourceLimits struct {
 	memory            int64 // bytes
 	sockets           int
@@ -27,9 +28,9 @@
 	nodeConnections   int
 }
 
-// applyLimits sets the runtime's limits and divides the descriptors.
+// applyLimits sets the Go runtime's limits and divides the file descriptors between clients and nodes.
 func applyLimits(c platformConfig) resourceLimits {
-	if c.Limits.Cores > 0 { // and one for the poller, which sits in the kernel most of the time
+	if c.Limits.Cores > 0 { // one more for the poller, which is blocked in the kernel most of the time
 		runtime.GOMAXPROCS(int(math.Ceil(c.Limits.Cores)) + 1)
 	}
 	memoryMB := c.Limits.MemoryMB
@@ -43,6 +44,6 @@
 	limits := resourceLimits{memory: int64(memoryMB * (1 << 20)), sockets: sockets}
 	limits.clientConnections = int(float64(sockets-reservedSockets) * clientShare)
 	limits.nodeConnections = sockets - reservedSockets - limits.clientConnections
-	debug.SetMemoryLimit(int64(float64(limits.memory) * collectorShare))
+	debug.SetMemoryLimit(int64(float64(limits.memory) * gcMemoryShare))
 	return limits
 }
--- a/internal/serve/operator_file.go
+++ b/internal/serve/operator_file.go
@@ -11,8 +11,8 @@
 	"cairntiller/internal/versionaudit"
 )
 
-// operatorOptions are the parts of the operator's file that concern what a router does with others, each as its package
-// reads it.
+// operatorOptions holds the parts of the operator's file that configure the cluster services and the admin socket, each
+// as decoded by its package.
 type operatorOptions struct {
 	membership   membership.Settings
 	sharedProbes sharedprobes.Settings
@@ -22,21 +22,22 @@
 	rollouts     rolloutservice.Settings
 }
 
-// CheckFile reads the operator's file as a start would, for a router whose own name is not known. The error holds every
-// fault.
+// CheckFile validates the operator's file as a router does at startup. A placeholder stands for the router's own name,
+// which is not known here. The error lists every fault.
 func CheckFile(path string) error {
 	_, err := readOperatorFile(path, "n0")
 	return err
 }
 
-// readOperatorFile reads the operator's file, "" for none, for the router of a name. The error holds every fault.
+// readOperatorFile reads the operator's file for the router called name; path is "" for no file. The error lists every
+// fault.
 func readOperatorFile(path, name string) (o operatorOptions, err error) {
 	file := sexp.EmptyFile()
 	if path != "" {
 		if file, err = sexp.ReadFile(path); err != nil {
 			return o, err
 		}
-		sql.ReadSettings(file.Part("statements")) // for its faults: no running router uses it, only classify
+		sql.ReadSettings(file.Part("statements")) // reports its faults; only the classify sub-command uses the values
 	}
 	fleet := file.Part("fleet")
 	duties := file.Part("duties")
@@ -51,13 +52,13 @@
 		rollouts:     rolloutservice.ReadSettings(releases),
 	}
 	if o.sharedProbes.Enabled && !fleet.Present() {
-		duties.AddFault("", "duties without a fleet", "a part fleet, which says who shares them")
+		duties.AddFault("", "duties without a fleet", "a part fleet, which defines the members that share them")
 	}
 	if o.leases.Given && !fleet.Present() {
-		leases.AddFault("", "leases without a fleet", "a part fleet, which says among whom")
+		leases.AddFault("", "leases without a fleet", "a part fleet, which defines the members that hold them")
 	}
 	if o.rollouts.Given && !o.leases.Given {
-		releases.AddFault("", "releases without leases", "a part leases, whose voters keep what is decided")
+		releases.AddFault("", "releases without leases", "a part leases, whose voters store the decisions")
 	}
 	return o, file.Faults()
 }
--- a/internal/serve/rollout_router.go
+++ b/internal/serve/rollout_router.go
@@ -10,24 +10,24 @@
 	"cairntiller/internal/rolloutservice"
 )
 
-// rolloutRouter is the router as rollouts see it. It implements rolloutservice.Router; its methods may be called from
-// any goroutine.
+// rolloutRouter implements rolloutservice.Router, the router's interface to rollouts. Its methods may be called from any
+// goroutine.
 type rolloutRouter struct {
 	now             func() int64 // us
 	engine          *engine.Engine
 	startedAt       time.Time
-	startupDuration atomic.Int64 // us from startedAt until the router was ready; 0 until then
+	startupDuration atomic.Int64 // us from startedAt until the router became ready; 0 before that
 	leaving         atomic.Bool
-	leave           chan struct{} // holds a value once a rollout wants the router to end
+	leave           chan struct{} // receives a value when a rollout makes the router shut down
 }
 
-// noteReady notes that the router takes commands; only the first call counts.
-func (r *rolloutRouter) noteReady() {
+// recordReady records how long the startup took, when the router begins to accept commands. Only the first call counts.
+func (r *rolloutRouter) recordReady() {
 	r.startupDuration.CompareAndSwap(0, max(1, time.Since(r.startedAt).Microseconds()))
 }
 
 // Counts implements rolloutservice.Router.
-func (r *rolloutRouter) Counts() (f rollout.CommandCounts, ready bool, startupDuration int64) {
+func (r *rolloutRouter) Counts() (counts rollout.CommandCounts, ready bool, startupDuration int64) {
 	totals := inflight.ReadTotals()
 	startupDuration = r.startupDuration.Load()
 	ready = startupDuration > 0 && !r.leaving.Load()
@@ -45,7 +45,7 @@
 }
 
 // QueryNodes implements rolloutservice.Router.
-func (r *rolloutRouter) QueryNodes(take func([]rolloutservice.Node)) {
+func (r *rolloutRouter) QueryNodes(callback func([]rolloutservice.Node)) {
 	r.engine.Post(r.now(), func(now int64) {
 		var all []rolloutservice.Node
 		for _, status := range r.engine.NodeStatuses() {
@@ -59,7 +59,7 @@
 			}
 			all = append(all, rolloutservice.Node{NodeState: state, OpenCommands: status.OpenAttempts, Answers: status.Answered})
 		}
-		take(all)
+		callback(all)
 	})
 }
 
@@ -68,6 +68,6 @@
 	r.leaving.Store(true)
 	select {
 	case r.leave <- struct{}{}:
-	default: // it ends already
+	default: // a shutdown is already requested
 	}
 }
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -23,18 +23,19 @@
 	"cairntiller/internal/stream"
 )
 
-// knownListDelay, us, is how long the router waits for discovery's list before it uses the older one of the configuration.
-// Discovery's agent runs on this machine and answers at once if it can, and what it has counts as known to the router from
-// its start: a node that has begun to drain must not be used because an older list calls it up.
+// knownListDelay, in us, is how long the router waits for discovery's list before it applies the older list in its
+// configuration. Discovery's agent runs on the same machine and answers immediately when it is able to. A node that began
+// to drain after the older list was written must not get commands, because the router is expected to know from its start
+// what the agent knows.
 const knownListDelay = 1_000_000
 
-// ErrNoAddress is the error of a configuration that lacks an address which the router can't do without.
-var ErrNoAddress = errors.New("no address to listen on, or none of discovery")
+// ErrNoAddress is returned for a configuration without a listen address or an address of discovery.
+var ErrNoAddress = errors.New("no address to listen on, or no address of discovery")
 
-// router is one running router.
+// router is the state of one running router process.
 type router struct {
-	operatorFile         string         // path, "" for none
-	config               platformConfig // as the file was last read and holds
+	operatorFile         string         // path; "" for none
+	config               platformConfig // the configuration in effect, as last read from the file
 	now                  func() int64   // us
 	engine               *engine.Engine
 	routing              *routing.Router
@@ -43,15 +44,15 @@
 	rollouts             *rolloutRouter
 	longestClientTimeout int64 // us
 
-	discoveryMoves chan string // addresses that discovery has moved to
-	listenFailed   chan error
-	listApplied    bool // a list of discovery's or the configuration's; the engine's goroutine alone uses it
+	discoveryAddresses chan string // new addresses of discovery
+	listenFailed       chan error
+	listApplied        bool // a list from discovery or the configuration was applied; used only on the engine's goroutine
 }
 
-// Run runs a router until it is told to stop. operatorFile is the path of the operator's file, "" for none.
+// Run runs a router until a signal or a rollout stops it. operatorFile is the path of the operator's file, "" for none.
 func Run(operatorFile string, hooks TestHooks) error {
 	startedAt := time.Now()
-	signals := subscribe() // before all else: a signal that nobody waits for would end the process
+	signals := subscribeSignals() // first, because the default action of these signals ends the process
 	loaded, err := loadConfig()
 	if err != nil {
 		return err
@@ -85,12 +86,12 @@
 	return r.wait(signals)
 }
 
-// newRouter makes the router's parts, and starts what it does with others.
+// newRouter creates the router's components and starts the cluster services.
 func newRouter(platform platformConfig, values settings.Values, limits resourceLimits, options operatorOptions, startedAt time.Time,
 	hooks TestHooks) (*router, error) {
 	now := engine.NewClock()
 	e := engine.New(now)
-	core := routing.New(seedOf(platform.Seed), e.Actions())
+	core := routing.New(parseSeed(platform.Seed), e.Actions())
 	reader := settings.Reader{Values: values}
 	connectTimeout := reader.Time("limits.connectTimeout")
 	idleLimit := reader.Time("limits.connIdle")
@@ -129,13 +130,12 @@
 		services:             services,
 		rollouts:             rollouts,
 		longestClientTimeout: catalog.LongestClientTimeout,
-		discoveryMoves:       make(chan string, 1),
+		discoveryAddresses:   make(chan string, 1),
 		listenFailed:         make(chan error, 1),
 	}, nil
 }
 
-// start begins to decide, to watch discovery and to accept connections. known is the configuration's endpoint list, nil
-// for none.
+// start starts the engine, the discovery watch and the listener. known is the configuration's endpoint list, nil for none.
 func (r *router) start(ctx context.Context, ln net.Listener, discoveryAddress string, known *discovery.EndpointList) {
 	r.engine.Post(r.now(), r.routing.Start)
 	if known != nil {
@@ -149,17 +149,17 @@
 	onList := func(list *discovery.EndpointList) {
 		r.engine.Post(r.now(), func(now int64) { r.applyList(now, list) })
 	}
-	go discovery.Follow(ctx, discoveryAddress, discovery.UnknownVersion, r.discoveryMoves, onList)
+	go discovery.Follow(ctx, discoveryAddress, discovery.UnknownVersion, r.discoveryAddresses, onList)
 	go func() { r.listenFailed <- r.frontend.Serve(ln) }()
 }
 
-// applyList applies an endpoint list; with the first one the router is ready. It runs on the engine's goroutine.
+// applyList applies an endpoint list; the first one makes the router ready. It runs on the engine's goroutine.
 func (r *router) applyList(now int64, list *discovery.EndpointList) {
 	r.listApplied = true
 	r.engine.ApplyEndpointList(now, list)
-	r.services.noteListVersion(list.Version)
+	r.services.setListVersion(list.Version)
 	r.frontend.SetReady()
-	r.rollouts.noteReady()
+	r.rollouts.recordReady()
 }
 
 // wait handles signals until the router has shut down.
@@ -167,9 +167,9 @@
 	for {
 		select {
 		case err := <-r.listenFailed:
-			return fmt.Errorf("no longer listening: %w", err)
-		case request := <-signals.requests:
-			if request == syscall.SIGUSR1 {
+			return fmt.Errorf("accepting client connections: %w", err)
+		case sig := <-signals.requests:
+			if sig == syscall.SIGUSR1 {
 				metrics.Print(os.Stderr)
 			} else {
 				r.reload()
@@ -186,29 +186,29 @@
 
 // reload reads the platform's configuration and the operator's file again.
 func (r *router) reload() {
-	effective, movedTo := reloadConfig(r.config)
+	effective, newDiscovery := reloadConfig(r.config)
 	r.config = effective
-	if movedTo != "" {
-		r.discoveryMoves <- movedTo
+	if newDiscovery != "" {
+		r.discoveryAddresses <- newDiscovery
 	}
 	r.services.reload(r.operatorFile)
 }
 
-// signals are the process's signals.
+// signals are the channels on which the process's signals arrive.
 type signals struct {
 	stops    chan os.Signal // SIGTERM and SIGINT
 	requests chan os.Signal // SIGHUP and SIGUSR1
 }
 
-func subscribe() signals {
+func subscribeSignals() signals {
 	s := signals{stops: make(chan os.Signal, 1), requests: make(chan os.Signal, 8)}
 	signal.Notify(s.stops, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.requests, syscall.SIGHUP, syscall.SIGUSR1)
 	return s
 }
 
-// seedOf reads the platform's seed as hexadecimal; any other text is hashed.
-func seedOf(text string) uint64 {
+// parseSeed parses the platform's seed as a hexadecimal number; any other text is hashed.
+func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -20,18 +20,19 @@
 	"cairntiller/internal/metrics"
 )
 
-// TestStartToStop: not ready before there is a list, and a SIGHUP without a usable file changes nothing; with one
-// the list comes from its discovery, whatever the environment named; on SIGTERM nothing taken is lost.
-func TestStartToStop(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // a node that never comes up
+// TestStartupReloadShutdown runs a router from start to end. It is not ready without an endpoint list, and SIGHUP with an
+// invalid file changes nothing. SIGHUP with a valid file moves it to the file's discovery, whatever the environment
+// names. After SIGTERM it still answers every command that it has received.
+func TestStartupReloadShutdown(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // a node that accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	speak := make(chan bool)
+	sendList := make(chan bool)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-speak:
+		case <-sendList:
 		case <-r.Context().Done():
 			return
 		}
@@ -42,16 +43,16 @@
 	}))
 	defer discovery.Close()
 	listen := freeAddress(t)
-	writeConfig(t, fmt.Sprintf(configTemplate, listen, "127.0.0.1:1")) // where nobody answers
+	writeConfig(t, fmt.Sprintf(configTemplate, listen, "127.0.0.1:1")) // discovery's address; nothing listens there
 	t.Setenv("RELAY_DISCOVERY", "127.0.0.1:1")
 	ended := runInBackground("")
 
 	c := dialRouter(t, listen)
 	if !strings.Contains(c.welcome, "server_version") {
-		t.Errorf("startup: %q", c.welcome)
+		t.Errorf("answer to the startup message: %q", c.welcome)
 	}
 	if got := c.ask(t, ""); !strings.Contains(got, "C57P03") {
-		t.Errorf("without a list: %q", got)
+		t.Errorf("answer without an endpoint list: %q", got)
 	}
 	reloadWith := func(text string, counter *metrics.Counter) {
 		t.Helper()
@@ -63,18 +64,18 @@
 	reloadWith("{", rejectedConfigs)
 	reloadWith(fmt.Sprintf(configTemplate, listen, "nowhere"), rejectedConfigs)
 	if got := c.ask(t, ""); !strings.Contains(got, "C57P03") {
-		t.Errorf("after a configuration that can't be used: %q", got)
+		t.Errorf("answer after reloads of invalid configurations: %q", got)
 	}
 	reloadWith(fmt.Sprintf(configTemplate, listen, strings.TrimPrefix(discovery.URL, "http://")), reloadedConfigs)
-	close(speak)
+	close(sendList)
 	for c.ask(t, "")[0] != 'I' {
 	}
 	signalSelf(t, syscall.SIGTERM)
 	if got := c.ask(t, "/* id=1,c=put,d=900,cluster=3 */ INSERT"); !strings.Contains(got, "C53300") {
-		t.Errorf("a command that came while it leaves, and never ran: %q", got)
+		t.Errorf("answer to a command received during shutdown, which never ran: %q", got)
 	}
 	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
-		t.Errorf("at the end: %q, %v", rest, err)
+		t.Errorf("after the last answer: %q, %v", rest, err)
 	}
 	c.Close()
 	if err := <-ended; err != nil {
@@ -82,9 +83,9 @@
 	}
 }
 
-// TestUnreadableConfigurationStopsBeforeListening: each kind of configuration that can't be used ends the start with an
-// error that names the part.
-func TestUnreadableConfigurationStopsBeforeListening(t *testing.T) {
+// TestInvalidConfigurationFailsStartup checks that startup with an invalid configuration fails with an error that names
+// the invalid part.
+func TestInvalidConfigurationFailsStartup(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "RELAY_CONFIG", "{": "RELAY_CONFIG", `{"settings":{}}`: "no address",
 		fmt.Sprintf(configTemplate, "127.0.0.1:0", "d")[:40] + "}":                               "RELAY_CONFIG",
@@ -100,26 +101,26 @@
 	}
 	t.Setenv("RELAY_CONFIG", "/nowhere")
 	if err := Run("", TestHooks{}); err == nil {
-		t.Error("it runs without a configuration")
+		t.Error("Run succeeded without a configuration file")
 	}
 }
 
-// TestKeysChangeBySignal: a member with the new key alone comes in once SIGHUP has read the file again; a file with
-// faults changes nothing.
-func TestKeysChangeBySignal(t *testing.T) {
-	listen, place := freeAddress(t), freeAddress(t)
+// TestKeysReplacedOnSIGHUP checks that a member that has only the new key can join once the router has reloaded the
+// operator's file on SIGHUP, and that a file with faults changes nothing.
+func TestKeysReplacedOnSIGHUP(t *testing.T) {
+	listen, memberAddress := freeAddress(t), freeAddress(t)
 	writeConfig(t, strings.Replace(fmt.Sprintf(configTemplate, listen, "127.0.0.1:1"), `"cancel":true`, `"cancel":true,"probes":true`, 1))
 	path := filepath.Join(t.TempDir(), "file.sexp")
 	write := func(keys ...string) {
 		t.Helper()
-		text := fmt.Sprintf(`(fleet (listen %q) (cluster "test") (keys %s)) (duties (instances 2))`, place, strings.Join(keys, " "))
+		text := fmt.Sprintf(`(fleet (listen %q) (cluster "test") (keys %s)) (duties (instances 2))`, memberAddress, strings.Join(keys, " "))
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	old, fresh := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
-	word := func(key []byte) string { return `"` + base64.StdEncoding.EncodeToString(key) + `"` }
-	write(word(old))
+	encodeKey := func(key []byte) string { return `"` + base64.StdEncoding.EncodeToString(key) + `"` }
+	write(encodeKey(old))
 	ended := runInBackground(path)
 	for c, err := net.Dial("tcp", listen); ; c, err = net.Dial("tcp", listen) {
 		if err == nil {
@@ -129,7 +130,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	up := make(chan string, 9)
-	m, err := membership.Start(membership.Settings{Name: "other", Cluster: "test", Listen: "127.0.0.1:0", Seeds: []string{place},
+	m, err := membership.Start(membership.Settings{Name: "other", Cluster: "test", Listen: "127.0.0.1:0", Seeds: []string{memberAddress},
 		Keys: [][]byte{fresh}, MaxMembers: 8, Weight: 1, Bandwidth: 1 << 20}, membership.Events{MemberUp: func(name string, _ float64, _ uint64) { up <- name },
 		MemberDown: func(string, uint64, bool) {}, Updates: func([]assignment.Update) {}, Rejoined: func(int) {}}, nil)
 	if err != nil {
@@ -140,10 +141,10 @@
 	reloadUntilCounted(t, rejectedConfigs)
 	select {
 	case name := <-up:
-		t.Fatalf("%s is met with a wrong key", name)
+		t.Fatalf("member %s joined with a wrong key", name)
 	case <-time.After(700 * time.Millisecond):
 	}
-	write(word(fresh), word(old))
+	write(encodeKey(fresh), encodeKey(old))
 	reloadUntilCounted(t, changedKeys)
 	select {
 	case name := <-up:
@@ -151,12 +152,13 @@
 			t.Error(name)
 		}
 	case <-time.After(15 * time.Second):
-		t.Error("the new key does not open")
+		t.Error("the router did not join with the new key")
 	}
 	stopRouter(t, ended)
 }
 
-// TestReleasesWithoutLeases names that fault alone: the part was read twice, and its names were unknown the second time.
+// TestReleasesWithoutLeases checks that a releases part without a leases part is reported as that fault only. The part was
+// once read twice, and its names were reported as unknown the second time.
 func TestReleasesWithoutLeases(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.sexp")
 	if err := os.WriteFile(path, []byte(`(releases (zone "a"))`), 0o600); err != nil {
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -8,24 +8,24 @@
 	"cairntiller/internal/metrics"
 )
 
-// SIGKILL follows min(longest client timeout, maxKillDelay) + killGrace after SIGTERM. Requests still open answerMargin
-// earlier are given up.
+// The platform sends SIGKILL min(longest client timeout, maxKillDelay) + killGrace after SIGTERM. Requests that are still
+// open answerMargin before that are aborted.
 const (
 	maxKillDelay = 3 * time.Second
 	killGrace    = 700 * time.Millisecond
-	answerMargin = 250 * time.Millisecond // for the last answers to leave
+	answerMargin = 250 * time.Millisecond // time to send the last answers
 
-	// acceptWait is the time in which clients may still come: the platform moves them away within 0.4 s.
+	// acceptWait is how long new clients may still connect: the platform redirects them to other routers within 0.4 s.
 	acceptWait = 500 * time.Millisecond
-	// readWait is the time for clients to read their last answers.
+	// readWait is how long clients have to read their last answers.
 	readWait = 300 * time.Millisecond
-	// handoverWait is the time for the other routers to be told, if that takes longer than the last answers.
+	// handoverWait bounds the wait until leases are released and the other routers are notified.
 	handoverWait = 2 * time.Second
 )
 
-// shutdown ends the router in order: other routers take over its leases while it answers the requests in flight, then it
-// closes each session and stops. It keeps accepting connections until the end, so that a client that connects meanwhile is
-// answered rather than left waiting.
+// shutdown stops the router gracefully: other routers take over its leases while it answers the requests in flight, then it
+// closes each session and stops. It accepts connections until the end, so that a client that connects during the shutdown
+// gets an answer.
 func (r *router) shutdown() {
 	killDelay := min(time.Duration(r.longestClientTimeout)*time.Microsecond, maxKillDelay)
 	deadline := time.Now().Add(killDelay + killGrace - answerMargin)
@@ -49,20 +49,20 @@
 	metrics.Print(os.Stderr)
 }
 
-// answerAll returns once all requests have their answers. At the deadline what is left is given up, and half a margin
-// later no more is waited for.
+// answerAll waits until all requests are answered. At the deadline it aborts the requests still open, and half of
+// answerMargin later it aborts them again and returns.
 func (r *router) answerAll(deadline time.Time) {
-	alarm := time.NewTimer(time.Until(deadline))
+	timer := time.NewTimer(time.Until(deadline))
 	for r.engine.Unanswered() > 0 {
 		select {
 		case <-r.engine.AllAnswered():
-		case <-alarm.C:
+		case <-timer.C:
 			late := time.Since(deadline) >= answerMargin/2
 			r.engine.AbortRequests()
 			if late {
 				return
 			}
-			alarm.Reset(answerMargin / 2)
+			timer.Reset(answerMargin / 2)
 		}
 	}
 }
