--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -13,13 +13,13 @@
 
 // classifyCommand prints the class of each statement.
 type classifyCommand struct {
-	Input string `arg:"" optional:"" name:"statements" help:"A file of statements; standard input without one."`
-	File  string `type:"existingfile" placeholder:"FILE" help:"The operator's file, whose part statements tells of functions, types and views."`
-	Lines bool   `help:"One statement a line. Otherwise a line that holds only ;; parts them."`
+	Input string `arg:"" optional:"" name:"statements" help:"File of statements; default is standard input."`
+	File  string `type:"existingfile" placeholder:"FILE" help:"Operator's file, whose part statements describes functions, types and views."`
+	Lines bool   `help:"Read one statement per line. By default a line of only ;; separates statements."`
 }
 
-// Run prints a line for each statement: class, cost, shape, route and reason, with tabs between, and a dash for what is not
-// known. Nothing works out cost and route yet, so both are always a dash; the columns keep their places.
+// Run prints one line per statement with class, cost, shape, route and reason, separated by tabs. A dash stands for an
+// unknown value. Cost and route are not computed yet, so both are always a dash; their columns are reserved.
 func (c *classifyCommand) Run(out io.Writer) error {
 	settings, err := c.readSettings()
 	if err != nil {
@@ -40,7 +40,8 @@
 	return forEachStatement(input, c.Lines, func(text string) error { return printClass(w, classifier, text) })
 }
 
-// readSettings reads the statements part of the operator's file, and leaves the parts beside it to the router.
+// readSettings reads the statements part of the operator's file. It accepts any name in the parts fleet and duties, which
+// the router checks.
 func (c *classifyCommand) readSettings() (sql.Settings, error) {
 	if c.File == "" {
 		return sql.ReadSettings(sexp.EmptyFile().Part("statements")), nil
@@ -55,7 +56,7 @@
 	return settings, file.Faults()
 }
 
-// openInput opens the file of statements, or standard input.
+// openInput opens the file of statements, or standard input if no file is given.
 func (c *classifyCommand) openInput() (io.ReadCloser, error) {
 	if c.Input == "" {
 		return io.NopCloser(os.Stdin), nil
@@ -63,7 +64,7 @@
 	return os.Open(c.Input)
 }
 
-// printClass classifies one statement and prints a line; cost and route, the second and fourth column, are always a dash.
+// printClass classifies one statement and prints its line. Cost and route, the second and fourth columns, are always a dash.
 func printClass(out io.Writer, classifier *sql.Classifier, text string) error {
 	entry, _, err := classifier.Classify(text, nil)
 	if err != nil {
@@ -78,22 +79,22 @@
 	return err
 }
 
-// singleLine keeps a name with a tab or a line's end in it from being taken for more.
+// singleLine replaces tabs and line breaks with spaces, so that a name that contains them stays in one column of one line.
 func singleLine(s string) string {
 	return strings.NewReplacer("\t", " ", "\n", " ", "\r", " ").Replace(s)
 }
 
-// forEachStatement calls do for each statement of an input, in turn: each line is one if onePerLine is set, otherwise lines
-// of ;; part them. It ends at the first error.
+// forEachStatement calls do for each statement of the input, in order. If onePerLine is set each line is a statement,
+// otherwise lines of only ;; separate them. It stops at the first error.
 func forEachStatement(in io.Reader, onePerLine bool, do func(string) error) error {
 	r := bufio.NewReader(in)
 	var text strings.Builder
-	begun := false // the statement under way has a line
+	hasLines := false // the current statement has at least one line
 	flush := func() error {
-		one := strings.TrimRight(text.String(), "\r\n")
+		statement := strings.TrimRight(text.String(), "\r\n")
 		text.Reset()
-		begun = false
-		return do(one)
+		hasLines = false
+		return do(statement)
 	}
 	for {
 		line, err := r.ReadString('\n')
@@ -111,11 +112,11 @@
 				return err
 			}
 		case line != "":
-			begun = true
+			hasLines = true
 			text.WriteString(line)
 		}
 		if err == io.EOF {
-			if begun {
+			if hasLines {
 				return flush()
 			}
 			return nil
--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	demoSessions  = 24
-	demoMinTime   = 4 * time.Second         // less shows no failover
-	demoMaxGroups = 20                      // more is too much for one machine
-	demoElection  = 1200 * time.Millisecond // from a primary's death to its successor
-	demoDiscovery = 800 * time.Millisecond  // more until discovery announces it
-	demoPause     = 15 * time.Millisecond   // between a session's commands, about
-	demoWaited    = 12 * time.Millisecond   // a read that took longer waited for a replica: a node needs two
+	demoSessions          = 24
+	demoMinDuration       = 4 * time.Second         // a shorter demo shows no failover
+	demoMaxGroups         = 20                      // more groups overload one machine
+	demoElectionTime      = 1200 * time.Millisecond // from the death of the primary to the promotion of a replica
+	demoDiscoveryDelay    = 800 * time.Millisecond  // from the promotion until discovery announces it
+	demoMeanPause         = 15 * time.Millisecond   // mean pause between two commands of a session
+	demoReadWaitThreshold = 12 * time.Millisecond   // a read that took longer waited for a replica; a node needs 2 ms for a command
 )
 
-// Errors of a demo.
+// Errors of the demo command.
 var (
-	errDemoFlags  = errors.New("from 1 to 20 groups, and 4 seconds at least")
-	errNoFailover = errors.New("no write of group 0 was answered after the death of its primary")
+	errDemoFlags  = errors.New("want 1 to 20 groups and a duration of at least 4 seconds")
+	errNoFailover = errors.New("no write of group 0 was answered after its primary was killed")
 )
 
-// demoCommand shows a router at work before simulated nodes, with a primary that dies half-way.
+// demoCommand runs a router in front of simulated nodes and kills a primary halfway through.
 type demoCommand struct {
-	Groups   int           `default:"2" help:"Node groups, each of one primary and two replicas."`
-	Duration time.Duration `name:"for" default:"8s" help:"How long to send commands; a primary dies half-way."`
-	Seed     uint64        `default:"1" help:"For the mix of commands."`
-	Stay     bool          `help:"Stay up afterwards, for a client of your own, until Ctrl-C."`
+	Groups   int           `default:"2" help:"Number of node groups, each with one primary and two replicas."`
+	Duration time.Duration `name:"for" default:"8s" help:"How long to send commands; a primary is killed halfway through."`
+	Seed     uint64        `default:"1" help:"Random seed of the command mix."`
+	Stay     bool          `help:"Keep running afterwards until Ctrl-C, so that you can connect a client."`
 }
 
-// write is one write of the group that loses its primary.
+// write holds the times of one write to group 0, which loses its primary.
 type write struct{ sent, answered time.Time }
 
-// observations are what the demo's clients saw.
+// observations collects what the demo's clients observed.
 type observations struct {
 	sync.Mutex
 	answered        int
@@ -56,12 +56,12 @@
 	readsThatWaited int
 	longestWait     time.Duration
 	writes          []write
-	violations      []string // rules that the router broke
+	violations      []string // guarantees that the router broke
 }
 
-// Run plays the demo.
+// Run runs the demo.
 func (d *demoCommand) Run(out io.Writer) error {
-	if d.Groups < 1 || d.Groups > demoMaxGroups || d.Duration < demoMinTime {
+	if d.Groups < 1 || d.Groups > demoMaxGroups || d.Duration < demoMinDuration {
 		return errDemoFlags
 	}
 	c, err := cluster.New(d.Seed, d.Groups, 3)
@@ -78,20 +78,20 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d nodes in %d groups, discovery at %s, a router at %s\n", 3*d.Groups, d.Groups, c.Discovery.Address(), router.Address)
-	fmt.Fprintf(out, "%d sessions write, read their own writes and read anything, for %v\n\n", demoSessions, d.Duration)
+	fmt.Fprintf(out, "%d nodes in %d groups, discovery at %s, router at %s\n", 3*d.Groups, d.Groups, c.Discovery.Address(), router.Address)
+	fmt.Fprintf(out, "%d sessions send writes, reads of their own writes and other reads for %v\n\n", demoSessions, d.Duration)
 
-	var seen observations
+	var observed observations
 	end := time.Now().Add(d.Duration)
 	var sessions sync.WaitGroup
 	for i := range demoSessions {
-		sessions.Go(func() { d.runSession(router, i, end, &seen) })
+		sessions.Go(func() { d.runSession(router, i, end, &observed) })
 	}
 	time.Sleep(d.Duration / 2)
 	countsBefore := commandCounts(c.Database)
-	died := failOver(out, c, seen.summary())
+	killedAt := failOver(out, c, observed.summary())
 	sessions.Wait()
-	if err := report(out, c, &seen, countsBefore, died); err != nil {
+	if err := report(out, c, &observed, countsBefore, killedAt); err != nil {
 		return err
 	}
 	if !d.Stay {
@@ -101,90 +101,91 @@
 	return nil
 }
 
-// failOver kills the primary of group 0 and promotes a replica; discovery announces it later. It returns the time of death.
+// failOver kills the primary of group 0 and promotes a replica, which discovery announces later. It returns the time of the
+// kill.
 func failOver(out io.Writer, c *cluster.Cluster, summary string) time.Time {
-	victim := c.Database.Nodes()[0]
-	successor := c.Database.Nodes()[1]
-	died := time.Now()
-	victim.Kill()
+	oldPrimary := c.Database.Nodes()[0]
+	newPrimary := c.Database.Nodes()[1]
+	killedAt := time.Now()
+	oldPrimary.Kill()
 	fmt.Fprintf(out, "half-way   %s\n", summary)
-	fmt.Fprintf(out, "%9v  %s, the primary of group 0, is killed\n", 0*time.Second, victim.Name)
-	time.Sleep(demoElection)
-	successor.Promote()
-	fmt.Fprintf(out, "%9v  %s takes its place; discovery does not know yet\n", time.Since(died).Round(time.Millisecond), successor.Name)
-	time.Sleep(demoDiscovery)
-	c.Announce(victim, "left")
-	c.Announce(successor, "active")
-	fmt.Fprintf(out, "%9v  discovery tells of it\n", time.Since(died).Round(time.Millisecond))
-	return died
+	fmt.Fprintf(out, "%9v  %s, the primary of group 0, is killed\n", 0*time.Second, oldPrimary.Name)
+	time.Sleep(demoElectionTime)
+	newPrimary.Promote()
+	fmt.Fprintf(out, "%9v  %s is promoted to primary; discovery has not announced it yet\n", time.Since(killedAt).Round(time.Millisecond), newPrimary.Name)
+	time.Sleep(demoDiscoveryDelay)
+	c.Announce(oldPrimary, "left")
+	c.Announce(newPrimary, "active")
+	fmt.Fprintf(out, "%9v  discovery announces the new primary\n", time.Since(killedAt).Round(time.Millisecond))
+	return killedAt
 }
 
-// report prints what the clients saw. The error tells that a rule was broken or that writes did not go on.
-func report(out io.Writer, c *cluster.Cluster, seen *observations, countsBefore map[string]int, died time.Time) error {
-	first, gap := seen.failoverTimes(died)
-	fmt.Fprintf(out, "%9v  the first write of group 0 is answered again; none was for %v\n", first.Round(time.Millisecond), gap.Round(time.Millisecond))
-	fmt.Fprintf(out, "at the end %s\n\n", seen.summary())
+// report prints what the clients observed. It returns an error if a guarantee was broken or writes did not resume.
+func report(out io.Writer, c *cluster.Cluster, observed *observations, countsBefore map[string]int, killedAt time.Time) error {
+	first, gap := observed.failoverTimes(killedAt)
+	fmt.Fprintf(out, "%9v  the first write of group 0 is answered; none was answered for %v\n", first.Round(time.Millisecond), gap.Round(time.Millisecond))
+	fmt.Fprintf(out, "at the end %s\n\n", observed.summary())
 	printNodes(out, c.Database, countsBefore)
-	fmt.Fprintf(out, "\n%d reads of a session's own row waited for a replica to reach its last write, %v at the longest\n",
-		seen.readsThatWaited, seen.longestWait.Round(time.Millisecond))
-	if violations := append(seen.violations, c.Database.Violations()...); len(violations) > 0 {
-		for _, one := range violations {
-			fmt.Fprintln(out, "broken:", one)
+	fmt.Fprintf(out, "\n%d reads of a session's own writes waited for a replica to apply the last write, the longest for %v\n",
+		observed.readsThatWaited, observed.longestWait.Round(time.Millisecond))
+	if violations := append(observed.violations, c.Database.Violations()...); len(violations) > 0 {
+		for _, violation := range violations {
+			fmt.Fprintln(out, "broken:", violation)
 		}
-		return fmt.Errorf("%d rules broken", len(violations))
+		return fmt.Errorf("%d guarantees broken", len(violations))
 	}
-	if first == 0 || seen.answered == 0 {
+	if first == 0 || observed.answered == 0 {
 		return errNoFailover
 	}
-	fmt.Fprintln(out, "each command had one answer, none ran twice, and every session saw its own writes")
+	fmt.Fprintln(out, "each command got one answer, none ran twice, and every session read its own writes")
 	return nil
 }
 
-// stayUp tells how to send commands to the router, and returns at Ctrl-C.
+// stayUp prints how to send commands to the router, and returns on Ctrl-C or SIGTERM.
 func stayUp(out io.Writer, c *cluster.Cluster, router *cluster.Router) {
 	fmt.Fprintf(out, `
-It stays up. A client of PostgreSQL's protocol finds it at %s, user portal, database crm; a command says in a comment
-what it is, and d, in ms, how long you wait:
+The router keeps running. Connect a client of PostgreSQL's protocol to %s, user portal, database crm. The comment of a
+command holds its id, its class and, as d, the client timeout in ms:
   /* id=mine-1,c=entry,d=900,cluster=0 */ INSERT INTO facts (code, data) VALUES ('me', '42') RETURNING data
   /* id=mine-2,c=own,d=900,cluster=0 */ SELECT data FROM facts WHERE code = 'me'
-Ctrl-C ends it. The router's log is %s/router.log
+Press Ctrl-C to stop it. The router's log is %s/router.log
 `, router.Address, c.Folder)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
 }
 
-// runSession sends one client's mix of commands until the end: two in ten write, four read the session's own writes, four
-// read anything.
-func (d *demoCommand) runSession(router *cluster.Router, i int, end time.Time, seen *observations) {
+// runSession sends the commands of one client session until end: 20% are writes, 40% read the session's own writes, and
+// 40% read any state.
+func (d *demoCommand) runSession(router *cluster.Router, i int, end time.Time, observed *observations) {
 	random := rand.New(rand.NewPCG(d.Seed, uint64(i)))
 	session := router.NewSession(fmt.Sprint("session", i))
 	defer session.Close()
 	group := i % d.Groups
 	for time.Now().Before(end) {
-		draw := random.IntN(10)
+		choice := random.IntN(10)
 		sent := time.Now()
 		var answer client.Answer
 		var err error
 		switch {
-		case draw < 2:
+		case choice < 2:
 			answer, err = session.Write(cluster.ClassWrite, group)
-			seen.recordWrite(answer, err, group, sent)
-		case draw < 6:
+			observed.recordWrite(answer, err, group, sent)
+		case choice < 6:
 			answer, err = session.Read(cluster.ClassReadOwn, group, true)
-			seen.recordOwnRead(answer, err)
+			observed.recordOwnRead(answer, err)
 		default:
 			answer, err = session.Read(cluster.ClassReadAny, group, false)
-			seen.record(answer, err)
+			observed.record(answer, err)
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(2 * demoPause))))
+		time.Sleep(time.Duration(random.Int64N(int64(2 * demoMeanPause))))
 	}
-	seen.Lock()
-	defer seen.Unlock()
-	seen.violations = append(seen.violations, session.Violations...)
+	observed.Lock()
+	defer observed.Unlock()
+	observed.violations = append(observed.violations, session.Violations...)
 }
 
-// record counts an answer, and reports whether it was a good one.
+// record counts an answer and reports whether the command succeeded.
 func (o *observations) record(answer client.Answer, err error) bool {
 	o.Lock()
 	defer o.Unlock()
@@ -202,7 +203,7 @@
 	return false
 }
 
-// recordWrite counts a write, and keeps its times if its group loses its primary.
+// recordWrite counts a write, and records its times if it went to group 0 and succeeded.
 func (o *observations) recordWrite(answer client.Answer, err error, group int, sent time.Time) {
 	if !o.record(answer, err) || group != 0 {
 		return
@@ -212,9 +213,9 @@
 	o.writes = append(o.writes, write{sent: sent, answered: sent.Add(answer.Took)})
 }
 
-// recordOwnRead counts a read of the session's own writes, and whether it waited for a replica.
+// recordOwnRead counts a read of the session's own writes and records whether it waited for a replica.
 func (o *observations) recordOwnRead(answer client.Answer, err error) {
-	if !o.record(answer, err) || answer.Took <= demoWaited {
+	if !o.record(answer, err) || answer.Took <= demoReadWaitThreshold {
 		return
 	}
 	o.Lock()
@@ -223,31 +224,31 @@
 	o.longestWait = max(o.longestWait, answer.Took)
 }
 
-// summary is one line of what was counted so far.
+// summary returns the counts so far as one line.
 func (o *observations) summary() string {
 	o.Lock()
 	defer o.Unlock()
 	return fmt.Sprintf("%d answered, %d throttled, %d failed, %d connections ended", o.answered, o.rejected, o.failed, o.disconnected)
 }
 
-// failoverTimes returns when the first write after a death was answered, since the death, and the longest time without one;
-// 0 for both if none was.
-func (o *observations) failoverTimes(died time.Time) (first, gap time.Duration) {
+// failoverTimes returns the time from the kill of the primary to the first answered write after it, and the time between
+// the last answered write before the kill and that write. Both are 0 if no later write was answered.
+func (o *observations) failoverTimes(killedAt time.Time) (first, gap time.Duration) {
 	o.Lock()
 	defer o.Unlock()
 	slices.SortFunc(o.writes, func(a, b write) int { return a.answered.Compare(b.answered) })
-	last := died
+	last := killedAt
 	for _, w := range o.writes {
-		if w.answered.Before(died) {
+		if w.answered.Before(killedAt) {
 			last = w.answered
 			continue
 		}
-		return w.answered.Sub(died), w.answered.Sub(last)
+		return w.answered.Sub(killedAt), w.answered.Sub(last)
 	}
 	return 0, 0
 }
 
-// commandCounts returns how many commands each node has had, by name.
+// commandCounts returns how many commands each node has received, by node name.
 func commandCounts(c *database.Cluster) map[string]int {
 	counts := map[string]int{}
 	for _, n := range c.Nodes() {
@@ -256,7 +257,7 @@
 	return counts
 }
 
-// printNodes prints what went where, before and after the death.
+// printNodes prints how many commands and probes each node received, before and after the kill.
 func printNodes(out io.Writer, c *database.Cluster, before map[string]int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "node\trole\tcommands before\tafter\tprobes\t")
--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -14,37 +14,38 @@
 	"cairntiller/internal/supervisor"
 )
 
-// fleetCommands are the commands on rollout plans; the running router that each reaches by its socket hands it to whoever leads.
+// fleetCommands are the sub-commands on rollout plans. Each is sent to the socket of a running router, which forwards it to
+// the router that leads rollouts.
 type fleetCommands struct {
-	Status fleetStatusCommand `cmd:"" help:"Plans and how they stand."`
-	Plan   fleetPlanCommand   `cmd:"" help:"Read a plan and print its waves and the greatest number out; nothing is begun."`
-	Start  fleetStartCommand  `cmd:"" help:"Begin a plan."`
-	Halt   fleetHaltCommand   `cmd:"" help:"Let nobody new go out by a plan; who is out may come back."`
-	Resume fleetResumeCommand `cmd:"" help:"Go on with a halted plan."`
-	Back   fleetBackCommand   `cmd:"" help:"Bring what a plan touched back."`
-	Drain  fleetDrainCommand  `cmd:"" help:"Drain nodes until they are returned."`
-	Return fleetReturnCommand `cmd:"" help:"Bring a drained node back."`
-	Forget fleetForgetCommand `cmd:"" help:"Answer for a unit that is out, or a member that is missed for good."`
-	Begin  fleetBeginCommand  `cmd:"" help:"Go on from what is left, where voters have forgotten what they kept."`
-}
-
-// exitHalted tells that a plan that was waited for halted or went back.
+	Status fleetStatusCommand `cmd:"" help:"Show all plans and their state."`
+	Plan   fleetPlanCommand   `cmd:"" help:"Read a plan and print its waves and the maximum number of units out at once, without starting it."`
+	Start  fleetStartCommand  `cmd:"" help:"Start a plan."`
+	Halt   fleetHaltCommand   `cmd:"" help:"Halt a plan: no further units go out; units that are out may return."`
+	Resume fleetResumeCommand `cmd:"" help:"Resume a halted plan."`
+	Back   fleetBackCommand   `cmd:"" help:"Roll a plan back."`
+	Drain  fleetDrainCommand  `cmd:"" help:"Drain nodes until fleet return."`
+	Return fleetReturnCommand `cmd:"" help:"Return a drained node to service."`
+	Forget fleetForgetCommand `cmd:"" help:"Remove a unit from a plan and free its slot, or remove a member that is missing for good."`
+	Begin  fleetBeginCommand  `cmd:"" help:"Recover from the records that are left after voters have lost theirs."`
+}
+
+// exitHalted is the exit code of fleet start --wait if the plan halts or is rolled back.
 const exitHalted = 3
 
-// commandFlags are the flags of everything that is a command to the leader.
+// commandFlags are the flags of every sub-command that sends a command to the leader.
 type commandFlags struct {
 	socketFlag
-	Token string `help:"Says that a word given again is the same word."`
+	Token string `help:"Idempotency token: a command repeated with the same token is the same command."`
 }
 
-// send gives a command to whoever leads and returns when it was accepted.
+// send sends a command to the leader, through the router at the socket, and returns once it is accepted.
 func (f *commandFlags) send(out io.Writer, c rollout.Command) error {
 	c.Token = f.Token
 	text, err := rolloutservice.EncodeCommand(c)
 	if err != nil {
 		return err
 	}
-	var token string // the answer is the command's token; it is read only to learn that the command was accepted
+	var token string // the reply is the command's token; its arrival shows that the command was accepted
 	if err := adminsocket.Ask(f.Socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token); err != nil {
 		return err
 	}
@@ -57,15 +58,15 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// status asks one router how rollouts stand.
-func status(socket string) (s rolloutservice.Status, err error) {
+// queryStatus queries one router for the state of rollouts.
+func queryStatus(socket string) (s rolloutservice.Status, err error) {
 	err = adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
-// Run prints all plans, and who leads.
+// Run prints the leader and all plans.
 func (l *fleetStatusCommand) Run(out io.Writer) error {
-	s, err := status(l.Socket)
+	s, err := queryStatus(l.Socket)
 	if err != nil {
 		return err
 	}
@@ -78,9 +79,9 @@
 	case s.Leads:
 		fmt.Fprintf(out, "%s leads under term %d\n", s.Router, s.Term)
 	case s.NotLeadingReason != "":
-		fmt.Fprintf(out, "%s holds the lease and does not lead: %s\n", s.Router, s.NotLeadingReason)
+		fmt.Fprintf(out, "%s holds the lease but does not lead: %s\n", s.Router, s.NotLeadingReason)
 	default:
-		fmt.Fprintf(out, "%s does not lead; it last heard of %s\n", s.Router, s.Leader)
+		fmt.Fprintf(out, "%s does not lead; the last leader it knows of is %s\n", s.Router, s.Leader)
 	}
 	if len(s.DrainedNodes) > 0 {
 		fmt.Fprintln(out, "drained:", strings.Join(s.DrainedNodes, " "))
@@ -94,30 +95,30 @@
 }
 
 type fleetPlanCommand struct {
-	File string `arg:"" type:"existingfile" help:"A file with one part (plan …)."`
+	File string `arg:"" type:"existingfile" help:"File with one part (plan …)."`
 }
 
-// Run prints a plan's waves and begins nothing.
+// Run prints the waves of a plan without starting it.
 func (l *fleetPlanCommand) Run(out io.Writer) error {
 	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
 		return err
 	}
-	waves, most := rollout.PreviewWaves(p, len(p.Units))
+	waves, maxOut := rollout.PreviewWaves(p, len(p.Units))
 	for i, units := range waves {
 		fmt.Fprintf(out, "wave %d: %s\n", i+1, strings.Join(units, " "))
 	}
-	fmt.Fprintf(out, "at most %d of %d out at once, planned or not, if no more are known\n", most, len(p.Units))
+	fmt.Fprintf(out, "at most %d of %d out at once, planned or not, if no other units are known\n", maxOut, len(p.Units))
 	return nil
 }
 
 type fleetStartCommand struct {
 	commandFlags
-	Wait bool   `help:"Wait for its end and print how it goes on; the exit code is 3 where it halts or goes back."`
-	File string `arg:"" type:"existingfile" help:"A file with one part (plan …)."`
+	Wait bool   `help:"Wait for the plan to end and print its progress; the exit code is 3 if it halts or is rolled back."`
+	File string `arg:"" type:"existingfile" help:"File with one part (plan …)."`
 }
 
-// Run begins a plan, and waits for its end if Wait is set.
+// Run starts a plan, and waits for its end if Wait is set.
 func (l *fleetStartCommand) Run(out io.Writer) error {
 	p, err := rolloutservice.ReadPlan(l.File)
 	if err != nil {
@@ -132,14 +133,14 @@
 	return nil
 }
 
-// waitForPlan prints each change of a plan until nothing more happens to it by itself. Its error is an exit code where
-// the plan is not finished then.
+// waitForPlan prints each change of a plan until the plan is settled, that is, makes no progress without an operator. It
+// returns an exit code as the error if the plan is not finished then.
 func waitForPlan(out io.Writer, socket, id string) error {
 	last := ""
 	for ; ; time.Sleep(time.Second) {
-		s, err := status(socket)
+		s, err := queryStatus(socket)
 		if err != nil {
-			continue // the router may be out itself
+			continue // the router may itself be out of service
 		}
 		for _, p := range s.Plans {
 			if p.ID != id {
@@ -161,10 +162,10 @@
 	}
 }
 
-// planCommand is what a command on one plan takes.
+// planCommand has the flags and arguments of a command on one plan.
 type planCommand struct {
 	commandFlags
-	ID string `arg:"" help:"The plan."`
+	ID string `arg:"" help:"ID of the plan."`
 }
 
 type fleetHaltCommand struct{ planCommand }
@@ -176,7 +177,7 @@
 
 type fleetResumeCommand struct{ planCommand }
 
-// Run lets a halted plan go on.
+// Run resumes a halted plan.
 func (l *fleetResumeCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandResume, PlanID: l.ID})
 }
@@ -190,10 +191,10 @@
 
 type fleetDrainCommand struct {
 	commandFlags
-	Nodes []string `arg:"" help:"Nodes. Each is a plan of its own, by the name drain-NODE, out until it is returned."`
+	Nodes []string `arg:"" help:"Nodes to drain. Each gets a plan of its own, drain-NODE, and stays out until it is returned."`
 }
 
-// Run begins a plan for each node, which drains it.
+// Run starts, for each node, a plan that drains it.
 func (l *fleetDrainCommand) Run(out io.Writer) error {
 	for _, name := range l.Nodes {
 		p := rollout.Plan{ID: "drain-" + name, Kind: rollout.KindNodes, Units: []string{name}, ProgressTimeout: 24 * 3600 * 1_000_000}
@@ -206,11 +207,11 @@
 
 type fleetReturnCommand struct {
 	commandFlags
-	ID   string `help:"The plan that drained it; drain-NODE unless it is said."`
-	Node string `arg:"" help:"The node."`
+	ID   string `help:"Plan that drained the node; default is drain-NODE."`
+	Node string `arg:"" help:"Name of the node."`
 }
 
-// Run ends the plan that drained a node.
+// Run returns a node to service through the plan that drained it.
 func (l *fleetReturnCommand) Run(out io.Writer) error {
 	id := l.ID
 	if id == "" {
@@ -221,18 +222,18 @@
 
 type fleetForgetCommand struct {
 	commandFlags
-	ID   string `help:"The plan, for a unit of one; without it a member that is missed."`
-	Unit string `arg:"" help:"The unit or member."`
+	ID   string `help:"Plan that the unit belongs to; without it the unit is a missing member."`
+	Unit string `arg:"" help:"Name of the unit or member."`
 }
 
-// Run answers for a unit or a member.
+// Run removes a unit from a plan, or a missing member.
 func (l *fleetForgetCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandForget, PlanID: l.ID, Unit: l.Unit})
 }
 
 type fleetBeginCommand struct{ commandFlags }
 
-// Run begins anew from what the voters still have.
+// Run makes the leader recover from the records that the voters still have.
 func (l *fleetBeginCommand) Run(out io.Writer) error {
 	return l.send(out, rollout.Command{Type: rollout.CommandForceRecovery})
 }
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -15,20 +15,20 @@
 	"cairntiller/internal/supervisor"
 )
 
-// socketFlag is where the running router listens for operators.
+// socketFlag is the path of the running router's admin socket.
 type socketFlag struct {
-	Socket string `default:"/run/cairntiller/control.sock" env:"CAIRNTILLER_SOCKET" help:"The running router's socket, as (control (socket …)) of its file names it."`
+	Socket string `default:"/run/cairntiller/control.sock" env:"CAIRNTILLER_SOCKET" help:"Admin socket of the running router, as set by (control (socket …)) in its file."`
 }
 
-// errHoldUsage tells how lease hold is called.
-var errHoldUsage = errors.New("want lease hold NAME -- COMMAND")
+// errHoldUsage is returned if the arguments of lease hold are not NAME -- COMMAND.
+var errHoldUsage = errors.New("usage: lease hold NAME -- COMMAND")
 
 // leaseCommands is cairntiller lease and its sub-commands.
 type leaseCommands struct {
-	List leaseListCommand `cmd:"" help:"Who holds which lease, as the voters know it."`
-	Show leaseShowCommand `cmd:"" help:"The same of one lease."`
-	Hold leaseHoldCommand `cmd:"" help:"Hold a lease while a command runs: lease hold NAME -- COMMAND. It is ended before the lease can pass on."`
-	Free leaseFreeCommand `cmd:"" help:"Ask a lease's holder to give it up."`
+	List leaseListCommand `cmd:"" help:"List all leases and their holders, as known to the voters."`
+	Show leaseShowCommand `cmd:"" help:"Show one lease and the voters."`
+	Hold leaseHoldCommand `cmd:"" help:"Hold a lease while a command runs: lease hold NAME -- COMMAND. The command is stopped before another holder can get the lease."`
+	Free leaseFreeCommand `cmd:"" help:"Ask the holder of a lease to release it."`
 	Keep leaseKeepCommand `cmd:"" hidden:""`
 }
 
@@ -45,7 +45,7 @@
 type leaseShowCommand struct {
 	socketFlag
 	JSON bool   `help:"Print JSON."`
-	Name string `arg:"" help:"The lease."`
+	Name string `arg:"" help:"Name of the lease."`
 }
 
 // Run prints one lease and the voters.
@@ -53,7 +53,7 @@
 	return printLeases(out, l.Socket, l.Name, l.JSON)
 }
 
-// printLeases prints what the voters know of all leases, or of the one that is named.
+// printLeases prints the voters, and all leases as the voters know them or only the named one.
 func printLeases(out io.Writer, socket, name string, asJSON bool) error {
 	var overview leaseservice.Overview
 	if err := adminsocket.Ask(socket, adminsocket.Request{Command: "leases", Name: name}, &overview); err != nil {
@@ -85,26 +85,26 @@
 // leaseFreeCommand is cairntiller lease free.
 type leaseFreeCommand struct {
 	socketFlag
-	Name string `arg:"" help:"The lease."`
+	Name string `arg:"" help:"Name of the lease."`
 }
 
-// Run asks a lease's holder to give it up, and prints whom.
+// Run asks the holder of a lease to release it, and prints the holder.
 func (l *leaseFreeCommand) Run(out io.Writer) error {
 	var status leaseservice.LeaseStatus
 	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &status); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s, which holds it under term %d, was asked to give it up\n", status.Holder, status.Term)
+	fmt.Fprintf(out, "%s, which holds the lease under term %d, was asked to release it\n", status.Holder, status.Term)
 	return nil
 }
 
 // leaseHoldCommand is cairntiller lease hold.
 type leaseHoldCommand struct {
 	socketFlag
-	Length   time.Duration `help:"Length of the lease: how long nobody has it after this machine fails."`
-	Turn     time.Duration `help:"After this time others of the same priority who wait may have it."`
-	Priority int           `help:"Who waits with a higher one goes first, and takes it over."`
-	Wait     time.Duration `help:"Give up after this time without the lease; the exit code is 123 then."`
+	Length   time.Duration `help:"Length of the lease, which is also how long it stays unavailable after this machine fails."`
+	Turn     time.Duration `help:"Time after which waiting candidates of the same priority may get the lease."`
+	Priority int           `help:"Candidates with a higher priority get the lease first and take it over from a holder with a lower one."`
+	Wait     time.Duration `help:"Longest time to wait for the lease; after it the exit code is 123."`
 	Args     []string      `arg:"" passthrough:"" help:"NAME -- COMMAND and its arguments."`
 }
 
@@ -125,13 +125,13 @@
 	return supervisor.ExitCode(code)
 }
 
-// leaseKeepCommand is the hidden cairntiller lease keep: the supervisor's process, which lease hold starts.
+// leaseKeepCommand is the hidden sub-command cairntiller lease keep, the supervisor process that lease hold starts.
 type leaseKeepCommand struct {
 	Room time.Duration `required:""`
 	Args []string      `arg:"" passthrough:""`
 }
 
-// Run runs the command until its time is over.
+// Run runs the command until it ends or its time is over.
 func (l *leaseKeepCommand) Run(_ io.Writer) error {
 	return supervisor.ExitCode(supervisor.Supervise(l.Args, os.Stdin, leaseservice.Clock, l.Room))
 }
--- a/cmd/cairntiller/main.go
+++ b/cmd/cairntiller/main.go
@@ -1,4 +1,4 @@
-// Command cairntiller is one router, and what an operator needs beside it.
+// Command cairntiller runs a router and has sub-commands for its operators.
 package main
 
 import (
@@ -17,34 +17,34 @@
 
 // The exit codes.
 const (
-	exitFailure = 1 // it could not run, or a file has faults
-	exitUsage   = 2 // the command line can't be read
+	exitFailure = 1 // the command failed, or a file has faults
+	exitUsage   = 2 // the command line is invalid
 )
 
-// commandLine is the command line.
+// commandLine has the flags and sub-commands.
 type commandLine struct {
-	Log slog.Level `default:"info" placeholder:"LEVEL" help:"Least level of what is logged: debug, info, warn or error."`
+	Log slog.Level `default:"info" placeholder:"LEVEL" help:"Minimum log level: debug, info, warn or error."`
 
-	Run      runCommand      `cmd:"" default:"withargs" help:"Run a router. This is what happens without a command."`
-	Check    checkCommand    `cmd:"" help:"Read an operator's file and name every fault in it with its place."`
-	Classify classifyCommand `cmd:"" help:"Class statements, as a file or standard input gives them: class, cost, shape, route and reason of each."`
-	Lease    leaseCommands   `cmd:"" help:"The fleet's leases: who holds them; hold one while a command runs."`
-	Fleet    fleetCommands   `cmd:"" help:"Releases: who goes out and when, agreed across the fleet."`
+	Run      runCommand      `cmd:"" default:"withargs" help:"Run a router. This is the default command."`
+	Check    checkCommand    `cmd:"" help:"Validate an operator's file and print every fault with its position."`
+	Classify classifyCommand `cmd:"" help:"Classify statements from a file or standard input: print class, cost, shape, route and reason of each."`
+	Lease    leaseCommands   `cmd:"" help:"List, hold and free the cluster's leases."`
+	Fleet    fleetCommands   `cmd:"" help:"Roll out releases and drain nodes, coordinated across the fleet."`
 	Version  versionCommand  `cmd:"" help:"Print the version."`
-	Demo     demoCommand     `cmd:"" help:"Show a router at work before simulated nodes on this machine, with a primary that dies half-way."`
+	Demo     demoCommand     `cmd:"" help:"Run a router in front of simulated nodes on this machine, and kill a primary halfway through."`
 }
 
 // runCommand runs a router.
 type runCommand struct {
-	File string `type:"existingfile" placeholder:"FILE" help:"The operator's file, of S-expressions; see deploy/ and docs/operate/. Without one every part has its defaults."`
+	File string `type:"existingfile" placeholder:"FILE" help:"Operator's file, of S-expressions; see deploy/ and docs/operate/. Without it every part has its defaults."`
 }
 
-// checkCommand reads an operator's file.
+// checkCommand validates an operator's file.
 type checkCommand struct {
-	File string `arg:"" help:"The operator's file."`
+	File string `arg:"" help:"Operator's file."`
 }
 
-// Run prints that there are no faults; its error holds all that there are.
+// Run prints that the file has no faults, or returns an error with all of them.
 func (c *checkCommand) Run(out io.Writer) error {
 	if err := serve.CheckFile(c.File); err != nil {
 		return err
@@ -56,13 +56,13 @@
 // versionCommand prints the version that the program was built from.
 type versionCommand struct{}
 
-// Run prints it.
+// Run prints the version.
 func (versionCommand) Run(out io.Writer) error {
 	version := "unversioned"
 	if b, ok := debug.ReadBuildInfo(); ok {
-		for _, one := range b.Settings {
-			if one.Key == "vcs.revision" {
-				version = one.Value
+		for _, setting := range b.Settings {
+			if setting.Key == "vcs.revision" {
+				version = setting.Value
 			}
 		}
 		version += " " + b.GoVersion
@@ -71,34 +71,34 @@
 	return nil
 }
 
-// description is the head of the help.
-const description = `One process is one router: it takes commands from clients in PostgreSQL's protocol and sends each to a node of its group, writes to the primary and reads to a replica that is proven new enough.
+// description is the introduction of the help text.
+const description = `Each process is one router. It accepts commands from clients over PostgreSQL's protocol and sends each to a node of its group: writes to the primary, reads to a replica that is known to be recent enough.
 
-A router is told by the file in RELAY_CONFIG, and by RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY, what it is, where it listens and what it balances. SIGHUP reads the files again, SIGUSR1 prints the counters, SIGTERM stops it in order.
+The file named by RELAY_CONFIG sets the router's name, its listen address and the address of discovery; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY override them at startup. SIGHUP reloads the files, SIGUSR1 prints the counters, SIGTERM stops the router gracefully.
 
-Exit codes: 0 done, 1 it could not run or a file has faults, 2 the command line can't be read.`
+Exit codes: 0 success, 1 the command failed or a file has faults, 2 the command line is invalid.`
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run is the whole command; it returns the exit code.
+// run runs the program and returns its exit code.
 func run(args []string, out, errs io.Writer) int {
-	if len(args) == 0 { // as platforms start it: nothing of the command line need be in memory
+	if len(args) == 0 { // how platforms start it; skips the command-line parser to save its memory
 		return runRouter(errs, &runCommand{}, slog.LevelInfo)
 	}
 	var line commandLine
-	ended := -1
+	exitCode := -1
 	parser, err := kong.New(&line, kong.Name("cairntiller"), kong.Description(description), kong.UsageOnError(),
-		kong.Writers(out, errs), kong.Exit(func(code int) { ended = code }), kong.BindTo(out, (*io.Writer)(nil)))
+		kong.Writers(out, errs), kong.Exit(func(code int) { exitCode = code }), kong.BindTo(out, (*io.Writer)(nil)))
 	if err != nil {
-		panic(err) // a sub-command is declared wrongly: it shows at the first use of any
+		panic(err) // a sub-command is declared wrongly; any use of the command line shows it
 	}
 	ctx, err := parser.Parse(args)
-	if ended >= 0 { // help was asked for
-		return ended
+	if exitCode >= 0 { // the parser printed the help
+		return exitCode
 	}
 	if err != nil {
 		fmt.Fprintln(errs, "cairntiller:", err)
-		fmt.Fprintln(errs, "cairntiller --help tells what there is.")
+		fmt.Fprintln(errs, "Run cairntiller --help for usage.")
 		return exitUsage
 	}
 	if ctx.Command() == "run" {
@@ -116,27 +116,27 @@
 	return 0
 }
 
-// setLogger sends the log of the whole program, from a level on, to a writer.
+// setLogger makes the default logger write records of at least the given level to errs.
 func setLogger(errs io.Writer, level slog.Level) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level})))
 }
 
-// runRouter runs a router to its end.
+// runRouter runs a router until it stops, and returns the exit code.
 func runRouter(errs io.Writer, c *runCommand, level slog.Level) int {
 	setLogger(errs, level)
 	if err := serve.Run(c.File, serve.TestHooks{}); err != nil {
-		slog.Error("cannot run", "err", err)
+		slog.Error("router failed", "err", err)
 		return exitFailure
 	}
 	return 0
 }
 
-// printError prints an error, each of several on a line of its own.
+// printError prints an error; each part of a joined error goes on its own line.
 func printError(errs io.Writer, err error) {
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
-		for _, one := range joined.Unwrap() {
-			fmt.Fprintln(errs, one)
+		for _, part := range joined.Unwrap() {
+			fmt.Fprintln(errs, part)
 		}
 		return
 	}
--- a/cmd/cairntiller/main_test.go
+++ b/cmd/cairntiller/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestMain lets the test's program be the router that a demo starts.
+// TestMain lets the test binary run as the router process that the demo starts.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "run" {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -16,7 +16,7 @@
 	os.Exit(m.Run())
 }
 
-// TestDemo: a primary dies, its group's writes go on, and no rule is broken.
+// TestDemo checks that writes resume after the kill of a primary and that no guarantee is broken.
 func TestDemo(t *testing.T) {
 	code, out, errs := runCommandLine(t, "demo", "--groups", "1", "--for", "4s")
 	if code != 0 || !strings.Contains(out, "is killed") || !strings.Contains(out, "none ran twice") {
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestRunWithoutConfiguration: without a command it runs a router, which says what it lacks.
+// TestRunWithoutConfiguration checks that the program runs a router by default, and that its error names RELAY_CONFIG.
 func TestRunWithoutConfiguration(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", "/nowhere")
 	if code, _, errs := runCommandLine(t); code != exitFailure || !strings.Contains(errs, "RELAY_CONFIG") {
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestClassify: a line for each statement, whatever is in it.
+// TestClassify checks that classify prints one line of five columns for each statement, whatever it contains.
 func TestClassify(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -104,11 +104,11 @@
 		code, out, errs := runCommandLine(t, c.args...)
 		var classes []string
 		for line := range strings.Lines(out) {
-			f := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
-			if len(f) != 5 {
+			columns := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
+			if len(columns) != 5 {
 				t.Errorf("%q", line)
 			}
-			classes = append(classes, f[0])
+			classes = append(classes, columns[0])
 		}
 		if got := strings.Join(classes, " "); code != 0 || got != c.want {
 			t.Errorf("%v: %d, %s, want %s: %s", c.args, code, got, c.want, errs)
