--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts isolated instances of the decision module on standard input and output.
+// Command adapter runs isolated instances of the routing module and exchanges messages with a simulator over standard
+// input and output.
 package main
 
 import (
--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -1,5 +1,6 @@
-// Command proof runs the proofs of the project's subsystems, on loopback with real processes and in simulated time. Each ends
-// with one line and exits 0 only where every limit holds. The Makefile has the usual calls.
+// Command proof runs system tests, called proofs, of the project's subsystems: with real processes on loopback and in
+// simulated time. Each proof ends with one line of results, and exits 0 only if every limit holds. The Makefile has targets
+// that run them.
 package main
 
 import (
@@ -18,28 +19,28 @@
 	"cairntiller/internal/testcluster/proof"
 )
 
-// commandLine is the command line: one sub-command a proof.
+// commandLine has one sub-command per proof, and the hidden ones that a proof starts as its processes.
 type commandLine struct {
-	Duties             dutiesCommand            `cmd:"" help:"Three routers share health checks; one is killed, one stopped, one cut off."`
-	DutiesSimulation   dutiesSimulationCommand  `cmd:"" help:"Shared health checks among many instances, in simulated time."`
-	Statements         statementsCommand        `cmd:"" help:"A corpus of statements whose classes are known, and a morning's mix."`
-	Leases             leasesCommand            `cmd:"" help:"Router processes hold leases under mixed faults; commands and operations must never overlap."`
-	LeasesSimulation   leaseSimulationCommand   `cmd:"" help:"The deciding module of leases in simulated time, under mixed faults and with planted mistakes."`
-	Releases           releasesCommand          `cmd:"" help:"Router processes and nodes go through plans under load; never too many are out."`
-	ReleasesSimulation rolloutSimulationCommand `cmd:"" help:"The deciding module of releases in simulated time, under mixed faults and with planted mistakes."`
+	Duties             dutiesCommand            `cmd:"" help:"Three router processes share health checks; one is killed, one is paused, one loses its network."`
+	DutiesSimulation   dutiesSimulationCommand  `cmd:"" help:"Health checks shared by many instances, in simulated time."`
+	Statements         statementsCommand        `cmd:"" help:"Classify a corpus of statements with known classes, and replay a skewed mix of statement shapes."`
+	Leases             leasesCommand            `cmd:"" help:"Router processes hold leases under mixed faults; the commands and operations of two holders must never overlap."`
+	LeasesSimulation   leaseSimulationCommand   `cmd:"" help:"The decision module of leases in simulated time, under mixed faults and with injected bugs."`
+	Releases           releasesCommand          `cmd:"" help:"Rollout plans of router processes and nodes under load; no more may be out at once than the budget allows."`
+	ReleasesSimulation rolloutSimulationCommand `cmd:"" help:"The decision module of rollouts in simulated time, under mixed faults and with injected bugs."`
 	Child              childCommand             `cmd:"" hidden:""`
 	proof.Hidden
 }
 
-// printClosingLine prints a proof's closing line, where it got as far as one, and passes its error on.
-func printClosingLine(end string, err error) error {
-	if end != "" {
-		fmt.Println(end)
+// printResult prints a proof's result line unless it is empty, and returns err unchanged.
+func printResult(result string, err error) error {
+	if result != "" {
+		fmt.Println(result)
 	}
 	return err
 }
 
-// logWriter is where the routers' log goes.
+// logWriter returns standard error for the routers' log if on is set; otherwise the log is discarded.
 func logWriter(on bool) io.Writer {
 	if on {
 		return os.Stderr
@@ -47,58 +48,58 @@
 	return io.Discard
 }
 
-// dutiesCommand plays shared health checks with processes.
+// dutiesCommand runs the proof of shared health checks with processes.
 type dutiesCommand struct {
-	Seed  uint64 `default:"1" help:"For the order of faults."`
-	Size  int    `default:"10" help:"Nodes."`
-	Short bool   `help:"The short form."`
-	Log   bool   `help:"Print what the routers log."`
+	Seed  uint64 `default:"1" help:"Random seed of the order of faults."`
+	Size  int    `default:"10" help:"Number of nodes."`
+	Short bool   `help:"Run the short form."`
+	Log   bool   `help:"Print the log of the routers."`
 }
 
-// Run runs it.
+// Run runs the proof.
 func (c *dutiesCommand) Run() error {
-	return printClosingLine(proof.Assignment{Seed: c.Seed, Nodes: c.Size, Short: c.Short, Interval: time.Second, Log: logWriter(c.Log), Output: os.Stdout}.Run())
+	return printResult(proof.Assignment{Seed: c.Seed, Nodes: c.Size, Short: c.Short, Interval: time.Second, Log: logWriter(c.Log), Output: os.Stdout}.Run())
 }
 
-// dutiesSimulationCommand plays shared health checks in simulated time.
+// dutiesSimulationCommand runs the proof of shared health checks in simulated time.
 type dutiesSimulationCommand struct {
-	Seed  uint64 `default:"1" help:"For delays, phases and churn."`
-	Sizes string `default:"3x10,3x1000,30x1000,300x1000,1000x1000" help:"Instances x boxes, each."`
+	Seed  uint64 `default:"1" help:"Random seed of delays, phases and churn."`
+	Sizes string `default:"3x10,3x1000,30x1000,300x1000,1000x1000" help:"Comma-separated sizes of the runs, each INSTANCESxNODES."`
 }
 
-// Run runs it.
+// Run runs the proof.
 func (c *dutiesSimulationCommand) Run() error {
 	sizes, err := parseSizes(c.Sizes)
 	if err != nil {
 		return err
 	}
-	return printClosingLine(proof.AssignmentSimulation{Seed: c.Seed, Sizes: sizes, Output: os.Stdout}.Run())
+	return printResult(proof.AssignmentSimulation{Seed: c.Seed, Sizes: sizes, Output: os.Stdout}.Run())
 }
 
-// statementsCommand plays the classes of statements.
+// statementsCommand runs the proof of statement classification.
 type statementsCommand struct {
-	Seed uint64 `default:"1" help:"For the corpus and the mix."`
-	Size int    `default:"20000" help:"Statements of the corpus."`
+	Seed uint64 `default:"1" help:"Random seed of the corpus and the mix."`
+	Size int    `default:"20000" help:"Number of statements in the corpus."`
 }
 
-// Run runs it.
+// Run runs the proof.
 func (c *statementsCommand) Run() error {
-	return printClosingLine(proof.Statements{Seed: c.Seed, Size: c.Size, Morning: 200_000, Writes: os.Stdout}.Run())
+	return printResult(proof.Statements{Seed: c.Seed, Size: c.Size, Morning: 200_000, Writes: os.Stdout}.Run())
 }
 
-// leasesCommand plays leases with processes.
+// leasesCommand runs the proof of leases with processes.
 type leasesCommand struct {
-	Seed    uint64        `default:"1" help:"For faults, clocks and their order."`
-	Voters  int           `default:"3" help:"Voters."`
-	Others  int           `default:"2" help:"Processes that do not vote."`
-	Span    time.Duration `default:"40s" help:"Of mixed faults."`
-	Lasting bool          `help:"Voters have a lasting place."`
-	Script  string        `type:"existingfile" help:"A script of faults to play instead."`
-	Print   bool          `help:"Print the script and play nothing."`
-	Log     bool          `help:"Print what the routers log."`
+	Seed    uint64        `default:"1" help:"Random seed of faults, clocks and their order."`
+	Voters  int           `default:"3" help:"Number of voters."`
+	Others  int           `default:"2" help:"Number of processes that do not vote."`
+	Span    time.Duration `default:"40s" help:"Duration of the mixed faults."`
+	Lasting bool          `help:"Voters store their votes on disk."`
+	Script  string        `type:"existingfile" help:"Script of faults to run instead of a random one."`
+	Print   bool          `help:"Print the random script without running it."`
+	Log     bool          `help:"Print the log of the routers."`
 }
 
-// Run runs it.
+// Run runs the proof.
 func (c *leasesCommand) Run() error {
 	leases := proof.LeaseProof{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Measurements: 6, Log: logWriter(c.Log), Writes: os.Stdout}
 	if c.Script != "" {
@@ -114,84 +115,84 @@
 		fmt.Print(leases.RandomScript())
 		return nil
 	}
-	return printClosingLine(leases.Run())
+	return printResult(leases.Run())
 }
 
-// leaseSimulationCommand plays the deciding package of leases in simulated time.
+// leaseSimulationCommand runs the proof of package lease in simulated time.
 type leaseSimulationCommand struct {
 	From  uint64 `default:"0" help:"First seed."`
-	Seeds int    `default:"100000" help:"Runs of mixed faults."`
-	Plant int    `default:"20000" help:"Seeds tried at most for each planted mistake, 0 for none."`
-	Sizes string `default:"3x1,3x1000,30x1000,300x1000,1000x1000,1000x10000" help:"Instances x leases, each; empty for none."`
+	Seeds int    `default:"100000" help:"Number of seeds run with mixed faults."`
+	Plant int    `default:"20000" help:"Maximum number of seeds tried to detect each injected bug; 0 injects none."`
+	Sizes string `default:"3x1,3x1000,30x1000,300x1000,1000x1000,1000x10000" help:"Comma-separated sizes of the runs that measure scale, each INSTANCESxLEASES; empty for none."`
 }
 
-// Run runs it.
+// Run runs the proof.
 func (c *leaseSimulationCommand) Run() error {
 	sizes, err := parseSizes(c.Sizes)
 	if err != nil {
 		return err
 	}
-	return printClosingLine(proof.LeaseSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
+	return printResult(proof.LeaseSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
 }
 
-// releasesCommand plays rollouts with processes.
+// releasesCommand runs the proof of rollouts with processes.
 type releasesCommand struct {
-	Seed    uint64 `default:"1" help:"For faults and their order."`
-	Routers int    `default:"12" help:"Router processes."`
-	Voters  int    `default:"3" help:"Voters among them."`
-	Groups  int    `default:"8" help:"Groups of three nodes, one in each zone."`
-	Nodes   int    `default:"8" help:"Nodes that are drained and returned."`
-	Faults  bool   `help:"Kill, stop and cut off routers meanwhile."`
-	Lose    bool   `help:"Kill whoever leads, twice."`
-	Alone   bool   `help:"The baseline: each router is restarted by itself, at a time of its own."`
-	Log     bool   `help:"Print what the routers log."`
-}
-
-// Run runs it.
+	Seed    uint64 `default:"1" help:"Random seed of faults and their order."`
+	Routers int    `default:"12" help:"Number of router processes."`
+	Voters  int    `default:"3" help:"Number of voters among the routers."`
+	Groups  int    `default:"8" help:"Number of groups of three nodes, one in each zone."`
+	Nodes   int    `default:"8" help:"Number of nodes that are drained and returned."`
+	Faults  bool   `help:"Kill, pause and isolate routers while plans run."`
+	Lose    bool   `help:"Kill the leading router twice in the middle of a wave."`
+	Alone   bool   `help:"Run the baseline instead: each router is restarted on its own, without coordination."`
+	Log     bool   `help:"Print the log of the routers."`
+}
+
+// Run runs the proof.
 func (c *releasesCommand) Run() error {
 	p := proof.RolloutProof{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Writes: os.Stdout}
-	return printClosingLine(p.Run())
+	return printResult(p.Run())
 }
 
-// rolloutSimulationCommand plays the deciding package of rollouts in simulated time.
+// rolloutSimulationCommand runs the proof of package rollout in simulated time.
 type rolloutSimulationCommand struct {
 	From  uint64 `default:"0" help:"First seed."`
-	Seeds int    `default:"50000" help:"Runs of mixed faults."`
-	Plant int    `default:"3000" help:"Seeds tried at most for each planted mistake, 0 for none."`
-	Halts int    `default:"1000" help:"Pairs of a good version and of one that fails 2% more."`
-	Sizes []int  `default:"10,30,100,300,1000" help:"Routers of plans without faults."`
-	Trace bool   `help:"Play the first seed alone and print what happens."`
+	Seeds int    `default:"50000" help:"Number of seeds run with mixed faults."`
+	Plant int    `default:"3000" help:"Maximum number of seeds tried to detect each injected bug; 0 injects none."`
+	Halts int    `default:"1000" help:"Number of pairs of a good version and a bad one, which fails 2% more of its commands."`
+	Sizes []int  `default:"10,30,100,300,1000" help:"Numbers of routers in the plans run without faults."`
+	Trace bool   `help:"Run only the first seed and print its events."`
 }
 
-// Run runs it.
+// Run runs the proof.
 func (c *rolloutSimulationCommand) Run() error {
 	if c.Trace {
 		return proof.TraceRolloutSimulation(c.From, os.Stdout)
 	}
-	return printClosingLine(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Writes: os.Stdout}.Run())
+	return printResult(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Writes: os.Stdout}.Run())
 }
 
-// parseSizes reads a list such as 3x10,30x1000.
+// parseSizes parses a comma-separated list of sizes, such as 3x10,30x1000.
 func parseSizes(text string) (all [][2]int, err error) {
 	if text == "" {
 		return nil, nil
 	}
-	for one := range strings.SplitSeq(text, ",") {
+	for field := range strings.SplitSeq(text, ",") {
 		var size [2]int
-		if _, err := fmt.Sscanf(one, "%dx%d", &size[0], &size[1]); err != nil || size[0] < 2 || size[1] < 1 {
-			return nil, fmt.Errorf("%q: want two numbers such as 30x1000", one)
+		if _, err := fmt.Sscanf(field, "%dx%d", &size[0], &size[1]); err != nil || size[0] < 2 || size[1] < 1 {
+			return nil, fmt.Errorf("size %q: want two numbers such as 30x1000, at least 2x1", field)
 		}
 		all = append(all, size)
 	}
 	return all, nil
 }
 
-// childCommand is a router process of a proof.
+// childCommand runs a router process of the proof of shared health checks.
 type childCommand struct {
 	File string
 }
 
-// Run runs it.
+// Run runs the router until its standard input ends.
 func (c *childCommand) Run() error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	return proof.RunSharingRouter(c.File)
@@ -199,7 +200,7 @@
 
 func main() {
 	var commands commandLine
-	ctx := kong.Parse(&commands, kong.Name("proof"), kong.Description("Proofs of the project's subsystems."), kong.UsageOnError())
+	ctx := kong.Parse(&commands, kong.Name("proof"), kong.Description("Runs system tests of the project's subsystems."), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
 		var code supervisor.ExitCode
 		if errors.As(err, &code) {
