--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -41,7 +41,7 @@
 }
 
 // readSettings reads the statements part of the operator's file. It accepts any name in the parts fleet and duties, which
-// the router checks.
+// the router checks. Any other part is reported as an unknown name.
 func (c *classifyCommand) readSettings() (sql.Settings, error) {
 	if c.File == "" {
 		return sql.ReadSettings(sexp.EmptyFile().Part("statements")), nil
--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -156,7 +156,7 @@
 }
 
 // runSession sends the commands of one client session until end: 20% are writes, 40% read the session's own writes, and
-// 40% read any state.
+// 40% are reads that accept data of any age.
 func (d *demoCommand) runSession(router *cluster.Router, i int, end time.Time, observed *observations) {
 	random := rand.New(rand.NewPCG(d.Seed, uint64(i)))
 	session := router.NewSession(fmt.Sprint("session", i))
@@ -257,7 +257,7 @@
 	return counts
 }
 
-// printNodes prints how many commands and probes each node received, before and after the kill.
+// printNodes prints how many commands each node received before and after the kill, and how many probes in all.
 func printNodes(out io.Writer, c *database.Cluster, before map[string]int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "node\trole\tcommands before\tafter\tprobes\t")
