--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -6,13 +6,13 @@
 	"cairntiller/internal/decimal"
 )
 
-// Reader reads single values, and keeps the first fault in Err, a *FieldError. An absent value reads as 0.
+// Reader parses single values and keeps the first error, a *FieldError, in Err. An absent value reads as 0.
 type Reader struct {
 	Values Values
 	Err    error
 }
 
-// Time reads decimal milliseconds as whole microseconds.
+// Time parses decimal milliseconds and returns whole microseconds.
 func (r *Reader) Time(path string) int64 { return r.time(path, r.Values[path]) }
 
 func (r *Reader) time(path, value string) int64 {
@@ -26,32 +26,32 @@
 	return t
 }
 
-// Int reads a whole number.
+// Int parses an integer.
 func (r *Reader) Int(path string) int {
 	if r.Values[path] == "" {
 		return 0
 	}
 	i, err := strconv.Atoi(r.Values[path])
 	if err != nil {
-		r.fail(path, "no whole number")
+		r.fail(path, "not a whole number")
 	}
 	return i
 }
 
-// Float reads a number.
+// Float parses a floating-point number.
 func (r *Reader) Float(path string) float64 {
 	if r.Values[path] == "" {
 		return 0
 	}
 	f, err := strconv.ParseFloat(r.Values[path], 64)
 	if err != nil {
-		r.fail(path, "no number")
+		r.fail(path, "not a number")
 	}
 	return f
 }
 
-func (r *Reader) fail(path, why string) {
+func (r *Reader) fail(path, reason string) {
 	if r.Err == nil {
-		r.Err = &FieldError{path, why}
+		r.Err = &FieldError{path, reason}
 	}
 }
--- a/internal/settings/routing_config.go
+++ b/internal/settings/routing_config.go
@@ -8,31 +8,31 @@
 	"cairntiller/internal/routing"
 )
 
-// Catalog holds the numbers under which the routing module knows command groups and tenants, and what others need to
-// know of the groups.
+// Catalog maps the names of command groups and tenants to their indexes in routing.Config, and holds the properties of
+// the groups that other packages use.
 type Catalog struct {
 	GroupNumbers, TenantNumbers map[string]int // by name
-	LatencyObjectives           []int64        // us, by group number
-	LongestClientTimeout        int64          // us, of all groups
+	LatencyObjectives           []int64        // us, by group index
+	LongestClientTimeout        int64          // us, over all groups
 }
 
-// RoutingConfig reads the routing module's start values. An attempt may go out up to sendDelay us after it was decided;
-// the staleness that a read allows at its sending is cut by that. The error is a *FieldError.
+// RoutingConfig returns the configuration of the routing module. An attempt may be sent up to sendDelay us after the
+// decision to start it, so the maximum staleness of reads is reduced by sendDelay. The error is a *FieldError.
 func (v Values) RoutingConfig(sendDelay int64) (routing.Config, Catalog, error) {
-	n := &Reader{Values: v}
+	r := &Reader{Values: v}
 	config := routing.Config{
 		Zone:               v["az"],
-		Routers:            n.Int("siblings"),
-		TimeResolution:     n.Time("round"),
-		CommandGroups:      v.commandGroups(n, sendDelay),
-		Tenants:            v.tenants(n),
-		OverQuotaWeight:    n.Float("overShareWorth"),
+		Routers:            r.Int("siblings"),
+		TimeResolution:     r.Time("round"),
+		CommandGroups:      v.commandGroups(r, sendDelay),
+		Tenants:            v.tenants(r),
+		OverQuotaWeight:    r.Float("overShareWorth"),
 		ClientsCarryTokens: v["domain.writeMarks"] == "carried",
 		UseRemovedNodes:    v.enabled("rules.droppedStayOpen"),
 		PollEndpoints:      v["registryMode"] == "on_request",
 	}
 	config.Attempts = routing.AttemptConfig{
-		Max:        n.Int("limits.maxAttempts"),
+		Max:        r.Int("limits.maxAttempts"),
 		Cancelable: v.enabled("limits.cancel"),
 		Hedging:    v.enabled("limits.secondCopies"),
 	}
@@ -42,42 +42,42 @@
 		ReportsRole:     v.reports(pgwire.LoadPrimary),
 	}
 	config.SlowStart = routing.SlowStartConfig{
-		Duration:         n.Time("rules.cold"),
-		InitialCapacity:  n.Float("rules.coldFrom"),
-		OverloadMultiple: n.Float("rules.fallMultiple"),
-		OverloadWindow:   n.Time("rules.fall"),
+		Duration:         r.Time("rules.cold"),
+		InitialCapacity:  r.Float("rules.coldFrom"),
+		OverloadMultiple: r.Float("rules.fallMultiple"),
+		OverloadWindow:   r.Time("rules.fall"),
 	}
-	return config, v.catalog(config), n.Err
+	return config, v.catalog(config), r.Err
 }
 
-func (v Values) commandGroups(n *Reader, sendDelay int64) (groups []routing.CommandGroupConfig) {
+func (v Values) commandGroups(r *Reader, sendDelay int64) (groups []routing.CommandGroupConfig) {
 	levels := v.List("domain.readLevel")
 	bounds := v.List("domain.oldestData")
-	for i := range n.Int("classes.count") {
+	for i := range r.Int("classes.count") {
 		path := groupPath(i)
 		groups = append(groups, routing.CommandGroupConfig{
-			Idempotency:            idempotencyOf(v[path+"effect"]),
+			Idempotency:            parseIdempotency(v[path+"effect"]),
 			DeduplicatedEverywhere: v[path+"group"] == "all",
-			Consistency:            consistencyOf(nth(levels, i)),
-			LatencyObjective:       n.Time(path + "aim"),
-			Timeout:                n.Time(path + "hardLimit"),
-			MaxStaleness:           max(0, n.time("domain.oldestData", nth(bounds, i))-sendDelay),
-			IdempotencyWindow:      n.Time(path + "window"),
-			Weight:                 n.Float(path + "points"),
-			LateWeight:             n.Float(path + "lateValue"),
+			Consistency:            parseConsistency(elementAt(levels, i)),
+			LatencyObjective:       r.Time(path + "aim"),
+			Timeout:                r.Time(path + "hardLimit"),
+			MaxStaleness:           max(0, r.time("domain.oldestData", elementAt(bounds, i))-sendDelay),
+			IdempotencyWindow:      r.Time(path + "window"),
+			Weight:                 r.Float(path + "points"),
+			LateWeight:             r.Float(path + "lateValue"),
 		})
 	}
 	return groups
 }
 
-func (v Values) tenants(n *Reader) (tenants []routing.TenantConfig) {
-	for i := range n.Int("tenants.count") {
-		tenants = append(tenants, routing.TenantConfig{Quota: n.Float(tenantPath(i) + "quotaPerS")})
+func (v Values) tenants(r *Reader) (tenants []routing.TenantConfig) {
+	for i := range r.Int("tenants.count") {
+		tenants = append(tenants, routing.TenantConfig{Quota: r.Float(tenantPath(i) + "quotaPerS")})
 	}
 	return tenants
 }
 
-// catalog names the groups and tenants of a configuration.
+// catalog returns the catalog of a configuration's groups and tenants.
 func (v Values) catalog(config routing.Config) Catalog {
 	c := Catalog{GroupNumbers: map[string]int{}, TenantNumbers: map[string]int{}}
 	for i, group := range config.CommandGroups {
@@ -94,14 +94,14 @@
 func groupPath(i int) string  { return "classes." + strconv.Itoa(i) + "." }
 func tenantPath(i int) string { return "tenants." + strconv.Itoa(i) + "." }
 
-// reports reports whether nodes' load reports hold a figure.
+// reports reports whether the nodes' load reports contain a field.
 func (v Values) reports(figure string) bool {
 	return v["report.how"] != "none" && slices.Contains(v.List("report.fields"), figure)
 }
 
-// idempotencyOf reads whether a command may run twice. One of an unknown word may not.
-func idempotencyOf(word string) routing.Idempotency {
-	switch word {
+// parseIdempotency parses a group's idempotency. An unknown value is read as not idempotent, the safe choice.
+func parseIdempotency(value string) routing.Idempotency {
+	switch value {
 	case "safe":
 		return routing.Idempotent
 	case "keyed":
@@ -110,9 +110,10 @@
 	return routing.NotIdempotent
 }
 
-// consistencyOf reads how new the data of a command must be. One of an unknown word goes to the primary alone.
-func consistencyOf(word string) routing.Consistency {
-	switch word {
+// parseConsistency parses a group's required consistency. An unknown value is read as a write, which only the primary
+// serves.
+func parseConsistency(value string) routing.Consistency {
+	switch value {
 	case "any":
 		return routing.Eventual
 	case "bounded":
@@ -125,8 +126,8 @@
 	return routing.Write
 }
 
-// nth is an entry of a list, "" past its end.
-func nth(list []string, i int) string {
+// elementAt returns the element of list at index i, or "" past its end.
+func elementAt(list []string, i int) string {
 	if i < len(list) {
 		return list[i]
 	}
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// Values are the settings by path, as the package comment lists them. An absent one reads as "".
+// Values are the settings by path, as listed in the package comment. An absent setting reads as "".
 type Values map[string]string
 
-// FieldError names the setting that could not be read. Its text is what the router ends with at start.
+// FieldError names a setting that can't be parsed. At startup, the router prints its text and exits.
 type FieldError struct{ Field, Why string }
 
 // Error implements error.
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Why }
 
-// FromJSON reads a settings object. Nested objects become paths joined by dots. A list has its length under
-// path.count; its objects and lists have their number in the path, and its plain values are joined by commas under the
-// path itself.
+// FromJSON parses a settings object. Keys of nested objects are joined by dots to form a path. The length of a list is
+// stored under path.count. Objects and lists within a list have their index in the path; its scalars are joined by
+// commas and stored under the path itself.
 func FromJSON(raw []byte) (Values, error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
@@ -28,44 +28,44 @@
 		return nil, err
 	}
 	if _, isObject := tree.(map[string]any); !isObject {
-		return nil, &FieldError{"settings", "no object"}
+		return nil, &FieldError{"settings", "not an object"}
 	}
 	values := Values{}
 	values.flatten("", tree)
 	return values, nil
 }
 
-func (v Values) flatten(path string, node any) {
-	switch node := node.(type) {
+func (v Values) flatten(path string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
-		for key, child := range node {
+		for key, child := range value {
 			v.flatten(strings.TrimPrefix(path+"."+key, "."), child)
 		}
 	case []any:
-		v.flattenList(path, node)
+		v.flattenList(path, value)
 	default:
-		v[path] = plainText(node)
+		v[path] = scalarText(value)
 	}
 }
 
-func (v Values) flattenList(path string, list []any) {
-	plain := make([]string, 0, len(list))
-	for i, element := range list {
+func (v Values) flattenList(path string, elements []any) {
+	scalars := make([]string, 0, len(elements))
+	for i, element := range elements {
 		switch element.(type) {
 		case map[string]any, []any:
 			v.flatten(path+"."+strconv.Itoa(i), element)
 		default:
-			plain = append(plain, plainText(element))
+			scalars = append(scalars, scalarText(element))
 		}
 	}
-	v[path+".count"] = strconv.Itoa(len(list))
-	if len(plain) > 0 {
-		v[path] = strings.Join(plain, ",")
+	v[path+".count"] = strconv.Itoa(len(elements))
+	if len(scalars) > 0 {
+		v[path] = strings.Join(scalars, ",")
 	}
 }
 
-// plainText is a plain JSON value as the simulator would write it: numbers without an exponent, nothing for null.
-func plainText(value any) string {
+// scalarText formats a JSON scalar as the simulator does: numbers have no exponent, and null is the empty string.
+func scalarText(value any) string {
 	switch value := value.(type) {
 	case nil:
 		return ""
@@ -79,13 +79,13 @@
 	return fmt.Sprint(value)
 }
 
-// enabled reads a setting that is on or off; JSON has true, the simulator 1.
+// enabled parses a boolean setting, which is true in JSON and 1 in the simulator.
 func (v Values) enabled(path string) bool { return v[path] == "true" || v[path] == "1" }
 
-// HealthChecksAllowed reports whether nodes may be asked for their load reports.
+// HealthChecksAllowed reports whether the router may send health checks, which ask nodes for their load reports.
 func (v Values) HealthChecksAllowed() bool { return v.enabled("limits.probes") }
 
-// List reads a list of plain values; absent, empty and "-" have none.
+// List splits a list of scalars. An absent or empty value and "-" give an empty list.
 func (v Values) List(path string) []string {
 	if v[path] == "" || v[path] == "-" {
 		return nil
--- a/internal/settings/values_test.go
+++ b/internal/settings/values_test.go
@@ -9,36 +9,36 @@
 	"cairntiller/internal/routing"
 )
 
-// TestNestedValuesBecomePaths: objects, lists, numbers with an exponent and nulls come out as paths and plain text; what is
-// no object is refused.
-func TestNestedValuesBecomePaths(t *testing.T) {
+// TestFromJSONFlattensNestedValues checks the paths and texts of objects, lists, numbers with an exponent and nulls,
+// and that input other than an object is rejected.
+func TestFromJSONFlattensNestedValues(t *testing.T) {
 	got, err := FromJSON([]byte(`{"az":"a","limits":{"cancel":true,"connIdle":15000.5},"tenants":[{"name":"x y",
 		"quotaPerS":9e1}],"domain":{"readLevel":["any","write"]},"none":null,"empty":[]}`))
 	want := Values{"az": "a", "limits.cancel": "true", "limits.connIdle": "15000.5", "tenants.count": "1",
 		"tenants.0.name": "x y", "tenants.0.quotaPerS": "90", "domain.readLevel": "any,write",
 		"domain.readLevel.count": "2", "none": "", "empty.count": "0"}
 	if err != nil || !maps.Equal(got, want) {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("FromJSON returned %v, %v", got, err)
 	}
 	for _, bad := range []string{"", "[]", "7", `{"a":`} {
 		if _, err := FromJSON([]byte(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// TestUnreadableValueIsNamed: the error says which setting can't be read.
-func TestUnreadableValueIsNamed(t *testing.T) {
+// TestRoutingConfigErrorNamesSetting checks that the error names the setting that can't be parsed.
+func TestRoutingConfigErrorNamesSetting(t *testing.T) {
 	v := Values{"classes.count": "1", "classes.0.aim": "soon"}
 	_, _, err := v.RoutingConfig(0)
-	var field *FieldError
-	if !errors.As(err, &field) || field.Field != "classes.0.aim" {
+	var fieldError *FieldError
+	if !errors.As(err, &fieldError) || fieldError.Field != "classes.0.aim" {
 		t.Error(err)
 	}
 }
 
-// TestRoutingConfigOfEverySetting reads a settings file that holds each setting of the routing module's, none at its
-// zero, with a delay at sending. The start values were checked against what the former code handed on for this file.
+// TestRoutingConfigOfEverySetting reads a file with a nonzero value for every setting of the routing module, and a send
+// delay. The expected configuration was checked against the output of an earlier implementation for the same file.
 func TestRoutingConfigOfEverySetting(t *testing.T) {
 	values, err := FromJSON([]byte(`{"az":"a","siblings":3,"round":5.25,"overShareWorth":0.25,"registryMode":"on_request",
 	"classes":[{"name":"look","effect":"safe","group":"all","window":50,"aim":100,"hardLimit":400,"points":2,"lateValue":0.5},
@@ -73,11 +73,11 @@
 		ClientsCarryTokens: true, UseRemovedNodes: true, PollEndpoints: true,
 	}
 	if !reflect.DeepEqual(config, wantConfig) {
-		t.Errorf("read %+v\nwant %+v", config, wantConfig)
+		t.Errorf("got  %+v\nwant %+v", config, wantConfig)
 	}
 	wantCatalog := Catalog{GroupNumbers: map[string]int{"look": 0, "set": 1, "put": 2}, TenantNumbers: map[string]int{"acme": 0, "other": 1},
 		LatencyObjectives: []int64{100_000, 110_000, 120_000}, LongestClientTimeout: 700_000}
 	if !reflect.DeepEqual(catalog, wantCatalog) {
-		t.Errorf("read %+v\nwant %+v", catalog, wantCatalog)
+		t.Errorf("got  %+v\nwant %+v", catalog, wantCatalog)
 	}
 }
