--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -1,4 +1,4 @@
-// Package decimal reads decimal numbers exactly, as whole multiples of a small unit.
+// Package decimal parses decimal numbers exactly, as integer multiples of a power of ten.
 package decimal
 
 import (
@@ -6,17 +6,18 @@
 	"math"
 )
 
-// ErrSyntax is the error of a text that is no decimal number, or too large a one.
-var ErrSyntax = errors.New("no decimal number")
+// ErrSyntax is returned for text that is not a decimal number, or whose value is too large.
+var ErrSyntax = errors.New("not a decimal number")
 
-// maxBeforeDigit is the largest number that takes one more digit without overflow, with room to spare.
+// maxBeforeDigit is the largest value to which a digit may be appended. It is about half of what would fit into an
+// int64.
 const maxBeforeDigit = (math.MaxInt64/2 + 1) / 10
 
-// Micros reads decimal milliseconds as whole microseconds.
+// Micros parses decimal milliseconds and returns whole microseconds.
 func Micros[T ~string | ~[]byte](text T) (int64, error) { return Scaled(text, 3) }
 
-// Scaled reads a decimal number times ten to the given power; what is smaller than one is cut off. "-" alone is 0. The
-// error is ErrSyntax.
+// Scaled parses a decimal number and multiplies it by ten to the given power; the remaining fraction is truncated. A
+// lone "-" is 0. The error is ErrSyntax.
 func Scaled[T ~string | ~[]byte](text T, power int) (int64, error) {
 	if len(text) == 1 && text[0] == '-' {
 		return 0, nil
@@ -24,7 +25,7 @@
 	negative := false
 	hasDigits := false
 	pastPoint := false
-	decimals := 0 // digits after the point that were taken
+	decimals := 0 // digits read after the decimal point
 	value := int64(0)
 	for i := range len(text) {
 		c := text[i]
--- a/internal/decimal/decimal_test.go
+++ b/internal/decimal/decimal_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestScaled: values and refusals recorded from the code as it was before its rewrite for readability.
+// TestScaled compares values and errors with those recorded from an earlier implementation.
 func TestScaled(t *testing.T) {
 	for _, c := range []struct {
 		text  string
@@ -23,10 +23,10 @@
 	} {
 		got, err := Scaled(c.text, c.power)
 		if got != c.want || (err == nil) != c.ok || err != nil && !errors.Is(err, ErrSyntax) {
-			t.Errorf("%q by %d: %d, %v; want %d, %v", c.text, c.power, got, err, c.want, c.ok)
+			t.Errorf("Scaled(%q, %d) = %d, %v; want %d, success %v", c.text, c.power, got, err, c.want, c.ok)
 		}
 		if fromBytes, errBytes := Scaled([]byte(c.text), c.power); fromBytes != got || (errBytes == nil) != (err == nil) {
-			t.Errorf("%q by %d as bytes: %d, %v", c.text, c.power, fromBytes, errBytes)
+			t.Errorf("Scaled([]byte(%q), %d) = %d, %v", c.text, c.power, fromBytes, errBytes)
 		}
 	}
 }
