--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,12 +1,12 @@
-// Package codec is CBOR (RFC 8949) as instances send and store it: deterministic on the way out, bounded on the way in.
-// It carries bytes; the packages that own a message decide its form.
+// Package codec configures CBOR (RFC 8949) for the messages that routers exchange and store: encoding is deterministic,
+// and decoding is strict and bounded. The packages that own a message define its structure.
 package codec
 
 import "github.com/fxamacker/cbor/v2"
 
 var encoding = must(cbor.CoreDetEncOptions().EncMode())
 
-// must returns a mode whose options are constants, so that they are right or nothing works.
+// must returns a mode and panics on an error. The options are constants, so an error is a bug that shows on every run.
 func must[M any](mode M, err error) M {
 	if err != nil {
 		panic(err)
@@ -14,8 +14,8 @@
 	return mode
 }
 
-// Encode encodes a value in the core deterministic form: equal values give equal bytes. It panics if the value's type can't
-// be encoded, which is a fault of the program and shows at the first use.
+// Encode encodes a value with CBOR's core deterministic encoding, so that equal values give equal bytes. It panics if
+// the value's type can't be encoded, which is a bug that shows at the first use.
 func Encode(v any) []byte {
 	raw, err := encoding.Marshal(v)
 	if err != nil {
@@ -24,8 +24,9 @@
 	return raw
 }
 
-// StrictDecoder returns a decoder for what others send: at most so many levels of nesting, elements of an array and pairs of
-// a map, no item without a stated length, no tags, no key twice. Without it a few bytes could ask for any amount of memory.
+// StrictDecoder returns a decoder for untrusted input. It limits the levels of nesting, the elements of an array and
+// the pairs of a map, and rejects items of indefinite length, tags and duplicate keys. Without these limits a few bytes
+// could make the decoder allocate any amount of memory.
 func StrictDecoder(levels, elements, pairs int) cbor.DecMode {
 	return must(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,12 +1,13 @@
-// Package invariant states what must hold. A debug build (-tags debug) stops with a panic where it does not; a release
-// build counts and logs it, and its caller goes on with what is safe.
+// Package invariant checks assumptions at run time. A violation panics in a debug build (-tags debug); a release build
+// counts and logs it, and the caller continues with a safe alternative.
 package invariant
 
 import "cairntiller/internal/metrics"
 
 var violations = metrics.New("invariants broken")
 
-// That returns whether something that must hold does; what names it in the log.
+// That reports the violation of an invariant unless holds is true, and returns holds. The text in what names the
+// invariant in the log.
 func That(holds bool, what string) bool {
 	if !holds {
 		violations.Add()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,4 @@
-// Package metrics counts what the router takes in, sends and answers. SIGUSR1 prints the counters, and so does the end of
-// a router.
+// Package metrics keeps the router's counters. They are printed on SIGUSR1 and when a router exits.
 package metrics
 
 import (
@@ -8,26 +7,26 @@
 	"sync/atomic"
 )
 
-// Counter is one figure; it only grows. Its methods may be called from any goroutine.
+// Counter is a value that only grows. Its methods are safe for concurrent use.
 type Counter struct {
 	name  string
 	value atomic.Int64
 }
 
-// counters are all that were made, in that order.
+// counters holds all counters in the order of their creation.
 var counters []*Counter
 
-// New makes a counter. Counters are made once, as package variables, and printed in the order in which they were made.
+// New creates a counter. Counters are created as package variables and printed in the order of their creation.
 func New(name string) *Counter {
 	c := &Counter{name: name}
 	counters = append(counters, c)
 	return c
 }
 
-// Add counts one more.
+// Add adds one.
 func (c *Counter) Add() { c.value.Add(1) }
 
-// RaiseTo keeps the highest value seen.
+// RaiseTo sets the counter to value if that is higher than the current value.
 func (c *Counter) RaiseTo(value int64) {
 	for {
 		highest := c.value.Load()
@@ -37,10 +36,10 @@
 	}
 }
 
-// Count is the figure now.
+// Count returns the current value.
 func (c *Counter) Count() int64 { return c.value.Load() }
 
-// Print writes all figures that are not zero, one a line.
+// Print writes all nonzero counters, one per line.
 func Print(w io.Writer) {
 	for _, c := range counters {
 		if value := c.value.Load(); value != 0 {
