--- a/internal/sexp/file.go
+++ b/internal/sexp/file.go
@@ -66,8 +66,8 @@
 		return nil, err
 	}
 	f.root = &Part{file: f, items: tree.Lists, requested: map[string]bool{}}
-	for _, node := range tree.Lists {
-		f.root.checkNamedList(node)
+	for _, item := range tree.Lists {
+		f.root.checkNamedList(item)
 	}
 	return f, nil
 }
