--- a/internal/sexp/file.go
+++ b/internal/sexp/file.go
@@ -60,7 +60,8 @@
 	if err != nil {
 		var syntaxError participle.Error
 		if errors.As(err, &syntaxError) {
-			return nil, Fault{name, syntaxError.Position().Line, syntaxError.Position().Column, describeParserMessage(syntaxError.Message()),
+			return nil, Fault{name, syntaxError.Position().Line, syntaxError.Position().Column,
+				describeParserMessage(syntaxError.Message()),
 				`lists such as (name value), with balanced parentheses and closed quotes`}
 		}
 		return nil, err
