--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,6 +1,5 @@
-// Package discovery reads the endpoint list of the platform's discovery, and watches it so that the router's own stays
-// true.
+// Package discovery reads the endpoint list of the platform's discovery service and watches it for changes.
 //
-// A watch asks for the complete list once, then follows the changes after the version that it has. Where it ends, falls
-// silent or says what can't be read, the next begins after a backoff and goes on from the last version taken.
+// A watch first requests the complete list, then the changes since the version that it has. If a watch ends, times out
+// or receives invalid data, a new one starts after a backoff and continues from the last version applied.
 package discovery
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -8,23 +8,23 @@
 	"cairntiller/internal/routing"
 )
 
-// Endpoint is one entry of a list: a node, and where it listens.
+// Endpoint is an entry of an endpoint list: a node and the address at which it listens.
 type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Shard                     int
 	State                     routing.EndpointState
 	Primary                   bool
-	StartedAt                 int64 // us in Unix time, 0 for long ago
+	StartedAt                 int64 // us in Unix time; 0 for long ago
 }
 
-// EndpointList is the complete list, or the endpoints that have changed since another version.
+// EndpointList is the complete list of endpoints, or the endpoints that have changed since an earlier version.
 type EndpointList struct {
 	Version   int64
 	Complete  bool
 	Endpoints []Endpoint
 }
 
-// wireList is a list as discovery writes it.
+// wireList is the JSON form of an endpoint list.
 type wireList struct {
 	Index     *int64
 	Snapshot  bool
@@ -37,20 +37,20 @@
 	Since                                   float64 `json:"since_ms"`
 }
 
-// states are an endpoint's states by their name on the wire.
+// states maps the JSON form of an endpoint's status to its state.
 var states = map[string]routing.EndpointState{
 	"active":  routing.Up,
 	"leaving": routing.Draining,
 	"left":    routing.Removed,
 }
 
-// Why a list is refused, besides JSON that can't be read.
+// Errors for invalid lists, besides those of package json.
 var (
-	ErrNoVersion       = errors.New("no version")
-	ErrUnnamedEndpoint = errors.New("a node without name or address")
+	ErrNoVersion       = errors.New("endpoint list without a version")
+	ErrUnnamedEndpoint = errors.New("endpoint without a name or address")
 )
 
-// UnknownStatusError is the error of a list with an endpoint whose state has no meaning here.
+// UnknownStatusError is returned for a list with an endpoint whose status is unknown.
 type UnknownStatusError struct{ Node, Status string }
 
 // Error implements error.
@@ -58,8 +58,7 @@
 	return fmt.Sprintf("node %q: unknown status %q", e.Node, e.Status)
 }
 
-// DecodeEndpointList reads one list as discovery writes it. One that is broken anywhere is refused as a whole, and
-// changes nothing.
+// DecodeEndpointList decodes an endpoint list from JSON. A list with any invalid entry is rejected as a whole.
 func DecodeEndpointList(raw []byte) (*EndpointList, error) {
 	var wire wireList
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -69,8 +68,8 @@
 		return nil, ErrNoVersion
 	}
 	list := &EndpointList{Version: *wire.Index, Complete: wire.Snapshot, Endpoints: make([]Endpoint, 0, len(wire.Endpoints))}
-	for _, one := range wire.Endpoints {
-		endpoint, err := one.decode()
+	for _, entry := range wire.Endpoints {
+		endpoint, err := entry.decode()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -14,7 +14,7 @@
 const leavingEndpoint = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"leaving","weight":1.0,` +
 	`"since_ms":17.5,"role":"primary","new":{}}`
 
-// TestDecodeEndpointList: an endpoint with fields that are not known is read; a list that is broken anywhere is refused.
+// TestDecodeEndpointList checks that unknown fields are ignored and that a list with any invalid part is rejected.
 func TestDecodeEndpointList(t *testing.T) {
 	l, err := DecodeEndpointList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + leavingEndpoint + `],"more":1}`))
 	want := Endpoint{"s-1", "127.0.0.1:1", "a", "m", 3, routing.Draining, true, 17_500}
@@ -25,20 +25,20 @@
 		`{"index":1,"endpoints":[` + strings.Replace(leavingEndpoint, "leaving", "asleep", 1) + `]}`,
 		`{"index":1,"endpoints":[` + strings.Replace(leavingEndpoint, "s-1", "", 1) + `]}`} {
 		if l, err := DecodeEndpointList([]byte(bad)); err == nil {
-			t.Errorf("%q was read as %+v", bad, l)
+			t.Errorf("%q was decoded as %+v", bad, l)
 		}
 	}
 }
 
-// TestWatchGoesOn guards against a watch that breaks, stops making sense or falls back: the list goes on from
-// the last version that was taken.
-func TestWatchGoesOn(t *testing.T) {
-	asked := make(chan string, 9)
+// TestWatchResumesFromLastVersion checks that after a truncated list, invalid data or an outdated list the next request
+// continues from the last version applied.
+func TestWatchResumesFromLastVersion(t *testing.T) {
+	queries := make(chan string, 9)
 	answers := []string{"{\"index\":5,\"snapshot\":true,\"endpoints\":[]}\n\n{\"index\":6,\"endpoints\":[]}\n",
 		"{\"index\":7,\"endp", "{\"index\":4,\"endpoints\":[]}\n{\"index\":8,\"endpoints\":[" + leavingEndpoint + "]}\n", "?"}
 	n := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		fmt.Fprint(w, answers[min(n, len(answers)-1)])
 		n++
 	}))
@@ -53,50 +53,50 @@
 		}
 	}
 	for _, want := range []string{"3", "6", "6", "8"} {
-		if q := <-asked; q != "follow=1&since="+want {
+		if q := <-queries; q != "follow=1&since="+want {
 			t.Errorf("asked %s, want %s", q, want)
 		}
 	}
 }
 
-// TestFollowMoves guards against a watch that stays with a discovery that was replaced, or that drops what the
-// new one says because it counts its versions anew.
-func TestFollowMoves(t *testing.T) {
-	left, asked := make(chan bool, 9), make(chan string, 9)
-	at := func(index int) string {
+// TestFollowSwitchesAddress guards against a watch that stays with the old address after a move, or that drops the
+// lists of the new discovery service because their versions are lower.
+func TestFollowSwitchesAddress(t *testing.T) {
+	disconnected, queries := make(chan bool, 9), make(chan string, 9)
+	startServer := func(index int) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.RawQuery
+			queries <- r.URL.RawQuery
 			fmt.Fprintf(w, "{\"index\":%d,\"snapshot\":true,\"endpoints\":[]}\n", index)
 			if r.URL.RawQuery != "" {
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
-				left <- true
+				disconnected <- true
 			}
 		}))
 		t.Cleanup(srv.Close)
 		return strings.TrimPrefix(srv.URL, "http://")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	moves, got, over := make(chan string), make(chan int64, 9), make(chan bool)
+	moves, got, done := make(chan string), make(chan int64, 9), make(chan bool)
 	go func() {
-		Follow(ctx, at(50), 41, moves, func(l *EndpointList) { got <- l.Version })
-		close(over)
+		Follow(ctx, startServer(50), 41, moves, func(l *EndpointList) { got <- l.Version })
+		close(done)
 	}()
 	if i := <-got; i != 50 {
 		t.Errorf("version %d", i)
 	}
-	moves <- at(3)
-	<-left
-	for range 2 { // whole, then followed
+	moves <- startServer(3)
+	<-disconnected
+	for range 2 { // the complete list, then the first list of the watch
 		if i := <-got; i != 3 {
 			t.Errorf("version %d after the move", i)
 		}
 	}
 	for _, want := range []string{"follow=1&since=41", "", "follow=1&since=3"} {
-		if q := <-asked; q != want {
+		if q := <-queries; q != want {
 			t.Errorf("asked %q, want %q", q, want)
 		}
 	}
 	cancel()
-	<-over
+	<-done
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,47 +14,48 @@
 	"cairntiller/internal/metrics"
 )
 
-// A change counts as known to the router 6 s after discovery had it and could be reached, or fell silent: from then on a
-// drain binds the router. The longest way to a list applied: a watch that falls silent is given up signTimeout later,
-// its successor meets silence too for answerTimeout, and the call that begins maxBackoff later is answered at once:
-// 4.25 s. A call that began just before discovery could be reached, and is never answered, costs answerTimeout +
-// maxBackoff.
+// A change counts as known to the router 6 s after discovery has published it and is reachable, or has stopped sending;
+// from then on the router must respect drains. The longest delay until a list is applied is 4.25 s: a watch that
+// receives nothing is closed after heartbeatTimeout, the next one receives no response within responseTimeout, and the
+// request that starts maxBackoff later is answered at once. A request that started just before discovery became
+// reachable and is never answered takes responseTimeout + maxBackoff.
 const (
-	answerTimeout = time.Second            // for discovery to begin an answer: its agent is on this machine and does so at once
-	signTimeout   = 3 * time.Second        // of a watch without a sign of life: empty lines come every 2 s
-	minBackoff    = 50 * time.Millisecond  // before a watch that ended is started anew
-	maxBackoff    = 250 * time.Millisecond // the same, doubled while watches bring nothing
-	maxListBytes  = 4 << 20                // in one list: some ten thousand nodes
+	responseTimeout  = time.Second            // for response headers; discovery's agent is local and answers at once
+	heartbeatTimeout = 3 * time.Second        // without a heartbeat; discovery sends an empty line every 2 s
+	minBackoff       = 50 * time.Millisecond  // before a watch is restarted
+	maxBackoff       = 250 * time.Millisecond // limit of the backoff, which doubles while watches receive no list
+	maxListBytes     = 4 << 20                // size of a list with about ten thousand nodes
 )
 
 var (
-	startedWatches = metrics.New("watches started")
-	rejectedLists  = metrics.New("endpoint lists rejected")
+	watchesStarted = metrics.New("watches started")
+	listsRejected  = metrics.New("endpoint lists rejected")
 )
 
-// Why a watch ended.
+// Reasons for the end of a watch.
 var (
-	errListComplete = errors.New("the complete list came") // and can be followed
-	errListTooLong  = errors.New("a list is too long")
-	errSilent       = errors.New("the watch fell silent")
+	errCompleteListReceived = errors.New("complete list received") // the next request asks for changes only
+	errListTooLong          = errors.New("endpoint list too long")
+	errNoHeartbeat          = errors.New("no heartbeat from discovery")
 )
 
-// statusError is the HTTP status of an answer that is no list.
-type statusError string
+// httpStatusError is the HTTP status of a response other than 200 OK.
+type httpStatusError string
 
 // Error implements error.
-func (e statusError) Error() string { return string(e) }
+func (e httpStatusError) Error() string { return string(e) }
 
-// UnknownVersion is no version: the complete list is asked for. Another discovery may count its versions anew.
+// UnknownVersion makes a watch request the complete list. It is used after a move to another discovery service, whose
+// versions are unrelated to those of the old one.
 const UnknownVersion = -1
 
-// Follow watches discovery at an address until the context ends; each address received from moves replaces it. The old
-// watch has ended before the new one begins, so its lists never arrive after newer ones.
+// Follow watches discovery at an address until the context is done; each address received from moves replaces the
+// previous one. The old watch ends before the new one starts, so that its lists never arrive after newer ones.
 func Follow(ctx context.Context, address string, version int64, moves <-chan string, onList func(*EndpointList)) {
 	for ctx.Err() == nil {
-		watchCtx, leave := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		ended := make(chan struct{})
-		go func(address string, version int64) { // a move may come before it runs
+		go func(address string, version int64) { // parameters, because a move may change the variables before it runs
 			Watch(watchCtx, address, version, onList)
 			close(ended)
 		}(address, version)
@@ -63,26 +64,26 @@
 			version = UnknownVersion
 		case <-ctx.Done():
 		}
-		leave()
+		cancel()
 		<-ended
 	}
 }
 
-// Watch keeps asking discovery at an address for what comes after a version and hands each list on, until the context
-// ends.
+// Watch requests the changes since a version from discovery at an address and passes each list to onList, until the
+// context is done.
 func Watch(ctx context.Context, address string, version int64, onList func(*EndpointList)) {
 	w := &watch{address: address, version: version, onList: onList}
 	w.client = &http.Client{Transport: &http.Transport{
 		DisableKeepAlives:     true,
-		ResponseHeaderTimeout: answerTimeout,
-		DialContext:           (&net.Dialer{Timeout: answerTimeout}).DialContext,
+		ResponseHeaderTimeout: responseTimeout,
+		DialContext:           (&net.Dialer{Timeout: responseTimeout}).DialContext,
 	}}
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		startedWatches.Add()
-		gotList, err := w.ask(ctx)
+		watchesStarted.Add()
+		gotList, err := w.readLists(ctx)
 		slog.Debug("watch ended", "err", err, "version", w.version)
-		if errors.Is(err, errListComplete) {
+		if errors.Is(err, errCompleteListReceived) {
 			continue
 		}
 		if gotList {
@@ -96,47 +97,48 @@
 	}
 }
 
-// watch is one address that is watched.
+// watch is the state of a watch of one address.
 type watch struct {
 	client  *http.Client
 	address string
-	version int64 // of the last list taken, or UnknownVersion
+	version int64 // of the last list applied, or UnknownVersion
 	onList  func(*EndpointList)
 }
 
-// ask makes one call, and hands on the lists in its answer until that ends. gotList reports whether there was one.
-func (w *watch) ask(ctx context.Context) (gotList bool, err error) {
+// readLists sends one request and passes on the lists in the response until it ends. gotList reports whether there was
+// any list.
+func (w *watch) readLists(ctx context.Context) (gotList bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	answer, err := w.call(ctx)
+	response, err := w.sendRequest(ctx)
 	if err != nil {
 		return false, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return false, statusError(answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return false, httpStatusError(response.Status)
 	}
-	silence := time.AfterFunc(signTimeout, func() { cancel(errSilent) })
-	defer silence.Stop()
-	body := &watchedBody{from: answer.Body, onSign: func() { silence.Reset(signTimeout) }}
-	lists := json.NewDecoder(body)
+	heartbeatTimer := time.AfterFunc(heartbeatTimeout, func() { cancel(errNoHeartbeat) })
+	defer heartbeatTimer.Stop()
+	body := &watchedBody{source: response.Body, onHeartbeat: func() { heartbeatTimer.Reset(heartbeatTimeout) }}
+	decoder := json.NewDecoder(body)
 	for {
 		var raw json.RawMessage
-		if err := lists.Decode(&raw); err != nil {
-			return gotList, endOf(ctx, err)
+		if err := decoder.Decode(&raw); err != nil {
+			return gotList, endReason(ctx, err)
 		}
-		silence.Reset(signTimeout)
+		heartbeatTimer.Reset(heartbeatTimeout)
 		body.listEnded()
 		list, err := DecodeEndpointList(raw)
 		if err != nil {
-			rejectedLists.Add()
+			listsRejected.Add()
 			return gotList, err
 		}
 		if w.outdated(list, gotList) {
-			rejectedLists.Add()
+			listsRejected.Add()
 			continue
 		}
-		if ctx.Err() != nil { // it was left meanwhile
+		if ctx.Err() != nil { // canceled or timed out in the meantime
 			return gotList, context.Cause(ctx)
 		}
 		gotList = true
@@ -144,13 +146,13 @@
 		w.version = list.Version
 		w.onList(list)
 		if wasUnknown {
-			return true, errListComplete
+			return true, errCompleteListReceived
 		}
 	}
 }
 
-// call asks for the complete list if none is known, else for the changes after the version that is.
-func (w *watch) call(ctx context.Context) (*http.Response, error) {
+// sendRequest asks for the complete list if the version is unknown, otherwise for the changes since the version.
+func (w *watch) sendRequest(ctx context.Context) (*http.Response, error) {
 	url := "http://" + w.address + "/api/targets"
 	if w.version != UnknownVersion {
 		url += fmt.Sprintf("?follow=1&since=%d", w.version)
@@ -162,20 +164,21 @@
 	return w.client.Do(request)
 }
 
-// endOf returns why an answer ended: the watch was left or fell silent, or what arrived can't be read.
-func endOf(ctx context.Context, err error) error {
+// endReason returns why a response ended: the watch was canceled or timed out, the connection was closed, or the data
+// is invalid, which is counted.
+func endReason(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
 	if !errors.Is(err, io.EOF) {
-		rejectedLists.Add()
+		listsRejected.Add()
 	}
 	return err
 }
 
-// outdated reports whether a list is older than the last one applied. A complete list at the start of a call is never
-// outdated: a discovery that has restarted counts its versions from one again, and if its first list were dropped, none of
-// its lists would ever be applied.
+// outdated reports whether a list is older than the last one applied. A complete list at the start of a response is
+// never outdated: after a restart, discovery counts versions from one again, and if its first list were dropped, none
+// of its lists would ever be applied.
 func (w *watch) outdated(list *EndpointList, gotList bool) bool {
 	return list.Version < w.version && (gotList || !list.Complete)
 }
--- a/internal/discovery/watched_body.go
+++ b/internal/discovery/watched_body.go
@@ -5,23 +5,23 @@
 	"io"
 )
 
-// watchedBody passes on the bytes of an answer, bounds the bytes of one list, and calls onSign at each sign of life:
-// anything that arrives between lists, empty lines included, and the beginning of a list. Bytes within a list are no sign
-// of life: a list that never completes must not keep the watch open.
+// watchedBody reads a response body, limits the size of each list, and calls onSign for each sign that the connection
+// is alive: anything that arrives between lists, including empty lines, and the beginning of a list. Bytes within a
+// list don't count, so that a list that never completes does not keep the watch open.
 type watchedBody struct {
-	from      io.Reader
-	onSign    func()
-	listBytes int // since something but white space came after the last list, 0 between lists
+	source      io.Reader
+	onHeartbeat func()
+	listBytes   int // bytes read since the first non-space byte after the last list; 0 between lists
 }
 
-// listEnded is called once a complete list has been read.
+// listEnded must be called when a list has been read completely.
 func (b *watchedBody) listEnded() { b.listBytes = 0 }
 
 // Read implements io.Reader.
 func (b *watchedBody) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
+	n, err := b.source.Read(p)
 	if b.listBytes == 0 {
-		b.onSign()
+		b.onHeartbeat()
 	}
 	if b.listBytes > 0 || len(bytes.TrimSpace(p[:n])) > 0 {
 		b.listBytes += n
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -7,9 +7,9 @@
 	"cairntiller/internal/routing"
 )
 
-// TestEndpointListAsItStandsOnTheWire reads a list with each status and role, an unknown field and a fraction of a
-// millisecond. What comes of it was recorded from the code as it was before its rewrite for readability.
-func TestEndpointListAsItStandsOnTheWire(t *testing.T) {
+// TestDecodeEndpointListWireFormat decodes a list with each status and role, an unknown field and a fraction of a
+// millisecond. The expected results were recorded from an earlier implementation, except for the wording of errors.
+func TestDecodeEndpointListWireFormat(t *testing.T) {
 	got, err := DecodeEndpointList([]byte(`{"index":41,"snapshot":true,"more":[1],"endpoints":[` +
 		`{"name":"s-1","address":"10.0.0.1:5432","zone":"a","type":"m","group":3,"status":"active","role":"primary","since_ms":1767225600123.4567},` +
 		`{"name":"s-2","address":"10.0.0.2:5432","zone":"b","type":"l","group":3,"status":"leaving","role":"replica","since_ms":0},` +
@@ -25,16 +25,16 @@
 		{Name: "s-4", Address: "[::1]:1", State: routing.Up, StartedAt: -1500},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read     %+v\nrecorded %+v", got, want)
+		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	for raw, recorded := range map[string]string{
-		`{"snapshot":true}`: "no version",
+	for raw, wantError := range map[string]string{
+		`{"snapshot":true}`: "endpoint list without a version",
 		`{"index":1,"endpoints":[{"name":"s","address":"x","status":"gone"}]}`: `node "s": unknown status "gone"`,
-		`{"index":1,"endpoints":[{"name":"s","status":"active"}]}`:             "a node without name or address",
-		`{"index":1,"endpoints":[{"address":"x","status":"active"}]}`:          "a node without name or address",
+		`{"index":1,"endpoints":[{"name":"s","status":"active"}]}`:             "endpoint without a name or address",
+		`{"index":1,"endpoints":[{"address":"x","status":"active"}]}`:          "endpoint without a name or address",
 	} {
-		if l, err := DecodeEndpointList([]byte(raw)); l != nil || err == nil || err.Error() != recorded {
-			t.Errorf("%s: %+v, %v; recorded %s", raw, l, err, recorded)
+		if l, err := DecodeEndpointList([]byte(raw)); l != nil || err == nil || err.Error() != wantError {
+			t.Errorf("%s: got %+v, %v; want error %s", raw, l, err, wantError)
 		}
 	}
 }
