--- a/internal/engine/router_actions.go
+++ b/internal/engine/router_actions.go
@@ -17,7 +17,7 @@
 func (a routerActions) StartAttempt(requestID, node string, timeout, startWithin int64) {
 	e := a.engine
 	request := e.requests[requestID]
-	if !invariant.That(request != nil && !request.Concluded(), "an attempt starts before its request is concluded") {
+	if !invariant.Check(request != nil && !request.Concluded(), "an attempt starts before its request is concluded") {
 		return
 	}
 	attempt := request.StartAttempt(node, e.eventTime, timeout, startWithin)
@@ -29,7 +29,7 @@
 // RejectWithRetry implements routing.Actions.
 func (a routerActions) RejectWithRetry(requestID string, retryAfter int64) {
 	request := a.engine.requests[requestID]
-	if invariant.That(request != nil, "a rejected request is in flight") {
+	if invariant.Check(request != nil, "a rejected request is in flight") {
 		request.Reject(retryAfter)
 		a.engine.requestConcluded(request)
 	}
@@ -38,7 +38,7 @@
 // Fail implements routing.Actions.
 func (a routerActions) Fail(requestID string) {
 	request := a.engine.requests[requestID]
-	if invariant.That(request != nil, "a failed request is in flight") {
+	if invariant.Check(request != nil, "a failed request is in flight") {
 		request.Fail()
 		a.engine.requestConcluded(request)
 	}
@@ -47,7 +47,7 @@
 // CancelAttempt implements routing.Actions.
 func (a routerActions) CancelAttempt(requestID string, attempt int) {
 	request := a.engine.requests[requestID]
-	if invariant.That(request != nil && attempt < len(request.Attempts), "a canceled attempt was started") {
+	if invariant.Check(request != nil && attempt < len(request.Attempts), "a canceled attempt was started") {
 		a.engine.abandonAttempt(request.Attempts[attempt], routing.Canceled)
 	}
 }
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -59,7 +59,7 @@
 
 // EndAttempt marks an attempt of the request as ended. It returns false if the attempt had already ended.
 func (r *Request) EndAttempt(attempt *Attempt) bool {
-	if !invariant.That(!attempt.Ended, "an attempt ends once") {
+	if !invariant.Check(!attempt.Ended, "an attempt ends once") {
 		return false
 	}
 	attempt.Ended = true
@@ -85,7 +85,7 @@
 
 // Reject tells the client that it may send the command again after retryAfter us.
 func (r *Request) Reject(retryAfter int64) {
-	if invariant.That(!r.concluded, "a request is rejected before it is concluded") {
+	if invariant.Check(!r.concluded, "a request is rejected before it is concluded") {
 		r.concluded = true
 		rejectedRequests.Add()
 		r.client.Reject(r, retryAfter)
@@ -94,7 +94,7 @@
 
 // Fail tells the client that the command failed, without details.
 func (r *Request) Fail() {
-	if invariant.That(!r.concluded, "a request fails before it is concluded") {
+	if invariant.Check(!r.concluded, "a request fails before it is concluded") {
 		r.concluded = true
 		failedRequests.Add()
 		r.client.Fail(r)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -6,12 +6,12 @@
 
 var violations = metrics.New("invariants broken")
 
-// That reports the violation of an invariant unless holds is true, and returns holds. The text in what names the
+// Check reports the violation of an invariant unless holds is true, and returns holds. The text in what names the
 // invariant in the log.
-func That(holds bool, what string) bool {
+func Check(holds bool, invariant string) bool {
 	if !holds {
 		violations.Add()
-		report(what)
+		report(invariant)
 	}
 	return holds
 }
