--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -6,8 +6,8 @@
 
 var violations = metrics.New("invariants broken")
 
-// Check reports the violation of an invariant unless holds is true, and returns holds. The text in what names the
-// invariant in the log.
+// Check returns holds, and reports a violation if it is false. The parameter invariant names what should hold, for the
+// log.
 func Check(holds bool, invariant string) bool {
 	if !holds {
 		violations.Add()
--- a/internal/invariant/report_release.go
+++ b/internal/invariant/report_release.go
@@ -4,4 +4,4 @@
 
 import "log/slog"
 
-func report(what string) { slog.Error("invariant broken", "what", what) }
+func report(invariant string) { slog.Error("invariant broken", "what", invariant) }
