--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -12,10 +12,10 @@
 type Values map[string]string
 
 // FieldError names a setting that can't be parsed. At startup, the router prints its text and exits.
-type FieldError struct{ Field, Why string }
+type FieldError struct{ Field, Reason string }
 
 // Error implements error.
-func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Why }
+func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Reason }
 
 // FromJSON parses a settings object. Keys of nested objects are joined by dots to form a path. The length of a list is
 // stored under path.count. Objects and lists within a list have their index in the path; its scalars are joined by
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -42,7 +42,7 @@
 	config, catalog, err := values.RoutingConfig(0) // in the simulator an attempt is sent at the time of its event
 	var fieldError *settings.FieldError
 	if errors.As(errors.Join(settingsReader.Err, err), &fieldError) {
-		return s.inputError(fieldError.Field, fieldError.Why)
+		return s.inputError(fieldError.Field, fieldError.Reason)
 	}
 	i.router.Configure(config)
 	i.groupNumbers = catalog.GroupNumbers
