--- a/internal/simwire/server.go
+++ b/internal/simwire/server.go
@@ -155,13 +155,13 @@
 
 // InputError names the line and the field of the input that can't be parsed, and the reason.
 type InputError struct {
-	Line       int // starting at 1
-	Field, Why string
+	Line          int // starting at 1
+	Field, Reason string
 }
 
 // Error implements error.
 func (e *InputError) Error() string {
-	return fmt.Sprintf("line %d, field %s: %s", e.Line, e.Field, e.Why)
+	return fmt.Sprintf("line %d, field %s: %s", e.Line, e.Field, e.Reason)
 }
 
 // inputError returns an InputError for the line that was read last.
