--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -46,8 +46,8 @@
 
 // Errors for invalid lists, besides those of package json.
 var (
-	ErrNoVersion       = errors.New("endpoint list without a version")
-	ErrUnnamedEndpoint = errors.New("endpoint without a name or address")
+	ErrNoVersion          = errors.New("endpoint list without a version")
+	ErrIncompleteEndpoint = errors.New("endpoint without a name or address")
 )
 
 // UnknownStatusError is returned for a list with an endpoint whose status is unknown.
@@ -84,7 +84,7 @@
 		return Endpoint{}, &UnknownStatusError{w.Name, w.Status}
 	}
 	if w.Name == "" || w.Address == "" && state != routing.Removed {
-		return Endpoint{}, ErrUnnamedEndpoint
+		return Endpoint{}, ErrIncompleteEndpoint
 	}
 	return Endpoint{
 		Name:      w.Name,
