--- a/internal/invariant/report_debug.go
+++ b/internal/invariant/report_debug.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-func report(what string) { panic("invariant broken: " + what) }
+func report(invariant string) { panic("invariant broken: " + invariant) }
