--- a/internal/sexp/fault.go
+++ b/internal/sexp/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Fault is a mistake in a file: its location, what was found there and what is expected instead.
-type Fault struct {
+// Error is a mistake in a file: its location, what was found there and what is expected instead.
+type Error struct {
 	File         string
 	Line, Column int
 	Found, Want  string
 }
 
-// Error formats the fault as file:line:column, followed by what was found and what is expected.
-func (f Fault) Error() string {
+// Error formats the error as file:line:column, followed by what was found and what is expected.
+func (f Error) Error() string {
 	return fmt.Sprintf("%s:%d:%d: found %s, want %s", f.File, f.Line, f.Column, f.Found, f.Want)
 }
 
--- a/internal/sexp/file.go
+++ b/internal/sexp/file.go
@@ -18,9 +18,9 @@
 
 // File is a parsed file. Its parts are looked up by name; Faults must be called after the last lookup.
 type File struct {
-	name   string
-	root   *Part
-	faults []Fault
+	name string
+	root *Part
+	errs []Error
 }
 
 // EmptyFile returns a file without parts, in which every value has its default.
@@ -30,7 +30,7 @@
 	return f
 }
 
-// ReadFile reads and parses a file. The error is a Fault for invalid syntax, a FileSizeError for a file that is too
+// ReadFile reads and parses a file. The error is an Error for invalid syntax, a FileSizeError for a file that is too
 // large, or an error of the operating system.
 func ReadFile(path string) (*File, error) {
 	st, err := os.Stat(path)
@@ -47,20 +47,20 @@
 	return Parse(path, raw)
 }
 
-// Parse parses the text of a file; faults refer to the file by name. The error is a Fault.
+// Parse parses the text of a file; errors refer to the file by name. The error is an Error.
 func Parse(name string, raw []byte) (*File, error) {
 	f := &File{name: name}
 	if !utf8.Valid(raw) {
-		return nil, Fault{name, 1 + strings.Count(string(raw[:validUTF8Prefix(raw)]), "\n"), 1, "bytes that are not valid text", "UTF-8"}
+		return nil, Error{name, 1 + strings.Count(string(raw[:validUTF8Prefix(raw)]), "\n"), 1, "bytes that are not valid text", "UTF-8"}
 	}
 	if line, column, ok := checkDepth(raw); !ok {
-		return nil, Fault{name, line, column, "a list nested too deep", fmt.Sprint(maxListDepth, " levels at most")}
+		return nil, Error{name, line, column, "a list nested too deep", fmt.Sprint(maxListDepth, " levels at most")}
 	}
 	tree, err := parser().ParseBytes(name, raw)
 	if err != nil {
 		var syntaxError participle.Error
 		if errors.As(err, &syntaxError) {
-			return nil, Fault{name, syntaxError.Position().Line, syntaxError.Position().Column,
+			return nil, Error{name, syntaxError.Position().Line, syntaxError.Position().Column,
 				describeParserMessage(syntaxError.Message()),
 				`lists such as (name value), with balanced parentheses and closed quotes`}
 		}
@@ -97,24 +97,24 @@
 	return n
 }
 
-func (f *File) addFault(position lexer.Position, found, want string) {
-	f.faults = append(f.faults, Fault{f.name, position.Line, position.Column, found, want})
+func (f *File) addError(position lexer.Position, found, want string) {
+	f.errs = append(f.errs, Error{f.name, position.Line, position.Column, found, want})
 }
 
 // Part returns the part with a name. If the file has none, every value in the returned part has its default.
 func (f *File) Part(name string) *Part { return f.root.Part(name) }
 
-// Faults returns all faults joined, in the order of the file, or nil. It must be called after the last lookup, because
+// Faults returns all errors joined, in the order of the file, or nil. It must be called after the last lookup, because
 // names that have not been looked up by then are reported as unknown.
 func (f *File) Faults() error {
 	f.root.reportUnknownNames()
-	slices.SortStableFunc(f.faults, func(a, b Fault) int {
+	slices.SortStableFunc(f.errs, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	f.faults = slices.Compact(f.faults)
-	errs := make([]error, len(f.faults))
-	for i, fault := range f.faults {
-		errs[i] = fault
+	f.errs = slices.Compact(f.errs)
+	errs := make([]error, len(f.errs))
+	for i, err := range f.errs {
+		errs[i] = err
 	}
 	return errors.Join(errs...)
 }
--- a/internal/sexp/part.go
+++ b/internal/sexp/part.go
@@ -28,18 +28,18 @@
 // Present reports whether the file contains the part.
 func (p *Part) Present() bool { return p.present }
 
-// checkNamedList records a fault if a node is not a list that begins with a name.
+// checkNamedList records an error if a node is not a list that begins with a name.
 func (p *Part) checkNamedList(n *node) {
 	switch {
 	case n.List == nil:
-		p.file.addFault(n.Pos, n.String(), "a list such as (name value)")
+		p.file.addError(n.Pos, n.String(), "a list such as (name value)")
 	case n.listName() == nil:
-		p.file.addFault(n.Pos, "a list that does not begin with a name", "a list such as (name value)")
+		p.file.addError(n.Pos, "a list that does not begin with a name", "a list such as (name value)")
 	}
 }
 
 // lookup returns the list with a name among the part's items, and the elements after its name. A second list with the
-// same name is a fault.
+// same name is an error.
 func (p *Part) lookup(name string) (found *node, values []*node) {
 	p.requested[name] = true
 	for _, item := range p.items {
@@ -48,7 +48,7 @@
 			continue
 		}
 		if found != nil {
-			p.file.addFault(item.Pos, "a second "+strconv.Quote(name), fmt.Sprint("only one, as in line ", found.Pos.Line))
+			p.file.addError(item.Pos, "a second "+strconv.Quote(name), fmt.Sprint("only one, as in line ", found.Pos.Line))
 			continue
 		}
 		found = item
@@ -81,21 +81,21 @@
 	}
 }
 
-// AddFault records a fault found by the package that owns the part. Its location is the value of name, or the part
+// AddFault records an error found by the package that owns the part. Its location is the value of name, or the part
 // itself if the part does not contain the name.
 func (p *Part) AddFault(name, found, want string) {
 	list, values := p.lookup(name)
 	switch {
 	case list == nil:
-		p.file.addFault(p.position, found, want)
+		p.file.addError(p.position, found, want)
 	case len(values) > 0:
-		p.file.addFault(values[0].Pos, found, want)
+		p.file.addError(values[0].Pos, found, want)
 	default:
-		p.file.addFault(list.Pos, found, want)
+		p.file.addError(list.Pos, found, want)
 	}
 }
 
-// reportUnknownNames records a fault for each name that has not been looked up, in this part and in nested parts.
+// reportUnknownNames records an error for each name that has not been looked up, in this part and in nested parts.
 func (p *Part) reportUnknownNames() {
 	for _, item := range p.items {
 		first := item.listName()
@@ -103,7 +103,7 @@
 			continue
 		}
 		name := *first.Word
-		p.file.addFault(first.Pos, "the unknown name "+strconv.Quote(name), suggestName(name, p.requested))
+		p.file.addError(first.Pos, "the unknown name "+strconv.Quote(name), suggestName(name, p.requested))
 	}
 	for _, sub := range p.subparts {
 		sub.reportUnknownNames()
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -73,7 +73,7 @@
 	p.Size("room", 1, 1, 1<<20)
 	err := f.Faults()
 	if err == nil {
-		t.Fatal("no faults reported")
+		t.Fatal("no errors reported")
 	}
 	for i, want := range []string{
 		`f:2:4: found the unknown name "evry", want "every"`,
@@ -88,7 +88,7 @@
 		`f:11:1: found "7", want a list such as (name value)`,
 	} {
 		if lines := strings.Split(err.Error(), "\n"); i >= len(lines) || lines[i] != want {
-			t.Errorf("fault %d is %q, want %q", i, lines[min(i, len(lines)-1)], want)
+			t.Errorf("error %d is %q, want %q", i, lines[min(i, len(lines)-1)], want)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 func TestEmptyFile(t *testing.T) {
 	for _, f := range []*File{EmptyFile(), parse(t, ""), parse(t, " ; nothing\n")} {
 		if f.Part("any").Present() || f.Faults() != nil {
-			t.Error("an empty file has a part or a fault")
+			t.Error("an empty file has a part or an error")
 		}
 	}
 }
--- a/internal/sexp/syntax.go
+++ b/internal/sexp/syntax.go
@@ -52,7 +52,7 @@
 	return n.List.Items[0]
 }
 
-// String describes a node for use in a fault.
+// String describes a node for use in an error.
 func (n *node) String() string {
 	switch {
 	case n.Word != nil:
--- a/internal/sexp/values.go
+++ b/internal/sexp/values.go
@@ -8,18 +8,18 @@
 )
 
 // singleValue returns the value of a name. It returns nil if the name is absent, or if it does not have exactly one
-// scalar value, which is a fault.
+// scalar value, which is an error.
 func (p *Part) singleValue(name, want string) *node {
 	found, values := p.lookup(name)
 	if found == nil {
 		return nil
 	}
 	if len(values) != 1 {
-		p.file.addFault(found.Pos, fmt.Sprintf("%q with %d values", name, len(values)), "one: "+want)
+		p.file.addError(found.Pos, fmt.Sprintf("%q with %d values", name, len(values)), "one: "+want)
 		return nil
 	}
 	if values[0].List != nil {
-		p.file.addFault(values[0].Pos, "a list", want)
+		p.file.addError(values[0].Pos, "a list", want)
 		return nil
 	}
 	return values[0]
@@ -47,14 +47,14 @@
 		case value.Word != nil:
 			texts = append(texts, *value.Word)
 		default:
-			p.file.addFault(value.Pos, "a list", "a string")
+			p.file.addError(value.Pos, "a list", "a string")
 		}
 	}
 	return texts
 }
 
 // Number returns the numeric value of a name, or the default if the name is absent. An invalid or out-of-range value is
-// a fault and gives the default.
+// an error and gives the default.
 func (p *Part) Number(name string, defaultValue, minimum, maximum float64) float64 {
 	want := fmt.Sprintf("a number from %s to %s", formatNumber(minimum), formatNumber(maximum))
 	value := p.singleValue(name, want)
@@ -67,14 +67,14 @@
 			return number
 		}
 	}
-	p.file.addFault(value.Pos, value.String(), want)
+	p.file.addError(value.Pos, value.String(), want)
 	return defaultValue
 }
 
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 // Integer returns the integer value of a name, or the default if the name is absent. An invalid or out-of-range value
-// is a fault and gives the default.
+// is an error and gives the default.
 func (p *Part) Integer(name string, defaultValue, minimum, maximum int) int {
 	want := fmt.Sprintf("a whole number from %d to %d", minimum, maximum)
 	value := p.singleValue(name, want)
@@ -87,7 +87,7 @@
 			return number
 		}
 	}
-	p.file.addFault(value.Pos, value.String(), want)
+	p.file.addError(value.Pos, value.String(), want)
 	return defaultValue
 }
 
@@ -104,13 +104,13 @@
 )
 
 // Duration returns the duration of a name in microseconds, or the default if the name is absent. An invalid or
-// out-of-range value is a fault and gives the default.
+// out-of-range value is an error and gives the default.
 func (p *Part) Duration(name string, defaultValue, minimum, maximum int64) int64 {
 	return p.quantity(name, defaultValue, minimum, maximum, "a duration", durationUnits)
 }
 
 // Size returns the size of a name in bytes, or the default if the name is absent. An invalid or out-of-range value is a
-// fault and gives the default.
+// error and gives the default.
 func (p *Part) Size(name string, defaultValue, minimum, maximum int64) int64 {
 	return p.quantity(name, defaultValue, minimum, maximum, "a size", sizeUnits)
 }
@@ -128,7 +128,7 @@
 			return amount
 		}
 	}
-	p.file.addFault(value.Pos, value.String(), want)
+	p.file.addError(value.Pos, value.String(), want)
 	return defaultValue
 }
 
