--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -43,7 +43,7 @@
 func ReadSettings(p *sexp.Part) Settings {
 	s := Settings{Enabled: p.Present(), Socket: p.Text("socket", "")}
 	if s.Enabled && !filepath.IsAbs(s.Socket) {
-		p.AddFault("socket", fmt.Sprintf("%q", s.Socket), `a path such as "/run/cairntiller/control.sock"`)
+		p.AddError("socket", fmt.Sprintf("%q", s.Socket), `a path such as "/run/cairntiller/control.sock"`)
 	}
 	return s
 }
--- a/internal/leaseservice/settings.go
+++ b/internal/leaseservice/settings.go
@@ -46,14 +46,14 @@
 	distinct := slices.Compact(slices.Sorted(slices.Values(voters.Names)))
 	switch {
 	case n == 0 || n > lease.MaxVoters-1:
-		p.AddFault("names", fmt.Sprintf("%d voters", n), "the names of 1, 3, 5 or 7 members")
+		p.AddError("names", fmt.Sprintf("%d voters", n), "the names of 1, 3, 5 or 7 members")
 	case len(distinct) != n:
-		p.AddFault("names", "a name twice", "each voter once")
+		p.AddError("names", "a name twice", "each voter once")
 	case len(voters.Previous) > 0 && !lease.ValidSuccessor(voters.Previous, voters.Names):
-		p.AddFault("before", "a set that differs by more than one voter", "the set before, one voter more or less")
+		p.AddError("before", "a set that differs by more than one voter", "the set before, one voter more or less")
 	case len(voters.Previous) > 0 && voters.Number == 1:
-		p.AddFault("number", "1 with a set before it", "a number above the former one's")
+		p.AddError("number", "1 with a set before it", "a number above the former one's")
 	case n%2 == 0 && len(voters.Previous) == 0:
-		p.AddFault("names", fmt.Sprintf("%d voters", n), "an odd number: an even one bears no more losses than one fewer; while one is replaced, name the former ones in (before …)")
+		p.AddError("names", fmt.Sprintf("%d voters", n), "an odd number: an even one bears no more losses than one fewer; while one is replaced, name the former ones in (before …)")
 	}
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -45,7 +45,7 @@
 		return s
 	}
 	if s.Name == "" || len(s.Name) > maxName {
-		p.AddFault("name", fmt.Sprintf("a name of %d bytes", len(s.Name)), fmt.Sprintf("one of 1 to %d, no other member's", maxName))
+		p.AddError("name", fmt.Sprintf("a name of %d bytes", len(s.Name)), fmt.Sprintf("one of 1 to %d, no other member's", maxName))
 	}
 	checkAddress(p, "listen", s.Listen)
 	if s.Advertise != "" {
@@ -53,7 +53,7 @@
 	}
 	for _, seed := range s.Seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
-			p.AddFault("join", strconv.Quote(seed), `addresses such as "10.0.0.1:7946"`)
+			p.AddError("join", strconv.Quote(seed), `addresses such as "10.0.0.1:7946"`)
 		}
 	}
 	s.Keys = readKeys(p, keys, keyFile)
@@ -65,7 +65,7 @@
 	host, port, err := net.SplitHostPort(address)
 	_, portErr := strconv.ParseUint(port, 10, 16)
 	if err != nil || portErr != nil || net.ParseIP(host) == nil {
-		p.AddFault(name, strconv.Quote(address), `an address such as "10.0.0.1:7946"`)
+		p.AddError(name, strconv.Quote(address), `an address such as "10.0.0.1:7946"`)
 	}
 }
 
@@ -75,7 +75,7 @@
 	if keyFile != "" {
 		raw, err := os.ReadFile(keyFile)
 		if err != nil {
-			p.AddFault("key-file", err.Error(), "a file with one key a line")
+			p.AddError("key-file", err.Error(), "a file with one key a line")
 		}
 		encoded = append(encoded, strings.Fields(string(raw))...)
 	}
@@ -83,13 +83,13 @@
 	for _, one := range encoded {
 		key, err := base64.StdEncoding.DecodeString(one)
 		if err != nil || memberlist.ValidateKey(key) != nil {
-			p.AddFault("keys", fmt.Sprintf("a key of %d signs", len(one)), "16, 24 or 32 random bytes in base64")
+			p.AddError("keys", fmt.Sprintf("a key of %d signs", len(one)), "16, 24 or 32 random bytes in base64")
 			continue
 		}
 		keys = append(keys, key)
 	}
 	if len(encoded) == 0 {
-		p.AddFault("keys", "no key", "at least one, in keys or key-file: 16, 24 or 32 random bytes in base64")
+		p.AddError("keys", "no key", "at least one, in keys or key-file: 16, 24 or 32 random bytes in base64")
 	}
 	return keys
 }
--- a/internal/rolloutservice/plan_file.go
+++ b/internal/rolloutservice/plan_file.go
@@ -49,17 +49,17 @@
 	for _, text := range part.Texts("waves") {
 		size, err := strconv.Atoi(text)
 		if err != nil || size < 1 {
-			part.AddFault("waves", strconv.Quote(text), "how many units, such as 3")
+			part.AddError("waves", strconv.Quote(text), "how many units, such as 3")
 		}
 		p.WaveSizes = append(p.WaveSizes, size)
 	}
 	if p.Kind == 0 {
-		part.AddFault("kind", strconv.Quote(kind), "one of nodes, restart, version")
+		part.AddError("kind", strconv.Quote(kind), "one of nodes, restart, version")
 	} else if err := p.Validate(); err != nil {
-		part.AddFault("", err.Error(), "a plan that can be played")
+		part.AddError("", err.Error(), "a plan that can be played")
 	}
 	if slices.Contains(p.Units, "") {
-		part.AddFault("units", "an empty name", "names of members or nodes")
+		part.AddError("units", "an empty name", "names of members or nodes")
 	}
 	return p, file.Faults()
 }
--- a/internal/rolloutservice/settings.go
+++ b/internal/rolloutservice/settings.go
@@ -24,7 +24,7 @@
 		NextVersionFile: p.Text("next", ""),
 	}
 	if settings.NextVersionFile != "" && !filepath.IsAbs(settings.NextVersionFile) {
-		p.AddFault("next", fmt.Sprintf("%q", settings.NextVersionFile), `a path such as "/var/lib/cairntiller/next"`)
+		p.AddError("next", fmt.Sprintf("%q", settings.NextVersionFile), `a path such as "/var/lib/cairntiller/next"`)
 	}
 	return settings
 }
--- a/internal/serve/operator_file.go
+++ b/internal/serve/operator_file.go
@@ -51,13 +51,13 @@
 		rollouts:     rolloutservice.ReadSettings(releases),
 	}
 	if o.sharedProbes.Enabled && !fleet.Present() {
-		duties.AddFault("", "duties without a fleet", "a part fleet, which says who shares them")
+		duties.AddError("", "duties without a fleet", "a part fleet, which says who shares them")
 	}
 	if o.leases.Given && !fleet.Present() {
-		leases.AddFault("", "leases without a fleet", "a part fleet, which says among whom")
+		leases.AddError("", "leases without a fleet", "a part fleet, which says among whom")
 	}
 	if o.rollouts.Given && !o.leases.Given {
-		releases.AddFault("", "releases without leases", "a part leases, whose voters keep what is decided")
+		releases.AddError("", "releases without leases", "a part leases, whose voters keep what is decided")
 	}
 	return o, file.Faults()
 }
--- a/internal/sexp/part.go
+++ b/internal/sexp/part.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// AddFault records an error found by the package that owns the part. Its location is the value of name, or the part
+// AddError records an error found by the package that owns the part. Its location is the value of name, or the part
 // itself if the part does not contain the name.
-func (p *Part) AddFault(name, found, want string) {
+func (p *Part) AddError(name, found, want string) {
 	list, values := p.lookup(name)
 	switch {
 	case list == nil:
--- a/internal/sql/settings.go
+++ b/internal/sql/settings.go
@@ -19,7 +19,7 @@
 	}{{"harmless", ReadOnly}, {"session", SessionBound}, {"writes", MayWrite}} {
 		for _, f := range p.Texts(one.name) {
 			if seen[f] {
-				p.AddFault(one.name, f+" a second time", "each function under one of harmless, session and writes")
+				p.AddError(one.name, f+" a second time", "each function under one of harmless, session and writes")
 			}
 			seen[f] = true
 			k.Catalogue.SetFunction(f, one.v)
@@ -39,7 +39,7 @@
 	case "unknown":
 		k.StringSyntax = UnknownStrings
 	default:
-		p.AddFault("strings", how, "standard, backslash or unknown: how the servers read a backslash in plain quotes")
+		p.AddError("strings", how, "standard, backslash or unknown: how the servers read a backslash in plain quotes")
 	}
 	return k
 }
