--- a/cmd/cairntiller/classify.go
+++ b/cmd/cairntiller/classify.go
@@ -52,7 +52,7 @@
 	settings := sql.ReadSettings(file.Part("statements"))
 	file.Part("fleet").AcceptAllNames()
 	file.Part("duties").AcceptAllNames()
-	return settings, file.Faults()
+	return settings, file.Err()
 }
 
 // openInput opens the file of statements, or standard input.
--- a/internal/leaseservice/settings_test.go
+++ b/internal/leaseservice/settings_test.go
@@ -32,7 +32,7 @@
 		}
 		p := f.Part("leases")
 		ReadSettings(p)
-		if err := f.Faults(); (err == nil) != want {
+		if err := f.Err(); (err == nil) != want {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -16,12 +16,12 @@
 		t.Fatal(err)
 	}
 	settings := ReadSettings(file.Part("fleet"), "n0")
-	if err := file.Faults(); err != nil || settings.Name != "r1" || !bytes.Equal(settings.Keys[0], key(1)) || settings.MaxMembers != 256 {
+	if err := file.Err(); err != nil || settings.Name != "r1" || !bytes.Equal(settings.Keys[0], key(1)) || settings.MaxMembers != 256 {
 		t.Errorf("%+v, %v", settings, err)
 	}
 	file, _ = sexp.Parse("f", []byte(`(fleet (listen "here") (join "10.0.0.1") (keys "short") (members 0))`))
 	ReadSettings(file.Part("fleet"), "")
-	err = file.Faults()
+	err = file.Err()
 	for _, want := range []string{"a name of 0 bytes", `found "\"here\""`, `found "\"10.0.0.1\""`, "a key of 5 signs", "a whole number from 1 to 10000"} {
 		if err == nil || !strings.Contains(err.Error(), want) && !strings.Contains(err.Error(), strings.ReplaceAll(want, `\"`, "")) {
 			t.Errorf("no %s in %v", want, err)
@@ -29,7 +29,7 @@
 	}
 	file, _ = sexp.Parse("f", []byte(`(fleet (name a) (listen "127.0.0.1:1"))`))
 	ReadSettings(file.Part("fleet"), "")
-	if err := file.Faults(); err == nil || !strings.Contains(err.Error(), "no key") {
+	if err := file.Err(); err == nil || !strings.Contains(err.Error(), "no key") {
 		t.Error(err)
 	}
 	if got := ReadSettings(sexp.EmptyFile().Part("fleet"), "n0"); got.Name != "n0" {
--- a/internal/rolloutservice/plan_file.go
+++ b/internal/rolloutservice/plan_file.go
@@ -61,5 +61,5 @@
 	if slices.Contains(p.Units, "") {
 		part.AddError("units", "an empty name", "names of members or nodes")
 	}
-	return p, file.Faults()
+	return p, file.Err()
 }
--- a/internal/serve/operator_file.go
+++ b/internal/serve/operator_file.go
@@ -59,5 +59,5 @@
 	if o.rollouts.Given && !o.leases.Given {
 		releases.AddError("", "releases without leases", "a part leases, whose voters keep what is decided")
 	}
-	return o, file.Faults()
+	return o, file.Err()
 }
--- a/internal/sexp/file.go
+++ b/internal/sexp/file.go
@@ -16,7 +16,7 @@
 // maxFileBytes limits a file's size. It is far above any hand-written file; a larger one was named by mistake.
 const maxFileBytes = 1 << 20
 
-// File is a parsed file. Its parts are looked up by name; Faults must be called after the last lookup.
+// File is a parsed file. Its parts are looked up by name; Err must be called after the last lookup.
 type File struct {
 	name string
 	root *Part
@@ -104,9 +104,9 @@
 // Part returns the part with a name. If the file has none, every value in the returned part has its default.
 func (f *File) Part(name string) *Part { return f.root.Part(name) }
 
-// Faults returns all errors joined, in the order of the file, or nil. It must be called after the last lookup, because
+// Err returns all errors joined, in the order of the file, or nil. It must be called after the last lookup, because
 // names that have not been looked up by then are reported as unknown.
-func (f *File) Faults() error {
+func (f *File) Err() error {
 	f.root.reportUnknownNames()
 	slices.SortStableFunc(f.errs, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -46,14 +46,14 @@
 	if got := p.Part("absent").Duration("every", 42, 1, 1e9); got != 42 || p.Part("absent").Present() {
 		t.Error(got)
 	}
-	if err := f.Faults(); err != nil {
+	if err := f.Err(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestFaultsReportsAllMistakes checks that every mistake in a file is reported, in order, with its location, what was
+// TestErrReportsAllMistakes checks that every mistake in a file is reported, in order, with its location, what was
 // found and what is expected.
-func TestFaultsReportsAllMistakes(t *testing.T) {
+func TestErrReportsAllMistakes(t *testing.T) {
 	f := parse(t, `(duties
   (evry 1s)
   (every 1)
@@ -71,7 +71,7 @@
 	p.Integer("most", 1, 0, 9)
 	p.Text("name", "")
 	p.Size("room", 1, 1, 1<<20)
-	err := f.Faults()
+	err := f.Err()
 	if err == nil {
 		t.Fatal("no errors reported")
 	}
@@ -115,7 +115,7 @@
 
 func TestEmptyFile(t *testing.T) {
 	for _, f := range []*File{EmptyFile(), parse(t, ""), parse(t, " ; nothing\n")} {
-		if f.Part("any").Present() || f.Faults() != nil {
+		if f.Part("any").Present() || f.Err() != nil {
 			t.Error("an empty file has a part or an error")
 		}
 	}
@@ -133,7 +133,7 @@
 		p := file.Part("a")
 		p.Text("b", "")
 		p.Duration("c", 1, 1, 10)
-		file.Faults()
+		file.Err()
 	})
 }
 
--- a/internal/sharedprobes/service_test.go
+++ b/internal/sharedprobes/service_test.go
@@ -202,8 +202,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := ReadSettings(f.Part("duties")); got != (Settings{true, 2_000_000, 3, 2, 9}) || f.Faults() != nil {
-		t.Errorf("%+v, %v", got, f.Faults())
+	if got := ReadSettings(f.Part("duties")); got != (Settings{true, 2_000_000, 3, 2, 9}) || f.Err() != nil {
+		t.Errorf("%+v, %v", got, f.Err())
 	}
 	if got := ReadSettings(sexp.EmptyFile().Part("duties")); got != (Settings{false, 1_000_000, 1, 4, 50}) {
 		t.Errorf("%+v", got)
--- a/internal/sql/settings_test.go
+++ b/internal/sql/settings_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	k := ReadSettings(f.Part("statements"))
-	if err := f.Faults(); err != nil || k.CacheBytes != 1<<20 || k.StringSyntax != StandardStrings {
+	if err := f.Err(); err != nil || k.CacheBytes != 1<<20 || k.StringSyntax != StandardStrings {
 		t.Errorf("%+v, %v", k, err)
 	}
 	for text, want := range map[string]Class{"select shop.price(1), upper(x)": Read, "select enter()": Session, "select lower(x)": Write,
@@ -24,7 +24,7 @@
 	}
 	f, _ = sexp.Parse("f", []byte(`(statements (harmless a) (writes a) (strings odd))`))
 	ReadSettings(f.Part("statements"))
-	if err := f.Faults(); err == nil || !strings.Contains(err.Error(), "a second time") || !strings.Contains(err.Error(), "found odd") {
+	if err := f.Err(); err == nil || !strings.Contains(err.Error(), "a second time") || !strings.Contains(err.Error(), "found odd") {
 		t.Error(err)
 	}
 }
