--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -7,7 +7,7 @@
 //
 //	path                    configuration value
 //	az                      the router's zone
-//	siblings                number of routers, including this one
+//	siblings                number of routers of this kind, including this one
 //	round                   resolution to which the times in events may be rounded
 //	classes.count           number of command groups
 //	classes.N.name          name by which commands refer to the group
--- a/internal/sexp/part.go
+++ b/internal/sexp/part.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// AddError records an error found by the package that owns the part. Its location is the value of name, or the part
-// itself if the part does not contain the name.
+// AddError records an error found by the package that owns the part. Its location is the first value of name, the
+// name itself if it has no values, or the part if it does not contain the name.
 func (p *Part) AddError(name, found, want string) {
 	list, values := p.lookup(name)
 	switch {
--- a/internal/sexp/values.go
+++ b/internal/sexp/values.go
@@ -109,8 +109,8 @@
 	return p.quantity(name, defaultValue, minimum, maximum, "a duration", durationUnits)
 }
 
-// Size returns the size of a name in bytes, or the default if the name is absent. An invalid or out-of-range value is a
-// error and gives the default.
+// Size returns the size of a name in bytes, or the default if the name is absent. An invalid or out-of-range value is
+// an error and gives the default.
 func (p *Part) Size(name string, defaultValue, minimum, maximum int64) int64 {
 	return p.quantity(name, defaultValue, minimum, maximum, "a size", sizeUnits)
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -43,7 +43,7 @@
 	requestMarks       = 10 // must be an integer; its value is not used
 )
 
-// requestArrived passes a new requestArrived to the routing module.
+// requestArrived passes a new request to the routing module.
 func (i *instance) requestArrived(now int64, fields [][]byte, r *fieldReader) error {
 	group, known := i.groupNumbers[string(fields[requestGroup])]
 	if !known {
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// timerFired tells the routing module that a timerFired has fired. The cookie in field 2 must be a number but is not
-// used, because the module has only one kind of timerFired.
+// timerFired tells the routing module that a timer has fired. The cookie in field 2 must be a number but is not used,
+// because the module has only one kind of timer.
 func (i *instance) timerFired(now int64, fields [][]byte, _ *fieldReader) error {
 	if _, err := strconv.ParseUint(string(fields[2]), 10, 64); err != nil {
 		return i.server.inputError("cookie", "not a number")
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// dropNote validates and drops a dropNote of another router, because routers send none. Field 2 is the sender, field 3
-// the bytes.
+// dropNote validates and drops a note of another router, because routers send none. Field 2 is the sender, field 3 the
+// bytes.
 func (i *instance) dropNote(_ int64, fields [][]byte, r *fieldReader) error {
 	if _, err := hex.DecodeString(optionalText(fields[3])); err != nil {
 		return i.server.inputError("bytes", "not hexadecimal")
@@ -207,8 +207,8 @@
 var outcomes = [...]routing.Outcome{routing.Errored, routing.Answered, routing.Rejected, routing.TimedOut, routing.ConnectFailed,
 	routing.ConnectionLost, routing.Canceled, routing.NotSent, routing.NotPrimary}
 
-// outcomeByNumber returns the outcomeByNumber with a number. An unknown number is read as Errored, because the attempt
-// may have run.
+// outcomeByNumber returns the outcome with a number. An unknown number is read as Errored, because the attempt may have
+// run.
 func outcomeByNumber(number int64) routing.Outcome {
 	if number < 0 || number >= int64(len(outcomes)) {
 		return routing.Errored
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -87,7 +87,7 @@
 	"result router/0 r-1 node_b 1 8 0 240.25 0\neob\n" +
 	"clock 5600.0 5\nelapsed router/0 5\nelapsed router/0 6\nelapsed router/0 7\ndetach router/0\ngone router/0 r-3\neob\n"
 
-// wantReply is the reply wantReply from an earlier implementation.
+// wantReply is the reply recorded from an earlier implementation.
 const wantReply = `timer router/0 3.905 0
 probe router/0 node_b
 transmit router/0 r-2 node_a 0.000
