--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -45,7 +45,7 @@
 // Error implements error.
 func (e httpStatusError) Error() string { return string(e) }
 
-// UnknownVersion makes a watch request the complete list. It is used after a move to another discovery service, whose
+// UnknownVersion makes a watch request the complete list, for example after a move to another discovery service, whose
 // versions are unrelated to those of the old one.
 const UnknownVersion = -1
 
--- a/internal/discovery/watched_body.go
+++ b/internal/discovery/watched_body.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// watchedBody reads a response body, limits the size of each list, and calls onSign for each sign that the connection
+// watchedBody reads a response body, limits the size of each list, and calls onHeartbeat for each sign that discovery
 // is alive: anything that arrives between lists, including empty lines, and the beginning of a list. Bytes within a
 // list don't count, so that a list that never completes does not keep the watch open.
 type watchedBody struct {
