--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,16 +1,17 @@
-// Package invariant states what must hold. A debug build (-tags debug) stops with a panic where it does not; a release
-// build counts and logs it, and its caller goes on with what is safe.
+// Package invariant checks assumptions at run time. A violation panics in a debug build (-tags debug); a release build
+// counts and logs it, and the caller continues with a safe alternative.
 package invariant
 
 import "cairntiller/internal/metrics"
 
 var violations = metrics.New("invariants broken")
 
-// That returns whether something that must hold does; what names it in the log.
-func That(holds bool, what string) bool {
+// Check returns holds, and reports a violation if it is false. The parameter invariant names what should hold, for the
+// log.
+func Check(holds bool, invariant string) bool {
 	if !holds {
 		violations.Add()
-		report(what)
+		report(invariant)
 	}
 	return holds
 }
--- a/internal/serve/operator_file.go
+++ b/internal/serve/operator_file.go
@@ -52,13 +52,13 @@
 		rollouts:     rolloutservice.ReadSettings(releases),
 	}
 	if o.sharedProbes.Enabled && !fleet.Present() {
-		duties.AddFault("", "duties without a fleet", "a part fleet, which defines the members that share them")
+		duties.AddError("", "duties without a fleet", "a part fleet, which defines the members that share them")
 	}
 	if o.leases.Given && !fleet.Present() {
-		leases.AddFault("", "leases without a fleet", "a part fleet, which defines the members that hold them")
+		leases.AddError("", "leases without a fleet", "a part fleet, which defines the members that hold them")
 	}
 	if o.rollouts.Given && !o.leases.Given {
-		releases.AddFault("", "releases without leases", "a part leases, whose voters store the decisions")
+		releases.AddError("", "releases without leases", "a part leases, whose voters store the decisions")
 	}
-	return o, file.Faults()
+	return o, file.Err()
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func read(t *testing.T, text string) *File {
+func parse(t *testing.T, text string) *File {
 	t.Helper()
 	f, err := Parse("f", []byte(text))
 	if err != nil {
@@ -18,7 +18,7 @@
 }
 
 func TestValues(t *testing.T) {
-	f := read(t, `; all kinds
+	f := parse(t, `; all kinds
 (one (name "a \"b\"") (join x "y z") (every 250ms) (room 64MiB) (load 2.5) (most 7)
      (inner (every 2min)))`)
 	p := f.Part("one")
@@ -46,14 +46,15 @@
 	if got := p.Part("absent").Duration("every", 42, 1, 1e9); got != 42 || p.Part("absent").Present() {
 		t.Error(got)
 	}
-	if err := f.Faults(); err != nil {
+	if err := f.Err(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestAllFaultsAtOnce: each with its place, what was found and what may stand there.
-func TestAllFaultsAtOnce(t *testing.T) {
-	f := read(t, `(duties
+// TestErrReportsAllMistakes checks that every mistake in a file is reported, in order, with its location, what was
+// found and what is expected.
+func TestErrReportsAllMistakes(t *testing.T) {
+	f := parse(t, `(duties
   (evry 1s)
   (every 1)
   (load 12)
@@ -70,57 +71,57 @@
 	p.Integer("most", 1, 0, 9)
 	p.Text("name", "")
 	p.Size("room", 1, 1, 1<<20)
-	err := f.Faults()
+	err := f.Err()
 	if err == nil {
-		t.Fatal("no fault")
+		t.Fatal("no errors reported")
 	}
 	for i, want := range []string{
 		`f:2:4: found the unknown name "evry", want "every"`,
-		`f:3:10: found "1", want a time from 1ms to 10s`,
+		`f:3:10: found "1", want a duration from 1ms to 10s`,
 		`f:4:9: found "12", want a number from 0 to 9`,
-		`f:5:3: found a second "load", want one, as in line 4`,
-		`f:6:9: found the text "7", want a whole number from 0 to 9`,
-		`f:7:3: found "name" with 2 values, want one: a text`,
+		`f:5:3: found a second "load", want only one, as in line 4`,
+		`f:6:9: found the string "7", want a whole number from 0 to 9`,
+		`f:7:3: found "name" with 2 values, want one: a string`,
 		`f:8:3: found "stray", want a list such as (name value)`,
 		`f:9:9: found "2h", want a size from 1B to 1MiB`,
 		`f:10:2: found the unknown name "dutys", want "duties"`,
 		`f:11:1: found "7", want a list such as (name value)`,
 	} {
 		if lines := strings.Split(err.Error(), "\n"); i >= len(lines) || lines[i] != want {
-			t.Errorf("fault %d is %q, want %q", i, lines[min(i, len(lines)-1)], want)
+			t.Errorf("error %d is %q, want %q", i, lines[min(i, len(lines)-1)], want)
 		}
 	}
 }
 
-func TestBrokenForms(t *testing.T) {
+func TestParseRejectsInvalidSyntax(t *testing.T) {
 	for text, want := range map[string]string{
 		"(a (b 1)":                      "f:1:9: found the end of the file within a list",
 		"(a 1))":                        `f:1:6: found ")"`,
 		"\n(a \"b)":                     "f:2:4: found",
-		"(a \xff)":                      "f:1:1: found bytes that are no text",
-		strings.Repeat("(", 100_000):    "f:1:33: found a list too deep",
-		strings.Repeat("(a ", 33) + ")": "f:1:97: found a list too deep",
+		"(a \xff)":                      "f:1:1: found bytes that are not valid text",
+		strings.Repeat("(", 100_000):    "f:1:33: found a list nested too deep",
+		strings.Repeat("(a ", 33) + ")": "f:1:97: found a list nested too deep",
 	} {
 		if _, err := Parse("f", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%.20q: %v, want %s", text, err, want)
 		}
 	}
-	f := read(t, strings.Repeat("(a ", 31)+"1"+strings.Repeat(")", 31)+` ; (((((((((((((((((((((((((((((((((((
+	f := parse(t, strings.Repeat("(a ", 31)+"1"+strings.Repeat(")", 31)+` ; (((((((((((((((((((((((((((((((((((
 (b "((((((((((((((((((((((((((((((((((((")`)
 	if f.Part("a"); f.Part("b").Present() != true {
-		t.Error("a list is missing")
+		t.Error("parentheses in a comment or a string hide a list")
 	}
 }
 
-func TestEmpty(t *testing.T) {
-	for _, f := range []*File{EmptyFile(), read(t, ""), read(t, " ; nothing\n")} {
-		if f.Part("any").Present() || f.Faults() != nil {
-			t.Error("an empty file holds something")
+func TestEmptyFile(t *testing.T) {
+	for _, f := range []*File{EmptyFile(), parse(t, ""), parse(t, " ; nothing\n")} {
+		if f.Part("any").Present() || f.Err() != nil {
+			t.Error("an empty file has a part or an error")
 		}
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"(a 1)", `(a "\x" (b 2ms))`, "(", ")", `"`, "(a\xff)", "((((((", "; \n()", "\\\"("} {
 		f.Add([]byte(seed))
 	}
@@ -132,13 +133,13 @@
 		p := file.Part("a")
 		p.Text("b", "")
 		p.Duration("c", 1, 1, 10)
-		file.Faults()
+		file.Err()
 	})
 }
 
-// TestReadFileRefusesAnOversizedFile: an operator names a log or a disk image by mistake. The file is refused by its size,
-// before any of it is read.
-func TestReadFileRefusesAnOversizedFile(t *testing.T) {
+// TestReadFileRejectsOversizedFile covers an operator who names a log or a disk image by mistake: the file is rejected
+// by its size before any of it is read.
+func TestReadFileRejectsOversizedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "large")
 	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/sql/settings.go
+++ b/internal/sql/settings.go
@@ -20,7 +20,7 @@
 	}{{"harmless", ReadOnly}, {"session", SessionBound}, {"writes", MayWrite}} {
 		for _, name := range p.Texts(list.name) {
 			if seen[name] {
-				p.AddFault(list.name, name+" listed twice", "each function in only one of harmless, session and writes")
+				p.AddError(list.name, name+" listed twice", "each function in only one of harmless, session and writes")
 			}
 			seen[name] = true
 			s.Catalogue.SetFunction(name, list.volatility)
@@ -40,7 +40,7 @@
 	case "unknown":
 		s.StringSyntax = UnknownStrings
 	default:
-		p.AddFault("strings", syntax, "standard, backslash or unknown: how the servers interpret a backslash in a plain string")
+		p.AddError("strings", syntax, "standard, backslash or unknown: how the servers interpret a backslash in a plain string")
 	}
 	return s
 }
