--- a/internal/versionaudit/audit.go
+++ b/internal/versionaudit/audit.go
@@ -5,63 +5,63 @@
 	"slices"
 )
 
-// Fault is what is wrong with a member.
+// Fault classifies what is wrong with a member's endpoint list.
 type Fault uint8
 
-// The faults.
+// The faults that an audit reports.
 const (
-	Behind       Fault = iota + 1 // its list is older than what others had at the first look already
-	Unresponsive                  // it answered neither look
-	WithoutList                   // it has never had a list
+	Behind       Fault = iota + 1 // its list is older than the latest one seen in the first round
+	Unresponsive                  // it answered in neither round
+	WithoutList                   // it has never received a list
 )
 
 var faultNames = [...]string{Behind: "behind", Unresponsive: "unresponsive", WithoutList: "without a list"}
 
-// String names the fault, as it is logged.
+// String returns the fault's name as it appears in logs.
 func (f Fault) String() string { return faultNames[f] }
 
-// Finding is what is wrong with one member.
+// Finding reports the fault of one member.
 type Finding struct {
 	Member  string
 	Fault   Fault
-	Version int64 // of the list that it has; 0 if it did not answer or has none
-	Want    int64 // the latest version that anybody had at the first look
+	Version int64 // of the member's list; 0 if it did not answer or has none
+	Want    int64 // the latest version that any member had in the first round
 }
 
-// noList is the version of a member that has never had a list.
+// noList is the version sent by a member that has never received a list.
 const noList = -1
 
-// The looks of an audit.
+// The rounds of an audit.
 const (
-	firstLook = iota
-	secondLook
-	looks // how many there are
+	firstRound = iota
+	secondRound
+	rounds // number of rounds
 )
 
-// audit is what one audit has learned so far.
+// audit collects the answers to one audit.
 type audit struct {
 	members  []string
-	versions [looks]map[string]int64 // by member, as it answered in each look
+	versions [rounds]map[string]int64 // answers of each round, by member
 }
 
 func newAudit(members []string) *audit {
-	return &audit{members: members, versions: [looks]map[string]int64{{}, {}}}
+	return &audit{members: members, versions: [rounds]map[string]int64{{}, {}}}
 }
 
-// recordAnswer takes a member's answer in a look.
-func (a *audit) recordAnswer(look int, member string, version int64) {
-	a.versions[look][member] = version
+// recordAnswer stores a member's answer in a round.
+func (a *audit) recordAnswer(round int, member string, version int64) {
+	a.versions[round][member] = version
 }
 
-// findings returns what is wrong, in the order of the members' names.
+// findings returns the faults found, sorted by member name.
 func (a *audit) findings() []Finding {
 	want := int64(0)
-	for _, version := range a.versions[firstLook] {
+	for _, version := range a.versions[firstRound] {
 		want = max(want, version)
 	}
 	var all []Finding
 	for _, name := range a.members {
-		if finding, wrong := a.judge(name, want); wrong {
+		if finding, faulty := a.findingFor(name, want); faulty {
 			all = append(all, finding)
 		}
 	}
@@ -69,10 +69,10 @@
 	return all
 }
 
-// judge tells what is wrong with a member, if anything.
-func (a *audit) judge(name string, want int64) (Finding, bool) {
-	first, answeredFirst := a.versions[firstLook][name]
-	second, answeredSecond := a.versions[secondLook][name]
+// findingFor evaluates one member's answers. It reports false if the member has no fault.
+func (a *audit) findingFor(name string, want int64) (Finding, bool) {
+	first, answeredFirst := a.versions[firstRound][name]
+	second, answeredSecond := a.versions[secondRound][name]
 	if !answeredFirst && !answeredSecond {
 		return Finding{Member: name, Fault: Unresponsive, Want: want}, true
 	}
@@ -83,7 +83,7 @@
 	if latest < 0 {
 		return Finding{Member: name, Fault: WithoutList, Want: want}, true
 	}
-	if latest < want && answeredSecond { // the first look alone proves nothing: the list may have been on its way
+	if latest < want && answeredSecond { // the first round alone is not enough: the list may have been in transit
 		return Finding{Member: name, Fault: Behind, Version: latest, Want: want}, true
 	}
 	return Finding{}, false
--- a/internal/versionaudit/audit_test.go
+++ b/internal/versionaudit/audit_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// TestFindings: six members answer two looks. Reported are the one that stays behind, the one that never answers and the one
-// that has no list; one that is late at the first look only is not.
+// TestFindings checks that an audit of six members reports the one that stays behind, the one that never answers and
+// the one without a list, but not the one that was behind in the first round only.
 func TestFindings(t *testing.T) {
 	a := newAudit([]string{"a", "b", "c", "d", "e", "f"})
 	a.recordAnswer(0, "self", 7)
 	for name, v := range map[string][2]int64{
-		"a": {7, 7}, // as all
-		"b": {5, 7}, // late, and caught up
-		"c": {5, 6}, // behind what others had at the first look
+		"a": {7, 7}, // up to date
+		"b": {5, 7}, // late, but caught up in the second round
+		"c": {5, 6}, // still behind what others had in the first round
 		"e": {-1, -1},
 		"f": {8, 8},
 	} {
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestOneAnswerProvesNothing: a member with an old list answers the first look and not the second. Its list may have come
-// meanwhile, so it is not reported as behind.
-func TestOneAnswerProvesNothing(t *testing.T) {
+// TestFirstAnswerAloneIsNotBehind checks that a member with an old list that answers only the first round is not
+// reported as behind: it may have received the list since.
+func TestFirstAnswerAloneIsNotBehind(t *testing.T) {
 	a := newAudit([]string{"a", "b"})
 	a.recordAnswer(0, "a", 5)
 	a.recordAnswer(0, "b", 7)
--- a/internal/versionaudit/auditor.go
+++ b/internal/versionaudit/auditor.go
@@ -14,23 +14,24 @@
 	"cairntiller/internal/sexp"
 )
 
-// LeaseName is the lease that the instance holds which makes the audits.
+// LeaseName is the lease held by the instance that runs the audits.
 const LeaseName = "list-version"
 
 const (
-	// answerWait is how long a look waits for answers.
-	answerWait = time.Second
-	// lookTimeout bounds a look as an act under the lease.
-	lookTimeout = 2 * time.Second
-	// lookGap is the time between the two looks: a list reaches some instances seconds late.
-	lookGap = 5 * time.Second
-	// firstAuditDelay is the time until an instance's first audit, if the interval is not shorter.
+	// answerTimeout is how long a round waits for answers.
+	answerTimeout = time.Second
+	// roundTimeout bounds a round, which is one operation under the lease.
+	roundTimeout = 2 * time.Second
+	// roundInterval is the time between the two rounds: a list reaches some instances seconds late.
+	roundInterval = 5 * time.Second
+	// firstAuditDelay is the time until an instance's first audit, unless the audit interval is shorter.
 	firstAuditDelay = 10 * time.Second
-	// candidateCheckInterval is the time between checks whether this instance is one that requests the lease.
+	// candidateCheckInterval is the time between checks of whether this instance is a candidate for the lease.
 	candidateCheckInterval = 5 * time.Second
-	// maxCandidates is how many instances request the lease: enough, where a thousand would crowd the voters.
+	// maxCandidates is how many instances request the lease: three suffice, and requests from a thousand would overload
+	// the voters.
 	maxCandidates = 3
-	// maxLeaseLength (us) is the lease's length, if longer ones are allowed.
+	// maxLeaseLength (us) bounds the length of the lease. It is shorter if the lease service allows less.
 	maxLeaseLength = 10_000_000
 )
 
@@ -40,37 +41,38 @@
 	unreadableMessages = metrics.New("version audit messages unreadable")
 )
 
-// Settings are what the operator's file says in its part roll-call.
+// Settings holds the section roll-call of the operator's file.
 type Settings struct {
 	Interval int64 // us between audits
 }
 
-// ReadSettings reads the settings from the operator's file, and reports each fault in it to the part.
+// ReadSettings reads the settings from the operator's file and reports each invalid value to p.
 func ReadSettings(p *sexp.Part) Settings {
 	return Settings{Interval: p.Duration("every", 60_000_000, 1_000_000, 86_400_000_000)}
 }
 
-// Send sends a message of a kind to a member; it may be lost.
+// Send sends a message of the given kind to a member. Delivery is not guaranteed.
 type Send func(to string, kind uint8, body []byte) error
 
-// Auditor is one instance's part in the audits. Its methods may be called from any goroutine.
+// Auditor runs audits while its instance holds the lease, and answers the audits of others. Its methods may be called
+// from any goroutine.
 type Auditor struct {
 	self     string
 	interval time.Duration
 	leases   *leaseservice.Service
 	members  func() []string
 	send     Send
-	version  atomic.Int64 // of the endpoint list here
+	version  atomic.Int64 // of this instance's endpoint list
 	stopping chan struct{}
 	running  sync.WaitGroup
 
 	mu         sync.Mutex
-	lastNumber uint64 // of this instance's questions
-	audit      *audit // the latest, nil once it was completed; one that ended early stays until the next begins
-	look       int    // of that audit
+	lastNumber uint64 // of this instance's latest query
+	audit      *audit // the latest, nil once completed; an aborted one stays until the next begins
+	round      int    // current round of audit
 }
 
-// New makes an instance's part; members returns the names of the other live members.
+// New returns an Auditor for the instance self; members returns the names of the other live members.
 func New(self string, settings Settings, leases *leaseservice.Service, members func() []string, send Send) *Auditor {
 	a := &Auditor{
 		self:     self,
@@ -84,21 +86,21 @@
 	return a
 }
 
-// SetVersion tells which version of the endpoint list this instance has now.
+// SetVersion sets the version of the endpoint list that this instance has.
 func (a *Auditor) SetVersion(version int64) { a.version.Store(version) }
 
-// Start begins to request the lease, whose length may be up to longestLease (us), and to make audits while it is held.
+// Start begins to request the lease, whose length may be up to longestLease (us), and to run audits while it is held.
 func (a *Auditor) Start(longestLease int64) {
 	a.running.Go(func() { a.run(min(longestLease, maxLeaseLength)) })
 }
 
-// Stop ends this instance's part. The lease is given up by whoever ends the lease service.
+// Stop ends the auditor. It does not release the lease: stopping the lease service does.
 func (a *Auditor) Stop() {
 	close(a.stopping)
 	a.running.Wait()
 }
 
-// sleep waits; it returns false if the auditor is being stopped.
+// sleep waits for d; it returns false if the auditor is being stopped.
 func (a *Auditor) sleep(d time.Duration) bool {
 	select {
 	case <-a.stopping:
@@ -108,7 +110,7 @@
 	}
 }
 
-// run requests the lease while this instance is one of the candidates, and makes the audits that are due.
+// run requests the lease while this instance is one of the candidates, and runs the audits that are due.
 func (a *Auditor) run(leaseLength int64) {
 	var guard *leaseservice.Guard
 	due := time.Now().Add(min(firstAuditDelay, a.interval))
@@ -136,19 +138,20 @@
 	}
 }
 
-// runAudit makes one audit, if this instance holds the lease, and reports whether it was completed. Each of the looks is an
-// act under the lease by itself, so that an instance that loses it between them does not go on beside its successor.
+// runAudit runs one audit, if this instance holds the lease, and reports whether it was completed. Each round is a
+// separate operation under the lease, so an instance that loses the lease between the rounds does not audit beside the
+// new holder.
 func (a *Auditor) runAudit(guard *leaseservice.Guard) bool {
 	if term, _ := guard.Held(); term == 0 {
 		return false
 	}
-	fresh := newAudit(a.members())
-	for look := range looks {
-		if look > firstLook && !a.sleep(lookGap) {
+	current := newAudit(a.members())
+	for round := range rounds {
+		if round > firstRound && !a.sleep(roundInterval) {
 			return false
 		}
-		err := guard.Do(context.Background(), lookTimeout, func(ctx context.Context, _ uint64) error {
-			a.askAll(ctx, fresh, look)
+		err := guard.Do(context.Background(), roundTimeout, func(ctx context.Context, _ uint64) error {
+			a.queryAll(ctx, current, round)
 			return nil
 		})
 		if err != nil {
@@ -156,7 +159,7 @@
 		}
 	}
 	a.mu.Lock()
-	findings := fresh.findings()
+	findings := current.findings()
 	a.audit = nil
 	a.mu.Unlock()
 	audits.Add()
@@ -167,36 +170,36 @@
 	return true
 }
 
-// askAll asks all members of an audit and waits for their answers.
-func (a *Auditor) askAll(ctx context.Context, fresh *audit, look int) {
-	question := a.beginLook(fresh, look)
-	for _, name := range fresh.members {
+// queryAll queries all members of an audit and waits for their answers.
+func (a *Auditor) queryAll(ctx context.Context, current *audit, round int) {
+	query := a.beginRound(current, round)
+	for _, name := range current.members {
 		if ctx.Err() != nil {
 			return
 		}
-		if err := a.send(name, membership.KindVersionAudit, question); err != nil {
-			slog.Debug("not asked", "member", name, "err", err)
+		if err := a.send(name, membership.KindVersionAudit, query); err != nil {
+			slog.Debug("version query not sent", "member", name, "err", err)
 		}
 	}
 	select {
 	case <-ctx.Done():
 	case <-a.stopping:
-	case <-time.After(answerWait):
+	case <-time.After(answerTimeout):
 	}
 }
 
-// beginLook notes which look answers belong to from now on, and returns the question.
-func (a *Auditor) beginLook(fresh *audit, look int) []byte {
+// beginRound makes a round the one that answers are recorded in, and returns its encoded query.
+func (a *Auditor) beginRound(current *audit, round int) []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lastNumber++
-	a.audit = fresh
-	a.look = look
-	fresh.recordAnswer(look, a.self, a.version.Load())
-	return encodeQuestion(a.lastNumber)
+	a.audit = current
+	a.round = round
+	current.recordAnswer(round, a.self, a.version.Load())
+	return encodeQuery(a.lastNumber)
 }
 
-// HandleMessage takes a member's message; it never blocks. An answer to an earlier question counts for nothing.
+// HandleMessage handles a member's message; it never blocks. An answer to an earlier query is ignored.
 func (a *Auditor) HandleMessage(from string, body []byte) {
 	m, err := decodeMessage(body)
 	if err != nil {
@@ -205,13 +208,13 @@
 	}
 	if !m.Answer {
 		if err := a.send(from, membership.KindVersionAudit, encodeAnswer(m.Number, a.version.Load())); err != nil {
-			slog.Debug("not answered", "member", from, "err", err)
+			slog.Debug("version answer not sent", "member", from, "err", err)
 		}
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.audit != nil && m.Number == a.lastNumber {
-		a.audit.recordAnswer(a.look, from, m.List)
+		a.audit.recordAnswer(a.round, from, m.List)
 	}
 }
--- a/internal/versionaudit/doc.go
+++ b/internal/versionaudit/doc.go
@@ -1,16 +1,17 @@
-// Package versionaudit is the configuration version audit: at regular times one instance asks all others which version
-// of the endpoint list they have, and reports those that stay behind. The instance that holds the lease LeaseName asks, so
-// that there is one audit however many instances there are.
+// Package versionaudit implements the configuration version audit: at regular intervals one instance queries all others
+// for the version of their endpoint list and reports those that stay behind. Only the holder of the lease LeaseName
+// sends queries, so a single audit runs at a time whatever the number of instances.
 //
-// The operator's file calls it roll-call; its lease is named list-version.
+// In the operator's file the audit is the section roll-call; its lease is named list-version.
 //
-// What it decides is in audit.go, which does no I/O and has no clock. auditor.go holds the lease, sends and receives.
+// The decisions are in audit.go, which does no I/O and reads no clock. auditor.go holds the lease and exchanges
+// messages.
 //
-// # The course of an audit
+// # States of an audit
 //
-//	waiting --due, and the lease is held--> first look --lookGap--> second look --> findings logged --> waiting
+//	waiting --due, and the lease is held--> first round --roundInterval--> second round --> findings logged --> waiting
 //
-// An endpoint list reaches some instances seconds late, so an instance is behind only if it has not caught up at the second
-// look with what anybody had at the first. If the lease is lost on the way, the audit ends without findings, and the new
-// holder begins its own. A restart loses the audit under way and nothing else.
+// An endpoint list reaches some instances seconds late, so a member counts as behind only if in the second round it
+// still has an older version than the latest of the first round. If the lease is lost during an audit, the audit ends
+// without findings and the new holder starts its own. A restart loses only the audit in progress.
 package versionaudit
--- a/internal/versionaudit/message.go
+++ b/internal/versionaudit/message.go
@@ -6,32 +6,32 @@
 	"cairntiller/internal/codec"
 )
 
-// messageVersion is the version of the messages' form.
+// messageVersion is the version of the message format.
 const messageVersion = 1
 
-// message is a question or its answer.
+// message is a query or an answer.
 type message struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
-	Number  uint64 // of the question; an answer has its question's
+	Number  uint64 // of the query; an answer repeats it
 	Answer  bool
-	List    int64 // of an answer: the version of the endpoint list, noList for none
+	List    int64 // in an answer, the version of the endpoint list; noList for none
 }
 
-// errUnreadable tells that a message can't be read.
-var errUnreadable = errors.New("a message of a version audit that can't be read")
+// errUnreadable is returned for a message that can't be decoded.
+var errUnreadable = errors.New("unreadable version audit message")
 
 var decoding = codec.StrictDecoder(4, 16, 16)
 
-func encodeQuestion(number uint64) []byte {
+func encodeQuery(number uint64) []byte {
 	return codec.Encode(message{Version: messageVersion, Number: number})
 }
 
-func encodeAnswer(number uint64, list int64) []byte {
-	return codec.Encode(message{Version: messageVersion, Number: number, Answer: true, List: list})
+func encodeAnswer(number uint64, version int64) []byte {
+	return codec.Encode(message{Version: messageVersion, Number: number, Answer: true, List: version})
 }
 
-// decodeMessage decodes a message. The error is errUnreadable.
+// decodeMessage decodes a message. Any error is errUnreadable.
 func decodeMessage(raw []byte) (message, error) {
 	var m message
 	if decoding.Unmarshal(raw, &m) != nil || m.Version != messageVersion {
