--- a/internal/supervisor/children.go
+++ b/internal/supervisor/children.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// childCheckInterval is the time between looks whether the command's children are gone.
+	// childCheckInterval is the time between checks of whether the command's children have exited.
 	childCheckInterval = 20 * time.Millisecond
-	// maxChildChecks bounds the looks to ten seconds: a process that the system can't end must not keep the supervisor.
+	// maxChildChecks bounds the checks to ten seconds: a process that the system can't kill must not block the
+	// supervisor.
 	maxChildChecks = 500
 )
 
-// adoptOrphans makes this process the parent of what its descendants leave behind, so that it can end that too.
+// adoptOrphans makes this process a child subreaper: orphaned descendants become its children, so that it can kill
+// them.
 func adoptOrphans() {
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
-		fmt.Fprintln(os.Stderr, "lease supervisor: children that part from the command are not ended with it:", err)
+		fmt.Fprintln(os.Stderr, "lease supervisor: can't become a child subreaper, so detached children may outlive the command:", err)
 	}
 }
 
-// killGroup kills the command's process group and all other children of this process. group is the process ID of the
-// command too, which leads its group.
+// killGroup kills the command's process group and all other children of this process. group is also the process ID of
+// the command, which is the group's leader.
 func killGroup(group int) {
 	syscall.Kill(-group, syscall.SIGKILL)
 	killChildren(group)
 }
 
-// killChildren kills all children of this process but those that are spared, again and again until none is left or
-// maxChildChecks looks are over. It reports whether none is left. It reaps them, except one for which exec.Cmd.Wait waits, 0
-// for none.
-func killChildren(waitedFor int, spared ...int) bool {
+// killChildren kills and reaps all children of this process except spared ones, repeatedly until none is left, for at
+// most maxChildChecks checks. It reports whether none is left. exceptPID, 0 for none, is killed but not reaped:
+// exec.Cmd.Wait waits for it.
+func killChildren(exceptPID int, spared ...int) bool {
 	for range maxChildChecks {
 		all := slices.DeleteFunc(children(), func(pid int) bool { return slices.Contains(spared, pid) })
 		for _, pid := range all {
 			syscall.Kill(pid, syscall.SIGKILL)
 		}
-		reapAllExcept(waitedFor)
+		reapAllExcept(exceptPID)
 		if len(all) == 0 {
 			return true
 		}
@@ -51,7 +53,7 @@
 	return false
 }
 
-// reapAllExcept reaps exited children except the command, for which exec.Cmd.Wait waits.
+// reapAllExcept reaps exited children except exceptPID, the command, for which exec.Cmd.Wait waits.
 func reapAllExcept(exceptPID int) {
 	for _, pid := range children() {
 		if pid != exceptPID {
@@ -60,7 +62,7 @@
 	}
 }
 
-// children returns the process IDs of this process's children, from /proc.
+// children returns the process IDs of this process's children, as listed in /proc.
 func children() (pids []int) {
 	threads, _ := os.ReadDir("/proc/self/task")
 	for _, thread := range threads {
--- a/internal/supervisor/doc.go
+++ b/internal/supervisor/doc.go
@@ -1,15 +1,16 @@
-// Package supervisor runs an operator's command under a lease and sees to it that the command is over before the lease
-// can pass on, whatever becomes of the process that asked for it.
+// Package supervisor runs an operator's command under a lease and ensures that the command has ended before another
+// instance can acquire the lease, whatever happens to the process that requested it.
 //
-// Three processes take part. The router holds the lease and says until when. The asker (cairntiller lease hold,
-// RunWithLease) passes that on. The supervisor (Supervise) is a process between the asker and the command: it is told the
-// end of the command's time over its standard input, and ends the command and all that came of it before that time is
-// over. A timer within the asker would stop with the asker; this one ends the command even if both others are stopped or
-// dead, and it kills a command that was stopped. If the supervisor itself is killed, the asker ends what it leaves behind.
+// Three processes take part. The router holds the lease and reports until when. The parent (cairntiller lease hold,
+// RunWithLease) forwards that time. The supervisor (Supervise) is a process between the parent and the command: it
+// receives the command's deadline on its standard input, and ends the command and all of its descendants before the
+// deadline. A timer in the parent would stop with the parent; the supervisor's ends the command even if the router and
+// the parent are stopped or dead, and it also kills a stopped command. If the supervisor itself is killed, the parent
+// kills the processes that it leaves behind.
 //
-// The command's states, as the supervisor sees them:
+// The states of the command in the supervisor:
 //
-//	running ──the grace period begins, "end", or the asker is gone──▶ told to end (SIGTERM)
-//	told to end ──half of the grace period is over──────────────────▶ killed, with all that it left behind
-//	any ──it ends by itself─────────────────────────────────────────▶ what it left behind is killed
+//	running ──the grace period begins, "end", or the parent is gone──▶ terminating (SIGTERM sent)
+//	terminating ──half of the grace period is over───────────────────▶ killed, with all remaining descendants
+//	any ──the command exits──────────────────────────────────────────▶ remaining descendants are killed
 package supervisor
--- a/internal/supervisor/lease.go
+++ b/internal/supervisor/lease.go
@@ -13,25 +13,25 @@
 	"cairntiller/internal/leaseservice"
 )
 
-// giveUpTimeout is how long the asker waits for the router to take that its command has ended: a router gives a lease up at
-// once, and one that hangs must not hold up the exit code.
-const giveUpTimeout = 3 * time.Second
+// releaseTimeout is how long the parent waits for the router to confirm that the command has ended: a router releases
+// the lease at once, and one that hangs must not delay the exit code.
+const releaseTimeout = 3 * time.Second
 
-// supervisorKilled is the exit code of a supervisor that was ended by a signal, as os/exec has it.
+// supervisorKilled is the exit code that os/exec reports for a supervisor that was killed by a signal.
 const supervisorKilled = -1
 
-// ErrRequestEnded means that the router ended the request before the lease was held.
+// ErrRequestEnded is returned if the router ended the request before the lease was acquired.
 var ErrRequestEnded = errors.New("the router ended the request")
 
-// Options are how a command's lease is wanted; zero values stand for the defaults.
+// Options are the parameters of a lease request; zero values stand for the defaults.
 type Options struct {
 	Length     time.Duration
-	YieldAfter time.Duration // time held after which it yields to others who wait
-	Wait       time.Duration // for the lease, before giving up
+	YieldAfter time.Duration // time held after which the lease yields to waiting requests
+	Wait       time.Duration // how long to wait for the lease
 	Priority   int
 }
 
-// arguments returns the options as the router reads them.
+// arguments returns the options as arguments of the request to the router.
 func (o Options) arguments() map[string]string {
 	args := map[string]string{"priority": strconv.Itoa(o.Priority)}
 	if o.Length > 0 {
@@ -43,11 +43,12 @@
 	return args
 }
 
-// RunWithLease waits for a lease, runs a command while it is held, and returns the command's exit code or one of the Exit
-// codes: ExitNotAcquired if options.Wait is over or SIGINT, SIGTERM or SIGHUP comes while the lease is waited for; -1 if
-// the supervisor itself was killed by a signal. If err is not nil the code has no meaning. supervise is the program and
-// arguments that start the supervisor's process, which calls Supervise. What a killed
-// supervisor leaves behind becomes this process's and is killed, so it must start no other children meanwhile.
+// RunWithLease waits for a lease, runs a command while it is held, and returns the command's exit code or one of the
+// Exit codes: ExitNotAcquired if options.Wait elapses or SIGINT, SIGTERM or SIGHUP arrives while waiting for the lease;
+// -1 if the supervisor itself was killed by a signal. If err is not nil the code has no meaning. supervise is the
+// program and arguments that start the supervisor's process, which calls Supervise. The processes that a killed
+// supervisor leaves behind become children of this process and are killed, so it must start no other children
+// meanwhile.
 func RunWithLease(socket, lease string, options Options, supervise, command []string) (code int, err error) {
 	request, err := requestLease(socket, lease, options)
 	if err != nil {
@@ -57,24 +58,24 @@
 	adoptOrphans()
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
-	held, err := request.await(options.Wait, signals)
+	held, err := request.awaitLease(options.Wait, signals)
 	if err != nil {
 		return ExitNotStarted, err
 	}
 	if held == nil {
 		return ExitNotAcquired, nil
 	}
-	others := children() // of a shell script, say, that became this process
-	child, err := startSupervisor(lease, *held, GracePeriod(lengthOf(held, options)), supervise, command)
+	preexisting := children() // for example those of a shell script that replaced itself with this process
+	child, err := startSupervisor(lease, *held, GracePeriod(leaseLength(held, options)), supervise, command)
 	if err != nil {
 		return ExitNotStarted, err
 	}
-	return request.follow(child, held.Term, others, signals), nil
+	return request.awaitCommand(child, held.Term, preexisting, signals), nil
 }
 
-// lengthOf returns the length of a lease that was just acquired, by which the command's grace period is measured. A router of
-// an earlier version doesn't tell it: then it is what was asked for, and for how long the lease is held at the most.
-func lengthOf(held *leaseservice.HoldUpdate, options Options) time.Duration {
+// leaseLength returns the length of a lease that was just acquired, from which the command's grace period is computed.
+// A router of an earlier version doesn't report it: then it is the requested length, but at most the time that is left.
+func leaseLength(held *leaseservice.HoldUpdate, options Options) time.Duration {
 	if held.Length > 0 {
 		return time.Duration(held.Length) * time.Microsecond
 	}
@@ -85,16 +86,16 @@
 	return left
 }
 
-// leaseRequest is a request for a lease that a router carries out.
+// leaseRequest is an open request for a lease at a router.
 type leaseRequest struct {
 	lease   string
 	call    *adminsocket.Call
 	updates chan leaseservice.HoldUpdate
-	ended   chan error // the router's side of the call, once
+	ended   chan error // receives once, when the router ends the call
 	closed  chan struct{}
 }
 
-// requestLease asks a router for a lease and begins to read its updates.
+// requestLease requests a lease from a router and begins to read the router's updates.
 func requestLease(socket, lease string, options Options) (*leaseRequest, error) {
 	call, err := adminsocket.Dial(socket, adminsocket.Request{Command: "lease-hold", Name: lease, Args: options.arguments()})
 	if err != nil {
@@ -111,7 +112,7 @@
 	return r, nil
 }
 
-// read passes on the router's updates, until the router or this side ends the call.
+// read forwards the router's updates to r.updates until the router or this side ends the call.
 func (r *leaseRequest) read() {
 	for {
 		var update leaseservice.HoldUpdate
@@ -133,11 +134,12 @@
 	r.call.Close()
 }
 
-// await waits until the lease is held. It returns nil if that took longer than most, or a signal came first.
-func (r *leaseRequest) await(most time.Duration, signals <-chan os.Signal) (*leaseservice.HoldUpdate, error) {
+// awaitLease waits until the lease is held. It returns nil if that takes longer than maxWait (0 for no limit), or if a
+// signal arrives first.
+func (r *leaseRequest) awaitLease(maxWait time.Duration, signals <-chan os.Signal) (*leaseservice.HoldUpdate, error) {
 	var timeout <-chan time.Time
-	if most > 0 {
-		timeout = time.After(most)
+	if maxWait > 0 {
+		timeout = time.After(maxWait)
 	}
 	for {
 		select {
@@ -155,61 +157,62 @@
 	}
 }
 
-// follow passes the lease's changes on to the supervisor until the command has ended, and returns its exit code. If the
-// router ends the call, the command goes on until the end of its time that the router sent last. If the supervisor is
-// killed, what it leaves behind is, but for the other children of this process; while any of that is left the lease isn't given up.
-func (r *leaseRequest) follow(child *supervisorProcess, term uint64, others []int, signals <-chan os.Signal) (code int) {
+// awaitCommand forwards the lease's changes to the supervisor until the command has ended, and returns its exit code.
+// If the router ends the call, the command runs on until the last deadline that the router sent. If the supervisor is
+// killed, all children of this process except the preexisting ones are killed, and the lease is released only if none
+// is left.
+func (r *leaseRequest) awaitCommand(child *supervisorProcess, term uint64, preexisting []int, signals <-chan os.Signal) (code int) {
 	ended := r.ended
 	for {
 		select {
 		case update := <-r.updates:
-			r.passOn(child, term, update)
+			r.forwardUpdate(child, term, update)
 		case <-ended:
 			ended = nil
 		case <-signals:
-			child.tell(endMessage)
+			child.send(endMessage)
 		case code := <-child.exitCode:
-			over := code != supervisorKilled || killChildren(0, others...)
-			if !over {
-				fmt.Fprintf(os.Stderr, "lease %s runs out: what the killed supervisor left behind can't be ended\n", r.lease)
+			allEnded := code != supervisorKilled || killChildren(0, preexisting...)
+			if !allEnded {
+				fmt.Fprintf(os.Stderr, "lease %s is left to expire: processes that the killed supervisor left behind can't be killed\n", r.lease)
 			} else if ended != nil {
-				r.giveUp()
+				r.releaseLease()
 			}
 			return code
 		}
 	}
 }
 
-// passOn passes one change on to the supervisor. Only an extension gives the command more time; what else happens to a held
-// lease ends it.
-func (r *leaseRequest) passOn(child *supervisorProcess, term uint64, update leaseservice.HoldUpdate) {
+// forwardUpdate forwards one change of the lease to the supervisor. An extension moves the command's deadline; any
+// other change of a held lease ends the command.
+func (r *leaseRequest) forwardUpdate(child *supervisorProcess, term uint64, update leaseservice.HoldUpdate) {
 	switch update.Change {
 	case leaseservice.Acquired.String():
 		return
 	case leaseservice.Extended.String():
 		if update.Term >= term {
-			child.tell(untilMessage(update.Until))
+			child.send(untilMessage(update.Until))
 			return
 		}
 	}
 	fmt.Fprintf(os.Stderr, "lease %s is %s: %s\n", r.lease, update.Change, update.Reason)
-	child.tell(endMessage)
+	child.send(endMessage)
 }
 
-// giveUp tells the router that what ran under the lease has ended, so that the router gives the lease to others at once
-// and not after a length. It waits until the router ends the call, for giveUpTimeout at the most.
-func (r *leaseRequest) giveUp() {
+// releaseLease tells the router that the command has ended, so that the router releases the lease at once rather than
+// letting it expire. It waits until the router ends the call, but no longer than releaseTimeout.
+func (r *leaseRequest) releaseLease() {
 	if r.call.Send(leaseservice.CommandEnded{Ended: true}) != nil {
 		return
 	}
-	timeout := time.After(giveUpTimeout)
+	timeout := time.After(releaseTimeout)
 	for {
 		select {
 		case <-r.updates:
 		case <-r.ended:
 			return
 		case <-timeout:
-			fmt.Fprintf(os.Stderr, "lease %s: the router doesn't answer that its command has ended\n", r.lease)
+			fmt.Fprintf(os.Stderr, "lease %s: the router didn't confirm the end of the command\n", r.lease)
 			return
 		}
 	}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -15,34 +15,34 @@
 	"time"
 )
 
-// The exit codes beside the command's own.
+// The exit codes in addition to the command's own.
 const (
-	ExitNotAcquired = 123 // the lease was not held in time
-	ExitTimeExpired = 124 // the command was ended, its time was over
-	ExitNotStarted  = 125 // it could not be started, or ended by a signal although its time was not over
+	ExitNotAcquired = 123 // the lease was not acquired in time
+	ExitTimeExpired = 124 // the command was terminated because of its deadline
+	ExitNotStarted  = 125 // the command could not be started, or a signal ended it before its deadline
 )
 
-// ExitCode is an exit code as an error that prints no message.
+// ExitCode is an error that carries an exit code and for which no message is printed.
 type ExitCode int
 
-// Error names the code.
+// Error implements error.
 func (e ExitCode) Error() string { return "exit code " + strconv.Itoa(int(e)) }
 
-// gracePeriodParts is the number of parts into which the grace period is divided. The command gets SIGKILL when one part is
-// left, half a grace period before the end, so that even a slow kill is over in time.
+// gracePeriodParts is the number of parts into which the grace period is divided. The command is killed when one part
+// is left, half a grace period before the deadline, so that even a slow kill completes in time.
 const gracePeriodParts = 2
 
-// GracePeriod returns how long before the end of its time a command is told to end, for a lease of a length; it is killed
-// when half of that is left. A fifth of the length leaves the command the rest for its work; an operator's command gets 200
-// ms at the least to end by itself, and needs no more than 5 s.
+// GracePeriod returns how long before its deadline a command gets SIGTERM, for a lease of the given length; it gets
+// SIGKILL when half of that is left. A fifth of the length leaves the command the rest for its work. An operator's
+// command gets at least 200 ms to shut down, and needs no more than 5 s.
 func GracePeriod(length time.Duration) time.Duration {
 	return min(max(length/5, 200*time.Millisecond), 5*time.Second)
 }
 
-// Supervise starts a command and ends it in time. The lines on in say until when it may run: "until T" in us of the clock;
-// "end" ends it at once, that is, its grace period begins. gracePeriod is how long before that time the command is told to
-// end; it is killed when half of it is left. The end of in ends the command. It returns the exit code. It is to be called
-// by a process of its own, whose only work it is.
+// Supervise starts a command, ends it before its deadline and returns the exit code. The lines read from in set the
+// deadline: "until T" in us of the clock; "end", like the end of in, starts the grace period at once. gracePeriod is
+// how long before the deadline the command gets SIGTERM; it gets SIGKILL when half of that is left. Supervise must be
+// called by a process that does nothing else.
 func Supervise(command []string, in io.Reader, clock func() int64, gracePeriod time.Duration) int {
 	if len(command) > 0 && command[0] == "--" {
 		command = command[1:]
@@ -50,13 +50,13 @@
 	if len(command) == 0 {
 		return ExitNotStarted
 	}
-	runtime.LockOSThread() // the system ends the command with the thread that started it
+	runtime.LockOSThread() // Pdeathsig kills the command when the thread that started it ends
 	adoptOrphans()
-	signal.Ignore(syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTSTP) // they are for the asker, who says "end"
+	signal.Ignore(syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTSTP) // the parent sends "end" for them
 	lines := readLines(in)
 	until, ok := parseUntil(<-lines)
 	if !ok || clock() >= until-gracePeriod.Microseconds() {
-		return ExitTimeExpired // its time was over before it began
+		return ExitTimeExpired // the deadline had passed before the start
 	}
 	c := exec.Command(command[0], command[1:]...)
 	c.Stdout = os.Stdout
@@ -66,12 +66,12 @@
 		fmt.Fprintln(os.Stderr, "lease supervisor:", err)
 		return ExitNotStarted
 	}
-	s := &supervised{group: c.Process.Pid, ended: make(chan error, 1), lines: lines, clock: clock, until: until, gracePeriod: gracePeriod}
-	go func() { s.ended <- c.Wait() }()
-	return s.keepToTime()
+	s := &supervised{processGroup: c.Process.Pid, exited: make(chan error, 1), lines: lines, clock: clock, deadline: until, gracePeriod: gracePeriod}
+	go func() { s.exited <- c.Wait() }()
+	return s.enforceDeadline()
 }
 
-// readLines reads lines until the end of the input, and closes the channel then.
+// readLines reads lines until the end of the input, then closes the channel.
 func readLines(in io.Reader) <-chan string {
 	lines := make(chan string)
 	go func() {
@@ -84,41 +84,41 @@
 	return lines
 }
 
-// supervised is a command that runs.
+// supervised is a running command.
 type supervised struct {
-	group       int // its process group
-	ended       chan error
-	lines       <-chan string // nil once the asker is gone
-	clock       func() int64
-	until       int64 // end of its time
-	gracePeriod time.Duration
-	toldToEnd   bool
+	processGroup int // ID of the command's process group
+	exited       chan error
+	lines        <-chan string // nil once the parent is gone
+	clock        func() int64
+	deadline     int64 // us of clock
+	gracePeriod  time.Duration
+	terminating  bool
 }
 
-// keepToTime waits for the command, and ends it in time. It returns the exit code.
-func (s *supervised) keepToTime() int {
-	killAt := s.gracePeriod / gracePeriodParts
+// enforceDeadline waits for the command to exit, ends it before its deadline and returns the exit code.
+func (s *supervised) enforceDeadline() int {
+	killMargin := s.gracePeriod / gracePeriodParts
 	timer := time.NewTimer(0)
 	for {
-		left := time.Duration(s.until-s.clock()) * time.Microsecond
-		if left <= killAt {
-			killGroup(s.group)
-			<-s.ended
+		left := time.Duration(s.deadline-s.clock()) * time.Microsecond
+		if left <= killMargin {
+			killGroup(s.processGroup)
+			<-s.exited
 			return ExitTimeExpired
 		}
-		if left <= s.gracePeriod && !s.toldToEnd {
-			s.toldToEnd = true
-			syscall.Kill(-s.group, syscall.SIGTERM)
-			syscall.Kill(-s.group, syscall.SIGCONT) // one that was stopped would not see the first
+		if left <= s.gracePeriod && !s.terminating {
+			s.terminating = true
+			syscall.Kill(-s.processGroup, syscall.SIGTERM)
+			syscall.Kill(-s.processGroup, syscall.SIGCONT) // a stopped process doesn't handle SIGTERM
 		}
 		next := left - s.gracePeriod
-		if s.toldToEnd {
-			next = left - killAt
+		if s.terminating {
+			next = left - killMargin
 		}
 		timer.Reset(max(next, time.Millisecond))
 		select {
-		case err := <-s.ended:
-			killGroup(s.group) // what it left behind has no lease either
+		case err := <-s.exited:
+			killGroup(s.processGroup) // the command's remaining descendants have no lease either
 			return s.exitCode(err)
 		case line, more := <-s.lines:
 			s.handleLine(line, more)
@@ -127,32 +127,32 @@
 	}
 }
 
-// handleLine handles a line from the asker: a new end of the command's time, which never moves it back. Any other line ends
-// the command, as the end of the input does: nobody is there to speak any more.
+// handleLine handles a line from the parent: a new deadline, which is ignored if it is earlier than the present one.
+// Any other line ends the command, and so does the end of the input, which means that the parent is gone.
 func (s *supervised) handleLine(line string, more bool) {
 	if !more {
 		s.lines = nil
-		s.endNow()
+		s.startGracePeriod()
 		return
 	}
 	if !strings.HasPrefix(line, untilPrefix) {
-		s.endNow()
+		s.startGracePeriod()
 		return
 	}
 	if until, ok := parseUntil(line); ok {
-		s.until = max(s.until, until)
+		s.deadline = max(s.deadline, until)
 	}
 }
 
-// endNow lets the grace period begin.
-func (s *supervised) endNow() {
-	s.until = min(s.until, s.clock()+s.gracePeriod.Microseconds())
+// startGracePeriod moves the deadline so that the grace period begins now, unless it began earlier.
+func (s *supervised) startGracePeriod() {
+	s.deadline = min(s.deadline, s.clock()+s.gracePeriod.Microseconds())
 }
 
-// exitCode returns the command's own exit code; ExitTimeExpired if it had been told to end; or ExitNotStarted if it ended
-// by a signal, or could not be waited for.
+// exitCode returns the command's own exit code; ExitTimeExpired if it had been sent SIGTERM; or ExitNotStarted if a
+// signal ended it or waiting for it failed.
 func (s *supervised) exitCode(err error) int {
-	if s.toldToEnd {
+	if s.terminating {
 		return ExitTimeExpired
 	}
 	if err == nil {
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -14,14 +14,14 @@
 	"cairntiller/internal/leaseservice"
 )
 
-// TestMain lets the test's program be the supervisor's process, and the asker's.
+// TestMain lets the test binary act as the supervisor ("keep") and as the parent ("hold").
 func TestMain(m *testing.M) {
 	if len(os.Args) > 4 && os.Args[1] == "keep" {
-		room, err := time.ParseDuration(os.Args[3])
+		gracePeriod, err := time.ParseDuration(os.Args[3])
 		if err != nil {
 			os.Exit(2)
 		}
-		os.Exit(Supervise(os.Args[4:], os.Stdin, leaseservice.Clock, room))
+		os.Exit(Supervise(os.Args[4:], os.Stdin, leaseservice.Clock, gracePeriod))
 	}
 	if len(os.Args) > 3 && os.Args[1] == "hold" {
 		code, err := RunWithLease(os.Args[2], "task", Options{}, []string{os.Args[0], "keep"}, os.Args[3:])
@@ -33,8 +33,8 @@
 	os.Exit(m.Run())
 }
 
-// supervise starts a supervisor for a command, and tells it a time from now.
-func supervise(t *testing.T, left, grace time.Duration, command ...string) (stdin io.WriteCloser, exitCode chan int, until time.Time) {
+// superviseCommand starts a supervisor for a command whose deadline is the given time from now.
+func superviseCommand(t *testing.T, left, grace time.Duration, command ...string) (stdin io.WriteCloser, exitCode chan int, until time.Time) {
 	t.Helper()
 	until = time.Now().Add(left)
 	self, err := os.Executable()
@@ -49,7 +49,7 @@
 	return p.stdin, p.exitCode, until
 }
 
-func ends(t *testing.T, ended chan int, want int, by time.Time) {
+func checkExit(t *testing.T, ended chan int, want int, by time.Time) {
 	t.Helper()
 	select {
 	case code := <-ended:
@@ -57,15 +57,15 @@
 			t.Errorf("exit code %d, want %d", code, want)
 		}
 		if late := time.Since(by); late > 0 {
-			t.Errorf("it ended %v late", late)
+			t.Errorf("exited %v after the deadline", late)
 		}
 	case <-time.After(time.Until(by) + 10*time.Second):
-		t.Fatal("it did not end")
+		t.Fatal("the supervisor did not exit")
 	}
 }
 
-// gone reports whether a process that wrote its number to a file is over.
-func gone(path string) bool {
+// processExited reports whether the process that wrote its ID to a file has exited.
+func processExited(path string) bool {
 	raw, err := os.ReadFile(path)
 	pid, bad := strconv.Atoi(strings.TrimSpace(string(raw)))
 	if err != nil || bad != nil {
@@ -78,55 +78,55 @@
 	return err != nil || strings.Contains(string(stat), ") Z ")
 }
 
-// TestEndsInTime: a machine freezes for a minute while a command runs under a lease; the lease passes on, and two commands
-// do the same work at once. So a command must be over before its time is, whatever it does: end by itself, heed no signal
-// and leave a child in a group of its own, be stopped, or lose its asker.
-func TestEndsInTime(t *testing.T) {
+// TestCommandEndsBeforeDeadline checks that a command ends before its deadline whether it exits, ignores signals and
+// leaves a child in its own process group, is stopped, or loses its parent. A command that outlives its lease, for
+// example after its machine froze for a minute, would do the same work as the command of the next holder.
+func TestCommandEndsBeforeDeadline(t *testing.T) {
 	const left, grace = 3 * time.Second, time.Second
-	t.Run("by itself", func(t *testing.T) {
+	t.Run("exits by itself", func(t *testing.T) {
 		t.Parallel()
-		_, exitCode, until := supervise(t, left, grace, "sh", "-c", `test "$CAIRNTILLER_TERM" = 7 && exit 5`)
-		ends(t, exitCode, 5, until)
+		_, exitCode, until := superviseCommand(t, left, grace, "sh", "-c", `test "$CAIRNTILLER_TERM" = 7 && exit 5`)
+		checkExit(t, exitCode, 5, until)
 	})
-	t.Run("heeds no signal", func(t *testing.T) {
+	t.Run("ignores signals", func(t *testing.T) {
 		t.Parallel()
 		child := filepath.Join(t.TempDir(), "child")
-		_, exitCode, until := supervise(t, left, grace, "sh", "-c", "trap '' TERM; setsid sh -c 'echo $$ > "+child+"; trap \"\" TERM; sleep 60' & sleep 60")
-		ends(t, exitCode, ExitTimeExpired, until)
-		if !gone(child) {
-			t.Error("what it started lives on")
+		_, exitCode, until := superviseCommand(t, left, grace, "sh", "-c", "trap '' TERM; setsid sh -c 'echo $$ > "+child+"; trap \"\" TERM; sleep 60' & sleep 60")
+		checkExit(t, exitCode, ExitTimeExpired, until)
+		if !processExited(child) {
+			t.Error("a descendant of the command is still running")
 		}
 	})
 	t.Run("stopped", func(t *testing.T) {
 		t.Parallel()
-		_, exitCode, until := supervise(t, left, grace, "sh", "-c", "kill -STOP $$")
-		ends(t, exitCode, ExitTimeExpired, until)
+		_, exitCode, until := superviseCommand(t, left, grace, "sh", "-c", "kill -STOP $$")
+		checkExit(t, exitCode, ExitTimeExpired, until)
 	})
 	t.Run("extended", func(t *testing.T) {
 		t.Parallel()
-		stdin, exitCode, until := supervise(t, left, grace, "sh", "-c", "sleep 4; exit 6")
+		stdin, exitCode, until := superviseCommand(t, left, grace, "sh", "-c", "sleep 4; exit 6")
 		fmt.Fprintln(stdin, "until", leaseservice.Clock()+(4*left).Microseconds())
-		ends(t, exitCode, 6, until.Add(3*left))
+		checkExit(t, exitCode, 6, until.Add(3*left))
 	})
-	t.Run("told to end", func(t *testing.T) {
+	t.Run("end message", func(t *testing.T) {
 		t.Parallel()
-		stdin, exitCode, _ := supervise(t, time.Minute, grace, "sleep", "60")
+		stdin, exitCode, _ := superviseCommand(t, time.Minute, grace, "sleep", "60")
 		fmt.Fprintln(stdin, "end")
-		ends(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
+		checkExit(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
 	})
-	t.Run("asker gone", func(t *testing.T) {
+	t.Run("parent gone", func(t *testing.T) {
 		t.Parallel()
-		stdin, exitCode, _ := supervise(t, time.Minute, grace, "sleep", "60")
+		stdin, exitCode, _ := superviseCommand(t, time.Minute, grace, "sleep", "60")
 		stdin.Close()
-		ends(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
+		checkExit(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
 	})
-	t.Run("its time was over", func(t *testing.T) {
+	t.Run("deadline already passed", func(t *testing.T) {
 		t.Parallel()
 		mark := filepath.Join(t.TempDir(), "mark")
-		_, exitCode, _ := supervise(t, grace/2, grace, "touch", mark)
-		ends(t, exitCode, ExitTimeExpired, time.Now().Add(5*time.Second))
+		_, exitCode, _ := superviseCommand(t, grace/2, grace, "touch", mark)
+		checkExit(t, exitCode, ExitTimeExpired, time.Now().Add(5*time.Second))
 		if _, err := os.Stat(mark); err == nil {
-			t.Error("it began all the same")
+			t.Error("the command was started")
 		}
 	})
 }
