--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -12,15 +12,15 @@
 // dialTimeout is how long a router may take to accept a connection.
 const dialTimeout = 2 * time.Second
 
-// Call is a request under way at the operator's side.
+// Call is the operator's side of an open request.
 type Call struct {
 	conn  net.Conn
 	lines *bufio.Scanner
 }
 
-// Dial sends a request to the router that listens at a socket. The error is ErrNoRouter if none does, without a Call. If the
-// request can't be sent, the error is the connection's, and the Call is returned with it, still open: the callers in this
-// program leave it to the end of the process.
+// Dial sends a request to the router that listens at a socket. If none does, the error is ErrNoRouter and the Call is
+// nil. If the request can't be sent, Dial returns the connection's error together with the Call, which is still open:
+// the callers in this program leave it open until the process exits.
 func Dial(socket string, request Request) (*Call, error) {
 	conn, err := net.DialTimeout("unix", socket, dialTimeout)
 	if err != nil {
@@ -30,10 +30,10 @@
 	return c, c.Send(request)
 }
 
-// Send sends a further line.
+// Send sends another line of the request.
 func (c *Call) Send(v any) error { return writeLine(c.conn, v) }
 
-// ReadLine reads a line of the answer; more is false after the last one. A refusal is a *RefusedError.
+// ReadLine reads a line of the answer; more is false after the last one. A refusal is returned as a *RefusedError.
 func (c *Call) ReadLine(v any) (more bool, err error) {
 	if !c.lines.Scan() {
 		return false, c.lines.Err()
@@ -45,11 +45,11 @@
 	return true, json.Unmarshal(c.lines.Bytes(), v)
 }
 
-// Close ends the request.
+// Close closes the connection, which ends the request.
 func (c *Call) Close() { c.conn.Close() }
 
-// Ask sends a request whose answer is one line, and reads it. The error is as from Dial and ReadLine, with ErrNoAnswer if
-// there was no line that could be read.
+// Ask sends a request whose answer is a single line, and reads the answer. The errors are those of Dial and ReadLine;
+// ErrNoAnswer is joined if no line could be read.
 func Ask(socket string, request Request, answer any) error {
 	c, err := Dial(socket, request)
 	if err != nil {
--- a/internal/adminsocket/doc.go
+++ b/internal/adminsocket/doc.go
@@ -1,8 +1,9 @@
-// Package adminsocket lets an operator's commands speak with a running router on the same machine: lines of JSON over a
-// Unix socket that only its owner may open. It carries requests and decides nothing about them.
+// Package adminsocket connects an operator's commands to a running router on the same machine, with lines of JSON over
+// a Unix socket that only its owner may open. It transports requests; handlers registered by other packages process
+// them.
 //
-// A request is one line. The answer is lines until the router closes the connection; the last one is a Refusal if the
-// request was refused. A request that runs for long may be followed by further lines.
+// A request is one line. The answer consists of the lines that the router sends until it closes the connection; the
+// last one is a Refusal if the request was refused. The operator's side may send further lines during a long request.
 //
-// server.go is the router's side, client.go the operator's, protocol.go the form of the lines.
+// server.go is the router's side, client.go the operator's side, and protocol.go defines the lines.
 package adminsocket
--- a/internal/adminsocket/golden_test.go
+++ b/internal/adminsocket/golden_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGoldenLines holds the lines on the socket to their form: an operator's command and the router that it speaks with
-// may be of two versions.
+// TestGoldenLines checks the format of the lines on the socket: an operator's command and the router that it connects
+// to may be of different versions.
 func TestGoldenLines(t *testing.T) {
 	for _, c := range []struct {
 		value any
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// maxLine is how many bytes a line may have: a rollout plan of thousands of members fits.
+	// maxLine is the largest length of a line in bytes: a rollout plan of thousands of members fits.
 	maxLine = 1 << 20
-	// writeTimeout is how long the other side may take to read a line.
+	// writeTimeout is how long writing a line may block on a peer that doesn't read.
 	writeTimeout = 5 * time.Second
 )
 
-// Errors of a request.
+// Errors of Listen and of requests.
 var (
-	ErrSocketInUse = errors.New("another router listens")
-	ErrNotASocket  = errors.New("is no socket")
-	ErrNoRouter    = errors.New("no router answers")
+	ErrSocketInUse = errors.New("another router is listening")
+	ErrNotASocket  = errors.New("is not a socket")
+	ErrNoRouter    = errors.New("no router is listening")
 	ErrNoAnswer    = errors.New("no answer")
 )
 
-// RefusedError is why a router refused a request, in its words.
+// RefusedError is returned for a refused request, with the reason that the router sent.
 type RefusedError struct{ Reason string }
 
-// Error returns the router's words alone.
+// Error returns the router's reason without any addition.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Settings are what the operator's file says in its part control.
+// Settings holds the section control of the operator's file.
 type Settings struct {
 	Enabled bool
 	Socket  string // path of the socket
 }
 
-// ReadSettings reads the settings from the operator's file, and reports each fault in it to the part.
+// ReadSettings reads the settings from the operator's file and reports each invalid value to p.
 func ReadSettings(p *sexp.Part) Settings {
 	s := Settings{Enabled: p.Present(), Socket: p.Text("socket", "")}
 	if s.Enabled && !filepath.IsAbs(s.Socket) {
@@ -48,12 +48,12 @@
 	return s
 }
 
-// Request is what an operator asks for.
+// Request is the first line of an operator's request.
 type Request struct {
 	Command string            `json:"verb"`
 	Name    string            `json:"name,omitempty"`
 	Args    map[string]string `json:"args,omitempty"`
-	Text    string            `json:"text,omitempty"` // a rollout plan, for example
+	Text    string            `json:"text,omitempty"` // for example a rollout plan
 }
 
 // Refusal is the last line of a request that was refused.
@@ -61,14 +61,14 @@
 	Error string `json:"error"`
 }
 
-// newLineScanner reads the lines of a connection.
+// newLineScanner returns a scanner for the lines of a connection, each of up to maxLine bytes.
 func newLineScanner(conn net.Conn) *bufio.Scanner {
 	lines := bufio.NewScanner(conn)
 	lines.Buffer(nil, maxLine)
 	return lines
 }
 
-// writeLine writes a value as one line.
+// writeLine writes a value as one line of JSON.
 func writeLine(conn net.Conn, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/adminsocket/server.go
+++ b/internal/adminsocket/server.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// maxConnections is how many connections may be open at once: operators, not clients. Each cairntiller lease hold keeps
-	// one from its request to the end of its command. A connection over the limit is refused.
+	// maxConnections limits the open connections, which are those of operators, not of clients. Each cairntiller lease
+	// hold keeps one open from its request to the end of its command. A connection over the limit is refused.
 	maxConnections = 32
-	// refusalTimeout is how long a connection over the limit may take to send its request and accept the refusal.
+	// refusalTimeout is how long a connection over the limit may take to send its request and read the refusal.
 	refusalTimeout = 250 * time.Millisecond
 	// requestTimeout is how long a connection may take to send its request.
 	requestTimeout = 2 * time.Second
-	// staleSocketTimeout is how long a socket that a former router left may take to show that nobody listens.
+	// staleSocketTimeout bounds the connection attempt that finds out whether a router listens on an existing socket.
 	staleSocketTimeout = time.Second
-	// acceptRetryDelay is the pause after a connection could not be accepted, as for want of descriptors.
+	// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
@@ -34,10 +34,10 @@
 	refusedRequests = metrics.New("operators' requests refused")
 )
 
-// Handler answers a request. Its error is sent to the operator as the last line.
+// Handler answers a request. Its error is sent to the operator as a Refusal in the last line.
 type Handler func(ctx context.Context, s *Session) error
 
-// Session is a request under way at the router.
+// Session is the router's side of an open request.
 type Session struct {
 	Request
 	conn  net.Conn
@@ -47,7 +47,7 @@
 // Reply writes one line of the answer.
 func (s *Session) Reply(v any) error { return writeLine(s.conn, v) }
 
-// ReadLine waits for a further line from the operator. The error is net.ErrClosed if there is none.
+// ReadLine waits for another line from the operator. The error is net.ErrClosed if there is none.
 func (s *Session) ReadLine(v any) error {
 	if !s.lines.Scan() {
 		return errors.Join(s.lines.Err(), net.ErrClosed)
@@ -55,21 +55,21 @@
 	return json.Unmarshal(s.lines.Bytes(), v)
 }
 
-// Server takes operators' requests. Its methods may be called from any goroutine.
+// Server serves operators' requests. Its methods may be called from any goroutine.
 type Server struct {
 	settings Settings
 	listener net.Listener
-	ctx      context.Context // ends with Close
+	ctx      context.Context // canceled by Close
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 
-	mu       sync.Mutex
-	handlers map[string]Handler // by command
-	open     map[net.Conn]bool
+	mu          sync.Mutex
+	handlers    map[string]Handler // by command
+	connections map[net.Conn]bool
 }
 
-// Listen opens the socket. One that a former router left is replaced. The error is ErrSocketInUse if a router answers
-// there, ErrNotASocket if something else is in its place, or the system's.
+// Listen opens the socket and starts to accept connections. A stale socket of an earlier process is replaced. The error
+// is ErrSocketInUse if a router is listening there, ErrNotASocket if the path is something else, or a system error.
 func Listen(settings Settings) (*Server, error) {
 	if err := removeStale(settings.Socket); err != nil {
 		return nil, err
@@ -81,20 +81,20 @@
 	if err := os.Chmod(settings.Socket, 0o600); err != nil {
 		return nil, errors.Join(err, listener.Close())
 	}
-	s := &Server{settings: settings, listener: listener, handlers: map[string]Handler{}, open: map[net.Conn]bool{}}
+	s := &Server{settings: settings, listener: listener, handlers: map[string]Handler{}, connections: map[net.Conn]bool{}}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.running.Go(s.accept)
 	return s, nil
 }
 
-// removeStale removes a socket that a former router left.
+// removeStale removes a socket that an earlier process left behind.
 func removeStale(path string) error {
 	if conn, err := net.DialTimeout("unix", path, staleSocketTimeout); err == nil {
 		conn.Close()
 		return fmt.Errorf("control: %w at %s", ErrSocketInUse, path)
 	}
 	info, err := os.Lstat(path)
-	if err != nil { // there is nothing
+	if err != nil { // nothing to remove
 		return nil
 	}
 	if info.Mode()&os.ModeSocket == 0 {
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// Handle sets who answers a command.
+// Handle registers the handler for a command.
 func (s *Server) Handle(command string, handler Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handlers[command] = handler
 }
 
-// handler returns who answers a command, or nil.
+// handler returns the handler for a command, or nil.
 func (s *Server) handler(command string) Handler {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,39 +128,40 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if !s.admit(conn) {
-			s.running.Go(func() { refuse(conn) })
+		if !s.trackConnection(conn) {
+			s.running.Go(func() { refuseConnection(conn) })
 			continue
 		}
 		s.running.Go(func() {
 			s.serve(conn)
 			s.mu.Lock()
-			delete(s.open, conn)
+			delete(s.connections, conn)
 			s.mu.Unlock()
 			conn.Close()
 		})
 	}
 }
 
-// admit notes a connection as open, unless there are too many or the server is being closed.
-func (s *Server) admit(conn net.Conn) bool {
+// trackConnection adds a connection to the open ones. It returns false, without adding it, if there are too many or the
+// server is being closed.
+func (s *Server) trackConnection(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.open) >= maxConnections || s.ctx.Err() != nil {
+	if len(s.connections) >= maxConnections || s.ctx.Err() != nil {
 		return false
 	}
-	s.open[conn] = true
+	s.connections[conn] = true
 	return true
 }
 
-// refuse ends a connection over the limit with the reason. It reads the request first: an operator whose request can't be
-// sent would not look for the answer.
-func refuse(conn net.Conn) {
+// refuseConnection sends the reason to a connection over the limit and closes it. It reads the request first: a client
+// that fails to send its request doesn't read the answer.
+func refuseConnection(conn net.Conn) {
 	refusedRequests.Add()
 	conn.SetDeadline(time.Now().Add(refusalTimeout))
 	newLineScanner(conn).Scan()
 	if err := writeLine(conn, Refusal{fmt.Sprintf("this router has %d operators' requests under way, and takes no more", maxConnections)}); err != nil {
-		slog.Debug("an operator's connection was not refused in time", "err", err)
+		slog.Debug("sending the refusal of an operator's connection failed", "err", err)
 	}
 	conn.Close()
 }
@@ -189,12 +190,12 @@
 	}
 }
 
-// Close ends the server and the requests under way, and removes the socket.
+// Close stops the server, ends the open requests and removes the socket.
 func (s *Server) Close() {
 	s.cancel()
 	s.listener.Close()
 	s.mu.Lock()
-	for conn := range s.open {
+	for conn := range s.connections {
 		conn.Close()
 	}
 	s.mu.Unlock()
--- a/internal/adminsocket/server_test.go
+++ b/internal/adminsocket/server_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func listen(t *testing.T) (*Server, string) {
+func startServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(Settings{Enabled: true, Socket: socket})
@@ -22,19 +22,19 @@
 	return s, socket
 }
 
-// TestRequests: a request is answered in several lines and followed by a further one; others are refused, with the reason,
-// because the handler fails, because nobody handles the command, or because the line can't be read.
+// TestRequests checks a request that is answered in several lines and sends another line itself, and requests that are
+// refused with a reason: the handler fails, no handler is registered for the command, or the line is not valid JSON.
 func TestRequests(t *testing.T) {
-	s, socket := listen(t)
-	s.Handle("count", func(_ context.Context, x *Session) error {
+	s, socket := startServer(t)
+	s.Handle("count", func(_ context.Context, session *Session) error {
 		for n := range 3 {
-			x.Reply(n)
+			session.Reply(n)
 		}
 		var more string
-		if err := x.ReadLine(&more); err != nil {
+		if err := session.ReadLine(&more); err != nil {
 			return err
 		}
-		return x.Reply(more + x.Name + x.Args["a"])
+		return session.Reply(more + session.Name + session.Args["a"])
 	})
 	s.Handle("refuse", func(context.Context, *Session) error { return errors.New("not today") })
 	c, err := Dial(socket, Request{Command: "count", Name: "n", Args: map[string]string{"a": "b"}})
@@ -54,7 +54,7 @@
 		t.Error(text, more, err)
 	}
 	if more, err := c.ReadLine(&text); more || err != nil {
-		t.Error("after the end", more, err)
+		t.Error("after the last line:", more, err)
 	}
 	for command, want := range map[string]string{"refuse": "not today", "unknown": "does not know"} {
 		c, err := Dial(socket, Request{Command: command})
@@ -79,23 +79,23 @@
 	}
 }
 
-// TestSocketIsGuarded: nobody but the owner may open the socket. A second router does not take the socket of one that is
-// alive, it takes that of one that is dead, and it leaves a file that is no socket alone.
-func TestSocketIsGuarded(t *testing.T) {
-	s, socket := listen(t)
+// TestSocketProtection checks that only the owner may open the socket, and that a second router does not replace the
+// socket of a running one, replaces a stale one, and does not touch a file that is not a socket.
+func TestSocketProtection(t *testing.T) {
+	s, socket := startServer(t)
 	if st, err := os.Stat(socket); err != nil || st.Mode().Perm() != 0o600 {
 		t.Error(st.Mode(), err)
 	}
 	if _, err := Listen(s.settings); !errors.Is(err, ErrSocketInUse) {
-		t.Error("a second router took the socket:", err)
+		t.Error("a second router replaced the socket of a running one:", err)
 	}
 	s.Close()
-	left, err := net.ListenUnix("unix", &net.UnixAddr{Name: socket})
+	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: socket})
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.SetUnlinkOnClose(false)
-	left.Close()
+	stale.SetUnlinkOnClose(false)
+	stale.Close()
 	again, err := Listen(s.settings)
 	if err != nil {
 		t.Fatal(err)
@@ -105,29 +105,30 @@
 		t.Fatal(err)
 	}
 	if _, err := Listen(s.settings); !errors.Is(err, ErrNotASocket) {
-		t.Error("a file was taken for a socket:", err)
+		t.Error("a regular file was treated as a socket:", err)
 	}
 }
 
-// TestTooManyRequests: as many operators' requests are under way as a router takes, each by a lease that is held. Seen: the next
-// one's connection is closed without a word. It is told why, and is served once another has ended.
-func TestTooManyRequests(t *testing.T) {
-	s, socket := listen(t)
+// TestConnectionLimit opens as many requests as a router accepts, as held leases do. It checks that the next request is
+// refused with a reason, where the connection was once closed without one, and is served after another request has
+// ended.
+func TestConnectionLimit(t *testing.T) {
+	s, socket := startServer(t)
 	begun := make(chan bool, maxConnections)
-	s.Handle("hold", func(_ context.Context, x *Session) error {
+	s.Handle("hold", func(_ context.Context, session *Session) error {
 		begun <- true
 		var line string
-		return x.ReadLine(&line)
+		return session.ReadLine(&line)
 	})
-	s.Handle("ask", func(_ context.Context, x *Session) error { return x.Reply("answer") })
-	var held []*Call
+	s.Handle("ask", func(_ context.Context, session *Session) error { return session.Reply("answer") })
+	var calls []*Call
 	for range maxConnections {
 		c, err := Dial(socket, Request{Command: "hold"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		held = append(held, c)
+		calls = append(calls, c)
 		<-begun
 	}
 	var answer string
@@ -135,10 +136,10 @@
 	if err := Ask(socket, Request{Command: "ask"}, &answer); !errors.As(err, &refused) || !strings.Contains(err.Error(), "takes no more") {
 		t.Error("over the limit:", err)
 	}
-	held[0].Close()
+	calls[0].Close()
 	for end := time.Now().Add(20 * time.Second); Ask(socket, Request{Command: "ask"}, &answer) != nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not served after another has ended")
+			t.Fatal("no request was served after another had ended")
 		}
 	}
 	if answer != "answer" {
