--- a/internal/pgwire/codes.go
+++ b/internal/pgwire/codes.go
@@ -1,8 +1,8 @@
 package pgwire
 
-// SQLSTATEs that this router gives or is given.
+// SQLSTATE codes that the router sends to clients or receives from nodes.
 const (
-	CodeRejected    = "53300" // too_many_connections: from a node, nothing ran; to a client, it may try again later
+	CodeRejected    = "53300" // too_many_connections: from a node, nothing was executed; to a client, it may retry
 	CodeNotReady    = "57P03" // cannot_connect_now
 	CodeIdle        = "57P05" // idle_session_timeout
 	CodeFailed      = "58000" // system_error
@@ -15,10 +15,10 @@
 	codeSyntax      = "42601" // syntax_error
 )
 
-// User and Database are what the router signs on to nodes with.
+// User and Database are the names with which the router logs in to nodes.
 const User, Database = "portal", "crm"
 
-// The names under which a node reports its status beside an answer, and the values of its role.
+// The ParameterStatus names with which a node reports its status along with an answer, and the values of its role.
 const (
 	statusPosition = "applied_ms"
 	statusRole     = "role"
@@ -27,7 +27,7 @@
 	roleReplica    = "replica"
 )
 
-// The figures of a node's load report: its replicated position, and a number that is highest at a primary.
+// The fields of a node's load report: its replicated position, and a number that is highest on a primary.
 const (
 	LoadPosition = "x0"
 	LoadPrimary  = "x1"
--- a/internal/pgwire/command.go
+++ b/internal/pgwire/command.go
@@ -7,33 +7,33 @@
 	"cairntiller/internal/decimal"
 )
 
-// maxTimeout, us, is the longest client timeout that is taken: no client waits for longer than a day, and sums of times
-// stay far from overflow.
+// maxTimeout, us, is the longest client timeout that is accepted: no client waits for longer than a day, and sums of
+// times can't overflow.
 const maxTimeout = 24 * 3_600_000_000
 
-// The fields of a command's leading comment.
+// The names of the fields in a command's leading comment.
 const (
-	fieldID      = "id"
-	fieldGroup   = "c"
-	fieldTenant  = "t"
-	fieldTimeout = "d"
-	fieldShard   = "cluster"
-	fieldCommit  = "after"
+	fieldID         = "id"
+	fieldGroup      = "c"
+	fieldTenant     = "t"
+	fieldTimeout    = "d"
+	fieldShard      = "cluster"
+	fieldLastCommit = "after"
 )
 
-// Command is a client's query, decoded once: what its leading comment says, and its text. The comment holds name=value
-// pairs parted by commas; unknown names are passed over.
+// Command is a client's query: the decoded fields of its leading comment, and its text. The comment holds name=value
+// pairs separated by commas; unknown names are ignored.
 type Command struct {
 	ID, Group, Tenant, Session string
-	Timeout                    int64 // us that the client waits
-	LastCommit                 int64 // us in Unix time of the session's last commit, 0 for none
+	Timeout                    int64 // us, how long the client waits
+	LastCommit                 int64 // Unix time in us of the session's last commit, 0 for none
 	Shard                      int
 
 	statement                []byte
-	timeoutStart, timeoutEnd int // where the statement holds the client's timeout
+	timeoutStart, timeoutEnd int // position of the timeout's value in statement
 }
 
-// FieldError names the part of a query that can't be read; the connection lives on.
+// FieldError reports the field of a query that is invalid. The connection remains usable.
 type FieldError struct{ Code, Field, Why string }
 
 // Error implements error.
@@ -41,7 +41,7 @@
 
 func invalid(field, why string) error { return &FieldError{CodeValue, field, why} }
 
-// DecodeCommand reads a statement with its comment; it keeps a copy of the bytes. The error is a *FieldError.
+// DecodeCommand decodes a statement with its leading comment and keeps a copy of the bytes. The error is a *FieldError.
 func DecodeCommand(statement []byte) (*Command, error) {
 	c := &Command{statement: bytes.Clone(statement)}
 	text := c.statement
@@ -58,7 +58,7 @@
 	return c, err
 }
 
-// decodeComment reads the fields between two places of the statement.
+// decodeComment decodes the fields in statement[start:end].
 func (c *Command) decodeComment(start, end int) error {
 	seen := map[string]bool{}
 	for start < end {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// setField takes one field; its value stands in the statement from a place on.
-func (c *Command) setField(field string, value []byte, from int) (err error) {
+// setField sets one field; its value is in the statement at offset or, after spaces, behind it.
+func (c *Command) setField(field string, value []byte, offset int) (err error) {
 	switch field {
 	case fieldID:
 		c.ID = string(value)
@@ -108,11 +108,11 @@
 		if err == nil && (c.Timeout <= 0 || c.Timeout > maxTimeout) {
 			return invalid(field, "no time above zero and up to a day")
 		}
-		c.timeoutStart = from + bytes.Index(c.statement[from:], value)
+		c.timeoutStart = offset + bytes.Index(c.statement[offset:], value)
 		c.timeoutEnd = c.timeoutStart + len(value)
 	case fieldShard:
 		c.Shard, err = strconv.Atoi(string(value))
-	case fieldCommit:
+	case fieldLastCommit:
 		c.LastCommit, err = decimal.Micros(value)
 		if err == nil && c.LastCommit < 0 {
 			return invalid(field, "before all time")
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// firstLiteral is the first quoted text of a statement, "" for none. The statement must be a single one.
+// firstLiteral returns the first string literal of a statement, "" for none. More than one statement is an error.
 func firstLiteral(statement []byte) (first string, err error) {
 	found := false
 	for i := 0; i < len(statement); i++ {
@@ -148,8 +148,8 @@
 	return first, nil
 }
 
-// AppendQuery encodes the query for a node: as the client sent it, but for the client's timeout, in which the time that
-// is left stands instead, us rounded down to whole milliseconds and at least one.
+// AppendQuery encodes the query for a node: as the client sent it, except that the time left (us) replaces the client's
+// timeout, rounded down to whole milliseconds but at least one.
 func (c *Command) AppendQuery(dst []byte, left int64) []byte {
 	body := make([]byte, 0, len(c.statement)+8)
 	body = append(body, c.statement[:c.timeoutStart]...)
@@ -159,5 +159,5 @@
 	return Frame{'Q', body}.Append(dst)
 }
 
-// Size is the bytes that the command holds.
+// Size returns the length of the command's statement in bytes.
 func (c *Command) Size() int { return len(c.statement) }
--- a/internal/pgwire/doc.go
+++ b/internal/pgwire/doc.go
@@ -1,7 +1,7 @@
-// Package pgwire parses and encodes version 3 of PostgreSQL's wire protocol, as far as a router speaks it to clients and
-// to nodes. It knows no sockets: bytes go in, small typed values come out, and the other way round.
+// Package pgwire decodes and encodes the subset of PostgreSQL's wire protocol, version 3, that the router uses with
+// clients and nodes. It does no I/O: it converts between bytes and typed values.
 //
-// The order on a client's connection: a startup (maybe after a request for encryption), the welcome, then queries, each
-// with one answer that ends in ReadyForQuery. On a node's connection the router is the client: AppendStartup, a
-// StartupReply, then AppendQuery and a Reply in turn.
+// On a client's connection, a startup message (possibly after a request for encryption) and its response are followed
+// by queries, each with one answer that ends in ReadyForQuery. On a node's connection the router is the client:
+// AppendStartup and a StartupReply, then AppendQuery and a Reply for each query.
 package pgwire
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -7,84 +7,88 @@
 )
 
 const (
-	lengthBytes = 4 // the length counts itself, and not the type
+	lengthBytes = 4 // the length includes itself, but not the type
 	typeBytes   = 1
 
-	// keptBuffer is the room that an empty Splitter keeps: the room for one large value must not be kept forever.
-	keptBuffer = 1 << 14
+	// maxRetainedBuffer is the largest buffer that an empty Splitter keeps, so that one large message doesn't hold
+	// memory forever.
+	maxRetainedBuffer = 1 << 14
 )
 
-// Frame is one message. Type 0 marks the untyped ones that open a connection. Body is valid until the next Feed.
+// Frame is one message. Type is 0 for the untyped messages at the start of a connection. The Body of a frame returned
+// by Next is valid until the next Feed.
 type Frame struct {
 	Type byte
 	Body []byte
 }
 
-// ErrMessageLength is the error of a message with a length that none can have here: the stream can't be trusted.
+// ErrMessageLength is returned for a message length that is impossible or over the limit. The stream can't be decoded
+// any further.
 var ErrMessageLength = errors.New("invalid message length")
 
-// Splitter cuts a stream into messages, however its bytes arrive. It never holds more than has arrived.
+// Splitter decodes a byte stream into messages. It buffers only bytes that have arrived, whatever length a message
+// declares.
 type Splitter struct {
 	buffer  []byte
-	next    int // where in it the next message begins
-	maxBody int // longest body taken
+	offset  int // of the next message in buffer
+	maxBody int // length of the longest body accepted
 	untyped bool
 }
 
-// NewSplitter makes one for bodies up to maxBody bytes. A client's stream opens with untyped messages.
+// NewSplitter returns a Splitter for bodies of up to maxBody bytes. A client's stream begins with untyped messages.
 func NewSplitter(maxBody int, untyped bool) *Splitter {
 	return &Splitter{maxBody: maxBody, untyped: untyped}
 }
 
-// Feed adds what has arrived; bodies handed out before are void.
+// Feed adds bytes that have arrived. It invalidates the bodies returned before.
 func (s *Splitter) Feed(p []byte) {
-	if s.next > 0 {
-		left := copy(s.buffer, s.buffer[s.next:])
+	if s.offset > 0 {
+		left := copy(s.buffer, s.buffer[s.offset:])
 		s.buffer = s.buffer[:left]
-		s.next = 0
+		s.offset = 0
 	}
-	if len(s.buffer) == 0 && cap(s.buffer) > keptBuffer {
+	if len(s.buffer) == 0 && cap(s.buffer) > maxRetainedBuffer {
 		s.buffer = nil
 	}
 	s.buffer = append(s.buffer, p...)
 }
 
-// ExpectTyped makes the following messages ones with a type byte, and bodies up to maxBody bytes.
+// ExpectTyped makes the decoder expect messages with a type byte, and bodies of up to maxBody bytes, from here on.
 func (s *Splitter) ExpectTyped(maxBody int) {
 	s.untyped = false
 	s.maxBody = maxBody
 }
 
-// Buffered is how many bytes have arrived of messages not taken yet.
-func (s *Splitter) Buffered() int { return len(s.buffer) - s.next }
+// Buffered returns the number of bytes that have arrived and that Next has not returned yet.
+func (s *Splitter) Buffered() int { return len(s.buffer) - s.offset }
 
-// Next takes the next message; complete is false until all of it has arrived.
+// Next returns the next message; complete is false until all of it has arrived.
 func (s *Splitter) Next() (f Frame, complete bool, err error) {
-	rest := s.buffer[s.next:]
-	head := typeBytes + lengthBytes
+	rest := s.buffer[s.offset:]
+	headerLength := typeBytes + lengthBytes
 	if s.untyped {
-		head = lengthBytes
+		headerLength = lengthBytes
 	}
-	if len(rest) < head {
+	if len(rest) < headerLength {
 		return f, false, nil
 	}
-	body := int64(binary.BigEndian.Uint32(rest[head-lengthBytes:])) - lengthBytes
-	if body < 0 || body > int64(s.maxBody) {
+	bodyLength := int64(binary.BigEndian.Uint32(rest[headerLength-lengthBytes:])) - lengthBytes
+	if bodyLength < 0 || bodyLength > int64(s.maxBody) {
 		return f, false, ErrMessageLength
 	}
-	if int64(len(rest)-head) < body {
+	if int64(len(rest)-headerLength) < bodyLength {
 		return f, false, nil
 	}
 	if !s.untyped {
 		f.Type = rest[0]
 	}
-	end := head + int(body)
-	f.Body = rest[head:end]
-	s.next += end
+	end := headerLength + int(bodyLength)
+	f.Body = rest[headerLength:end]
+	s.offset += end
 	return f, true, nil
 }
 
-// Append encodes a message; a type of 0 is left out.
+// Append appends the encoded message to dst; a type of 0 is omitted.
 func (f Frame) Append(dst []byte) []byte {
 	if f.Type != 0 {
 		dst = append(dst, f.Type)
@@ -93,8 +97,8 @@
 	return append(dst, f.Body...)
 }
 
-// cutText takes a string that ends in a zero byte off the front.
-func cutText(b []byte) (s string, rest []byte, ok bool) {
+// cutCString takes a string that ends in a zero byte off the front.
+func cutCString(b []byte) (s string, rest []byte, ok bool) {
 	end := bytes.IndexByte(b, 0)
 	if end < 0 {
 		return "", nil, false
@@ -102,8 +106,8 @@
 	return string(b[:end]), b[end+1:], true
 }
 
-// appendText encodes a string, which holds no zero byte.
-func appendText(dst []byte, s string) []byte {
+// appendCString encodes a string, which holds no zero byte.
+func appendCString(dst []byte, s string) []byte {
 	dst = append(dst, s...)
 	return append(dst, 0)
 }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-const post = "/* id=9b1f,c=post,t=acme,d=480,cluster=2,after=1767225600123 */ INSERT INTO facts (code, data) " +
+const insertQuery = "/* id=9b1f,c=post,t=acme,d=480,cluster=2,after=1767225600123 */ INSERT INTO facts (code, data) " +
 	"VALUES ('7f3a', '\\x9f03') RETURNING data"
 
-// TestCommandGoesOnByteForByteButForItsTime: a node gets the client's statement, with the time left in place of the timeout.
-func TestCommandGoesOnByteForByteButForItsTime(t *testing.T) {
-	c, err := DecodeCommand([]byte(post))
+// TestAppendQueryReplacesOnlyTimeout checks that a node gets the client's statement unchanged except for the timeout,
+// which is replaced by the time left.
+func TestAppendQueryReplacesOnlyTimeout(t *testing.T) {
+	c, err := DecodeCommand([]byte(insertQuery))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,14 +21,15 @@
 		c.LastCommit != 1767225600123_000 || c.Session != "7f3a" {
 		t.Errorf("%+v", c)
 	}
-	want := AppendQuery(nil, strings.Replace(post, "d=480", "d=77", 1))
+	want := AppendQuery(nil, strings.Replace(insertQuery, "d=480", "d=77", 1))
 	if got := c.AppendQuery(nil, 77_900); !bytes.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
 }
 
-// TestCommandNamesWhatIsWrong: the error of a command that can't be read names the field that is missing or wrong.
-func TestCommandNamesWhatIsWrong(t *testing.T) {
+// TestDecodeCommandReportsInvalidField checks that the error of an invalid command names the field that is missing or
+// invalid.
+func TestDecodeCommandReportsInvalidField(t *testing.T) {
 	for in, field := range map[string]string{
 		"SELECT 1": "comment", "/* id=1": "comment", "/*/ x": "comment",
 		"/* c=a,d=1,cluster=1 */ x":                          "id",
@@ -55,9 +57,10 @@
 	}
 }
 
-// FuzzCommand: what can be read goes on with nothing changed but its time, and reads the same again.
+// FuzzCommand checks that a command that can be decoded is forwarded with only its timeout changed, and that the result
+// decodes to the same fields.
 func FuzzCommand(f *testing.F) {
-	for _, one := range []string{post, "/* id=1,c=a,d=1.5,cluster=-3 */", "/* d=7 , id = 1,cluster=0,d2=x*/ 'a'';'"} {
+	for _, one := range []string{insertQuery, "/* id=1,c=a,d=1.5,cluster=-3 */", "/* d=7 , id = 1,cluster=0,d2=x*/ 'a'';'"} {
 		f.Add([]byte(one), int64(1500))
 	}
 	f.Fuzz(func(t *testing.T, in []byte, left int64) {
@@ -67,9 +70,9 @@
 		}
 		s := NewSplitter(1<<20, false)
 		s.Feed(c.AppendQuery(nil, left))
-		q, whole, err := s.Next()
-		if !whole || err != nil {
-			t.Fatal(whole, err)
+		q, complete, err := s.Next()
+		if !complete || err != nil {
+			t.Fatal(complete, err)
 		}
 		again, err := DecodeCommand(q.Body[:len(q.Body)-1])
 		if err != nil || again.ID != c.ID || again.Shard != c.Shard || again.LastCommit != c.LastCommit ||
@@ -79,8 +82,8 @@
 	})
 }
 
-// row is what a node sends back for a query.
-func row(statuses string, value string) []byte {
+// rowReply encodes a reply of one row, followed by ParameterStatus messages and without ReadyForQuery.
+func rowReply(statuses string, value string) []byte {
 	out := Frame{'T', append([]byte{0, 1}, "data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"...)}.Append(nil)
 	body := append([]byte{0, 1, 0, 0, 0, byte(len(value))}, value...)
 	out = Frame{'D', body}.Append(out)
@@ -91,14 +94,15 @@
 	return out
 }
 
-// FuzzReply: a reply reads the same whole and byte by byte, and nothing in it panics or grows past its bytes.
+// FuzzReply checks that a reply is decoded alike whether it arrives at once or byte by byte, and that no input causes a
+// panic or a reply that is longer than the input.
 func FuzzReply(f *testing.F) {
-	whole := AppendReady(row("role=replica applied_ms=17 load=x0:1", "ab"))
-	f.Add(whole)
+	completeReply := AppendReady(rowReply("role=replica applied_ms=17 load=x0:1", "ab"))
+	f.Add(completeReply)
 	f.Add(AppendError(nil, false, CodeNoPrimary, "no", 0))
 	f.Add(AppendError(nil, true, "XX000", "no", 2500))
-	f.Add(append(row("", "a"), row("", "b")...))
-	f.Add(append([]byte("D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff"), whole...))
+	f.Add(append(rowReply("", "a"), rowReply("", "b")...))
+	f.Add(append([]byte("D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff"), completeReply...))
 	f.Add([]byte("T\x7f\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		read := func(step int) (*Reply, bool, error) {
@@ -106,14 +110,14 @@
 			for at := 0; at < len(in); at += step {
 				s.Feed(in[at:min(at+step, len(in))])
 				for {
-					fr, whole, err := s.Next()
+					frame, complete, err := s.Next()
 					if err != nil {
 						return r, false, err
 					}
-					if !whole {
+					if !complete {
 						break
 					}
-					if done, err := r.Add(fr); done || err != nil {
+					if done, err := r.Add(frame); done || err != nil {
 						return r, done, err
 					}
 				}
@@ -123,34 +127,34 @@
 		a, doneA, errA := read(len(in) + 1)
 		b, doneB, errB := read(1)
 		if doneA != doneB || errA != errB || a.Code != b.Code || !bytes.Equal(a.RowMessages, b.RowMessages) ||
-			a.NodeReport != b.NodeReport || a.last != b.last {
+			a.NodeReport != b.NodeReport || a.lastType != b.lastType {
 			t.Fatalf("%+v %v %v; %+v %v %v", a, doneA, errA, b, doneB, errB)
 		}
 		if doneA && a.Code == "" && (!a.Complete() || len(a.RowMessages) > len(in)) {
-			t.Fatalf("an answer of no whole row: %+v", a)
+			t.Fatalf("done without a complete row: %+v", a)
 		}
 	})
 }
 
-// TestReplyRefusesWhatIsOutOfTurn guards against a node's message in the wrong place, which would make one query's answer
-// pass for another's.
-func TestReplyRefusesWhatIsOutOfTurn(t *testing.T) {
-	ok := row("", "a")
+// TestReplyRejectsUnexpectedMessages checks that a node's message in the wrong place is an error. Otherwise the answer
+// to one query could be taken for that to another.
+func TestReplyRejectsUnexpectedMessages(t *testing.T) {
+	ok := rowReply("", "a")
 	for name, in := range map[string][]byte{
 		"ready before a row": AppendReady(nil), "two rows": append(bytes.Clone(ok), ok...),
-		"an error after a whole row": AppendError(ok, false, "XX000", "", 0),
-		"two columns":                Frame{'T', []byte{0, 2}}.Append(nil),
-		"a row without description":  Frame{'D', []byte{0, 1, 0, 0, 0, 0}}.Append(nil),
-		"a null":                     append(row("", "")[:0:0], Frame{'D', []byte{0, 1, 255, 255, 255, 255}}.Append(Frame{'T', []byte{0, 1}}.Append(nil))...),
-		"an unknown type":            Frame{'x', nil}.Append(nil),
-		"an error without code":      Frame{'E', []byte("Mno\x00\x00")}.Append(nil),
+		"an error after a complete row": AppendError(ok, false, "XX000", "", 0),
+		"two columns":                   Frame{'T', []byte{0, 2}}.Append(nil),
+		"a row without description":     Frame{'D', []byte{0, 1, 0, 0, 0, 0}}.Append(nil),
+		"a null":                        append(rowReply("", "")[:0:0], Frame{'D', []byte{0, 1, 255, 255, 255, 255}}.Append(Frame{'T', []byte{0, 1}}.Append(nil))...),
+		"an unknown type":               Frame{'x', nil}.Append(nil),
+		"an error without code":         Frame{'E', []byte("Mno\x00\x00")}.Append(nil),
 	} {
 		s, r := NewSplitter(1<<12, false), &Reply{}
 		s.Feed(in)
 		var err error
-		for whole := true; whole && err == nil; {
+		for complete := true; complete && err == nil; {
 			var f Frame
-			if f, whole, err = s.Next(); whole && err == nil {
+			if f, complete, err = s.Next(); complete && err == nil {
 				_, err = r.Add(f)
 			}
 		}
@@ -160,8 +164,9 @@
 	}
 }
 
-// TestSplitterNeverTrustsALength: a length too small or too large for a message is an error before its bytes are awaited.
-func TestSplitterNeverTrustsALength(t *testing.T) {
+// TestFrameDecoderRejectsInvalidLength checks that a length that is too small or too large is an error as soon as the
+// header has arrived.
+func TestFrameDecoderRejectsInvalidLength(t *testing.T) {
 	for _, in := range []string{"Q\x00\x00\x00\x03", "Q\xff\xff\xff\xff", "Q\x00\x01\x00\x00"} {
 		s := NewSplitter(1000, false)
 		s.Feed([]byte(in))
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -5,31 +5,31 @@
 	"strconv"
 )
 
-// DecodeQuery reads the statement of a simple query.
+// DecodeQuery returns the statement of a simple query.
 func DecodeQuery(f Frame) (statement []byte, ok bool) {
 	last := len(f.Body) - 1
-	if bytes.IndexByte(f.Body, 0) != last || last < 0 { // one zero byte, at the end
+	if bytes.IndexByte(f.Body, 0) != last || last < 0 { // exactly one zero byte, at the end
 		return nil, false
 	}
 	return f.Body[:last], true
 }
 
-// IsEmptyQuery reports whether a query holds nothing to do.
+// IsEmptyQuery reports whether a statement holds only white space and semicolons.
 func IsEmptyQuery(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
 
 // AppendQuery encodes a simple query.
 func AppendQuery(dst []byte, statement string) []byte {
-	return Frame{'Q', appendText(nil, statement)}.Append(dst)
+	return Frame{'Q', appendCString(nil, statement)}.Append(dst)
 }
 
 // AppendReady encodes ReadyForQuery.
 func AppendReady(dst []byte) []byte { return Frame{'Z', []byte{'I'}}.Append(dst) }
 
-// AppendEmpty encodes the answer to an empty query.
+// AppendEmpty encodes the answer to an empty query: EmptyQueryResponse and ReadyForQuery.
 func AppendEmpty(dst []byte) []byte { return AppendReady(Frame{'I', nil}.Append(dst)) }
 
-// AppendError encodes an ErrorResponse. After one that is not fatal the connection goes on, so ReadyForQuery follows. A
-// retryAfter above 0, in us, tells the client when to come again, in ms rounded up.
+// AppendError encodes an ErrorResponse, followed by ReadyForQuery unless the error is fatal, that is, ends the
+// connection. A retryAfter above 0, in us, tells the client when to retry; it is sent in ms, rounded up.
 func AppendError(dst []byte, fatal bool, code, message string, retryAfter int64) []byte {
 	severity := "ERROR"
 	if fatal {
@@ -37,7 +37,7 @@
 	}
 	var body []byte
 	for _, field := range [...]string{"S" + severity, "V" + severity, "C" + code, "M" + message} {
-		body = appendText(body, field)
+		body = appendCString(body, field)
 	}
 	if retryAfter > 0 {
 		body = append(body, 'D')
@@ -51,11 +51,11 @@
 	return AppendReady(dst)
 }
 
-// decodeError reads an ErrorResponse, which must have a code.
+// decodeError decodes an ErrorResponse, which must have a code.
 func decodeError(f Frame) (code string, fatal bool, err error) {
 	for rest := f.Body; len(rest) > 0 && rest[0] != 0; {
 		field := rest[0]
-		value, behind, ok := cutText(rest[1:])
+		value, remaining, ok := cutCString(rest[1:])
 		if !ok {
 			return "", false, ErrUnexpectedMessage
 		}
@@ -65,7 +65,7 @@
 		case 'S', 'V':
 			fatal = fatal || value == "FATAL" || value == "PANIC"
 		}
-		rest = behind
+		rest = remaining
 	}
 	if code == "" {
 		return "", false, ErrUnexpectedMessage
--- a/internal/pgwire/reply.go
+++ b/internal/pgwire/reply.go
@@ -7,32 +7,33 @@
 	"cairntiller/internal/decimal"
 )
 
-// ErrUnexpectedMessage is the error of a message that may not follow those before it: the connection can't be trusted.
-var ErrUnexpectedMessage = errors.New("message out of turn")
+// ErrUnexpectedMessage is returned for a message that is malformed or not allowed in the present state. The connection
+// can't be used any further.
+var ErrUnexpectedMessage = errors.New("unexpected or malformed message")
 
-// NodeReport is what a node tells of itself beside an answer.
+// NodeReport is the status that a node reports along with an answer.
 type NodeReport struct {
 	Primary, Replica bool
-	Position         int64  // us in Unix time, 0 for none
-	Load             string // its load report, as it stands on the wire
+	Position         int64  // Unix time in us, 0 for none
+	Load             string // its load report, as received
 }
 
-// Reply collects what a node sends back for one query, up to ReadyForQuery: a row of one column (RowDescription,
-// DataRow, CommandComplete), or an error, which may break off a row.
+// Reply collects a node's messages in reply to one query, up to ReadyForQuery: a row of one column (RowDescription,
+// DataRow, CommandComplete), or an error, which may interrupt a row.
 type Reply struct {
 	NodeReport
-	Code        string // of its ErrorResponse, "" for none
-	Fatal       bool   // the connection ends with it
-	RowMessages []byte // the row's messages (RowDescription, DataRow, CommandComplete) as they came
-	Column      []byte // the row's one column, without its length
-	last        byte   // type of the last message of the row or error, 0 for none
+	Code        string // of the ErrorResponse, "" for none
+	Fatal       bool   // the error ends the connection
+	RowMessages []byte // the row's messages (RowDescription, DataRow, CommandComplete), as received
+	Column      []byte // the row's only column, without its length
+	lastType    byte   // type of the last message of the row or error, 0 for none
 }
 
-// Complete reports whether the row is complete, though ReadyForQuery may be still to come.
-func (r *Reply) Complete() bool { return r.last == 'C' }
+// Complete reports whether the row is complete. ReadyForQuery may not have arrived yet.
+func (r *Reply) Complete() bool { return r.lastType == 'C' }
 
-// Begun reports whether any part of an answer has come.
-func (r *Reply) Begun() bool { return r.last != 0 }
+// Begun reports whether any message of the row or the error has arrived.
+func (r *Reply) Begun() bool { return r.lastType != 0 }
 
 // Add adds one message; done reports that the node is ready for the next query. The error is ErrUnexpectedMessage.
 func (r *Reply) Add(f Frame) (done bool, err error) {
@@ -40,16 +41,16 @@
 	case 'S': // ParameterStatus
 		r.addStatus(f)
 		return false, nil
-	case 'N', 'K': // notices and the key
+	case 'N', 'K': // NoticeResponse, BackendKeyData
 		return false, nil
 	case 'Z':
-		ended := r.last == 'C' || r.last == 'E'
+		ended := r.lastType == 'C' || r.lastType == 'E'
 		if !ended || len(f.Body) != 1 {
 			return false, ErrUnexpectedMessage
 		}
 		return true, nil
 	case 'T', 'D', 'C':
-		if !r.follows(f.Type) || !wellFormed(f) {
+		if !r.mayFollow(f.Type) || !wellFormed(f) {
 			return false, ErrUnexpectedMessage
 		}
 		if f.Type == 'D' {
@@ -57,7 +58,7 @@
 		}
 		r.RowMessages = f.Append(r.RowMessages)
 	case 'E':
-		if r.last == 'C' || r.last == 'E' { // it may break off a row, not follow a complete one
+		if r.lastType == 'C' || r.lastType == 'E' { // an error may interrupt a row, but not follow a complete one
 			return false, ErrUnexpectedMessage
 		}
 		if r.Code, r.Fatal, err = decodeError(f); err != nil {
@@ -66,31 +67,31 @@
 	default:
 		return false, ErrUnexpectedMessage
 	}
-	r.last = f.Type
+	r.lastType = f.Type
 	return false, nil
 }
 
-// follows reports whether a message of a row may come now.
-func (r *Reply) follows(messageType byte) bool {
+// mayFollow reports whether a message of a row is allowed in the present state.
+func (r *Reply) mayFollow(messageType byte) bool {
 	switch messageType {
 	case 'T':
-		return r.last == 0
+		return r.lastType == 0
 	case 'D':
-		return r.last == 'T'
+		return r.lastType == 'T'
 	}
-	return r.last == 'D'
+	return r.lastType == 'D'
 }
 
-// wellFormed reports whether a message of a row is made as it must be, to its last byte: one column, one text.
+// wellFormed reports whether a message of a row is valid to its last byte, with exactly one column.
 func wellFormed(f Frame) bool {
 	const (
 		countBytes       = 2
 		valueLengthBytes = 4
-		columnBytes      = 18 // table, column, type, size, modifier and format, behind the column's name
+		columnBytes      = 18 // table, column, type, size, modifier and format, after the column's name
 	)
 	body := f.Body
 	if f.Type == 'C' {
-		tag, rest, ok := cutText(body)
+		tag, rest, ok := cutCString(body)
 		return ok && tag != "" && len(rest) == 0
 	}
 	if len(body) < countBytes || binary.BigEndian.Uint16(body) != 1 {
@@ -101,17 +102,17 @@
 		if len(rest) < valueLengthBytes {
 			return false
 		}
-		length := int32(binary.BigEndian.Uint32(rest)) // -1 for a null, which no value here is
+		length := int32(binary.BigEndian.Uint32(rest)) // -1 for a null, which is not accepted
 		return int64(len(rest)-valueLengthBytes) == int64(length)
 	}
-	_, rest, ok := cutText(rest)
+	_, rest, ok := cutCString(rest)
 	return ok && len(rest) == columnBytes
 }
 
-// addStatus takes what a node tells of itself. What can't be read is left out, for the answer beside it stands.
+// addStatus records a status that the node reports. An invalid one is ignored, because the answer is valid without it.
 func (r *Reply) addStatus(f Frame) {
-	name, rest, nameOK := cutText(f.Body)
-	value, _, valueOK := cutText(rest)
+	name, rest, nameOK := cutCString(f.Body)
+	value, _, valueOK := cutCString(rest)
 	if !nameOK || !valueOK {
 		return
 	}
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -2,19 +2,20 @@
 
 import "encoding/binary"
 
-// Opening is what a connection's first message asks for.
+// Opening is the kind of a connection's first message.
 type Opening uint8
 
-// The openings; a client may ask for encryption first and then start up after all.
+// The kinds of first messages. After a refused request for encryption a client may send a startup message.
 const (
 	OpenUnknown Opening = iota
 	OpenStartup
-	OpenStartupNewer // a later minor version, which is negotiated down
-	OpenEncrypted
+	OpenStartupNewer // of a later minor version, which is negotiated down
+	OpenEncrypted    // SSLRequest or GSSENCRequest
 	OpenCancel
 )
 
-// The codes of first messages; the startups' are protocol versions, the major one in the upper half.
+// The codes of first messages. That of a startup message is the protocol version, with the major version in the upper
+// half.
 const (
 	majorVersion     = 3
 	codeStartup      = majorVersion << 16
@@ -24,7 +25,7 @@
 	cancelBodyLength = 12
 )
 
-// DecodeOpening reads the first message's code.
+// DecodeOpening returns the kind of a first message.
 func DecodeOpening(f Frame) Opening {
 	if len(f.Body) < 4 {
 		return OpenUnknown
@@ -43,7 +44,8 @@
 	return OpenUnknown
 }
 
-// DecodeCancel reads which connection's command is to be cancelled, by the key that its welcome gave.
+// DecodeCancel returns the key of a CancelRequest, which identifies the connection whose command is to be cancelled.
+// The connection received it in BackendKeyData.
 func DecodeCancel(f Frame) (process, secret uint32, ok bool) {
 	if len(f.Body) != cancelBodyLength {
 		return 0, 0, false
@@ -51,33 +53,33 @@
 	return binary.BigEndian.Uint32(f.Body[4:]), binary.BigEndian.Uint32(f.Body[8:]), true
 }
 
-// AppendStartup encodes what opens a connection to a node.
+// AppendStartup encodes the startup message of a connection to a node.
 func AppendStartup(dst []byte, user, database string) []byte {
 	body := binary.BigEndian.AppendUint32(nil, codeStartup)
-	for _, one := range []string{"user", user, "database", database, ""} {
-		body = appendText(body, one)
+	for _, text := range []string{"user", user, "database", database, ""} {
+		body = appendCString(body, text)
 	}
 	return Frame{0, body}.Append(dst)
 }
 
-// welcomeParameters are told to every client, as ParameterStatus.
-var welcomeParameters = [...][2]string{
+// serverParameters are sent to every client as ParameterStatus.
+var serverParameters = [...][2]string{
 	{"server_version", "15.0"},
 	{"server_encoding", "UTF8"},
 	{"client_encoding", "UTF8"},
 	{"standard_conforming_strings", "on"},
 }
 
-// AppendWelcome encodes the answer to a startup, with the key by which the connection's commands are cancelled. newer
-// reports that the client asked for a later minor version.
+// AppendWelcome encodes the response to a startup message, with the key by which the connection's commands are
+// cancelled. newer is set if the client requested a later minor version.
 func AppendWelcome(dst []byte, newer bool, process, secret uint32) []byte {
-	if newer { // NegotiateProtocolVersion: minor 0, and no option is known
+	if newer { // NegotiateProtocolVersion: minor version 0, no unrecognized options
 		dst = Frame{'v', make([]byte, 8)}.Append(dst)
 	}
 	dst = Frame{'R', make([]byte, 4)}.Append(dst) // AuthenticationOk
-	for _, parameter := range welcomeParameters {
-		body := appendText(nil, parameter[0])
-		body = appendText(body, parameter[1])
+	for _, parameter := range serverParameters {
+		body := appendCString(nil, parameter[0])
+		body = appendCString(body, parameter[1])
 		dst = Frame{'S', body}.Append(dst)
 	}
 	key := binary.BigEndian.AppendUint32(nil, process)
@@ -86,29 +88,29 @@
 	return AppendReady(dst)
 }
 
-// StartupReply collects what a node sends back for a startup.
+// StartupReply collects a node's messages in reply to a startup message.
 type StartupReply struct {
-	Code    string // of the node's ErrorResponse, "" for none
-	allowed bool   // AuthenticationOk has come
+	Code          string // of the node's ErrorResponse, "" for none
+	authenticated bool   // AuthenticationOk has arrived
 }
 
-// Add adds one message; done reports that the node is ready, or has refused with Code. The error is
+// Add adds one message; done reports that the node is ready, or has refused the connection with Code. The error is
 // ErrUnexpectedMessage.
 func (r *StartupReply) Add(f Frame) (done bool, err error) {
 	switch f.Type {
 	case 'R':
-		if len(f.Body) != 4 || binary.BigEndian.Uint32(f.Body) != 0 { // it wants more than a name
+		if len(f.Body) != 4 || binary.BigEndian.Uint32(f.Body) != 0 { // the node requests authentication
 			return false, ErrUnexpectedMessage
 		}
-		r.allowed = true
+		r.authenticated = true
 		return false, nil
-	case 'S', 'N', 'K': // parameters, notices and the key
+	case 'S', 'N', 'K': // ParameterStatus, NoticeResponse, BackendKeyData
 		return false, nil
 	case 'E':
 		r.Code, _, err = decodeError(f)
 		return true, err
 	case 'Z':
-		if r.allowed {
+		if r.authenticated {
 			return true, nil
 		}
 	}
