--- a/internal/stream/close.go
+++ b/internal/stream/close.go
@@ -5,50 +5,52 @@
 	"time"
 )
 
-// CloseGracefully ends our side once all that is queued is out, and closes the connection once the peer has read it or
-// its time to do so is over.
+// CloseGracefully shuts down the write side once all queued bytes are written, and closes the connection once the peer
+// has closed its side or lingerTimeout has elapsed.
 func (s *Stream) CloseGracefully() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ending {
+	if s.closing {
 		return
 	}
-	s.ending = true
+	s.closing = true
 	if !s.writing {
-		s.endWriteSide()
+		s.closeWriteSide()
 	}
 }
 
-// endWriteSide ends our side; the peer then ends its own, or is cut off. Called with the lock held.
-func (s *Stream) endWriteSide() {
+// closeWriteSide shuts down the write side, and closes the connection if the peer doesn't do so within lingerTimeout.
+// The caller must hold s.mu.
+func (s *Stream) closeWriteSide() {
 	if s.closed {
 		return
 	}
 	s.shutdownWrite()
-	s.setReceiveBuffer(endedReceiveBuffer)
+	s.setReceiveBuffer(closingReceiveBuffer)
 	time.AfterFunc(lingerTimeout, s.Close)
 }
 
-// ShutdownNow ends our side at once: the peer sees it before anything that is sent elsewhere after this returns. The
-// connection is closed soon after.
+// ShutdownNow shuts down the write side at once, so that the peer sees it before anything that is sent elsewhere after
+// ShutdownNow returns. The connection is closed soon after.
 func (s *Stream) ShutdownNow() {
 	s.mu.Lock()
-	s.ending = true
+	s.closing = true
 	if !s.closed {
 		s.shutdownWrite()
 	}
 	s.mu.Unlock()
-	go s.Close() // it may wait for whoever is reading
+	go s.Close() // Close may wait for a running callback
 }
 
 // Close closes the connection at once.
 func (s *Stream) Close() { s.conn.Close() }
 
-// WriteSideClosed reports whether nothing more will leave: our side has ended, after all that was queued.
+// WriteSideClosed reports whether nothing more will be sent: the stream is closing and all queued bytes are written, or
+// the connection is closed.
 func (s *Stream) WriteSideClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closed || s.ending && !s.writing
+	return s.closed || s.closing && !s.writing
 }
 
 func (s *Stream) shutdownWrite() { syscall.Shutdown(s.fd, syscall.SHUT_WR) }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,15 +1,16 @@
-// Package stream holds one connection of the network library: bytes out in order without ever blocking the caller, bytes
-// in as they come, and one end.
+// Package stream wraps one connection of the network library: it writes in order without blocking the caller, passes on
+// received bytes as they arrive, and reports the end of the connection once.
 //
-// A stream takes writes until its side is ending:
+// A stream accepts writes until it is closing:
 //
-//	CloseGracefully  all that is queued is written, then our side is shut. What the peer still sends is read for
-//	                 lingerTimeout at most, for its owner to drop: closing a socket over unread bytes sends a reset, which
-//	                 would take our last bytes away from the peer. Then the connection is closed.
-//	ShutdownNow      our side is shut before the call returns, and the connection is closed soon after
+//	CloseGracefully  all queued bytes are written, then the write side is shut down. What the peer still sends is read
+//	                 for at most lingerTimeout, and the owner discards it: closing a socket with unread bytes sends a
+//	                 reset, with which the peer would lose the last bytes written. Then the connection is closed.
+//	ShutdownNow      the write side is shut down before the call returns, and the connection is closed soon after
 //	Close            the connection is closed
 //
-// A peer that reads too little is closed. Events.Closed is called once, whichever side ended the connection.
+// The connection of a peer that reads too slowly is closed. Events.Closed is called once, whichever side ended the
+// connection.
 package stream
 
 import (
@@ -26,17 +27,19 @@
 )
 
 const (
-	// writeTimeout is for a peer that reads nothing: its connection ends then, and nothing else waits for it.
+	// writeTimeout bounds a write to a peer that reads nothing. Its connection is closed then; nothing else waits for
+	// it.
 	writeTimeout = 5 * time.Second
-	// lingerTimeout is for a peer to end its side after ours, so that it reads all that we wrote.
+	// lingerTimeout is how long a peer may take to close its side after the write side was shut down, so that it can
+	// read all bytes written.
 	lingerTimeout = time.Second
-	// maxQueuedBytes is what may wait for a peer that reads too little: 16 answers with values of 64 KiB.
+	// maxQueuedBytes limits the bytes that wait for a peer that reads too slowly: 16 answers with values of 64 KiB.
 	maxQueuedBytes = 1 << 20
-	// receiveBuffer is the bytes that the kernel keeps unread, doubled by it: the library reads all of them at once, into
-	// room that grows with what a peer sends at full speed.
+	// receiveBuffer is the size of the kernel's receive buffer, which the kernel doubles. The library reads all of it
+	// at once, into a buffer that grows with what a peer sends at full speed.
 	receiveBuffer = 1 << 16
-	// endedReceiveBuffer is the same once our side has ended, for what is only thrown away.
-	endedReceiveBuffer = 1 << 12
+	// closingReceiveBuffer is the same after the write side was shut down, when received bytes are only discarded.
+	closingReceiveBuffer = 1 << 12
 )
 
 var (
@@ -44,27 +47,27 @@
 	slowReaders  = metrics.New("peers that read too slowly")
 )
 
-// ErrUnwritten is the error of a write of which surely no byte reached the peer's machine.
+// ErrUnwritten is the error of a write of which certainly no byte reached the peer's machine.
 var ErrUnwritten = errors.New("nothing was written")
 
-// Events are what a connection tells its owner; each is called on a goroutine of the library's.
+// Events holds the callbacks of a stream's owner. They are called on a goroutine of the library.
 type Events struct {
-	Received func(p []byte) // p is valid only until it returns
-	Closed   func()         // once, whoever ended the connection
+	Received func(p []byte) // p is valid only until Received returns
+	Closed   func()         // called once, whichever side ended the connection
 }
 
 // Stream is one connection. Its methods may be called from any goroutine.
 type Stream struct {
 	conn netpoll.Connection
-	fd   int // -1 if the library has none; the kernel refuses that
+	fd   int // -1 if the library has none; system calls on it fail
 
 	mu          sync.Mutex
 	queue       []queuedWrite
 	queuedBytes int  // in queue and in what is being written
-	writing     bool // a goroutine writes
-	ending      bool // nothing more is taken; our side ends once all is out
-	closed      bool // the connection's descriptor may be another's by now
-	peeked      [1]byte
+	writing     bool // writeQueued is running
+	closing     bool // no more writes are accepted; the write side is shut down once the queue is empty
+	closed      bool // fd may have been reused for another connection
+	peekBuffer  [1]byte
 }
 
 type queuedWrite struct {
@@ -72,17 +75,17 @@
 	done  func(error) // may be nil
 }
 
-// ConfigureLibrary gives the library one poller, which is enough for one core, and a place for its log.
+// ConfigureLibrary configures the library with one poller, which is enough for one core, and a writer for its log.
 func ConfigureLibrary(log io.Writer) error {
 	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log})
 }
 
-// Dial opens a connection, bounded in time; it blocks.
+// Dial opens a connection. It blocks for at most the timeout.
 func Dial(address string, timeout time.Duration) (netpoll.Connection, error) {
 	return netpoll.DialConnection("tcp", address, timeout)
 }
 
-// New takes a connection over; nothing is read before Start.
+// New returns a stream that takes over a connection. Nothing is read before Start.
 func New(conn netpoll.Connection) *Stream {
 	conn.SetWriteTimeout(writeTimeout)
 	s := &Stream{conn: conn, fd: -1}
@@ -93,12 +96,12 @@
 	return s
 }
 
-// Start begins to read; events may come before it returns.
+// Start begins to read. Callbacks may be called before it returns.
 func (s *Stream) Start(events Events) {
 	s.conn.AddCloseCallback(func(netpoll.Connection) error {
 		s.mu.Lock()
 		s.closed = true
-		s.ending = true
+		s.closing = true
 		s.mu.Unlock()
 		events.Closed()
 		return nil
@@ -112,24 +115,25 @@
 		events.Received(p)
 		return r.Release()
 	})
-	if !s.conn.IsActive() { // it ended before anyone could be told
+	if !s.conn.IsActive() { // the connection ended before the callbacks were set
 		s.conn.Close()
 	}
 }
 
-// Quiet reports whether the connection is open and nothing unread has arrived: neither bytes nor the peer's end.
+// Quiet reports whether the connection is open and nothing unread has arrived: neither bytes nor the end of the peer's
+// stream.
 func (s *Stream) Quiet() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ending || s.conn.Reader().Len() > 0 {
+	if s.closing || s.conn.Reader().Len() > 0 {
 		return false
 	}
 	_, err := s.peek()
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// PeerPresent reports whether the peer is still connected, by asking the kernel: the peer's end may have arrived without
-// having been read yet. Unread bytes that the peer sent before its end hide the end.
+// PeerPresent reports whether the peer is still connected. It asks the kernel, because a FIN or reset may have arrived
+// without having been read yet. A FIN behind unread bytes is not detected.
 func (s *Stream) PeerPresent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,10 +144,10 @@
 	return n > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET)
 }
 
-// peek asks the kernel whether a byte has come, without taking it. 0 bytes without an error are the peer's end. Called
-// with the lock held.
+// peek checks whether a byte has arrived, without consuming it. 0 bytes without an error are the end of the peer's
+// stream. The caller must hold s.mu.
 func (s *Stream) peek() (n int, err error) {
-	n, _, err = syscall.Recvfrom(s.fd, s.peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	n, _, err = syscall.Recvfrom(s.fd, s.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -12,7 +12,7 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// dialUnstarted opens a connection to a peer that reads nothing by itself, and is not started: nobody is told of its end.
+// dialUnstarted returns an unstarted stream, whose end is not reported, and its peer, which reads nothing by itself.
 func dialUnstarted(t *testing.T) (*Stream, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,8 @@
 	return New(conn), peer
 }
 
-// dialStarted opens such a connection, started.
+// dialStarted is like dialUnstarted, but starts the stream. It also returns the received bytes and the end of the
+// stream.
 func dialStarted(t *testing.T) (*Stream, net.Conn, chan []byte, chan struct{}) {
 	t.Helper()
 	s, peer := dialUnstarted(t)
@@ -41,8 +42,9 @@
 	return s, peer, in, ended
 }
 
-// TestAPeerThatReadsNothingHoldsUpNobody: the library's flush would wait for it, and what waits would pile up.
-func TestAPeerThatReadsNothingHoldsUpNobody(t *testing.T) {
+// TestWriteDoesNotBlockOnStalledPeer checks that Write returns although the peer reads nothing, where the library's
+// flush would block, and that the queue can't grow without bound.
+func TestWriteDoesNotBlockOnStalledPeer(t *testing.T) {
 	s, peer, _, ended := dialStarted(t)
 	done := make(chan error, 2)
 	s.Write(make([]byte, 32<<20), func(err error) { done <- err })
@@ -51,21 +53,22 @@
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("32 MB went to a peer that reads nothing: %v", err)
+		t.Fatalf("32 MB were written to a peer that reads nothing: %v", err)
 	default:
 	}
-	s.Write([]byte("behind"), func(err error) { done <- err }) // too much waits for it by now
+	s.Write([]byte("behind"), func(err error) { done <- err }) // exceeds maxQueuedBytes
 	<-ended
 	if err := <-done; err == nil || errors.Is(err, ErrUnwritten) {
-		t.Errorf("a part was written: %v", err)
+		t.Errorf("after a partial write: %v", err)
 	}
 	if err := <-done; !errors.Is(err, ErrUnwritten) {
-		t.Errorf("nothing of the second was written: %v", err)
+		t.Errorf("second write, of which nothing was sent: %v", err)
 	}
 }
 
-// TestCloseGracefullyLetsAllBytesOut: all that was written before the end arrives, and nothing is taken after it.
-func TestCloseGracefullyLetsAllBytesOut(t *testing.T) {
+// TestCloseGracefullyWritesQueuedBytes checks that all bytes written before CloseGracefully arrive, and that later
+// writes fail.
+func TestCloseGracefullyWritesQueuedBytes(t *testing.T) {
 	s, peer, _, ended := dialStarted(t)
 	s.Write(make([]byte, 4<<20), nil)
 	s.CloseGracefully()
@@ -81,8 +84,8 @@
 	<-ended
 }
 
-// TestShutdownNowIsSeenAtOnceAndEndsOnce: the peer sees our end without a delay, and the owner is told once.
-func TestShutdownNowIsSeenAtOnceAndEndsOnce(t *testing.T) {
+// TestShutdownNow checks that the peer sees the end of the stream without delay, and that Closed is called once.
+func TestShutdownNow(t *testing.T) {
 	s, peer, in, ended := dialStarted(t)
 	peer.Write([]byte("x"))
 	if p := <-in; string(p) != "x" {
@@ -90,9 +93,9 @@
 	}
 	s.ShutdownNow()
 	if _, err := peer.Read(make([]byte, 1)); err == nil {
-		t.Error("the peer still reads something")
+		t.Error("the peer read a byte after the shutdown")
 	}
-	<-ended // closed twice, the test would panic
+	<-ended // a second call of Closed would panic
 	s.Close()
 	s.Write([]byte("y"), func(err error) {
 		if !errors.Is(err, ErrUnwritten) {
@@ -101,29 +104,31 @@
 	})
 }
 
-// TestPeerPresent: a peer's end is known before anyone has read it, whichever way it went.
+// TestPeerPresent checks that the end of a peer is detected before it has been read, however the peer ended the
+// connection.
 func TestPeerPresent(t *testing.T) {
-	for name, leave := range map[string]func(c *net.TCPConn){
+	for name, disconnect := range map[string]func(c *net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
 		"half-closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		s, peer := dialUnstarted(t)
 		if !s.PeerPresent() {
-			t.Errorf("%s: gone before it went", name)
+			t.Errorf("%s: not present while connected", name)
 		}
-		leave(peer.(*net.TCPConn))
+		disconnect(peer.(*net.TCPConn))
 		for end := time.Now().Add(5 * time.Second); s.PeerPresent(); {
 			if time.Now().After(end) {
-				t.Fatalf("%s: still present", name)
+				t.Fatalf("%s: still present after the disconnect", name)
 			}
 		}
 		s.Close()
 	}
 }
 
-// TestSmallWritesGoOutAtOnce on both sides: what the system held back would go with a reset.
-func TestSmallWritesGoOutAtOnce(t *testing.T) {
+// TestNoDelayIsSet checks that TCP_NODELAY is set on dialed and accepted connections: small writes that the system
+// delayed would be lost in a reset.
+func TestNoDelayIsSet(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -151,60 +156,60 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if us, them := nodelay(New(conn)), <-accepted; us == 0 || them == 0 {
-		t.Errorf("TCP_NODELAY %d on what we open, %d on what we take", us, them)
+	if dialed, acceptedValue := nodelay(New(conn)), <-accepted; dialed == 0 || acceptedValue == 0 {
+		t.Errorf("TCP_NODELAY %d on the dialed connection, %d on the accepted one", dialed, acceptedValue)
 	}
 }
 
-// TestAnEndOverUnreadBytes guards against a reset that takes the last words with it: the peer goes on sending as our
-// side ends, reads everything, and only then is closed, in bounded time.
-func TestAnEndOverUnreadBytes(t *testing.T) {
+// TestCloseGracefullyWithUnreadBytes guards against a reset that makes the peer lose the last bytes: a peer that keeps
+// sending while the stream closes must be able to read everything before the connection is closed, in bounded time.
+func TestCloseGracefullyWithUnreadBytes(t *testing.T) {
 	s, peer, in, ended := dialStarted(t)
 	go func() {
 		for range in {
 		}
 	}()
 	began := time.Now()
-	metReset := make(chan time.Time, 1)
-	go func() { // it sends for longer than the linger lasts
+	resetAt := make(chan time.Time, 1)
+	go func() { // sends for longer than lingerTimeout
 		for {
 			if _, err := peer.Write(make([]byte, 1000)); err != nil {
-				metReset <- time.Now()
+				resetAt <- time.Now()
 				return
 			}
 		}
 	}()
 	s.Write([]byte("the last words"), nil)
 	s.CloseGracefully()
-	all := make([]byte, 0, 99)
+	received := make([]byte, 0, 99)
 	for p := make([]byte, 99); ; {
 		n, err := peer.Read(p)
-		if all = append(all, p[:n]...); err == io.EOF {
+		if received = append(received, p[:n]...); err == io.EOF {
 			break
 		} else if err != nil {
-			t.Fatalf("it read %q and met %v, not our end", all, err)
+			t.Fatalf("the peer read %q and got %v, want EOF", received, err)
 		}
 	}
 	endReadAt := time.Now()
-	if string(all) != "the last words" {
-		t.Errorf("it read %q", all)
+	if string(received) != "the last words" {
+		t.Errorf("the peer read %q", received)
 	}
-	if after := (<-metReset).Sub(endReadAt); after < lingerTimeout/5 || after > time.Hour {
-		t.Errorf("it met a reset %v after our end", after)
+	if after := (<-resetAt).Sub(endReadAt); after < lingerTimeout/5 || after > time.Hour {
+		t.Errorf("the peer got a reset %v after the end of the stream", after)
 	}
 	<-ended
 	if took := time.Since(began); took > 4*lingerTimeout {
-		t.Errorf("it ended after %v", took)
+		t.Errorf("the connection was closed after %v", took)
 	}
 }
 
-// TestAWriteBehindAReset: what is written after the peer's reset has come has surely not left, also where nobody has
-// noticed the reset yet.
-func TestAWriteBehindAReset(t *testing.T) {
+// TestWriteAfterReset checks that a write after the peer's reset has arrived fails with ErrUnwritten, even if the reset
+// has not been read yet.
+func TestWriteAfterReset(t *testing.T) {
 	s, peer := dialUnstarted(t)
 	peer.(*net.TCPConn).SetLinger(0)
 	peer.Close()
-	for { // the reset has come once the kernel says so; asking takes its first error away
+	for { // wait until the reset has arrived; this call consumes its first error
 		if _, _, err := syscall.Recvfrom(s.fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT); !errors.Is(err, syscall.EAGAIN) {
 			break
 		}
@@ -212,11 +217,11 @@
 	done := make(chan error, 1)
 	s.Write([]byte("a command"), func(err error) { done <- err })
 	if err := <-done; !errors.Is(err, ErrUnwritten) {
-		t.Errorf("behind a reset: %v", err)
+		t.Errorf("after a reset: %v", err)
 	}
 	s.Close()
 
-	s, _, _, _ = dialStarted(t) // the library knows of no end, and the kernel refuses its first call
+	s, _, _, _ = dialStarted(t) // the library sees no end, but its first call to the kernel fails
 	syscall.Shutdown(s.fd, syscall.SHUT_WR)
 	s.Write([]byte("a command"), func(err error) { done <- err })
 	if err := <-done; !errors.Is(err, ErrUnwritten) {
--- a/internal/stream/write.go
+++ b/internal/stream/write.go
@@ -5,12 +5,13 @@
 	"syscall"
 )
 
-// Write queues bytes, which are the stream's from here on; it never blocks. done, if not nil, is called once with whether
-// the kernel has all of them: ErrUnwritten only if it surely has none. A peer for which more than maxQueuedBytes wait has
-// its connection closed; a single larger write is allowed while nothing else waits.
+// Write queues bytes, which belong to the stream from here on; it never blocks. done, if not nil, is called once: with
+// nil if the kernel has accepted all of the bytes, with ErrUnwritten only if it has certainly accepted none. A
+// connection with more than maxQueuedBytes in the queue is closed; a single larger write is allowed while the queue is
+// empty.
 func (s *Stream) Write(p []byte, done func(error)) {
 	s.mu.Lock()
-	if s.ending {
+	if s.closing {
 		s.mu.Unlock()
 		if done != nil {
 			done(ErrUnwritten)
@@ -19,9 +20,9 @@
 	}
 	s.queue = append(s.queue, queuedWrite{p, done})
 	s.queuedBytes += len(p)
-	tooMuch := s.queuedBytes > max(maxQueuedBytes, len(p))
-	if tooMuch {
-		s.ending = true
+	overLimit := s.queuedBytes > max(maxQueuedBytes, len(p))
+	if overLimit {
+		s.closing = true
 	}
 	startWriter := !s.writing
 	s.writing = true
@@ -29,43 +30,43 @@
 	if startWriter {
 		go s.writeQueued()
 	}
-	if tooMuch {
+	if overLimit {
 		slowReaders.Add()
-		go s.Close() // it calls the owner, who may be waiting for this to return
+		go s.Close() // Close calls the owner, which may be waiting for Write to return
 	}
 }
 
-// writeQueued writes what is queued, until nothing is. It has a goroutine of its own, for the library's flush blocks
+// writeQueued writes until the queue is empty. It runs on a separate goroutine, because the library's flush blocks
 // while the peer reads nothing.
 func (s *Stream) writeQueued() {
-	var failed error
+	var earlierErr error
 	for {
-		writes := s.takeQueued(failed == nil)
+		writes := s.takeQueued(earlierErr == nil)
 		if writes == nil {
 			return
 		}
-		for _, one := range writes {
-			err := failed
+		for _, write := range writes {
+			err := earlierErr
 			if err == nil {
-				err = s.writeNow(one.bytes)
+				err = s.writeBlocking(write.bytes)
 			}
-			if err != nil && failed == nil {
-				failed = ErrUnwritten // of those after it nothing has left
+			if err != nil && earlierErr == nil {
+				earlierErr = ErrUnwritten // nothing of the later writes was sent
 				failedWrites.Add()
 				s.Close()
 			}
 			s.mu.Lock()
-			s.queuedBytes -= len(one.bytes)
+			s.queuedBytes -= len(write.bytes)
 			s.mu.Unlock()
-			if one.done != nil {
-				one.done(err)
+			if write.done != nil {
+				write.done(err)
 			}
 		}
 	}
 }
 
-// takeQueued takes what is queued. Where that is nothing the writer ends, and our side with it if it is ending and all
-// was written.
+// takeQueued removes and returns the queued writes. If there are none, it returns nil and the writer ends; if the
+// stream is closing and all was written, the write side is then shut down.
 func (s *Stream) takeQueued(allWritten bool) []queuedWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,22 +76,22 @@
 		return writes
 	}
 	s.writing = false
-	if s.ending && allWritten {
-		s.endWriteSide()
+	if s.closing && allWritten {
+		s.closeWriteSide()
 	}
 	return nil
 }
 
-// writeNow hands bytes to the kernel; it blocks while the peer reads nothing.
-func (s *Stream) writeNow(p []byte) error {
+// writeBlocking passes bytes to the kernel; it blocks while the peer reads nothing.
+func (s *Stream) writeBlocking(p []byte) error {
 	if !s.conn.IsActive() {
 		return ErrUnwritten
 	}
 	_, err := s.conn.Write(p)
 	if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-		// The library's Write stops at the first failing call to the kernel. EPIPE and ECONNRESET come only from the first
-		// call, so nothing was sent: its poller makes the later calls, and their failure arrives as a closed connection.
-		// This rests on cloudwego/netpoll's Write; look at it again with a new version.
+		// The library's Write stops at the first failing call to the kernel. EPIPE and ECONNRESET come only from the
+		// first call, so nothing was sent: its poller makes the later calls, and their failure arrives as a closed
+		// connection. This depends on the Write of cloudwego/netpoll; check it when the library is updated.
 		return ErrUnwritten
 	}
 	return err
