--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -45,7 +45,7 @@
 	untrusted      atomic.Bool // it violated the protocol or timed out; further input is ignored
 
 	// Used only on the reader's goroutine.
-	frames             *pgwire.Splitter
+	frames             *pgwire.FrameDecoder
 	startup            *pgwire.StartupReply // nil once the startup has ended
 	reply              *pgwire.Reply        // the reply being assembled
 	repliesRead        int64
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -34,8 +34,8 @@
 	partialSince atomic.Int64 // us: when the first bytes of an incomplete message arrived, 0 for none
 
 	// Used only on the reader's goroutine.
-	frames          *pgwire.Splitter // nil once input is discarded
-	started         bool             // the startup message has been handled
+	frames          *pgwire.FrameDecoder // nil once input is discarded
+	started         bool                 // the startup message has been handled
 	encryptionAsked bool
 	partialBytes    int64 // received bytes of an incomplete message
 
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -10,7 +10,7 @@
 	lengthBytes = 4 // the length includes itself, but not the type
 	typeBytes   = 1
 
-	// maxRetainedBuffer is the largest buffer that an empty Splitter keeps, so that one large message doesn't hold
+	// maxRetainedBuffer is the largest buffer that an empty FrameDecoder keeps, so that one large message doesn't hold
 	// memory forever.
 	maxRetainedBuffer = 1 << 14
 )
@@ -26,22 +26,22 @@
 // any further.
 var ErrMessageLength = errors.New("invalid message length")
 
-// Splitter decodes a byte stream into messages. It buffers only bytes that have arrived, whatever length a message
+// FrameDecoder decodes a byte stream into messages. It buffers only bytes that have arrived, whatever length a message
 // declares.
-type Splitter struct {
+type FrameDecoder struct {
 	buffer  []byte
 	offset  int // of the next message in buffer
 	maxBody int // length of the longest body accepted
 	untyped bool
 }
 
-// NewSplitter returns a Splitter for bodies of up to maxBody bytes. A client's stream begins with untyped messages.
-func NewSplitter(maxBody int, untyped bool) *Splitter {
-	return &Splitter{maxBody: maxBody, untyped: untyped}
+// NewSplitter returns a FrameDecoder for bodies of up to maxBody bytes. A client's stream begins with untyped messages.
+func NewSplitter(maxBody int, untyped bool) *FrameDecoder {
+	return &FrameDecoder{maxBody: maxBody, untyped: untyped}
 }
 
 // Feed adds bytes that have arrived. It invalidates the bodies returned before.
-func (s *Splitter) Feed(p []byte) {
+func (s *FrameDecoder) Feed(p []byte) {
 	if s.offset > 0 {
 		left := copy(s.buffer, s.buffer[s.offset:])
 		s.buffer = s.buffer[:left]
@@ -54,16 +54,16 @@
 }
 
 // ExpectTyped makes the decoder expect messages with a type byte, and bodies of up to maxBody bytes, from here on.
-func (s *Splitter) ExpectTyped(maxBody int) {
+func (s *FrameDecoder) ExpectTyped(maxBody int) {
 	s.untyped = false
 	s.maxBody = maxBody
 }
 
 // Buffered returns the number of bytes that have arrived and that Next has not returned yet.
-func (s *Splitter) Buffered() int { return len(s.buffer) - s.offset }
+func (s *FrameDecoder) Buffered() int { return len(s.buffer) - s.offset }
 
 // Next returns the next message; complete is false until all of it has arrived.
-func (s *Splitter) Next() (f Frame, complete bool, err error) {
+func (s *FrameDecoder) Next() (f Frame, complete bool, err error) {
 	rest := s.buffer[s.offset:]
 	headerLength := typeBytes + lengthBytes
 	if s.untyped {
--- a/internal/testcluster/database/protocol.go
+++ b/internal/testcluster/database/protocol.go
@@ -53,7 +53,7 @@
 }
 
 // handleFrame returns the reply to one message, nil where the node hangs; ok is false where the connection has to end.
-func (n *Node) handleFrame(splitter *pgwire.Splitter, frame pgwire.Frame, started *bool) (reply []byte, ok bool) {
+func (n *Node) handleFrame(splitter *pgwire.FrameDecoder, frame pgwire.Frame, started *bool) (reply []byte, ok bool) {
 	if !*started {
 		*started = true
 		splitter.ExpectTyped(maxMessageBytes)
