--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -59,7 +59,7 @@
 		node:         n,
 		pool:         p,
 		stream:       s,
-		frames:       pgwire.NewSplitter(maxReplyBytes, false),
+		frames:       pgwire.NewFrameDecoder(maxReplyBytes, false),
 		startup:      &pgwire.StartupReply{},
 		reply:        &pgwire.Reply{},
 		startupEnded: make(chan startup, 1),
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -45,7 +45,7 @@
 }
 
 func newSession(s *Server, conn netpoll.Connection) *session {
-	c := &session{server: s, frames: pgwire.NewSplitter(maxStartupBytes, true), stream: stream.New(conn)}
+	c := &session{server: s, frames: pgwire.NewFrameDecoder(maxStartupBytes, true), stream: stream.New(conn)}
 	var secret [4]byte
 	rand.Read(secret[:])
 	c.secret = binary.BigEndian.Uint32(secret[:])
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -35,8 +35,8 @@
 	untyped bool
 }
 
-// NewSplitter returns a FrameDecoder for bodies of up to maxBody bytes. A client's stream begins with untyped messages.
-func NewSplitter(maxBody int, untyped bool) *FrameDecoder {
+// NewFrameDecoder returns a FrameDecoder for bodies of up to maxBody bytes. A client's stream begins with untyped messages.
+func NewFrameDecoder(maxBody int, untyped bool) *FrameDecoder {
 	return &FrameDecoder{maxBody: maxBody, untyped: untyped}
 }
 
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return
 		}
-		s := NewSplitter(1<<20, false)
+		s := NewFrameDecoder(1<<20, false)
 		s.Feed(c.AppendQuery(nil, left))
 		q, complete, err := s.Next()
 		if !complete || err != nil {
@@ -106,7 +106,7 @@
 	f.Add([]byte("T\x7f\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		read := func(step int) (*Reply, bool, error) {
-			s, r := NewSplitter(1<<12, false), &Reply{}
+			s, r := NewFrameDecoder(1<<12, false), &Reply{}
 			for at := 0; at < len(in); at += step {
 				s.Feed(in[at:min(at+step, len(in))])
 				for {
@@ -149,7 +149,7 @@
 		"an unknown type":               Frame{'x', nil}.Append(nil),
 		"an error without code":         Frame{'E', []byte("Mno\x00\x00")}.Append(nil),
 	} {
-		s, r := NewSplitter(1<<12, false), &Reply{}
+		s, r := NewFrameDecoder(1<<12, false), &Reply{}
 		s.Feed(in)
 		var err error
 		for complete := true; complete && err == nil; {
@@ -168,7 +168,7 @@
 // header has arrived.
 func TestFrameDecoderRejectsInvalidLength(t *testing.T) {
 	for _, in := range []string{"Q\x00\x00\x00\x03", "Q\xff\xff\xff\xff", "Q\x00\x01\x00\x00"} {
-		s := NewSplitter(1000, false)
+		s := NewFrameDecoder(1000, false)
 		s.Feed([]byte(in))
 		if _, _, err := s.Next(); err != ErrMessageLength {
 			t.Errorf("%q: %v", in, err)
--- a/internal/testcluster/database/protocol.go
+++ b/internal/testcluster/database/protocol.go
@@ -21,7 +21,7 @@
 
 // serve answers one connection until it ends: a welcome to the startup message, then one reply a query.
 func (n *Node) serve(conn net.Conn) {
-	splitter := pgwire.NewSplitter(maxMessageBytes, true)
+	splitter := pgwire.NewFrameDecoder(maxMessageBytes, true)
 	buf := make([]byte, 1<<14)
 	started := false
 	for {
