--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -69,7 +69,7 @@
 // usable reports whether the connection may carry a query: it is open, has not been idle for too long, and has no
 // unread bytes, which would be mistaken for the reply.
 func (c *connection) usable(now int64) bool {
-	return c.state == ready && !c.streamEnded.Load() && !c.untrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Quiet()
+	return c.state == ready && !c.streamEnded.Load() && !c.untrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Idle()
 }
 
 // startQuietPeriod keeps a connection unused for a short time after a reply. If its node's idle connections are closed
@@ -96,7 +96,7 @@
 	p.after(p.connectTimeout/replyTimeoutDivisor, func(int64) {
 		switch {
 		case c.repliesHandled >= number || c.state != ready:
-		case c.stream.Quiet():
+		case c.stream.Idle():
 			untrustedConnections.Add()
 			c.untrusted.Store(true)
 			c.stream.Close() // this also ends its query
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// Quiet reports whether the connection is open and nothing unread has arrived: neither bytes nor the end of the peer's
+// Idle reports whether the connection is open and nothing unread has arrived: neither bytes nor the end of the peer's
 // stream.
-func (s *Stream) Quiet() bool {
+func (s *Stream) Idle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing || s.conn.Reader().Len() > 0 {
