--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	var token string // the answer is the command's token; it is read only to learn that the command was accepted
-	if err := adminsocket.Ask(f.Socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token); err != nil {
+	if err := adminsocket.Do(f.Socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "taken")
@@ -59,7 +59,7 @@
 
 // status asks one router how rollouts stand.
 func status(socket string) (s rolloutservice.Status, err error) {
-	err = adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-status"}, &s)
+	err = adminsocket.Do(socket, adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -56,7 +56,7 @@
 // printLeases prints what the voters know of all leases, or of the one that is named.
 func printLeases(out io.Writer, socket, name string, asJSON bool) error {
 	var overview leaseservice.Overview
-	if err := adminsocket.Ask(socket, adminsocket.Request{Command: "leases", Name: name}, &overview); err != nil {
+	if err := adminsocket.Do(socket, adminsocket.Request{Command: "leases", Name: name}, &overview); err != nil {
 		return err
 	}
 	if asJSON {
@@ -91,7 +91,7 @@
 // Run asks a lease's holder to give it up, and prints whom.
 func (l *leaseFreeCommand) Run(out io.Writer) error {
 	var status leaseservice.LeaseStatus
-	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &status); err != nil {
+	if err := adminsocket.Do(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &status); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s, which holds it under term %d, was asked to give it up\n", status.Holder, status.Term)
--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -48,9 +48,9 @@
 // Close closes the connection, which ends the request.
 func (c *Call) Close() { c.conn.Close() }
 
-// Ask sends a request whose answer is a single line, and reads the answer. The errors are those of Dial and ReadLine;
+// Do sends a request whose answer is a single line, and reads the answer. The errors are those of Dial and ReadLine;
 // ErrNoAnswer is joined if no line could be read.
-func Ask(socket string, request Request, answer any) error {
+func Do(socket string, request Request, answer any) error {
 	c, err := Dial(socket, request)
 	if err != nil {
 		return err
--- a/internal/adminsocket/server_test.go
+++ b/internal/adminsocket/server_test.go
@@ -133,11 +133,11 @@
 	}
 	var answer string
 	var refused *RefusedError
-	if err := Ask(socket, Request{Command: "ask"}, &answer); !errors.As(err, &refused) || !strings.Contains(err.Error(), "takes no more") {
+	if err := Do(socket, Request{Command: "ask"}, &answer); !errors.As(err, &refused) || !strings.Contains(err.Error(), "takes no more") {
 		t.Error("over the limit:", err)
 	}
 	calls[0].Close()
-	for end := time.Now().Add(20 * time.Second); Ask(socket, Request{Command: "ask"}, &answer) != nil; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); Do(socket, Request{Command: "ask"}, &answer) != nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no request was served after another had ended")
 		}
--- a/internal/testcluster/proof/lease_measurements.go
+++ b/internal/testcluster/proof/lease_measurements.go
@@ -150,7 +150,7 @@
 
 // overview asks a router for what the voters know.
 func (run *leaseRun) overview(i int) (o leaseservice.Overview, err error) {
-	err = adminsocket.Ask(run.harness.AdminSocket(i), adminsocket.Request{Command: "leases"}, &o)
+	err = adminsocket.Do(run.harness.AdminSocket(i), adminsocket.Request{Command: "leases"}, &o)
 	return o, err
 }
 
--- a/internal/testcluster/proof/lease_script.go
+++ b/internal/testcluster/proof/lease_script.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		var n leaseservice.LeaseStatus
-		if adminsocket.Ask(run.harness.AdminSocket(i), adminsocket.Request{Command: "lease-free", Name: name}, &n) == nil {
+		if adminsocket.Do(run.harness.AdminSocket(i), adminsocket.Request{Command: "lease-free", Name: name}, &n) == nil {
 			return
 		}
 	}
--- a/internal/testcluster/proof/rollout_operator.go
+++ b/internal/testcluster/proof/rollout_operator.go
@@ -32,12 +32,12 @@
 		return err
 	}
 	var token string
-	return adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token)
+	return adminsocket.Do(socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token)
 }
 
 // status asks one router how plans stand.
 func (run *rolloutRun) status(i int) (s rolloutservice.Status, err error) {
-	err = adminsocket.Ask(run.harness.AdminSocket(i), adminsocket.Request{Command: "fleet-status"}, &s)
+	err = adminsocket.Do(run.harness.AdminSocket(i), adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
