--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -119,7 +119,7 @@
 	case opening == pgwire.OpenStartup || opening == pgwire.OpenStartupNewer:
 		c.started = true
 		c.frames.ExpectTyped(maxQueryBytes)
-		c.stream.Write(pgwire.AppendWelcome(nil, opening == pgwire.OpenStartupNewer, c.number, c.secret), nil)
+		c.stream.Write(pgwire.AppendStartupResponse(nil, opening == pgwire.OpenStartupNewer, c.number, c.secret), nil)
 	default:
 		malformedStreams.Add()
 		c.sendFatalError(pgwire.CodeUnsupported, "unsupported frontend protocol")
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -70,9 +70,9 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// AppendWelcome encodes the response to a startup message, with the key by which the connection's commands are
+// AppendStartupResponse encodes the response to a startup message, with the key by which the connection's commands are
 // cancelled. newer is set if the client requested a later minor version.
-func AppendWelcome(dst []byte, newer bool, process, secret uint32) []byte {
+func AppendStartupResponse(dst []byte, newer bool, process, secret uint32) []byte {
 	if newer { // NegotiateProtocolVersion: minor version 0, no unrecognized options
 		dst = Frame{'v', make([]byte, 8)}.Append(dst)
 	}
--- a/internal/testcluster/database/protocol.go
+++ b/internal/testcluster/database/protocol.go
@@ -60,7 +60,7 @@
 		if n.isHung() {
 			return nil, true
 		}
-		return pgwire.AppendWelcome(nil, false, 1, 0), true
+		return pgwire.AppendStartupResponse(nil, false, 1, 0), true
 	}
 	statement, ok := pgwire.DecodeQuery(frame)
 	if frame.Type != 'Q' || !ok {
