--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -146,7 +146,7 @@
 
 // Answer implements inflight.Client.
 func (c *session) Answer(request *inflight.Request, value []byte) {
-	c.completeAnswer(request, pgwire.AppendReady(value))
+	c.completeAnswer(request, pgwire.AppendReadyForQuery(value))
 }
 
 // Reject implements inflight.Client. The message is specified by the protocol but promises too much: an idempotent
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -146,7 +146,7 @@
 		rejectedQueries.Add()
 		c.sendError(pgwire.CodeUnsupported, "only simple queries are supported")
 	case 'S', 'H': // Sync and Flush, which follow the messages rejected above
-		c.queue(pgwire.AppendReady(nil))
+		c.queue(pgwire.AppendReadyForQuery(nil))
 	default:
 		malformedStreams.Add()
 		c.sendFatalError(pgwire.CodeProtocol, "invalid frontend message type")
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -97,7 +97,7 @@
 // FuzzReply checks that a reply is decoded alike whether it arrives at once or byte by byte, and that no input causes a
 // panic or a reply that is longer than the input.
 func FuzzReply(f *testing.F) {
-	completeReply := AppendReady(rowReply("role=replica applied_ms=17 load=x0:1", "ab"))
+	completeReply := AppendReadyForQuery(rowReply("role=replica applied_ms=17 load=x0:1", "ab"))
 	f.Add(completeReply)
 	f.Add(AppendError(nil, false, CodeNoPrimary, "no", 0))
 	f.Add(AppendError(nil, true, "XX000", "no", 2500))
@@ -141,7 +141,7 @@
 func TestReplyRejectsUnexpectedMessages(t *testing.T) {
 	ok := rowReply("", "a")
 	for name, in := range map[string][]byte{
-		"ready before a row": AppendReady(nil), "two rows": append(bytes.Clone(ok), ok...),
+		"ready before a row": AppendReadyForQuery(nil), "two rows": append(bytes.Clone(ok), ok...),
 		"an error after a complete row": AppendError(ok, false, "XX000", "", 0),
 		"two columns":                   Frame{'T', []byte{0, 2}}.Append(nil),
 		"a row without description":     Frame{'D', []byte{0, 1, 0, 0, 0, 0}}.Append(nil),
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -22,11 +22,11 @@
 	return Frame{'Q', appendCString(nil, statement)}.Append(dst)
 }
 
-// AppendReady encodes ReadyForQuery.
-func AppendReady(dst []byte) []byte { return Frame{'Z', []byte{'I'}}.Append(dst) }
+// AppendReadyForQuery encodes ReadyForQuery.
+func AppendReadyForQuery(dst []byte) []byte { return Frame{'Z', []byte{'I'}}.Append(dst) }
 
 // AppendEmpty encodes the answer to an empty query: EmptyQueryResponse and ReadyForQuery.
-func AppendEmpty(dst []byte) []byte { return AppendReady(Frame{'I', nil}.Append(dst)) }
+func AppendEmpty(dst []byte) []byte { return AppendReadyForQuery(Frame{'I', nil}.Append(dst)) }
 
 // AppendError encodes an ErrorResponse, followed by ReadyForQuery unless the error is fatal, that is, ends the
 // connection. A retryAfter above 0, in us, tells the client when to retry; it is sent in ms, rounded up.
@@ -48,7 +48,7 @@
 	if fatal {
 		return dst
 	}
-	return AppendReady(dst)
+	return AppendReadyForQuery(dst)
 }
 
 // decodeError decodes an ErrorResponse, which must have a code.
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -85,7 +85,7 @@
 	key := binary.BigEndian.AppendUint32(nil, process)
 	key = binary.BigEndian.AppendUint32(key, secret)
 	dst = Frame{'K', key}.Append(dst) // BackendKeyData
-	return AppendReady(dst)
+	return AppendReadyForQuery(dst)
 }
 
 // StartupReply collects a node's messages in reply to a startup message.
