--- a/internal/frontend/commands.go
+++ b/internal/frontend/commands.go
@@ -16,7 +16,7 @@
 	}
 	if pgwire.IsEmptyQuery(statement) {
 		emptyQueries.Add()
-		c.queue(pgwire.AppendEmpty(nil))
+		c.queue(pgwire.AppendEmptyQueryResponse(nil))
 		return
 	}
 	request, err := c.newRequest(at, statement)
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -25,8 +25,10 @@
 // AppendReadyForQuery encodes ReadyForQuery.
 func AppendReadyForQuery(dst []byte) []byte { return Frame{'Z', []byte{'I'}}.Append(dst) }
 
-// AppendEmpty encodes the answer to an empty query: EmptyQueryResponse and ReadyForQuery.
-func AppendEmpty(dst []byte) []byte { return AppendReadyForQuery(Frame{'I', nil}.Append(dst)) }
+// AppendEmptyQueryResponse encodes the answer to an empty query: EmptyQueryResponse and ReadyForQuery.
+func AppendEmptyQueryResponse(dst []byte) []byte {
+	return AppendReadyForQuery(Frame{'I', nil}.Append(dst))
+}
 
 // AppendError encodes an ErrorResponse, followed by ReadyForQuery unless the error is fatal, that is, ends the
 // connection. A retryAfter above 0, in us, tells the client when to retry; it is sent in ms, rounded up.
