--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -2,12 +2,12 @@
 
 import "encoding/binary"
 
-// Opening is the kind of a connection's first message.
-type Opening uint8
+// StartupPacket is the kind of a connection's first message.
+type StartupPacket uint8
 
 // The kinds of first messages. After a refused request for encryption a client may send a startup message.
 const (
-	OpenUnknown Opening = iota
+	OpenUnknown StartupPacket = iota
 	OpenStartup
 	OpenStartupNewer // of a later minor version, which is negotiated down
 	OpenEncrypted    // SSLRequest or GSSENCRequest
@@ -26,7 +26,7 @@
 )
 
 // DecodeOpening returns the kind of a first message.
-func DecodeOpening(f Frame) Opening {
+func DecodeOpening(f Frame) StartupPacket {
 	if len(f.Body) < 4 {
 		return OpenUnknown
 	}
