--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -106,7 +106,7 @@
 // handleFirstMessage handles the messages before the startup is complete: an encryption request, which is declined, and
 // then a startup or a cancel request.
 func (c *session) handleFirstMessage(frame pgwire.Frame) {
-	opening := pgwire.DecodeOpening(frame)
+	opening := pgwire.DecodeStartupPacket(frame)
 	switch {
 	case opening == pgwire.OpenEncrypted && !c.encryptionAsked:
 		c.encryptionAsked = true
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -25,8 +25,8 @@
 	cancelBodyLength = 12
 )
 
-// DecodeOpening returns the kind of a first message.
-func DecodeOpening(f Frame) StartupPacket {
+// DecodeStartupPacket returns the kind of a first message.
+func DecodeStartupPacket(f Frame) StartupPacket {
 	if len(f.Body) < 4 {
 		return OpenUnknown
 	}
