--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -7,7 +7,7 @@
 
 // The kinds of first messages. After a refused request for encryption a client may send a startup message.
 const (
-	OpenUnknown StartupPacket = iota
+	UnknownPacket StartupPacket = iota
 	OpenStartup
 	OpenStartupNewer // of a later minor version, which is negotiated down
 	OpenEncrypted    // SSLRequest or GSSENCRequest
@@ -28,7 +28,7 @@
 // DecodeStartupPacket returns the kind of a first message.
 func DecodeStartupPacket(f Frame) StartupPacket {
 	if len(f.Body) < 4 {
-		return OpenUnknown
+		return UnknownPacket
 	}
 	code := binary.BigEndian.Uint32(f.Body)
 	switch {
@@ -41,7 +41,7 @@
 	case code>>16 == majorVersion:
 		return OpenStartupNewer
 	}
-	return OpenUnknown
+	return UnknownPacket
 }
 
 // DecodeCancel returns the key of a CancelRequest, which identifies the connection whose command is to be cancelled.
