--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -116,10 +116,10 @@
 			c.server.cancel(process, secret, c.phaseSince.Load())
 		}
 		c.queueLast(nil) // a cancel request gets no reply
-	case opening == pgwire.OpenStartup || opening == pgwire.OpenStartupNewer:
+	case opening == pgwire.OpenStartup || opening == pgwire.StartupMessageNewer:
 		c.started = true
 		c.frames.ExpectTyped(maxQueryBytes)
-		c.stream.Write(pgwire.AppendStartupResponse(nil, opening == pgwire.OpenStartupNewer, c.number, c.secret), nil)
+		c.stream.Write(pgwire.AppendStartupResponse(nil, opening == pgwire.StartupMessageNewer, c.number, c.secret), nil)
 	default:
 		malformedStreams.Add()
 		c.sendFatalError(pgwire.CodeUnsupported, "unsupported frontend protocol")
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -9,8 +9,8 @@
 const (
 	UnknownPacket StartupPacket = iota
 	OpenStartup
-	OpenStartupNewer // of a later minor version, which is negotiated down
-	OpenEncrypted    // SSLRequest or GSSENCRequest
+	StartupMessageNewer // of a later minor version, which is negotiated down
+	OpenEncrypted       // SSLRequest or GSSENCRequest
 	OpenCancel
 )
 
@@ -39,7 +39,7 @@
 	case code == codeStartup:
 		return OpenStartup
 	case code>>16 == majorVersion:
-		return OpenStartupNewer
+		return StartupMessageNewer
 	}
 	return UnknownPacket
 }
