--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -108,7 +108,7 @@
 func (c *session) handleFirstMessage(frame pgwire.Frame) {
 	opening := pgwire.DecodeStartupPacket(frame)
 	switch {
-	case opening == pgwire.OpenEncrypted && !c.encryptionAsked:
+	case opening == pgwire.EncryptionRequest && !c.encryptionAsked:
 		c.encryptionAsked = true
 		c.stream.Write([]byte{'N'}, nil)
 	case opening == pgwire.OpenCancel:
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -10,7 +10,7 @@
 	UnknownPacket StartupPacket = iota
 	OpenStartup
 	StartupMessageNewer // of a later minor version, which is negotiated down
-	OpenEncrypted       // SSLRequest or GSSENCRequest
+	EncryptionRequest   // SSLRequest or GSSENCRequest
 	OpenCancel
 )
 
@@ -33,7 +33,7 @@
 	code := binary.BigEndian.Uint32(f.Body)
 	switch {
 	case code == codeSSLRequest || code == codeGSSRequest:
-		return OpenEncrypted
+		return EncryptionRequest
 	case code == codeCancel:
 		return OpenCancel
 	case code == codeStartup:
