--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -111,7 +111,7 @@
 	case opening == pgwire.EncryptionRequest && !c.encryptionAsked:
 		c.encryptionAsked = true
 		c.stream.Write([]byte{'N'}, nil)
-	case opening == pgwire.OpenCancel:
+	case opening == pgwire.CancelRequest:
 		if process, secret, ok := pgwire.DecodeCancel(frame); ok {
 			c.server.cancel(process, secret, c.phaseSince.Load())
 		}
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -11,7 +11,7 @@
 	OpenStartup
 	StartupMessageNewer // of a later minor version, which is negotiated down
 	EncryptionRequest   // SSLRequest or GSSENCRequest
-	OpenCancel
+	CancelRequest
 )
 
 // The codes of first messages. That of a startup message is the protocol version, with the major version in the upper
@@ -35,7 +35,7 @@
 	case code == codeSSLRequest || code == codeGSSRequest:
 		return EncryptionRequest
 	case code == codeCancel:
-		return OpenCancel
+		return CancelRequest
 	case code == codeStartup:
 		return OpenStartup
 	case code>>16 == majorVersion:
