--- a/internal/frontend/commands.go
+++ b/internal/frontend/commands.go
@@ -48,12 +48,12 @@
 	}
 	group, known := c.server.groupNumbers[command.Group]
 	if !known {
-		return nil, &pgwire.FieldError{Code: pgwire.CodeValue, Field: "c", Why: "unknown"}
+		return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "c", Why: "unknown"}
 	}
 	tenant := -1
 	if command.Tenant != "" {
 		if tenant, known = c.server.tenantNumbers[command.Tenant]; !known {
-			return nil, &pgwire.FieldError{Code: pgwire.CodeValue, Field: "t", Why: "unknown"}
+			return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "t", Why: "unknown"}
 		}
 	}
 	return inflight.NewRequest(command, c, group, tenant, at), nil
@@ -64,7 +64,7 @@
 	if errors.As(err, &field) {
 		return field.Code
 	}
-	return pgwire.CodeValue
+	return pgwire.CodeInvalidValue
 }
 
 // admission is the result of admission control for a command.
--- a/internal/pgwire/command.go
+++ b/internal/pgwire/command.go
@@ -39,7 +39,7 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-func invalid(field, why string) error { return &FieldError{CodeValue, field, why} }
+func invalid(field, why string) error { return &FieldError{CodeInvalidValue, field, why} }
 
 // DecodeCommand decodes a statement with its leading comment and keeps a copy of the bytes. The error is a *FieldError.
 func DecodeCommand(statement []byte) (*Command, error) {
