--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -157,7 +157,7 @@
 
 // Fail implements inflight.Client.
 func (c *session) Fail(request *inflight.Request) {
-	c.completeAnswer(request, pgwire.AppendError(nil, false, pgwire.CodeFailed, "the command failed", 0))
+	c.completeAnswer(request, pgwire.AppendError(nil, false, pgwire.CodeSystemError, "the command failed", 0))
 }
 
 // Connected implements inflight.Client. It asks the kernel, since the end of the client's stream may not have been read
