--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -159,7 +159,7 @@
 		if c.pastFirstCommandTimeout(now) {
 			timedOutConnections.Add()
 			c.partialSince.Store(0)
-			c.sendFatalError(pgwire.CodeIdle, "nothing whole came in time")
+			c.sendFatalError(pgwire.CodeIdleTimeout, "nothing whole came in time")
 		} else if c.currentPhase() == phaseIdle && now-c.phaseSince.Load() > idleTimeout {
 			idle = append(idle, c)
 		}
--- a/internal/pgwire/codes.go
+++ b/internal/pgwire/codes.go
@@ -4,7 +4,7 @@
 const (
 	CodeRejected     = "53300" // too_many_connections: from a node, nothing was executed; to a client, it may retry
 	CodeNotReady     = "57P03" // cannot_connect_now
-	CodeIdle         = "57P05" // idle_session_timeout
+	CodeIdleTimeout  = "57P05" // idle_session_timeout
 	CodeSystemError  = "58000" // system_error
 	CodeProtocol     = "08P01" // protocol_violation
 	CodeInvalidValue = "22023" // invalid_parameter_value
