--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -84,7 +84,7 @@
 		frame, complete, err := c.frames.Next()
 		if err != nil {
 			malformedStreams.Add()
-			c.sendFatalError(pgwire.CodeProtocol, err.Error())
+			c.sendFatalError(pgwire.CodeProtocolViolation, err.Error())
 			break
 		}
 		if !complete {
@@ -133,7 +133,7 @@
 		statement, ok := pgwire.DecodeQuery(frame)
 		if !ok {
 			malformedStreams.Add()
-			c.sendFatalError(pgwire.CodeProtocol, "invalid string in message")
+			c.sendFatalError(pgwire.CodeProtocolViolation, "invalid string in message")
 			return
 		}
 		c.handleQuery(at, statement)
@@ -149,7 +149,7 @@
 		c.queue(pgwire.AppendReadyForQuery(nil))
 	default:
 		malformedStreams.Add()
-		c.sendFatalError(pgwire.CodeProtocol, "invalid frontend message type")
+		c.sendFatalError(pgwire.CodeProtocolViolation, "invalid frontend message type")
 	}
 }
 
--- a/internal/pgwire/codes.go
+++ b/internal/pgwire/codes.go
@@ -2,17 +2,17 @@
 
 // SQLSTATE codes that the router sends to clients or receives from nodes.
 const (
-	CodeRejected     = "53300" // too_many_connections: from a node, nothing was executed; to a client, it may retry
-	CodeNotReady     = "57P03" // cannot_connect_now
-	CodeIdleTimeout  = "57P05" // idle_session_timeout
-	CodeSystemError  = "58000" // system_error
-	CodeProtocol     = "08P01" // protocol_violation
-	CodeInvalidValue = "22023" // invalid_parameter_value
-	CodeUnsupported  = "0A000" // feature_not_supported
-	CodeCanceled     = "57014" // query_canceled
-	CodeNoPrimary    = "25006" // read_only_sql_transaction
-	CodeTooOld       = "72000" // snapshot_too_old
-	codeSyntax       = "42601" // syntax_error
+	CodeRejected          = "53300" // too_many_connections: from a node, nothing was executed; to a client, it may retry
+	CodeNotReady          = "57P03" // cannot_connect_now
+	CodeIdleTimeout       = "57P05" // idle_session_timeout
+	CodeSystemError       = "58000" // system_error
+	CodeProtocolViolation = "08P01" // protocol_violation
+	CodeInvalidValue      = "22023" // invalid_parameter_value
+	CodeUnsupported       = "0A000" // feature_not_supported
+	CodeCanceled          = "57014" // query_canceled
+	CodeNoPrimary         = "25006" // read_only_sql_transaction
+	CodeTooOld            = "72000" // snapshot_too_old
+	codeSyntax            = "42601" // syntax_error
 )
 
 // User and Database are the names with which the router logs in to nodes.
--- a/internal/testcluster/database/protocol.go
+++ b/internal/testcluster/database/protocol.go
@@ -83,7 +83,7 @@
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		n.cluster.recordViolation("node %s got a statement that no client sent: %v", n.Name, err)
-		return pgwire.AppendError(nil, false, pgwire.CodeProtocol, "unreadable", 0), true
+		return pgwire.AppendError(nil, false, pgwire.CodeProtocolViolation, "unreadable", 0), true
 	}
 	work, queued, rejection := n.enqueue(cmd)
 	if !queued {
