--- a/internal/backend/query.go
+++ b/internal/backend/query.go
@@ -171,7 +171,7 @@
 		return routing.Answered
 	case pgwire.CodeRejected:
 		return routing.Rejected
-	case pgwire.CodeNoPrimary, pgwire.CodeTooOld:
+	case pgwire.CodeNoPrimary, pgwire.CodeSnapshotTooOld:
 		return routing.NotPrimary
 	}
 	return routing.Errored
--- a/internal/pgwire/codes.go
+++ b/internal/pgwire/codes.go
@@ -11,7 +11,7 @@
 	CodeUnsupported       = "0A000" // feature_not_supported
 	CodeCanceled          = "57014" // query_canceled
 	CodeNoPrimary         = "25006" // read_only_sql_transaction
-	CodeTooOld            = "72000" // snapshot_too_old
+	CodeSnapshotTooOld    = "72000" // snapshot_too_old
 	codeSyntax            = "42601" // syntax_error
 )
 
