--- a/internal/frontend/commands.go
+++ b/internal/frontend/commands.go
@@ -48,12 +48,12 @@
 	}
 	group, known := c.server.groupNumbers[command.Group]
 	if !known {
-		return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "c", Why: "unknown"}
+		return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "c", Reason: "unknown"}
 	}
 	tenant := -1
 	if command.Tenant != "" {
 		if tenant, known = c.server.tenantNumbers[command.Tenant]; !known {
-			return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "t", Why: "unknown"}
+			return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "t", Reason: "unknown"}
 		}
 	}
 	return inflight.NewRequest(command, c, group, tenant, at), nil
--- a/internal/pgwire/command.go
+++ b/internal/pgwire/command.go
@@ -34,10 +34,10 @@
 }
 
 // FieldError reports the field of a query that is invalid. The connection remains usable.
-type FieldError struct{ Code, Field, Why string }
+type FieldError struct{ Code, Field, Reason string }
 
 // Error implements error.
-func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 func invalid(field, why string) error { return &FieldError{CodeInvalidValue, field, why} }
 
