--- a/internal/supervisor/lease_test.go
+++ b/internal/supervisor/lease_test.go
@@ -124,7 +124,7 @@
 				return awaitEnd(s)
 			},
 			command: []string{"sleep", "60"},
-			code:    ExitTimeExpired,
+			code:    ExitDeadlineExceeded,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -17,9 +17,9 @@
 
 // The exit codes in addition to the command's own.
 const (
-	ExitNotAcquired = 123 // the lease was not acquired in time
-	ExitTimeExpired = 124 // the command was terminated because of its deadline
-	ExitNotStarted  = 125 // the command could not be started, or a signal ended it before its deadline
+	ExitNotAcquired      = 123 // the lease was not acquired in time
+	ExitDeadlineExceeded = 124 // the command was terminated because of its deadline
+	ExitNotStarted       = 125 // the command could not be started, or a signal ended it before its deadline
 )
 
 // ExitCode is an error that carries an exit code and for which no message is printed.
@@ -56,7 +56,7 @@
 	lines := readLines(in)
 	until, ok := parseUntil(<-lines)
 	if !ok || clock() >= until-gracePeriod.Microseconds() {
-		return ExitTimeExpired // the deadline had passed before the start
+		return ExitDeadlineExceeded // the deadline had passed before the start
 	}
 	c := exec.Command(command[0], command[1:]...)
 	c.Stdout = os.Stdout
@@ -104,7 +104,7 @@
 		if left <= killMargin {
 			killGroup(s.processGroup)
 			<-s.exited
-			return ExitTimeExpired
+			return ExitDeadlineExceeded
 		}
 		if left <= s.gracePeriod && !s.terminating {
 			s.terminating = true
@@ -149,11 +149,11 @@
 	s.deadline = min(s.deadline, s.clock()+s.gracePeriod.Microseconds())
 }
 
-// exitCode returns the command's own exit code; ExitTimeExpired if it had been sent SIGTERM; or ExitNotStarted if a
+// exitCode returns the command's own exit code; ExitDeadlineExceeded if it had been sent SIGTERM; or ExitNotStarted if a
 // signal ended it or waiting for it failed.
 func (s *supervised) exitCode(err error) int {
 	if s.terminating {
-		return ExitTimeExpired
+		return ExitDeadlineExceeded
 	}
 	if err == nil {
 		return 0
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -92,7 +92,7 @@
 		t.Parallel()
 		child := filepath.Join(t.TempDir(), "child")
 		_, exitCode, until := superviseCommand(t, left, grace, "sh", "-c", "trap '' TERM; setsid sh -c 'echo $$ > "+child+"; trap \"\" TERM; sleep 60' & sleep 60")
-		checkExit(t, exitCode, ExitTimeExpired, until)
+		checkExit(t, exitCode, ExitDeadlineExceeded, until)
 		if !processExited(child) {
 			t.Error("a descendant of the command is still running")
 		}
@@ -100,7 +100,7 @@
 	t.Run("stopped", func(t *testing.T) {
 		t.Parallel()
 		_, exitCode, until := superviseCommand(t, left, grace, "sh", "-c", "kill -STOP $$")
-		checkExit(t, exitCode, ExitTimeExpired, until)
+		checkExit(t, exitCode, ExitDeadlineExceeded, until)
 	})
 	t.Run("extended", func(t *testing.T) {
 		t.Parallel()
@@ -112,19 +112,19 @@
 		t.Parallel()
 		stdin, exitCode, _ := superviseCommand(t, time.Minute, grace, "sleep", "60")
 		fmt.Fprintln(stdin, "end")
-		checkExit(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
+		checkExit(t, exitCode, ExitDeadlineExceeded, time.Now().Add(grace+time.Second))
 	})
 	t.Run("parent gone", func(t *testing.T) {
 		t.Parallel()
 		stdin, exitCode, _ := superviseCommand(t, time.Minute, grace, "sleep", "60")
 		stdin.Close()
-		checkExit(t, exitCode, ExitTimeExpired, time.Now().Add(grace+time.Second))
+		checkExit(t, exitCode, ExitDeadlineExceeded, time.Now().Add(grace+time.Second))
 	})
 	t.Run("deadline already passed", func(t *testing.T) {
 		t.Parallel()
 		mark := filepath.Join(t.TempDir(), "mark")
 		_, exitCode, _ := superviseCommand(t, grace/2, grace, "touch", mark)
-		checkExit(t, exitCode, ExitTimeExpired, time.Now().Add(5*time.Second))
+		checkExit(t, exitCode, ExitDeadlineExceeded, time.Now().Add(5*time.Second))
 		if _, err := os.Stat(mark); err == nil {
 			t.Error("the command was started")
 		}
