--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -140,7 +140,7 @@
 // recordPartialReply starts the timeout of a reply that has begun, once per reply.
 func (c *connection) recordPartialReply(at int64) {
 	number := c.repliesRead + 1
-	begun := c.frames.Buffered() > 0 || c.reply.Begun()
+	begun := c.frames.Buffered() > 0 || c.reply.Started()
 	if c.startup != nil || c.partialReplyNumber == number || !begun {
 		return
 	}
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	if c.repliesRead == c.queriesWritten.Load() && (done || c.reply.Begun()) {
+	if c.repliesRead == c.queriesWritten.Load() && (done || c.reply.Started()) {
 		return pgwire.ErrUnexpectedMessage
 	}
 	if !done {
--- a/internal/pgwire/reply.go
+++ b/internal/pgwire/reply.go
@@ -32,8 +32,8 @@
 // Complete reports whether the row is complete. ReadyForQuery may not have arrived yet.
 func (r *Reply) Complete() bool { return r.lastType == 'C' }
 
-// Begun reports whether any message of the row or the error has arrived.
-func (r *Reply) Begun() bool { return r.lastType != 0 }
+// Started reports whether any message of the row or the error has arrived.
+func (r *Reply) Started() bool { return r.lastType != 0 }
 
 // Add adds one message; done reports that the node is ready for the next query. The error is ErrUnexpectedMessage.
 func (r *Reply) Add(f Frame) (done bool, err error) {
