--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -116,7 +116,7 @@
 			c.server.cancel(process, secret, c.phaseSince.Load())
 		}
 		c.queueLast(nil) // a cancel request gets no reply
-	case opening == pgwire.OpenStartup || opening == pgwire.StartupMessageNewer:
+	case opening == pgwire.StartupMessage || opening == pgwire.StartupMessageNewer:
 		c.started = true
 		c.frames.ExpectTyped(maxQueryBytes)
 		c.stream.Write(pgwire.AppendStartupResponse(nil, opening == pgwire.StartupMessageNewer, c.number, c.secret), nil)
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -8,7 +8,7 @@
 // The kinds of first messages. After a refused request for encryption a client may send a startup message.
 const (
 	UnknownPacket StartupPacket = iota
-	OpenStartup
+	StartupMessage
 	StartupMessageNewer // of a later minor version, which is negotiated down
 	EncryptionRequest   // SSLRequest or GSSENCRequest
 	CancelRequest
@@ -37,7 +37,7 @@
 	case code == codeCancel:
 		return CancelRequest
 	case code == codeStartup:
-		return OpenStartup
+		return StartupMessage
 	case code>>16 == majorVersion:
 		return StartupMessageNewer
 	}
