--- a/internal/pgwire/command.go
+++ b/internal/pgwire/command.go
@@ -39,7 +39,7 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func invalid(field, why string) error { return &FieldError{CodeInvalidValue, field, why} }
+func invalid(field, reason string) error { return &FieldError{CodeInvalidValue, field, reason} }
 
 // DecodeCommand decodes a statement with its leading comment and keeps a copy of the bytes. The error is a *FieldError.
 func DecodeCommand(statement []byte) (*Command, error) {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// setField sets one field; its value is in the statement at offset or, after spaces, behind it.
+// setField sets one field. The value is the first occurrence of its bytes in statement[offset:].
 func (c *Command) setField(field string, value []byte, offset int) (err error) {
 	switch field {
 	case fieldID:
--- a/internal/pgwire/frame.go
+++ b/internal/pgwire/frame.go
@@ -35,56 +35,57 @@
 	untyped bool
 }
 
-// NewFrameDecoder returns a FrameDecoder for bodies of up to maxBody bytes. A client's stream begins with untyped messages.
+// NewFrameDecoder returns a FrameDecoder for bodies of up to maxBody bytes. A client's stream begins with untyped
+// messages.
 func NewFrameDecoder(maxBody int, untyped bool) *FrameDecoder {
 	return &FrameDecoder{maxBody: maxBody, untyped: untyped}
 }
 
 // Feed adds bytes that have arrived. It invalidates the bodies returned before.
-func (s *FrameDecoder) Feed(p []byte) {
-	if s.offset > 0 {
-		left := copy(s.buffer, s.buffer[s.offset:])
-		s.buffer = s.buffer[:left]
-		s.offset = 0
+func (d *FrameDecoder) Feed(p []byte) {
+	if d.offset > 0 {
+		left := copy(d.buffer, d.buffer[d.offset:])
+		d.buffer = d.buffer[:left]
+		d.offset = 0
 	}
-	if len(s.buffer) == 0 && cap(s.buffer) > maxRetainedBuffer {
-		s.buffer = nil
+	if len(d.buffer) == 0 && cap(d.buffer) > maxRetainedBuffer {
+		d.buffer = nil
 	}
-	s.buffer = append(s.buffer, p...)
+	d.buffer = append(d.buffer, p...)
 }
 
 // ExpectTyped makes the decoder expect messages with a type byte, and bodies of up to maxBody bytes, from here on.
-func (s *FrameDecoder) ExpectTyped(maxBody int) {
-	s.untyped = false
-	s.maxBody = maxBody
+func (d *FrameDecoder) ExpectTyped(maxBody int) {
+	d.untyped = false
+	d.maxBody = maxBody
 }
 
 // Buffered returns the number of bytes that have arrived and that Next has not returned yet.
-func (s *FrameDecoder) Buffered() int { return len(s.buffer) - s.offset }
+func (d *FrameDecoder) Buffered() int { return len(d.buffer) - d.offset }
 
 // Next returns the next message; complete is false until all of it has arrived.
-func (s *FrameDecoder) Next() (f Frame, complete bool, err error) {
-	rest := s.buffer[s.offset:]
+func (d *FrameDecoder) Next() (f Frame, complete bool, err error) {
+	rest := d.buffer[d.offset:]
 	headerLength := typeBytes + lengthBytes
-	if s.untyped {
+	if d.untyped {
 		headerLength = lengthBytes
 	}
 	if len(rest) < headerLength {
 		return f, false, nil
 	}
 	bodyLength := int64(binary.BigEndian.Uint32(rest[headerLength-lengthBytes:])) - lengthBytes
-	if bodyLength < 0 || bodyLength > int64(s.maxBody) {
+	if bodyLength < 0 || bodyLength > int64(d.maxBody) {
 		return f, false, ErrMessageLength
 	}
 	if int64(len(rest)-headerLength) < bodyLength {
 		return f, false, nil
 	}
-	if !s.untyped {
+	if !d.untyped {
 		f.Type = rest[0]
 	}
 	end := headerLength + int(bodyLength)
 	f.Body = rest[headerLength:end]
-	s.offset += end
+	d.offset += end
 	return f, true, nil
 }
 
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -14,8 +14,8 @@
 	CancelRequest
 )
 
-// The codes of first messages. That of a startup message is the protocol version, with the major version in the upper
-// half.
+// The codes of first messages. A startup message has the protocol version as its code, with the major version in the
+// upper half.
 const (
 	majorVersion     = 3
 	codeStartup      = majorVersion << 16
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -149,8 +149,8 @@
 	s.deadline = min(s.deadline, s.clock()+s.gracePeriod.Microseconds())
 }
 
-// exitCode returns the command's own exit code; ExitDeadlineExceeded if it had been sent SIGTERM; or ExitNotStarted if a
-// signal ended it or waiting for it failed.
+// exitCode returns the command's own exit code; ExitDeadlineExceeded if it had been sent SIGTERM; or ExitNotStarted if
+// a signal ended it or waiting for it failed.
 func (s *supervised) exitCode(err error) int {
 	if s.terminating {
 		return ExitDeadlineExceeded
