--- a/cmd/cairntiller/fleet.go
+++ b/cmd/cairntiller/fleet.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	var token string // the reply is the command's token; its arrival shows that the command was accepted
-	if err := adminsocket.Ask(f.Socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token); err != nil {
+	if err := adminsocket.Do(f.Socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "taken")
@@ -60,7 +60,7 @@
 
 // queryStatus queries one router for the state of rollouts.
 func queryStatus(socket string) (s rolloutservice.Status, err error) {
-	err = adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-status"}, &s)
+	err = adminsocket.Do(socket, adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
--- a/cmd/cairntiller/lease.go
+++ b/cmd/cairntiller/lease.go
@@ -56,7 +56,7 @@
 // printLeases prints the voters, and all leases as the voters know them or only the named one.
 func printLeases(out io.Writer, socket, name string, asJSON bool) error {
 	var overview leaseservice.Overview
-	if err := adminsocket.Ask(socket, adminsocket.Request{Command: "leases", Name: name}, &overview); err != nil {
+	if err := adminsocket.Do(socket, adminsocket.Request{Command: "leases", Name: name}, &overview); err != nil {
 		return err
 	}
 	if asJSON {
@@ -91,7 +91,7 @@
 // Run asks the holder of a lease to release it, and prints the holder.
 func (l *leaseFreeCommand) Run(out io.Writer) error {
 	var status leaseservice.LeaseStatus
-	if err := adminsocket.Ask(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &status); err != nil {
+	if err := adminsocket.Do(l.Socket, adminsocket.Request{Command: "lease-free", Name: l.Name}, &status); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s, which holds the lease under term %d, was asked to release it\n", status.Holder, status.Term)
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -45,7 +45,7 @@
 	untrusted      atomic.Bool // it violated the protocol or timed out; further input is ignored
 
 	// Used only on the reader's goroutine.
-	frames             *pgwire.Splitter
+	frames             *pgwire.FrameDecoder
 	startup            *pgwire.StartupReply // nil once the startup has ended
 	reply              *pgwire.Reply        // the reply being assembled
 	repliesRead        int64
@@ -59,7 +59,7 @@
 		node:         n,
 		pool:         p,
 		stream:       s,
-		frames:       pgwire.NewSplitter(maxReplyBytes, false),
+		frames:       pgwire.NewFrameDecoder(maxReplyBytes, false),
 		startup:      &pgwire.StartupReply{},
 		reply:        &pgwire.Reply{},
 		startupEnded: make(chan startup, 1),
@@ -69,7 +69,7 @@
 // usable reports whether the connection may carry a query: it is open, has not been idle for too long, and has no
 // unread bytes, which would be mistaken for the reply.
 func (c *connection) usable(now int64) bool {
-	return c.state == ready && !c.streamEnded.Load() && !c.untrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Quiet()
+	return c.state == ready && !c.streamEnded.Load() && !c.untrusted.Load() && now-c.idleSince < c.pool.idleTimeout && c.stream.Idle()
 }
 
 // startQuietPeriod keeps a connection unused for a short time after a reply. If its node's idle connections are closed
@@ -96,7 +96,7 @@
 	p.after(p.connectTimeout/replyTimeoutDivisor, func(int64) {
 		switch {
 		case c.repliesHandled >= number || c.state != ready:
-		case c.stream.Quiet():
+		case c.stream.Idle():
 			untrustedConnections.Add()
 			c.untrusted.Store(true)
 			c.stream.Close() // this also ends its query
@@ -140,7 +140,7 @@
 // recordPartialReply starts the timeout of a reply that has begun, once per reply.
 func (c *connection) recordPartialReply(at int64) {
 	number := c.repliesRead + 1
-	begun := c.frames.Buffered() > 0 || c.reply.Begun()
+	begun := c.frames.Buffered() > 0 || c.reply.Started()
 	if c.startup != nil || c.partialReplyNumber == number || !begun {
 		return
 	}
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	if c.repliesRead == c.queriesWritten.Load() && (done || c.reply.Begun()) {
+	if c.repliesRead == c.queriesWritten.Load() && (done || c.reply.Started()) {
 		return pgwire.ErrUnexpectedMessage
 	}
 	if !done {
--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -146,7 +146,7 @@
 
 // Answer implements inflight.Client.
 func (c *session) Answer(request *inflight.Request, value []byte) {
-	c.completeAnswer(request, pgwire.AppendReady(value))
+	c.completeAnswer(request, pgwire.AppendReadyForQuery(value))
 }
 
 // Reject implements inflight.Client. The message is specified by the protocol but promises too much: an idempotent
@@ -157,7 +157,7 @@
 
 // Fail implements inflight.Client.
 func (c *session) Fail(request *inflight.Request) {
-	c.completeAnswer(request, pgwire.AppendError(nil, false, pgwire.CodeFailed, "the command failed", 0))
+	c.completeAnswer(request, pgwire.AppendError(nil, false, pgwire.CodeSystemError, "the command failed", 0))
 }
 
 // Connected implements inflight.Client. It asks the kernel, since the end of the client's stream may not have been read
--- a/internal/frontend/commands.go
+++ b/internal/frontend/commands.go
@@ -16,7 +16,7 @@
 	}
 	if pgwire.IsEmptyQuery(statement) {
 		emptyQueries.Add()
-		c.queue(pgwire.AppendEmpty(nil))
+		c.queue(pgwire.AppendEmptyQueryResponse(nil))
 		return
 	}
 	request, err := c.newRequest(at, statement)
@@ -48,12 +48,12 @@
 	}
 	group, known := c.server.groupNumbers[command.Group]
 	if !known {
-		return nil, &pgwire.FieldError{Code: pgwire.CodeValue, Field: "c", Why: "unknown"}
+		return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "c", Reason: "unknown"}
 	}
 	tenant := -1
 	if command.Tenant != "" {
 		if tenant, known = c.server.tenantNumbers[command.Tenant]; !known {
-			return nil, &pgwire.FieldError{Code: pgwire.CodeValue, Field: "t", Why: "unknown"}
+			return nil, &pgwire.FieldError{Code: pgwire.CodeInvalidValue, Field: "t", Reason: "unknown"}
 		}
 	}
 	return inflight.NewRequest(command, c, group, tenant, at), nil
@@ -64,7 +64,7 @@
 	if errors.As(err, &field) {
 		return field.Code
 	}
-	return pgwire.CodeValue
+	return pgwire.CodeInvalidValue
 }
 
 // admission is the result of admission control for a command.
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -34,8 +34,8 @@
 	partialSince atomic.Int64 // us: when the first bytes of an incomplete message arrived, 0 for none
 
 	// Used only on the reader's goroutine.
-	frames          *pgwire.Splitter // nil once input is discarded
-	started         bool             // the startup message has been handled
+	frames          *pgwire.FrameDecoder // nil once input is discarded
+	started         bool                 // the startup message has been handled
 	encryptionAsked bool
 	partialBytes    int64 // received bytes of an incomplete message
 
@@ -45,7 +45,7 @@
 }
 
 func newSession(s *Server, conn netpoll.Connection) *session {
-	c := &session{server: s, frames: pgwire.NewSplitter(maxStartupBytes, true), stream: stream.New(conn)}
+	c := &session{server: s, frames: pgwire.NewFrameDecoder(maxStartupBytes, true), stream: stream.New(conn)}
 	var secret [4]byte
 	rand.Read(secret[:])
 	c.secret = binary.BigEndian.Uint32(secret[:])
@@ -84,7 +84,7 @@
 		frame, complete, err := c.frames.Next()
 		if err != nil {
 			malformedStreams.Add()
-			c.sendFatalError(pgwire.CodeProtocol, err.Error())
+			c.sendFatalError(pgwire.CodeProtocolViolation, err.Error())
 			break
 		}
 		if !complete {
@@ -106,20 +106,20 @@
 // handleFirstMessage handles the messages before the startup is complete: an encryption request, which is declined, and
 // then a startup or a cancel request.
 func (c *session) handleFirstMessage(frame pgwire.Frame) {
-	opening := pgwire.DecodeOpening(frame)
+	opening := pgwire.DecodeStartupPacket(frame)
 	switch {
-	case opening == pgwire.OpenEncrypted && !c.encryptionAsked:
+	case opening == pgwire.EncryptionRequest && !c.encryptionAsked:
 		c.encryptionAsked = true
 		c.stream.Write([]byte{'N'}, nil)
-	case opening == pgwire.OpenCancel:
+	case opening == pgwire.CancelRequest:
 		if process, secret, ok := pgwire.DecodeCancel(frame); ok {
 			c.server.cancel(process, secret, c.phaseSince.Load())
 		}
 		c.queueLast(nil) // a cancel request gets no reply
-	case opening == pgwire.OpenStartup || opening == pgwire.OpenStartupNewer:
+	case opening == pgwire.StartupMessage || opening == pgwire.StartupMessageNewer:
 		c.started = true
 		c.frames.ExpectTyped(maxQueryBytes)
-		c.stream.Write(pgwire.AppendWelcome(nil, opening == pgwire.OpenStartupNewer, c.number, c.secret), nil)
+		c.stream.Write(pgwire.AppendStartupResponse(nil, opening == pgwire.StartupMessageNewer, c.number, c.secret), nil)
 	default:
 		malformedStreams.Add()
 		c.sendFatalError(pgwire.CodeUnsupported, "unsupported frontend protocol")
@@ -133,7 +133,7 @@
 		statement, ok := pgwire.DecodeQuery(frame)
 		if !ok {
 			malformedStreams.Add()
-			c.sendFatalError(pgwire.CodeProtocol, "invalid string in message")
+			c.sendFatalError(pgwire.CodeProtocolViolation, "invalid string in message")
 			return
 		}
 		c.handleQuery(at, statement)
@@ -146,10 +146,10 @@
 		rejectedQueries.Add()
 		c.sendError(pgwire.CodeUnsupported, "only simple queries are supported")
 	case 'S', 'H': // Sync and Flush, which follow the messages rejected above
-		c.queue(pgwire.AppendReady(nil))
+		c.queue(pgwire.AppendReadyForQuery(nil))
 	default:
 		malformedStreams.Add()
-		c.sendFatalError(pgwire.CodeProtocol, "invalid frontend message type")
+		c.sendFatalError(pgwire.CodeProtocolViolation, "invalid frontend message type")
 	}
 }
 
--- a/internal/testcluster/database/protocol.go
+++ b/internal/testcluster/database/protocol.go
@@ -21,7 +21,7 @@
 
 // serve answers one connection until it ends: a welcome to the startup message, then one reply a query.
 func (n *Node) serve(conn net.Conn) {
-	splitter := pgwire.NewSplitter(maxMessageBytes, true)
+	splitter := pgwire.NewFrameDecoder(maxMessageBytes, true)
 	buf := make([]byte, 1<<14)
 	started := false
 	for {
@@ -53,14 +53,14 @@
 }
 
 // handleFrame returns the reply to one message, nil where the node hangs; ok is false where the connection has to end.
-func (n *Node) handleFrame(splitter *pgwire.Splitter, frame pgwire.Frame, started *bool) (reply []byte, ok bool) {
+func (n *Node) handleFrame(splitter *pgwire.FrameDecoder, frame pgwire.Frame, started *bool) (reply []byte, ok bool) {
 	if !*started {
 		*started = true
 		splitter.ExpectTyped(maxMessageBytes)
 		if n.isHung() {
 			return nil, true
 		}
-		return pgwire.AppendWelcome(nil, false, 1, 0), true
+		return pgwire.AppendStartupResponse(nil, false, 1, 0), true
 	}
 	statement, ok := pgwire.DecodeQuery(frame)
 	if frame.Type != 'Q' || !ok {
@@ -83,7 +83,7 @@
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
 		n.cluster.recordViolation("node %s got a statement that no client sent: %v", n.Name, err)
-		return pgwire.AppendError(nil, false, pgwire.CodeProtocol, "unreadable", 0), true
+		return pgwire.AppendError(nil, false, pgwire.CodeProtocolViolation, "unreadable", 0), true
 	}
 	work, queued, rejection := n.enqueue(cmd)
 	if !queued {
