--- a/internal/testcluster/database/cluster.go
+++ b/internal/testcluster/database/cluster.go
@@ -1,10 +1,11 @@
-// Package database simulates a database cluster on loopback, behind the router's node side of the PostgreSQL protocol: shards
-// with one primary and replicas, log positions that advance with writes, apply lag, probes and load reports, work that takes
-// time, slow starts, errors, hangs, crashes and drains. It is no database: a row is the last value written under a key.
+// Package database simulates a database cluster on the loopback interface. Its nodes speak the subset of the PostgreSQL protocol
+// that the router uses towards nodes. The simulation covers shards with one primary and replicas, log positions that advance
+// over time and with writes, apply lag, probes and load reports, processing time, slow starts, errors, hangs, crashes and
+// drains. It stores no relational data: a row is the last value written under a key.
 //
-// The cluster keeps the truth of what ran, by its own clock, and records a violation where a router breaks a rule: a command
-// that runs twice, or one that reaches a draining node. Tests and proofs hold routers to that record, never to what a router
-// believes.
+// The cluster records what was executed, with timestamps of its own clock, and records a violation when a router breaks a rule:
+// a mutating command that is executed twice, or a command that reaches a node whose drain grace period is over. Tests and
+// proofs check routers against this record, not against the state that a router reports.
 package database
 
 import (
@@ -15,49 +16,51 @@
 	"time"
 )
 
-// defaultApplyLag is how far a replica applies behind the head of its shard's log, in us, unless a test sets another lag.
+// defaultApplyLag is the time in us by which a replica lags behind the head of its shard's log, unless a test sets another lag.
 const defaultApplyLag = 20_000
 
-// maxQueued is how many commands may wait for a node's cores before it rejects the next one.
+// maxQueued is the number of commands, running or waiting for a core, from which on a node rejects new ones.
 const maxQueued = 64
 
-// maxViolations bounds the record; a test that has seen a hundred has seen enough.
+// maxViolations bounds the list of violations. More of them would add nothing to the report of a failed test.
 const maxViolations = 100
 
-// Cluster is all nodes, one log a shard, and what ran.
+// Cluster holds the nodes, one replicated log per shard, and the record of executed commands.
 type Cluster struct {
 	mu         sync.Mutex
-	now        func() int64 // us of Unix time
+	now        func() int64 // current time, in us since the Unix epoch
 	random     *rand.Rand
 	shards     map[int]*shard
 	nodes      []*Node
-	executions map[string]int // of mutating commands, by id
-	violations []string       // rules broken, as the nodes saw it
-	drainGrace int64          // us after which a draining node may get nothing new
+	executions map[string]int // number of executions of each mutating command, by id
+	violations []string       // descriptions of broken rules, as observed by the nodes
+	drainGrace int64          // us after the start of a drain from which on a node must not receive commands
 }
 
 // shard is one group of nodes that replicate one log.
 type shard struct {
 	primary  *Node
-	position int64 // up to which the log is known; stands still without a primary
+	position int64 // head of the log; does not advance without a working primary
 	log      map[string][]write
 }
 
-// write is one entry of a key's log.
+// write is one entry of the log of a key.
 type write struct {
 	position int64
 	value    string
 }
 
-// New returns a cluster without nodes. drainGrace is the time in us after which a draining node may get nothing new.
-func New(seed uint64, grace int64) *Cluster {
-	zero := time.Now()
-	start := zero.UnixMicro()
-	return &Cluster{now: func() int64 { return start + time.Since(zero).Microseconds() },
-		random: rand.New(rand.NewPCG(seed, 2)), shards: map[int]*shard{}, executions: map[string]int{}, drainGrace: grace}
+// New returns a cluster without nodes. drainGrace is the time in us after the start of a drain from which on a node must not
+// receive commands.
+func New(seed uint64, drainGrace int64) *Cluster {
+	startTime := time.Now()
+	startMicros := startTime.UnixMicro()
+	return &Cluster{now: func() int64 { return startMicros + time.Since(startTime).Microseconds() },
+		random: rand.New(rand.NewPCG(seed, 2)), shards: map[int]*shard{}, executions: map[string]int{}, drainGrace: drainGrace}
 }
 
-// AddNode starts a node. The first of a shard is its primary. Each command takes workPerCommand on one of the node's cores.
+// AddNode starts a node. The first node of a shard is its primary. Each command occupies one of the node's cores for
+// workPerCommand.
 func (c *Cluster) AddNode(name, zone string, shardNumber, cores int, workPerCommand time.Duration) (*Node, error) {
 	n := &Node{Name: name, Zone: zone, Shard: shardNumber, cluster: c, connections: map[net.Conn]bool{}, workPerCommand: workPerCommand,
 		cores: make(chan bool, cores), applyLag: defaultApplyLag}
@@ -66,10 +69,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := c.shards[shardNumber]
-	if g == nil {
-		g = &shard{primary: n, position: c.now(), log: map[string][]write{}}
-		c.shards[shardNumber] = g
+	s := c.shards[shardNumber]
+	if s == nil {
+		s = &shard{primary: n, position: c.now(), log: map[string][]write{}}
+		c.shards[shardNumber] = s
 	}
 	c.nodes = append(c.nodes, n)
 	return n, nil
@@ -82,40 +85,41 @@
 	}
 }
 
-// Nodes returns all nodes, in the order in which they were added.
+// Nodes returns all nodes in the order in which they were added.
 func (c *Cluster) Nodes() []*Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Node(nil), c.nodes...)
 }
 
-// Now is the cluster's clock, in us of Unix time.
+// Now returns the time of the cluster's clock, in us since the Unix epoch.
 func (c *Cluster) Now() int64 { return c.now() }
 
-// Executions returns how often a mutating command ran.
+// Executions returns how often a mutating command was executed.
 func (c *Cluster) Executions(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.executions[id]
 }
 
-// Violations returns the rules that the nodes saw broken, one text each.
+// Violations returns a description of each rule violation that the nodes observed.
 func (c *Cluster) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
 }
 
-// recordViolation notes a broken rule; the caller holds the lock.
+// recordViolation adds a rule violation to the record. The caller holds the lock.
 func (c *Cluster) recordViolation(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// advanceLog moves the head of a shard's log to the present while it has a primary that works; the caller holds the lock.
+// advanceLog moves the head of a shard's log to the current time if the shard has a primary that isn't hung. The caller holds
+// the lock.
 func (c *Cluster) advanceLog(shardNumber int) {
-	if g := c.shards[shardNumber]; g.primary != nil && !g.primary.hung {
-		g.position = max(g.position, c.now())
+	if s := c.shards[shardNumber]; s.primary != nil && !s.primary.hung {
+		s.position = max(s.position, c.now())
 	}
 }
--- a/internal/testcluster/database/node.go
+++ b/internal/testcluster/database/node.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Node is one simulated database node. Its fields are under the cluster's lock.
+// Node is one simulated database node. The cluster's lock guards its mutable fields.
 type Node struct {
 	Name, Zone string
 	Shard      int
@@ -14,25 +14,25 @@
 	address        string
 	listener       net.Listener
 	connections    map[net.Conn]bool
-	applyLag       int64 // us behind the log's head
-	pausedAt       int64 // position at which applying stopped, 0 while it goes on
+	applyLag       int64 // us behind the head of the log
+	pausedAt       int64 // position at which replication was paused, 0 if it isn't paused
 	hung           bool
-	ignoresProbes  bool // answers everything else
+	ignoresProbes  bool // does not answer probes, but answers everything else
 	workPerCommand time.Duration
 	cores          chan bool
 	queued         int
 	errorRate      float64
-	startedAt      int64 // us, 0 for long ago
-	warmUp         int64 // us after its start in which it is slow
-	drainingSince  int64 // us, 0 for not draining
+	startedAt      int64 // time of the last restart in us, 0 if it was never restarted
+	warmUp         int64 // us after a restart during which the node is slow
+	drainingSince  int64 // start of the drain in us, 0 if not draining
 
 	probeTimes []int64
-	queryCount int // commands that arrived
+	queryCount int // number of commands received
 }
 
-// listen opens the node's socket.
-func (n *Node) listen(at string) error {
-	ln, err := net.Listen("tcp", at)
+// listen opens the node's listening socket and starts to accept connections.
+func (n *Node) listen(address string) error {
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// Address is where the node listens.
+// Address returns the address on which the node listens.
 func (n *Node) Address() string { return n.address }
 
-// StartedAt is when the node was last restarted, in us; 0 for long ago.
+// StartedAt returns the time of the node's last restart in us, 0 if it was never restarted.
 func (n *Node) StartedAt() int64 {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// Kill ends the node as a crash does: its connections are reset and new ones refused.
+// Kill simulates a crash: the node's connections are reset and new ones are refused. A primary loses its role.
 func (n *Node) Kill() {
 	n.listener.Close()
 	n.cluster.mu.Lock()
@@ -84,12 +84,12 @@
 		}
 		conn.Close()
 	}
-	if g := n.cluster.shards[n.Shard]; g.primary == n {
-		g.primary = nil
+	if s := n.cluster.shards[n.Shard]; s.primary == n {
+		s.primary = nil
 	}
 }
 
-// Restart starts a killed node at its former address, as a replica that warms up for a time in us.
+// Restart starts a killed node again at its previous address, as a replica that warms up for warmUp us.
 func (n *Node) Restart(warmUp int64) error {
 	n.cluster.mu.Lock()
 	n.startedAt = n.cluster.now()
@@ -101,46 +101,47 @@
 	return n.listen(n.address)
 }
 
-// Hang lets the node keep its connections and answer nothing, or go on.
-func (n *Node) Hang(on bool) {
+// Hang makes the node stop answering while its connections stay open, or makes it answer again.
+func (n *Node) Hang(hung bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.cluster.advanceLog(n.Shard)
-	n.hung = on
+	n.hung = hung
 }
 
-// IgnoreProbes lets the node leave probes without an answer, or go on.
-func (n *Node) IgnoreProbes(on bool) {
+// IgnoreProbes makes the node leave probes unanswered, or answer them again.
+func (n *Node) IgnoreProbes(ignore bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	n.ignoresProbes = on
+	n.ignoresProbes = ignore
 }
 
-// SetApplyLag sets how far the node applies behind the log's head, in us.
+// SetApplyLag sets the time in us by which the node lags behind the head of the log.
 func (n *Node) SetApplyLag(us int64) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.applyLag = us
 }
 
-// PauseReplication stops applying the log, or lets it go on.
-func (n *Node) PauseReplication(on bool) {
+// PauseReplication pauses or resumes applying the log.
+func (n *Node) PauseReplication(paused bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.pausedAt = 0
-	if on {
+	if paused {
 		n.pausedAt = n.appliedPosition()
 	}
 }
 
-// SetErrorRate sets the share of commands that the node answers with an error.
+// SetErrorRate sets the share of commands, 0 to 1, that the node answers with an error.
 func (n *Node) SetErrorRate(share float64) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.errorRate = share
 }
 
-// StartDraining notes that the node is to get nothing new after the cluster's grace. The endpoint list has to say so too.
+// StartDraining starts the node's drain: a command that arrives after the cluster's grace period is a violation. The caller must
+// also publish the new status in the endpoint list.
 func (n *Node) StartDraining() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -164,36 +165,36 @@
 	return n.cluster.shards[n.Shard].primary == n
 }
 
-// ProbeTimes returns when each probe reached the node, in us of the cluster's clock.
+// ProbeTimes returns the arrival time of each probe, in us of the cluster's clock.
 func (n *Node) ProbeTimes() []int64 {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return append([]int64(nil), n.probeTimes...)
 }
 
-// QueryCount returns how many commands arrived.
+// QueryCount returns the number of commands that the node received.
 func (n *Node) QueryCount() int {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.queryCount
 }
 
-// isHung reports whether the node answers nothing.
+// isHung reports whether the node has stopped answering.
 func (n *Node) isHung() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.hung
 }
 
-// appliedPosition is the position up to which the node has applied its shard's log; the caller holds the lock.
+// appliedPosition returns the position up to which the node has applied its shard's log. The caller holds the lock.
 func (n *Node) appliedPosition() int64 {
 	n.cluster.advanceLog(n.Shard)
-	g := n.cluster.shards[n.Shard]
+	s := n.cluster.shards[n.Shard]
 	switch {
-	case g.primary == n:
-		return g.position
+	case s.primary == n:
+		return s.position
 	case n.pausedAt > 0:
 		return n.pausedAt
 	}
-	return min(g.position, n.cluster.now()-n.applyLag)
+	return min(s.position, n.cluster.now()-n.applyLag)
 }
--- a/internal/testcluster/database/protocol.go
+++ b/internal/testcluster/database/protocol.go
@@ -10,16 +10,16 @@
 	"cairntiller/internal/pgwire"
 )
 
-// maxMessageBytes bounds what a router may send a node in one message.
+// maxMessageBytes bounds the size of a message from a router to a node.
 const maxMessageBytes = 1 << 18
 
-// coldSpeed is the share of its speed that a node has as it starts to warm up.
+// coldSpeed is the share of its full speed at which a restarted node begins its warm-up.
 const coldSpeed = 0.2
 
-// readyForQuery is the message that ends each reply.
+// readyForQuery is the encoded ReadyForQuery message that ends each reply.
 const readyForQuery = "Z\x00\x00\x00\x05I"
 
-// serve answers one connection until it ends: a welcome to the startup message, then one reply a query.
+// serve handles one connection until it is closed: it completes the startup, then sends one reply per query.
 func (n *Node) serve(conn net.Conn) {
 	splitter := pgwire.NewSplitter(maxMessageBytes, true)
 	buf := make([]byte, 1<<14)
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleFrame returns the reply to one message, nil where the node hangs; ok is false where the connection has to end.
+// handleFrame returns the reply to one message, nil if the node sends none. ok is false if the connection must be closed.
 func (n *Node) handleFrame(splitter *pgwire.Splitter, frame pgwire.Frame, started *bool) (reply []byte, ok bool) {
 	if !*started {
 		*started = true
@@ -73,7 +73,7 @@
 	return reply, true
 }
 
-// answer returns the reply to a query; ok is false where the node says nothing at all.
+// answer returns the reply to a query. ok is false if the node sends no reply.
 func (n *Node) answer(statement string) (reply []byte, ok bool) {
 	if statement == "SHOW load" {
 		return n.answerProbe()
@@ -82,7 +82,7 @@
 	if err != nil {
 		n.cluster.mu.Lock()
 		defer n.cluster.mu.Unlock()
-		n.cluster.recordViolation("node %s got a statement that no client sent: %v", n.Name, err)
+		n.cluster.recordViolation("node %s received a statement that can't be decoded: %v", n.Name, err)
 		return pgwire.AppendError(nil, false, pgwire.CodeProtocol, "unreadable", 0), true
 	}
 	work, queued, rejection := n.enqueue(cmd)
@@ -99,12 +99,12 @@
 		return nil, false
 	}
 	if n.errorRate > 0 && n.cluster.random.Float64() < n.errorRate {
-		return pgwire.AppendError(nil, false, "XX000", "an error on purpose", 0), true
+		return pgwire.AppendError(nil, false, "XX000", "injected error", 0), true
 	}
 	return n.execute(cmd, statement)
 }
 
-// answerProbe returns the load report, and notes when it was asked for.
+// answerProbe records the arrival time of a probe and returns the load report.
 func (n *Node) answerProbe() (reply []byte, ok bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -112,28 +112,29 @@
 	return append(encodeRow(n.loadReport(), "SHOW"), readyForQuery...), !n.hung && !n.ignoresProbes
 }
 
-// enqueue takes a command in and returns the work that it makes. Where the command isn't queued, the rejection is its reply,
-// nil where the node says nothing.
+// enqueue admits a command and returns its processing time. If the command isn't queued, rejection is the reply to it, nil if
+// the node sends none.
 func (n *Node) enqueue(cmd *pgwire.Command) (work time.Duration, queued bool, rejection []byte) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	now := n.cluster.now()
 	n.queryCount++
 	if n.drainingSince > 0 && now > n.drainingSince+n.cluster.drainGrace {
-		n.cluster.recordViolation("node %s got %s %d us after its drain began", n.Name, cmd.ID, now-n.drainingSince)
+		n.cluster.recordViolation("node %s received command %s %d us after the start of its drain", n.Name, cmd.ID, now-n.drainingSince)
 	}
 	if n.hung {
 		return 0, false, nil
 	}
 	if n.queued >= maxQueued {
-		return 0, false, pgwire.AppendError(nil, false, pgwire.CodeRejected, "too much to do", 0)
+		return 0, false, pgwire.AppendError(nil, false, pgwire.CodeRejected, "too many queued commands", 0)
 	}
 	n.queued++
-	return n.workNow(now), true, nil
+	return n.commandDuration(now), true, nil
 }
 
-// workNow is the time that a command takes at the node now: a node that warms up begins at a fifth of its speed.
-func (n *Node) workNow(now int64) time.Duration {
+// commandDuration returns the processing time of a command that starts now. During the warm-up, the speed rises linearly from
+// coldSpeed to the full speed.
+func (n *Node) commandDuration(now int64) time.Duration {
 	age := now - n.startedAt
 	if n.warmUp == 0 || age >= n.warmUp {
 		return n.workPerCommand
@@ -142,70 +143,71 @@
 	return time.Duration(float64(n.workPerCommand) / speed)
 }
 
-// execute runs a command as its text says; the caller holds the lock.
+// execute executes a command, an INSERT or a SELECT of the session's row, and returns the reply. The caller holds the lock.
 func (n *Node) execute(cmd *pgwire.Command, statement string) ([]byte, bool) {
-	g := n.cluster.shards[n.Shard]
+	s := n.cluster.shards[n.Shard]
 	_, text, _ := strings.Cut(statement, "*/")
 	pos := n.appliedPosition()
 	if text = strings.TrimSpace(text); !strings.HasPrefix(text, "INSERT") {
 		value := "none"
-		for _, e := range g.log[cmd.Session] {
-			if e.position <= pos {
-				value = e.value
+		for _, entry := range s.log[cmd.Session] {
+			if entry.position <= pos {
+				value = entry.value
 			}
 		}
-		return n.appendStatus(encodeRow(value, "SELECT 1"), g.primary == n, pos), true
+		return n.appendStatus(encodeRow(value, "SELECT 1"), s.primary == n, pos), true
 	}
-	if g.primary != n {
+	if s.primary != n {
 		return pgwire.AppendError(nil, false, pgwire.CodeNoPrimary, "no primary", 0), true
 	}
 	if n.cluster.executions[cmd.ID]++; n.cluster.executions[cmd.ID] > 1 {
-		n.cluster.recordViolation("command %s ran %d times", cmd.ID, n.cluster.executions[cmd.ID])
+		n.cluster.recordViolation("command %s was executed %d times", cmd.ID, n.cluster.executions[cmd.ID])
 	}
 	value := lastQuotedText(text)
 	pos = max(pos, n.cluster.now())
-	g.position = max(g.position, pos)
-	g.log[cmd.Session] = append(g.log[cmd.Session], write{pos, value})
+	s.position = max(s.position, pos)
+	s.log[cmd.Session] = append(s.log[cmd.Session], write{pos, value})
 	return n.appendStatus(encodeRow(value, "INSERT 0 1"), true, pos), true
 }
 
-// lastQuotedText returns the last quoted text of a statement.
-func lastQuotedText(s string) string {
-	end := strings.LastIndexByte(s, '\'')
+// lastQuotedText returns the last text in single quotes in a statement, "" if there is none.
+func lastQuotedText(statement string) string {
+	end := strings.LastIndexByte(statement, '\'')
 	if end < 0 {
 		return ""
 	}
-	from := strings.LastIndexByte(s[:end], '\'')
-	return s[from+1 : end]
+	start := strings.LastIndexByte(statement[:end], '\'')
+	return statement[start+1 : end]
 }
 
-// loadReport is what the node reports of itself: its position in Unix seconds, whether it is primary, and its queue.
+// loadReport returns the node's load report: its applied position in seconds since the Unix epoch (x0), whether it is the
+// primary (x1), and the length of its queue.
 func (n *Node) loadReport() string {
-	pos, lead := n.appliedPosition(), 0
+	pos, primary := n.appliedPosition(), 0
 	if n.cluster.shards[n.Shard].primary == n {
-		lead = 1
+		primary = 1
 	}
-	return fmt.Sprintf("x0=%d.%06d,x1=%d,inflight=%d", pos/1e6, pos%1e6, lead, n.queued)
+	return fmt.Sprintf("x0=%d.%06d,x1=%d,inflight=%d", pos/1e6, pos%1e6, primary, n.queued)
 }
 
-// appendStatus adds the parameter statuses beside an answer, and the end of the reply.
-func (n *Node) appendStatus(reply []byte, lead bool, pos int64) []byte {
+// appendStatus appends the ParameterStatus messages that report the node's state, and the ReadyForQuery that ends the reply.
+func (n *Node) appendStatus(reply []byte, isPrimary bool, pos int64) []byte {
 	role := "replica"
-	if lead {
+	if isPrimary {
 		role = "primary"
 	}
-	for _, one := range [][2]string{{"role", role}, {"applied_ms", strconv.FormatFloat(float64(pos)/1000, 'f', 3, 64)},
+	for _, parameter := range [][2]string{{"role", role}, {"applied_ms", strconv.FormatFloat(float64(pos)/1000, 'f', 3, 64)},
 		{"load", n.loadReport()}} {
-		reply = pgwire.Frame{Type: 'S', Body: []byte(one[0] + "\x00" + one[1] + "\x00")}.Append(reply)
+		reply = pgwire.Frame{Type: 'S', Body: []byte(parameter[0] + "\x00" + parameter[1] + "\x00")}.Append(reply)
 	}
 	return append(reply, readyForQuery...)
 }
 
-// encodeRow encodes a result of one row with one column.
+// encodeRow encodes a result of one row with one column: RowDescription, DataRow and CommandComplete.
 func encodeRow(value, tag string) []byte {
-	out := pgwire.Frame{Type: 'T', Body: []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")}.Append(nil)
+	row := pgwire.Frame{Type: 'T', Body: []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")}.Append(nil)
 	size := len(value)
 	body := append([]byte{0, 1, byte(size >> 24), byte(size >> 16), byte(size >> 8), byte(size)}, value...)
-	out = pgwire.Frame{Type: 'D', Body: body}.Append(out)
-	return pgwire.Frame{Type: 'C', Body: []byte(tag + "\x00")}.Append(out)
+	row = pgwire.Frame{Type: 'D', Body: body}.Append(row)
+	return pgwire.Frame{Type: 'C', Body: []byte(tag + "\x00")}.Append(row)
 }
