--- a/internal/testcluster/client/client.go
+++ b/internal/testcluster/client/client.go
@@ -1,6 +1,6 @@
-// Package client simulates a router's clients: sessions that write and read their own rows back, one command at a time on
-// one connection. A session records as a violation what must not happen: no answer in time, an answer to another command, or
-// a read that misses the session's own write.
+// Package client simulates clients of a router. Each session writes a row and reads it back, one command at a time on one
+// connection. It records a violation if an answer doesn't arrive in time, belongs to another command, or is a read that misses
+// the session's own write.
 package client
 
 import (
@@ -15,26 +15,26 @@
 	"cairntiller/internal/pgwire"
 )
 
-// Answer is how a command ended.
+// Answer is the outcome of a command.
 type Answer struct {
 	Value     string
-	ErrorCode string // of an error, "" for a row
+	ErrorCode string // SQLSTATE of an error, "" if the answer is a row
 	Took      time.Duration
 }
 
-// Session is one client's session.
+// Session is the session of one client.
 type Session struct {
-	address, key string
-	timeout      time.Duration
-	conn         net.Conn
-	lastSent     int
-	lastAnswered int // number of the last write that was answered
-	lastPossible int // of the last that was sent and may have run
-	Violations   []string
+	address, key        string
+	timeout             time.Duration
+	conn                net.Conn
+	lastSent            int
+	lastAnswered        int // number of the last write that was answered without an error
+	lastPossiblyApplied int // number of the last write that was sent and may have been executed
+	Violations          []string
 }
 
-// New returns a session that writes and reads the row of a key and waits up to timeout for each answer. It connects with its
-// first command.
+// New returns a session that writes and reads the row of a key and waits up to timeout for each answer. It connects when it
+// sends its first command.
 func New(address, key string, timeout time.Duration) *Session {
 	return &Session{address: address, key: key, timeout: timeout}
 }
@@ -47,16 +47,17 @@
 	}
 }
 
-// SwitchRouter closes the connection and continues the session at another router.
+// SwitchRouter closes the connection and continues the session on another router.
 func (s *Session) SwitchRouter(address string) {
 	s.Close()
 	s.address = address
 }
 
-// lateTolerance is how much later than the client's timeout an answer may come before it counts as missing. The test process
-// shares its cores with the routers.
+// lateTolerance is how long after the client's timeout an answer may arrive before it counts as missing. It is needed because
+// the test process shares its cores with the routers.
 const lateTolerance = 400 * time.Millisecond
 
+// dial connects to the router and completes the startup.
 func (s *Session) dial() error {
 	c, err := net.DialTimeout("tcp", s.address, s.timeout)
 	if err != nil {
@@ -74,29 +75,29 @@
 	return nil
 }
 
-// readReply hands each message up to ReadyForQuery to each.
-func readReply(c net.Conn, each func(pgwire.Frame)) error {
-	head := make([]byte, 5)
+// readReply reads messages up to ReadyForQuery and calls handle for each message before it.
+func readReply(c net.Conn, handle func(pgwire.Frame)) error {
+	header := make([]byte, 5)
 	for {
-		if _, err := io.ReadFull(c, head); err != nil {
+		if _, err := io.ReadFull(c, header); err != nil {
 			return err
 		}
-		size := int(binary.BigEndian.Uint32(head[1:])) - 4
+		size := int(binary.BigEndian.Uint32(header[1:])) - 4
 		if size < 0 || size > 1<<20 {
-			return errors.New("a message without bounds")
+			return errors.New("invalid message length")
 		}
 		body := make([]byte, size)
 		if _, err := io.ReadFull(c, body); err != nil {
 			return err
 		}
-		if head[0] == 'Z' {
+		if header[0] == 'Z' {
 			return nil
 		}
-		each(pgwire.Frame{Type: head[0], Body: body})
+		handle(pgwire.Frame{Type: header[0], Body: body})
 	}
 }
 
-// Ready reports whether the router accepts commands.
+// Ready reports whether the router accepts commands. It sends an empty query and expects an EmptyQueryResponse.
 func (s *Session) Ready() bool {
 	if s.conn == nil && s.dial() != nil {
 		return false
@@ -113,50 +114,50 @@
 	return err == nil && ready
 }
 
-// Write writes the session's next number to a shard, as a command of a class.
-func (s *Session) Write(class string, group int) (Answer, error) {
+// Write writes the session's next number to a shard, with a command of the given class.
+func (s *Session) Write(class string, shard int) (Answer, error) {
 	s.lastSent++
-	s.lastPossible = s.lastSent
-	a, err := s.execute(class, group, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%d') RETURNING data", s.key, s.lastSent))
+	s.lastPossiblyApplied = s.lastSent
+	a, err := s.execute(class, shard, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%d') RETURNING data", s.key, s.lastSent))
 	if err == nil && a.ErrorCode == "" {
 		if a.Value != strconv.Itoa(s.lastSent) {
-			s.Violations = append(s.Violations, fmt.Sprintf("session %s wrote %d and was answered %q", s.key, s.lastSent, a.Value))
+			s.Violations = append(s.Violations, fmt.Sprintf("session %s wrote %d, but the answer was %q", s.key, s.lastSent, a.Value))
 		}
 		s.lastAnswered = s.lastSent
 	}
 	return a, err
 }
 
-// Read reads the session's row from a shard; where own is set, it must see the session's last write.
-func (s *Session) Read(class string, group int, own bool) (Answer, error) {
-	a, err := s.execute(class, group, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", s.key))
+// Read reads the session's row from a shard. With readOwnWrites, the result must include the session's last answered write.
+func (s *Session) Read(class string, shard int, readOwnWrites bool) (Answer, error) {
+	a, err := s.execute(class, shard, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", s.key))
 	if err != nil || a.ErrorCode != "" {
 		return a, err
 	}
 	n := 0
 	if a.Value != "none" {
 		if n, err = strconv.Atoi(a.Value); err != nil {
-			s.Violations = append(s.Violations, fmt.Sprintf("session %s read %q", s.key, a.Value))
+			s.Violations = append(s.Violations, fmt.Sprintf("session %s read %q, which is not a number", s.key, a.Value))
 			return a, nil
 		}
 	}
-	if own && n < s.lastAnswered || n > s.lastPossible {
-		s.Violations = append(s.Violations, fmt.Sprintf("session %s read %d after it had written %d to %d", s.key, n, s.lastAnswered, s.lastPossible))
+	if readOwnWrites && n < s.lastAnswered || n > s.lastPossiblyApplied {
+		s.Violations = append(s.Violations, fmt.Sprintf("session %s read %d, but its last answered write is %d and its last sent write is %d", s.key, n, s.lastAnswered, s.lastPossiblyApplied))
 	}
 	return a, nil
 }
 
-// execute sends a command and reads its one answer.
-func (s *Session) execute(class string, group int, text string) (a Answer, err error) {
+// execute sends a command and reads its answer. Any number of answers other than one is a violation.
+func (s *Session) execute(class string, shard int, text string) (a Answer, err error) {
 	if s.conn == nil {
 		if err = s.dial(); err != nil {
 			return a, err
 		}
 	}
-	began := time.Now()
-	id := fmt.Sprintf("%s-%d-%d", s.key, s.lastSent, began.UnixNano())
-	s.conn.SetDeadline(began.Add(s.timeout + lateTolerance))
-	query := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d */ %s", id, class, s.timeout.Milliseconds(), group, text)
+	start := time.Now()
+	id := fmt.Sprintf("%s-%d-%d", s.key, s.lastSent, start.UnixNano())
+	s.conn.SetDeadline(start.Add(s.timeout + lateTolerance))
+	query := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d */ %s", id, class, s.timeout.Milliseconds(), shard, text)
 	rows := 0
 	if _, err = s.conn.Write(pgwire.AppendQuery(nil, query)); err == nil {
 		err = readReply(s.conn, func(f pgwire.Frame) {
@@ -172,13 +173,13 @@
 			}
 		})
 	}
-	a.Took = time.Since(began)
-	var late net.Error
+	a.Took = time.Since(start)
+	var netErr net.Error
 	switch {
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		s.Violations = append(s.Violations, fmt.Sprintf("session %s: no answer to %s", s.key, id))
 	case err == nil && rows != 1:
-		s.Violations = append(s.Violations, fmt.Sprintf("session %s: %d answers to %s", s.key, rows, id))
+		s.Violations = append(s.Violations, fmt.Sprintf("session %s: received %d answers to %s, want 1", s.key, rows, id))
 	}
 	if err != nil {
 		s.Close()
@@ -186,7 +187,7 @@
 	return a, err
 }
 
-// errorCode returns the SQLSTATE of an ErrorResponse, "" where it has none.
+// errorCode returns the SQLSTATE of an ErrorResponse, "" if it has none.
 func errorCode(body []byte) string {
 	for len(body) > 1 {
 		end := 1
