--- a/internal/testcluster/discovery/discovery.go
+++ b/internal/testcluster/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery simulates the service discovery: the endpoint list over HTTP, complete or as a watch that sends each
-// change. A test can make it fall silent.
+// Package discovery simulates the service discovery. It serves the endpoint list over HTTP, either as a complete list or as a
+// watch that streams changes. A test can suppress the changes.
 package discovery
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Entry is one node of the endpoint list, in the form of the wire.
+// Entry is one node in the endpoint list, as encoded in JSON.
 type Entry struct {
 	Name            string  `json:"name"`
 	Address         string  `json:"address"`
@@ -30,20 +30,20 @@
 	address string
 
 	mu      sync.Mutex
-	version int64 // of the list
+	version int64 // version of the list, incremented by each update
 	entries map[string]*versionedEntry
-	order   []string // names, as they were added
-	silent  bool
-	changed chan struct{} // closed at each change
+	order   []string      // names in the order in which they were added
+	silent  bool          // watches send no list and no changes
+	changed chan struct{} // closed and replaced at each change
 }
 
-// versionedEntry is an entry, and the version of the list in which it last changed.
+// versionedEntry is an entry with the version of the list in which it last changed.
 type versionedEntry struct {
-	entry     Entry
-	changedIn int64
+	entry            Entry
+	changedInVersion int64
 }
 
-// Start starts a server on a free port of loopback.
+// Start starts a server on a free port of the loopback interface.
 func Start() (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,13 +57,13 @@
 	return s, nil
 }
 
-// Address returns the address at which it listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.address }
 
-// Close stops the server and its watches.
+// Close stops the server and ends open watches.
 func (s *Server) Close() { s.http.Close() }
 
-// Update adds nodes to the list or changes them, as one new version.
+// Update adds or replaces entries of the list, all in one new version.
 func (s *Server) Update(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,73 +72,73 @@
 		if s.entries[entry.Name] == nil {
 			s.order = append(s.order, entry.Name)
 		}
-		s.entries[entry.Name] = &versionedEntry{entry: entry, changedIn: s.version}
+		s.entries[entry.Name] = &versionedEntry{entry: entry, changedInVersion: s.version}
 	}
 	s.notify()
 }
 
-// SetSilent keeps open watches without any message, or lets them continue.
-func (s *Server) SetSilent(on bool) {
+// SetSilent suppresses the lists and changes that watches send, or resumes them. Keep-alive lines are sent in either case.
+func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = on
+	s.silent = silent
 	s.notify()
 }
 
-// notify wakes all watches.
+// notify wakes all watches. The caller holds the lock.
 func (s *Server) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Entry returns the present entry of a node, an empty one if there is none.
+// Entry returns the current entry of a node, an empty one if there is none.
 func (s *Server) Entry(name string) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.entries[name]; known != nil {
-		return known.entry
+	if existing := s.entries[name]; existing != nil {
+		return existing.entry
 	}
 	return Entry{}
 }
 
-// list is an answer: the complete list, or what has changed.
-type list struct {
+// endpointList is the body of a response: a complete list (a snapshot) or the changed entries.
+type endpointList struct {
 	Index     int64   `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// changesSince returns what has changed after a version; the complete list if complete is set or the version is unknown. changed
-// is closed at the next change.
-func (s *Server) changesSince(version int64, complete bool) (answer list, changed chan struct{}, silent bool) {
+// changesSince returns the entries that changed after a version, or the complete list if complete is set or the version is newer
+// than the list. The channel changed is closed at the next change.
+func (s *Server) changesSince(version int64, complete bool) (answer endpointList, changed chan struct{}, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	complete = complete || version > s.version
-	answer = list{Index: s.version, Snapshot: complete, Endpoints: []Entry{}}
+	answer = endpointList{Index: s.version, Snapshot: complete, Endpoints: []Entry{}}
 	for _, name := range s.order {
-		known := s.entries[name]
-		if complete && known.entry.Status != "left" || !complete && known.changedIn > version {
-			answer.Endpoints = append(answer.Endpoints, known.entry)
+		existing := s.entries[name]
+		if complete && existing.entry.Status != "left" || !complete && existing.changedInVersion > version {
+			answer.Endpoints = append(answer.Endpoints, existing.entry)
 		}
 	}
 	return answer, s.changed, s.silent
 }
 
-// keepAliveInterval is how often a watch sends an empty line while nothing changes.
+// keepAliveInterval is the interval at which a watch sends an empty line while nothing changes.
 const keepAliveInterval = 2 * time.Second
 
-// serveTargets answers with the complete list, or with a watch if the request asks for one.
+// serveTargets responds with the complete list, or starts a watch if the request has follow=1.
 func (s *Server) serveTargets(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	if r.URL.Query().Get("follow") == "1" {
 		s.watch(w, r, version, err != nil)
 		return
 	}
-	complete, _, _ := s.changesSince(0, true)
-	json.NewEncoder(w).Encode(complete)
+	snapshot, _, _ := s.changesSince(0, true)
+	json.NewEncoder(w).Encode(snapshot)
 }
 
-// watch sends what has changed after a version, the complete list first if complete is set, and then each change.
+// watch sends the changes after a version, or the complete list first if complete is set, and then streams further changes.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, version int64, complete bool) {
 	encoder := json.NewEncoder(w)
 	for first := true; ; first = false {
