--- a/internal/testcluster/cluster/cluster.go
+++ b/internal/testcluster/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs a whole deployment on free ports of loopback, for the demo, proofs and tests: simulated database nodes,
-// a simulated service discovery, and router processes in front of them.
+// Package cluster runs a complete deployment on free loopback ports, for the demo, proofs and tests: simulated database nodes, a
+// simulated service discovery, and router processes in front of the nodes.
 package cluster
 
 import (
@@ -15,7 +15,7 @@
 	"cairntiller/internal/testcluster/discovery"
 )
 
-// The command classes of every cluster, by their names.
+// Names of the command classes that every cluster configures.
 const (
 	ClassReadAny = "board"
 	ClassReadOwn = "own"
@@ -23,23 +23,24 @@
 )
 
 const (
-	drainGrace     = 2_000_000              // us after which a draining node may get nothing new
-	workPerCommand = 2 * time.Millisecond   // that a command takes on one of a node's cores
-	coresPerNode   = 4                      // of a node
-	startTimeout   = 10 * time.Second       // for a router to be ready
-	stopTimeout    = 3 * time.Second        // for a router to leave in order
-	clientTimeout  = 900 * time.Millisecond // that clients wait
+	drainGrace     = 2_000_000            // us after the start of a drain from which on a node must not receive commands
+	workPerCommand = 2 * time.Millisecond // time for which a command occupies a core of a node
+	coresPerNode   = 4
+	startTimeout   = 10 * time.Second       // until a router must be ready
+	stopTimeout    = 3 * time.Second        // until a router must have shut down after SIGTERM
+	clientTimeout  = 900 * time.Millisecond // of clients, per command
 )
 
-// Cluster is the nodes, their discovery and the routers in front of them.
+// Cluster holds the nodes, their service discovery and the routers in front of them.
 type Cluster struct {
 	Database  *database.Cluster
 	Discovery *discovery.Server
-	Folder    string // of the routers' files; Close removes it
+	Folder    string // holds the routers' files; Close removes it
 	routers   []*Router
 }
 
-// New starts a cluster of that many shards with that many nodes each. The first node of a shard is its primary.
+// New starts a cluster without routers. It has the given number of shards and of nodes per shard; the first node of each shard
+// is its primary.
 func New(seed uint64, shards, nodesPerShard int) (*Cluster, error) {
 	c := &Cluster{Database: database.New(seed, drainGrace)}
 	var err error
@@ -62,7 +63,7 @@
 	return c, nil
 }
 
-// Announce puts a node into the endpoint list as it is now, with a status.
+// Announce publishes a node's current state in the endpoint list, with the given status.
 func (c *Cluster) Announce(n *database.Node, status string) {
 	role := "replica"
 	if n.IsPrimary() {
@@ -72,7 +73,7 @@
 		Status: status, Role: role, Weight: 1, StartedAtMillis: float64(n.StartedAt()) / 1000})
 }
 
-// Node returns a node by name; nil for none.
+// Node returns the node with a name, nil if there is none.
 func (c *Cluster) Node(name string) *database.Node {
 	for _, n := range c.Database.Nodes() {
 		if n.Name == name {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// Close stops routers and nodes, and removes the folder.
+// Close kills the routers, stops the nodes and the service discovery, and removes the folder.
 func (c *Cluster) Close() error {
 	for _, r := range c.routers {
 		r.Kill()
@@ -92,7 +93,7 @@
 	return os.RemoveAll(c.Folder)
 }
 
-// commandClass is one class of commands in a router's settings.
+// commandClass is a command class in the settings of a router.
 type commandClass struct {
 	Name   string  `json:"name"`
 	Effect string  `json:"effect"`
@@ -101,7 +102,7 @@
 	Points float64 `json:"points"`
 }
 
-// configuration returns the settings that the platform gives a router.
+// configuration returns the platform configuration of a router, encoded as JSON.
 func (c *Cluster) configuration(name, listen string, siblings int) ([]byte, error) {
 	type object map[string]any
 	return json.Marshal(object{"name": name, "listen": listen, "discovery": c.Discovery.Address(), "seed": "8c1f30d27a5be964",
@@ -113,30 +114,30 @@
 			"report":  object{"how": "answers", "fields": []string{"x0", "x1", "inflight"}}}})
 }
 
-// StartRouter starts this program again as a router, with arguments and the operator's file, "" for none, and waits until it
-// accepts commands. Its log goes to log.
-func (c *Cluster) StartRouter(name string, siblings int, file string, log io.Writer, args ...string) (*Router, error) {
-	r, err := c.PrepareRouter(name, siblings, file, log, args...)
+// StartRouter starts a router process from this program's executable, with the given arguments and the contents of the
+// operator's file ("" for no file), and waits until it accepts commands. The router's log is written to log.
+func (c *Cluster) StartRouter(name string, siblings int, operatorFile string, log io.Writer, args ...string) (*Router, error) {
+	r, err := c.PrepareRouter(name, siblings, operatorFile, log, args...)
 	if err != nil {
 		return nil, err
 	}
 	return r, r.Start()
 }
 
-// PrepareRouter writes a router's files and returns it, ready to be started.
-func (c *Cluster) PrepareRouter(name string, siblings int, file string, log io.Writer, args ...string) (*Router, error) {
+// PrepareRouter writes a router's files and returns the router without starting it.
+func (c *Cluster) PrepareRouter(name string, siblings int, operatorFile string, log io.Writer, args ...string) (*Router, error) {
 	address, err := FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	raw, err := c.configuration(name, address, siblings)
+	config, err := c.configuration(name, address, siblings)
 	if err == nil {
-		err = os.WriteFile(filepath.Join(c.Folder, name+".json"), raw, 0o600)
+		err = os.WriteFile(filepath.Join(c.Folder, name+".json"), config, 0o600)
 	}
-	if err == nil && file != "" {
+	if err == nil && operatorFile != "" {
 		path := filepath.Join(c.Folder, name+".sexp")
 		args = append(args, "--file", path)
-		err = os.WriteFile(path, []byte(file), 0o600)
+		err = os.WriteFile(path, []byte(operatorFile), 0o600)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/testcluster/cluster/ports.go
+++ b/internal/testcluster/cluster/ports.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// Ports are issued below the kernel's range for outgoing connections, which could otherwise take one between its issue and its
-// use. Each is issued once.
+// Ports are allocated below the kernel's ephemeral port range. Otherwise an outgoing connection could take a port between its
+// allocation and its use. Each port is allocated at most once per process.
 const (
 	firstPort = 20_000
 	lastPort  = 32_000
@@ -17,22 +17,22 @@
 
 var issuedAddresses sync.Map
 
-// FreeAddress returns an address of loopback at which nothing listens, for TCP and UDP.
+// FreeAddress returns a loopback address whose port is free for both TCP and UDP.
 func FreeAddress() (string, error) {
 	for range 200 {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
-		if _, taken := issuedAddresses.LoadOrStore(address, true); taken {
+		if _, issued := issuedAddresses.LoadOrStore(address, true); issued {
 			continue
 		}
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
 		}
-		p, err := net.ListenPacket("udp", address)
+		conn, err := net.ListenPacket("udp", address)
 		ln.Close()
 		if err == nil {
-			return address, p.Close()
+			return address, conn.Close()
 		}
 	}
-	return "", errors.New("no free port")
+	return "", errors.New("no free loopback port found")
 }
--- a/internal/testcluster/cluster/router.go
+++ b/internal/testcluster/cluster/router.go
@@ -15,56 +15,56 @@
 	"cairntiller/internal/testcluster/client"
 )
 
-// readyCheckInterval is the time between attempts to reach a router that starts.
+// readyCheckInterval is the interval between readiness checks of a starting router.
 const readyCheckInterval = 5 * time.Millisecond
 
-// clockTick is the unit in which the kernel tells processor times.
+// clockTick is the unit of CPU times in /proc/PID/stat (USER_HZ is 100).
 const clockTick = 10 * time.Millisecond
 
-// errNoProcessorTime tells that the kernel's line on a process has no processor time.
-var errNoProcessorTime = errors.New("no processor time")
+// errNoCPUTime reports that /proc/PID/stat has too few fields to contain CPU times.
+var errNoCPUTime = errors.New("no CPU times in /proc/PID/stat")
 
-// Router is one router process.
+// Router is a router that runs as a process of its own and can be restarted.
 type Router struct {
 	Name, Address string
 	cluster       *Cluster
 	args          []string
 	log           io.Writer
 
-	mu      sync.Mutex // a supervisor may start it while others signal it
-	running *process   // the present process, nil if the router was never started
+	mu      sync.Mutex // guards running: a supervisor may restart the process while others signal it
+	running *process   // the latest process, nil if the router was never started
 }
 
-// process is one start of a router.
+// process is one run of a router.
 type process struct {
-	cmd   *exec.Cmd
-	stdin io.WriteCloser
-	ended chan struct{} // closed when it has ended
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser
+	exited chan struct{} // closed when the process has exited
 }
 
-// current returns the present process, nil if the router was never started.
+// current returns the latest process, nil if the router was never started.
 func (r *Router) current() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running
 }
 
-// hasEnded reports whether the process has ended.
-func (p *process) hasEnded() bool {
+// hasExited reports whether the process has exited.
+func (p *process) hasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// WriteOperatorFile replaces the operator's file, which SIGHUP or the next start reads.
+// WriteOperatorFile replaces the operator's file. The router reads it on SIGHUP and when it starts.
 func (r *Router) WriteOperatorFile(text string) error {
 	return os.WriteFile(filepath.Join(r.cluster.Folder, r.Name+".sexp"), []byte(text), 0o600)
 }
 
-// Start starts the process, or starts it again, and waits until it takes commands.
+// Start starts or restarts the process and waits until it accepts commands.
 func (r *Router) Start() error {
 	started, err := r.startProcess()
 	if err != nil {
@@ -76,16 +76,16 @@
 	return r.waitUntilReady(started)
 }
 
-// startProcess starts this program again, as the router.
+// startProcess starts this program's executable as the router.
 func (r *Router) startProcess() (*process, error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(self, r.args...)
+	cmd := exec.Command(executable, r.args...)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(r.cluster.Folder, r.Name+".json"))
 	cmd.Stderr = r.log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // also where it is stopped when this one ends
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // also kills a process that is stopped by SIGSTOP when this one exits
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -93,24 +93,24 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{cmd: cmd, stdin: stdin, ended: make(chan struct{})}
+	p := &process{cmd: cmd, stdin: stdin, exited: make(chan struct{})}
 	go func() {
 		cmd.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
 	return p, nil
 }
 
-// waitUntilReady waits until a process that has just started takes commands. The error tells that it ended, or that it took
-// longer than startTimeout and was killed.
+// waitUntilReady waits until a process that was just started accepts commands. It returns an error if the process exits, or if
+// it isn't ready within startTimeout, in which case it is killed.
 func (r *Router) waitUntilReady(started *process) error {
 	session := client.New(r.Address, "ready", clientTimeout)
 	defer session.Close()
-	for began := time.Now(); !session.Ready(); time.Sleep(readyCheckInterval) {
-		if started.hasEnded() {
-			return fmt.Errorf("router %s ended: %s", r.Name, started.cmd.ProcessState)
+	for start := time.Now(); !session.Ready(); time.Sleep(readyCheckInterval) {
+		if started.hasExited() {
+			return fmt.Errorf("router %s exited before it was ready: %s", r.Name, started.cmd.ProcessState)
 		}
-		if time.Since(began) > startTimeout {
+		if time.Since(start) > startTimeout {
 			r.Kill()
 			return fmt.Errorf("router %s was not ready within %v", r.Name, startTimeout)
 		}
@@ -130,56 +130,57 @@
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has exited.
 func (r *Router) Kill() {
 	p := r.current()
-	if p == nil || p.hasEnded() {
+	if p == nil || p.hasExited() {
 		return
 	}
 	p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
-// ExitCode returns the process's exit code, and whether it has ended.
-func (r *Router) ExitCode() (code int, ended bool) {
+// ExitCode returns the exit code of the process and whether it has exited.
+func (r *Router) ExitCode() (code int, exited bool) {
 	p := r.current()
-	if p == nil || !p.hasEnded() {
+	if p == nil || !p.hasExited() {
 		return 0, false
 	}
 	return p.cmd.ProcessState.ExitCode(), true
 }
 
-// Stop sends SIGTERM and waits for the process's end. Another exit code than 0, or an end that takes too long, is an error.
+// Stop sends SIGTERM and waits until the process has exited. It returns an error if the exit code isn't 0, or if the process
+// doesn't exit within stopTimeout, in which case it is killed.
 func (r *Router) Stop() error {
 	r.Signal(syscall.SIGTERM)
 	p := r.current()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-			return fmt.Errorf("router %s ended with %d", r.Name, code)
+			return fmt.Errorf("router %s exited with code %d", r.Name, code)
 		}
 		return nil
 	case <-time.After(stopTimeout):
 		r.Kill()
-		return fmt.Errorf("router %s did not leave within %v", r.Name, stopTimeout)
+		return fmt.Errorf("router %s did not exit within %v of SIGTERM", r.Name, stopTimeout)
 	}
 }
 
-// NewSession returns a client's session at the router.
+// NewSession returns a client session with the router.
 func (r *Router) NewSession(key string) *client.Session {
 	return client.New(r.Address, key, clientTimeout)
 }
 
-// CPUTime returns the processor time that the process has used.
+// CPUTime returns the user and system CPU time that the process has used.
 func (r *Router) CPUTime() (time.Duration, error) {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.current().cmd.Process.Pid))
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.current().cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	_, rest, _ := strings.Cut(string(raw), ") ")
+	_, rest, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return 0, errNoProcessorTime
+		return 0, errNoCPUTime
 	}
 	var user, system int64
 	fmt.Sscan(fields[11], &user)
