--- a/internal/testcluster/faultnet/network.go
+++ b/internal/testcluster/faultnet/network.go
@@ -10,16 +10,16 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// ErrCut is what a connection attempt gets while the network is cut.
-var ErrCut = errors.New("the network is cut")
+// ErrCut is the error of a connection attempt while the network is cut.
+var ErrCut = errors.New("network is cut by fault injection")
 
-// Network is one member's faulty network, within the member's process.
+// Network injects faults into the network traffic of one member, within the member's process.
 type Network struct {
 	mu                      sync.Mutex
 	random                  *rand.Rand
-	inboundCut, outboundCut bool // what comes in, or goes out, is dropped
+	inboundCut, outboundCut bool // whether inbound and outbound traffic is dropped
 	loss, duplication       float64
-	maxDelay                time.Duration // up to which a packet is held
+	maxDelay                time.Duration // upper bound of the random delay of a packet
 	dropped, packets        int64
 	connections             map[net.Conn]bool
 }
@@ -29,13 +29,13 @@
 	return &Network{random: rand.New(rand.NewPCG(seed, 1)), connections: map[net.Conn]bool{}}
 }
 
-// Cut drops what comes in, what goes out, both or neither. A cut ends the open connections.
-func (n *Network) Cut(in, out bool) {
+// Cut drops inbound traffic, outbound traffic, both or neither. Cutting either direction closes the open connections.
+func (n *Network) Cut(inbound, outbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.inboundCut = in
-	n.outboundCut = out
-	if in || out {
+	n.inboundCut = inbound
+	n.outboundCut = outbound
+	if inbound || outbound {
 		for c := range n.connections {
 			c.Close()
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-// SetPacketFaults sets the shares of packets that are lost and duplicated, and how long each is held at most.
+// SetPacketFaults sets the shares of outbound packets that are lost and duplicated, and the upper bound of their random delay.
 func (n *Network) SetPacketFaults(loss, duplication float64, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,14 +52,15 @@
 	n.maxDelay = maxDelay
 }
 
-// DroppedPackets returns how many packets were lost or cut off, of how many.
-func (n *Network) DroppedPackets() (dropped, of int64) {
+// DroppedPackets returns how many packets were dropped by loss or by a cut, and the total number of counted packets. Inbound
+// packets are counted only if they are dropped.
+func (n *Network) DroppedPackets() (dropped, total int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dropped, n.packets
 }
 
-// WrapTransport puts the network in front of a member's transport.
+// WrapTransport wraps a member's transport with the network's faults.
 func (n *Network) WrapTransport(t memberlist.NodeAwareTransport) memberlist.NodeAwareTransport {
 	w := &faultyTransport{NodeAwareTransport: t, network: n, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
 		closed: make(chan struct{})}
@@ -67,7 +68,7 @@
 	return w
 }
 
-// faultyTransport is a member's transport behind its faulty network.
+// faultyTransport is a member's transport with the faults of its network.
 type faultyTransport struct {
 	memberlist.NodeAwareTransport
 	network   *Network
@@ -77,8 +78,8 @@
 	closeOnce sync.Once
 }
 
-// deliveryDelays returns one delay for each time that a packet arrives, none where it is lost.
-func (n *Network) deliveryDelays(cut bool) (after []time.Duration) {
+// deliveryDelays counts a packet and returns one delay for each copy of it to deliver, none if it is dropped.
+func (n *Network) deliveryDelays(cut bool) (delays []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.packets++
@@ -87,30 +88,30 @@
 		return nil
 	}
 	for copies := 1 + int(n.duplication+n.random.Float64()); copies > 0; copies-- {
-		wait := time.Duration(0)
+		delay := time.Duration(0)
 		if n.maxDelay > 0 {
-			wait = time.Duration(n.random.Int64N(int64(n.maxDelay)))
+			delay = time.Duration(n.random.Int64N(int64(n.maxDelay)))
 		}
-		after = append(after, wait)
+		delays = append(delays, delay)
 	}
-	return after
+	return delays
 }
 
-// isCut reports whether what comes in, or goes out, is dropped.
-func (n *Network) isCut() (in, out bool) {
+// isCut reports whether inbound and outbound traffic is dropped.
+func (n *Network) isCut() (inbound, outbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inboundCut, n.outboundCut
 }
 
-// forward hands on what comes in, until Shutdown.
+// forward passes inbound packets and streams on until Shutdown.
 func (w *faultyTransport) forward() {
 	for {
 		select {
 		case <-w.closed:
 			return
 		case p := <-w.NodeAwareTransport.PacketCh():
-			if in, _ := w.network.isCut(); in {
+			if inbound, _ := w.network.isCut(); inbound {
 				w.network.deliveryDelays(true)
 				continue
 			}
@@ -120,7 +121,7 @@
 				return
 			}
 		case c := <-w.NodeAwareTransport.StreamCh():
-			if in, out := w.network.isCut(); in || out {
+			if inbound, outbound := w.network.isCut(); inbound || outbound {
 				c.Close()
 				continue
 			}
@@ -134,7 +135,7 @@
 	}
 }
 
-// trackConnection notes an open connection, for a cut to end.
+// trackConnection records an open connection so that a cut can close it.
 func (n *Network) trackConnection(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -154,14 +155,14 @@
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
 func (w *faultyTransport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
-	_, out := w.network.isCut()
-	for _, wait := range w.network.deliveryDelays(out) {
-		if wait == 0 {
+	_, outbound := w.network.isCut()
+	for _, delay := range w.network.deliveryDelays(outbound) {
+		if delay == 0 {
 			w.NodeAwareTransport.WriteToAddress(b, addr)
 			continue
 		}
-		p := append([]byte(nil), b...)
-		time.AfterFunc(wait, func() { w.NodeAwareTransport.WriteToAddress(p, addr) })
+		packet := append([]byte(nil), b...)
+		time.AfterFunc(delay, func() { w.NodeAwareTransport.WriteToAddress(packet, addr) })
 	}
 	return time.Now(), nil
 }
@@ -173,7 +174,7 @@
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (w *faultyTransport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	if in, out := w.network.isCut(); in || out {
+	if inbound, outbound := w.network.isCut(); inbound || outbound {
 		return nil, ErrCut
 	}
 	c, err := w.NodeAwareTransport.DialAddressTimeout(addr, timeout)
@@ -183,7 +184,8 @@
 	return c, err
 }
 
-// Shutdown ends the wrapped transport first: that one waits for its readers, which hand what they have to this one.
+// Shutdown shuts down the wrapped transport before it stops forward: the wrapped transport waits for its readers, and these
+// block until forward has received what they read.
 func (w *faultyTransport) Shutdown() error {
 	err := w.NodeAwareTransport.Shutdown()
 	w.closeOnce.Do(func() { close(w.closed) })
--- a/internal/testcluster/faultnet/relays.go
+++ b/internal/testcluster/faultnet/relays.go
@@ -9,63 +9,63 @@
 	"time"
 )
 
-// LinkFaults is what happens to the packets and streams of one link.
+// LinkFaults configures the faults that apply to the packets and streams of one link.
 type LinkFaults struct {
 	Cut          bool
-	Loss         float64       // share of the packets that never arrive
-	Duplication  float64       // share that arrives twice
-	Corruption   float64       // share, of packets or chunks of a stream, in which a bit flips
-	MaxDelay     time.Duration // up to which each packet is held, so that packets overtake one another
-	LateShare    float64       // share of the duplicates that come up to MaxLateDelay later
+	Loss         float64       // share of the packets that are lost
+	Duplication  float64       // share of the packets that arrive twice
+	Corruption   float64       // share of the packets and stream chunks in which one bit is flipped
+	MaxDelay     time.Duration // upper bound of the random delay of each packet and stream chunk; packets may be reordered
+	LateShare    float64       // share of the duplicates that are delayed by up to MaxLateDelay instead of MaxDelay
 	MaxLateDelay time.Duration
 }
 
-// Relays stand between processes, outside of them. Each process has an address of its own from which it sends, and one at
-// which the others reach it, where a relay listens. So each ordered pair of processes has a link of its own, for packets and
-// for streams. Unlike with Network, which lives in the sender's process, what a process has sent outlives it, and a stopped
-// process doesn't hold up its delayed packets.
+// Relays forward packets and streams between processes and run outside of these processes. Each process has its own address,
+// on which it listens and from which it sends, and a relay address, on which its relay listens and by which the other processes
+// reach it. The source address and the relay therefore identify the link of an ordered pair of processes. Unlike Network,
+// which runs in the sender's process, relays deliver delayed packets even after their sender has exited or while it is stopped.
 type Relays struct {
 	mu               sync.Mutex
 	random           *rand.Rand
 	endpoints        []endpoint
-	processByAddress map[string]int // process by the address that it sends from
+	processByAddress map[string]int // index of a process by its IP address
 	links            map[[2]int]LinkFaults
-	changed          *sync.Cond // signalled when a link changes
+	changed          *sync.Cond // signaled when a link changes or the relays are closed
 	closed           bool
 	goroutines       sync.WaitGroup
 	connections      map[net.Conn]bool
-	packets          int64 // that came so far
-	dropped          int64 // of them
+	packets          int64 // number of packets received
+	dropped          int64 // number of packets dropped by loss or a cut on arrival
 }
 
-// endpoint is one process's addresses and relay.
+// endpoint holds the addresses of one process and the sockets of its relay.
 type endpoint struct {
-	processAddress, relayAddress string // host:port each: where the process listens, and where its relay does
+	processAddress, relayAddress string // host:port on which the process and its relay listen
 	udp                          *net.UDPConn
 	tcp                          net.Listener
 }
 
 const (
-	processNetwork = "127.77.%d.%d"  // addresses of processes: 250 in each of the last two numbers
-	relayNetwork   = "127.78.%d.%d"  // addresses of their relays
-	maxChunkBytes  = 16 << 10        // of a stream, passed on at once
-	dialTimeout    = 2 * time.Second // for a process to accept a connection
+	processIPFormat = "127.77.%d.%d"  // IP addresses of processes: 250 per third octet
+	relayIPFormat   = "127.78.%d.%d"  // IP addresses of their relays
+	maxChunkBytes   = 16 << 10        // most bytes of a stream that are forwarded at once
+	dialTimeout     = 2 * time.Second // for the connection from a relay to its process
 )
 
-// NewRelays starts relays in front of that many processes, all on one port.
+// NewRelays starts one relay for each process. All processes and relays use the same port.
 func NewRelays(seed uint64, processes, port int) (r *Relays, err error) {
 	r = &Relays{random: rand.New(rand.NewPCG(seed, 5)), processByAddress: map[string]int{}, links: map[[2]int]LinkFaults{}, connections: map[net.Conn]bool{}}
 	r.changed = sync.NewCond(&r.mu)
 	for i := range processes {
-		own := fmt.Sprintf(processNetwork, i/250, 1+i%250)
-		out := fmt.Sprintf(relayNetwork, i/250, 1+i%250)
-		p := endpoint{processAddress: fmt.Sprintf("%s:%d", own, port), relayAddress: fmt.Sprintf("%s:%d", out, port)}
-		if p.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(out), Port: port}); err != nil {
+		processIP := fmt.Sprintf(processIPFormat, i/250, 1+i%250)
+		relayIP := fmt.Sprintf(relayIPFormat, i/250, 1+i%250)
+		e := endpoint{processAddress: fmt.Sprintf("%s:%d", processIP, port), relayAddress: fmt.Sprintf("%s:%d", relayIP, port)}
+		if e.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(relayIP), Port: port}); err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
-		r.endpoints = append(r.endpoints, p)
-		r.processByAddress[own] = i
-		if r.endpoints[i].tcp, err = net.Listen("tcp", p.relayAddress); err != nil {
+		r.endpoints = append(r.endpoints, e)
+		r.processByAddress[processIP] = i
+		if r.endpoints[i].tcp, err = net.Listen("tcp", e.relayAddress); err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
 	}
@@ -76,10 +76,10 @@
 	return r, nil
 }
 
-// ProcessAddress returns where a process listens and from where it sends.
+// ProcessAddress returns the address on which a process listens and from which it sends.
 func (r *Relays) ProcessAddress(i int) string { return r.endpoints[i].processAddress }
 
-// RelayAddress returns where the others reach a process.
+// RelayAddress returns the address by which other processes reach a process.
 func (r *Relays) RelayAddress(i int) string { return r.endpoints[i].relayAddress }
 
 // SetFaults sets the faults of the link from one process to another.
@@ -97,14 +97,14 @@
 	return r.links[[2]int{from, to}]
 }
 
-// PacketCounts returns the packets that came so far, and how many of them were dropped.
+// PacketCounts returns the number of packets received, and how many of them were dropped by loss or a cut on arrival.
 func (r *Relays) PacketCounts() (packets, dropped int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.packets, r.dropped
 }
 
-// Close stops the relays and ends their connections.
+// Close stops the relays and closes their connections.
 func (r *Relays) Close() error {
 	r.mu.Lock()
 	r.closed = true
@@ -113,44 +113,44 @@
 	}
 	r.mu.Unlock()
 	r.changed.Broadcast()
-	for _, p := range r.endpoints {
-		p.udp.Close()
-		if p.tcp != nil {
-			p.tcp.Close()
+	for _, e := range r.endpoints {
+		e.udp.Close()
+		if e.tcp != nil {
+			e.tcp.Close()
 		}
 	}
 	r.goroutines.Wait()
 	return nil
 }
 
-// senderOf returns the process that sends from an address.
-func (r *Relays) senderOf(a net.Addr) (i int, known bool) {
-	host, _, _ := net.SplitHostPort(a.String())
+// senderOf returns the index of the process that sends from an address.
+func (r *Relays) senderOf(address net.Addr) (i int, known bool) {
+	host, _, _ := net.SplitHostPort(address.String())
 	i, known = r.processByAddress[host]
 	return i, known
 }
 
-// relayPackets relays the packets sent to one process.
+// relayPackets forwards the packets that are sent to one process.
 func (r *Relays) relayPackets(to int) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, at, err := r.endpoints[to].udp.ReadFromUDP(buf)
+		n, sender, err := r.endpoints[to].udp.ReadFromUDP(buf)
 		if err != nil {
 			if r.isClosed() {
 				return
 			}
 			continue
 		}
-		from, known := r.senderOf(at)
+		from, known := r.senderOf(sender)
 		if !known {
 			continue
 		}
-		p := append([]byte(nil), buf[:n]...)
-		for _, wait := range r.deliveryDelays(from, to, p) {
-			if wait == 0 {
-				r.deliver(from, to, p)
+		packet := append([]byte(nil), buf[:n]...)
+		for _, delay := range r.deliveryDelays(from, to, packet) {
+			if delay == 0 {
+				r.deliver(from, to, packet)
 			} else {
-				time.AfterFunc(wait, func() { r.deliver(from, to, p) })
+				time.AfterFunc(delay, func() { r.deliver(from, to, packet) })
 			}
 		}
 	}
@@ -163,47 +163,49 @@
 	return r.closed
 }
 
-// deliveryDelays returns one delay for each time that a packet arrives, none where it is lost. It may corrupt the packet.
-func (r *Relays) deliveryDelays(from, to int, p []byte) (after []time.Duration) {
+// deliveryDelays counts a packet and returns one delay for each copy of it to deliver, none if it is dropped. It may flip a bit
+// of the packet.
+func (r *Relays) deliveryDelays(from, to int, packet []byte) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.links[[2]int{from, to}]
+	faults := r.links[[2]int{from, to}]
 	r.packets++
-	if f.Cut || r.random.Float64() < f.Loss {
+	if faults.Cut || r.random.Float64() < faults.Loss {
 		r.dropped++
 		return nil
 	}
-	if r.random.Float64() < f.Corruption && len(p) > 0 {
-		p[r.random.IntN(len(p))] ^= 1 << r.random.IntN(8)
+	if r.random.Float64() < faults.Corruption && len(packet) > 0 {
+		packet[r.random.IntN(len(packet))] ^= 1 << r.random.IntN(8)
 	}
-	wait := func(most time.Duration) time.Duration {
-		if most <= 0 {
+	randomDelay := func(limit time.Duration) time.Duration {
+		if limit <= 0 {
 			return 0
 		}
-		return time.Duration(r.random.Int64N(int64(most)))
+		return time.Duration(r.random.Int64N(int64(limit)))
 	}
-	after = append(after, wait(f.MaxDelay))
-	if r.random.Float64() < f.Duplication {
-		if r.random.Float64() < f.LateShare {
-			after = append(after, wait(f.MaxLateDelay))
+	delays = append(delays, randomDelay(faults.MaxDelay))
+	if r.random.Float64() < faults.Duplication {
+		if r.random.Float64() < faults.LateShare {
+			delays = append(delays, randomDelay(faults.MaxLateDelay))
 		} else {
-			after = append(after, wait(f.MaxDelay))
+			delays = append(delays, randomDelay(faults.MaxDelay))
 		}
 	}
-	return after
+	return delays
 }
 
-// deliver sends a packet on, from its sender's relay address. A delayed one that meets a cut by then is lost.
-func (r *Relays) deliver(from, to int, p []byte) {
+// deliver sends a packet to its process from the relay address of its sender. If the link was cut during the packet's delay, the
+// packet is dropped.
+func (r *Relays) deliver(from, to int, packet []byte) {
 	if r.Faults(from, to).Cut {
 		return
 	}
-	if at, err := net.ResolveUDPAddr("udp", r.endpoints[to].processAddress); err == nil {
-		r.endpoints[from].udp.WriteToUDP(p, at)
+	if destination, err := net.ResolveUDPAddr("udp", r.endpoints[to].processAddress); err == nil {
+		r.endpoints[from].udp.WriteToUDP(packet, destination)
 	}
 }
 
-// acceptStreams accepts the connections to one process.
+// acceptStreams accepts the connections that are made to one process.
 func (r *Relays) acceptStreams(to int) {
 	for {
 		c, err := r.endpoints[to].tcp.Accept()
@@ -222,15 +224,16 @@
 	}
 }
 
-// trackConnection notes a connection for Close to end, or closes it and forgets it. It returns false if the relays are closed.
-func (r *Relays) trackConnection(c net.Conn, on bool) bool {
+// trackConnection with open records a connection so that Close can close it; if the relays are closed already, it closes the
+// connection and returns false. Without open, it closes the connection and removes it.
+func (r *Relays) trackConnection(c net.Conn, open bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if on && r.closed {
+	if open && r.closed {
 		c.Close()
 		return false
 	}
-	if on {
+	if open {
 		r.connections[c] = true
 	} else {
 		delete(r.connections, c)
@@ -239,27 +242,28 @@
 	return true
 }
 
-// relayStream relays a connection, each way with its link's faults. Nothing passes a cut link until it is healed.
-func (r *Relays) relayStream(from, to int, c net.Conn) {
-	if !r.trackConnection(c, true) {
+// relayStream forwards a connection, with the faults of one link in each direction. While a link is cut, its data is held back
+// until it is healed.
+func (r *Relays) relayStream(from, to int, source net.Conn) {
+	if !r.trackConnection(source, true) {
 		return
 	}
-	defer r.trackConnection(c, false)
+	defer r.trackConnection(source, false)
 	if !r.waitUntilOpen(from, to) || !r.waitUntilOpen(to, from) {
 		return
 	}
-	d, err := net.DialTimeout("tcp", r.endpoints[to].processAddress, dialTimeout)
-	if err != nil || !r.trackConnection(d, true) {
+	target, err := net.DialTimeout("tcp", r.endpoints[to].processAddress, dialTimeout)
+	if err != nil || !r.trackConnection(target, true) {
 		return
 	}
-	defer r.trackConnection(d, false)
-	var both sync.WaitGroup
-	both.Go(func() { r.copyStream(from, to, d, c) })
-	both.Go(func() { r.copyStream(to, from, c, d) })
-	both.Wait()
+	defer r.trackConnection(target, false)
+	var copies sync.WaitGroup
+	copies.Go(func() { r.copyStream(from, to, target, source) })
+	copies.Go(func() { r.copyStream(to, from, source, target) })
+	copies.Wait()
 }
 
-// waitUntilOpen waits until a link is not cut; it returns false where the relays are closed.
+// waitUntilOpen waits until a link isn't cut. It returns false if the relays are closed.
 func (r *Relays) waitUntilOpen(from, to int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -269,7 +273,7 @@
 	return !r.closed
 }
 
-// copyStream passes one way of a connection on, with its link's faults, until its end.
+// copyStream forwards one direction of a connection with the faults of its link, until the end of the stream or an error.
 func (r *Relays) copyStream(from, to int, dst, src net.Conn) {
 	chunk := make([]byte, maxChunkBytes)
 	for {
@@ -293,7 +297,7 @@
 	}
 }
 
-// corruptAndDelay may flip a bit of a chunk of a stream, and returns how long it is held.
+// corruptAndDelay may flip a bit of a stream chunk, and returns the delay of the chunk.
 func (r *Relays) corruptAndDelay(from, to int, chunk []byte) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
