--- a/internal/testcluster/resource/resource.go
+++ b/internal/testcluster/resource/resource.go
@@ -1,6 +1,6 @@
-// Package resource simulates what a lease protects: something that only one process at a time may use. It records, by the
-// true clock, each single operation, which it accepts or refuses by its term (a fencing token), and each usage, which lasts as
-// long as its connection and isn't checked, so that overlaps show.
+// Package resource simulates a resource that is protected by a lease, so that only one process at a time may use it. It records,
+// by the true clock, each operation, which it accepts or refuses by its term (a fencing token), and each usage, which lasts as
+// long as its connection. Usages aren't checked against terms, so that overlapping ones can be detected.
 package resource
 
 import (
@@ -13,22 +13,22 @@
 	"sync"
 )
 
-// Operation is one operation that was accepted or refused.
+// Operation is one operation, which was accepted or refused.
 type Operation struct {
 	Lease, Holder                   string
 	Term                            uint64
-	AnnouncedAt, CheckedAt, KnownAt int64 // us: when it was announced, checked, and known to be over
+	AnnouncedAt, CheckedAt, KnownAt int64 // times in us at which it was announced, its term was checked, and its outcome was known
 	Accepted                        bool
 }
 
-// Usage is a stretch of time in which a process used the resource, with no check.
+// Usage is a period in which a process used the resource without a check of its term.
 type Usage struct {
 	Lease, Holder string
 	Term          uint64
-	Begin, End    int64 // us; End 0 while it lasts
+	Begin, End    int64 // us; End is 0 while the usage lasts
 }
 
-// Server is the resource. It listens on loopback.
+// Server serves the resource on the loopback interface.
 type Server struct {
 	now        func() int64
 	listener   net.Listener
@@ -37,23 +37,23 @@
 	mu          sync.Mutex
 	operations  []Operation
 	usages      []*Usage
-	newest      map[string]claim // by lease
+	latest      map[string]termHolder // by lease
 	connections map[net.Conn]bool
 }
 
-// claim is the highest term under which a lease was used, and by whom.
-type claim struct {
+// termHolder is the highest accepted term of a lease, and its holder.
+type termHolder struct {
 	term   uint64
 	holder string
 }
 
-// Start starts a resource; now is the true clock, in us.
+// Start starts a resource server. now returns the true time in us.
 func Start(now func() int64) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{now: now, listener: listener, newest: map[string]claim{}, connections: map[net.Conn]bool{}}
+	s := &Server{now: now, listener: listener, latest: map[string]termHolder{}, connections: map[net.Conn]bool{}}
 	s.goroutines.Go(s.accept)
 	return s, nil
 }
@@ -78,10 +78,10 @@
 	}
 }
 
-// Address returns where it listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops the resource and waits for its connections.
+// Close stops the server, closes its connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -99,26 +99,26 @@
 	return slices.Clone(s.operations)
 }
 
-// Usages returns the usages recorded so far; one that lasts ends now.
+// Usages returns the usages recorded so far. For a usage that still lasts, End is the current time.
 func (s *Server) Usages() []Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []Usage
-	for _, one := range s.usages {
-		usage := *one
+	var usages []Usage
+	for _, recorded := range s.usages {
+		usage := *recorded
 		if usage.End == 0 {
 			usage.End = s.now()
 		}
-		all = append(all, usage)
+		usages = append(usages, usage)
 	}
-	return all
+	return usages
 }
 
-// serve reads lines: "begin LEASE HOLDER", then "act TERM", then "end", for an operation; "run LEASE HOLDER TERM" for a usage.
-// Any other line ends the connection.
+// serve reads the lines of a connection: "begin LEASE HOLDER", "act TERM" and "end" for an operation, "run LEASE HOLDER TERM" for
+// a usage. Any other line closes the connection.
 func (s *Server) serve(conn net.Conn) {
 	lines := bufio.NewScanner(conn)
-	var operation Operation // under way
+	var operation Operation // the current operation, zero if there is none
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
 		now := s.now()
@@ -140,12 +140,12 @@
 			return
 		}
 	}
-	if operation.CheckedAt > 0 { // its process died before it knew the outcome
+	if operation.CheckedAt > 0 { // the connection ended before the process confirmed the outcome
 		s.finish(operation, s.now())
 	}
 }
 
-// beginUsage records a usage that lasts from now on.
+// beginUsage records the start of a usage.
 func (s *Server) beginUsage(lease, holder, term string, now int64) *Usage {
 	usage := &Usage{Lease: lease, Holder: holder, Begin: now}
 	usage.Term, _ = strconv.ParseUint(term, 10, 64)
@@ -155,46 +155,46 @@
 	return usage
 }
 
-// endUsage records that a usage has ended.
+// endUsage records the end of a usage.
 func (s *Server) endUsage(usage *Usage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	usage.End = s.now()
 }
 
-// check decides on an operation by its term, and returns the answer: it refuses a lower term than it has seen, and a second
-// holder of the same term.
-func (s *Server) check(o *Operation) (answer string) {
+// check accepts or refuses an operation by its term, and returns the answer. It refuses a term lower than the highest accepted
+// one, and the highest accepted term from another holder.
+func (s *Server) check(operation *Operation) (answer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	newest := s.newest[o.Lease]
-	o.Accepted = o.Term > newest.term || o.Term == newest.term && newest.holder == o.Holder
-	if !o.Accepted {
+	latest := s.latest[operation.Lease]
+	operation.Accepted = operation.Term > latest.term || operation.Term == latest.term && latest.holder == operation.Holder
+	if !operation.Accepted {
 		return "refused"
 	}
-	s.newest[o.Lease] = claim{term: o.Term, holder: o.Holder}
+	s.latest[operation.Lease] = termHolder{term: operation.Term, holder: operation.Holder}
 	return "taken"
 }
 
-// finish records an operation whose outcome is known now.
-func (s *Server) finish(a Operation, now int64) {
-	a.KnownAt = now
+// finish records an operation whose outcome became known at the time now.
+func (s *Server) finish(operation Operation, now int64) {
+	operation.KnownAt = now
 	s.mu.Lock()
-	s.operations = append(s.operations, a)
+	s.operations = append(s.operations, operation)
 	s.mu.Unlock()
 }
 
-// Overlaps counts the pairs of usages under one lease, by different terms or holders, that lasted at the same time, and returns
-// the longest overlap in us.
-func Overlaps(all []Usage) (pairs int, longest int64) {
+// Overlaps returns the number of pairs of usages of the same lease that overlap in time and have different terms or holders, and
+// the longest such overlap in us.
+func Overlaps(usages []Usage) (pairs int, longest int64) {
 	byLease := map[string][]Usage{}
-	for _, r := range all {
-		byLease[r.Lease] = append(byLease[r.Lease], r)
+	for _, usage := range usages {
+		byLease[usage.Lease] = append(byLease[usage.Lease], usage)
 	}
-	for _, runs := range byLease {
-		slices.SortFunc(runs, func(a, b Usage) int { return int(a.Begin - b.Begin) })
-		for i, a := range runs {
-			for _, b := range runs[i+1:] {
+	for _, sameLease := range byLease {
+		slices.SortFunc(sameLease, func(a, b Usage) int { return int(a.Begin - b.Begin) })
+		for i, a := range sameLease {
+			for _, b := range sameLease[i+1:] {
 				if b.Begin >= a.End {
 					continue
 				}
@@ -208,14 +208,14 @@
 	return pairs, longest
 }
 
-// Client is one process's connection to the resource.
+// Client is the connection of one process to the resource.
 type Client struct {
 	address, holder string
 	conn            net.Conn
 	reader          *bufio.Reader
 }
 
-// NewClient returns a client that connects with its first call; holder names the process.
+// NewClient returns a client that connects when it is first used. holder is the name of the process.
 func NewClient(address, holder string) *Client { return &Client{address: address, holder: holder} }
 
 // Close closes the connection.
@@ -226,7 +226,7 @@
 	}
 }
 
-// send sends a line and returns the answer; "end" has none.
+// send sends a line and returns the answer. The line "end" has no answer.
 func (c *Client) send(line string) (string, error) {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.address)
@@ -250,22 +250,22 @@
 	return strings.TrimSpace(answer), err
 }
 
-// Announce announces an operation; Execute and Finish follow.
+// Announce announces an operation. Execute and Finish must follow.
 func (c *Client) Announce(lease string) error {
 	_, err := c.send("begin " + lease + " " + c.holder)
 	return err
 }
 
-// Execute executes the operation under a term and reports whether it was accepted. Finish follows.
+// Execute executes the announced operation under a term and reports whether it was accepted. Finish must follow.
 func (c *Client) Execute(term uint64) (accepted bool, err error) {
 	answer, err := c.send("act " + strconv.FormatUint(term, 10))
 	return answer == "taken", err
 }
 
-// Finish notes that the operation's outcome is known.
+// Finish reports that the process knows the outcome of the operation.
 func (c *Client) Finish() { c.send("end") }
 
-// BeginUsage begins a usage, which lasts until the process ends.
+// BeginUsage begins a usage, which lasts until the connection is closed, at the latest when the process exits.
 func (c *Client) BeginUsage(lease string, term uint64) error {
 	conn, err := net.Dial("tcp", c.address)
 	if err != nil {
