--- a/internal/testcluster/seeded/seeded.go
+++ b/internal/testcluster/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded runs a package's tests with a fixed seed for generated ones, so that their verdict is the same each
-// time.
+// Package seeded runs the tests of a package with a fixed seed for property-based tests, so that their results are
+// reproducible.
 package seeded
 
 import (
@@ -7,12 +7,12 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // whose flag it sets
+	_ "pgregory.net/rapid" // registers the flag -rapid.seed
 )
 
 const seed = "20261201"
 
-// Main is for a package's TestMain; -rapid.seed takes another seed.
+// Main implements TestMain of a package. The flag -rapid.seed overrides the fixed seed.
 func Main(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
