--- a/internal/testcluster/scriptedserver/held.go
+++ b/internal/testcluster/scriptedserver/held.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// Held is a node whose connections come up only when a test completes them.
+// Held is a simulated node that completes the startup of a connection only when a test calls Complete.
 type Held struct {
 	Addr     string
 	Startups chan net.Conn // connections whose startup has been read
-	Queries  chan string   // what was asked on completed connections, message by message
+	Queries  chan string   // messages received on completed connections
 }
 
-// StartHeld runs a node that answers no startup by itself, until the test ends.
+// StartHeld starts a node that reads startup messages but doesn't answer them by itself. It is stopped when the test ends.
 func StartHeld(t testing.TB) *Held {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	return h
 }
 
-// Complete answers a connection's startup, and each query on it with a row.
+// Complete answers the startup of a connection, and then each query on it with a row.
 func (h *Held) Complete(c net.Conn) {
 	io.WriteString(c, Welcome)
 	go func() {
--- a/internal/testcluster/scriptedserver/scripted.go
+++ b/internal/testcluster/scriptedserver/scripted.go
@@ -1,5 +1,5 @@
-// Package scriptedserver simulates a node that says, for each query in turn, what a test wrote down: whole replies, parts
-// of them, noise, or the end of the connection.
+// Package scriptedserver simulates a node that answers successive queries with the replies that a test specifies: complete or
+// partial replies, malformed data, or a closed connection.
 package scriptedserver
 
 import (
@@ -13,7 +13,7 @@
 	"cairntiller/internal/pgwire"
 )
 
-// What sound nodes say.
+// Encoded messages of a correctly working node.
 const (
 	Welcome  = "R\x00\x00\x00\x08\x00\x00\x00\x00Z\x00\x00\x00\x05I"
 	Ready    = "Z\x00\x00\x00\x05I"
@@ -23,26 +23,27 @@
 	Row      = RowStart + RowValue + RowEnd
 )
 
-// Status is a ParameterStatus.
+// Status returns an encoded ParameterStatus.
 func Status(name, value string) string {
 	return string(pgwire.Frame{Type: 'S', Body: []byte(name + "\x00" + value + "\x00")}.Append(nil))
 }
 
-// Failure is an ErrorResponse with a code, and what follows it.
+// Failure returns an encoded ErrorResponse with the given SQLSTATE, followed by ReadyForQuery.
 func Failure(code string) string { return string(pgwire.AppendError(nil, false, code, "no", 0)) }
 
-// Node is one scripted node.
+// Node is a simulated node that sends scripted replies.
 type Node struct {
 	Addr    string
-	Queries chan string // what it was asked, in turn
-	Ended   chan bool   // one for each connection that the router has ended
+	Queries chan string // texts of the queries received, in order
+	Ended   chan bool   // receives a value when reading a query fails, as after the router closes a connection
 	mu      sync.Mutex
 	replies []string
 	conns   []net.Conn
 }
 
-// Start starts a node that greets each connection and sends a reply for each query in turn: "" for nothing, "|" between
-// pieces, "!" at the end to close. It ends with the test.
+// Start starts a node that answers each startup with greeting and successive queries, over all connections, with replies. An
+// empty reply sends nothing, "|" separates parts that are written one by one, and a trailing "!" closes the connection. The node
+// is stopped when the test ends.
 func Start(t testing.TB, greeting string, replies ...string) *Node {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,20 +74,21 @@
 	return s
 }
 
-// Opened are the connections that were made to it.
+// Opened returns all connections that were accepted, in order.
 func (s *Node) Opened() []net.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns
 }
 
+// serve handles one connection until it is closed.
 func (s *Node) serve(c net.Conn, greeting string) {
 	if _, err := ReadFrame(c, false); err != nil {
 		return
 	}
 	io.WriteString(c, greeting)
 	for {
-		q, err := ReadFrame(c, true)
+		query, err := ReadFrame(c, true)
 		if err != nil {
 			s.Ended <- true
 			return
@@ -97,8 +99,8 @@
 			reply, s.replies = s.replies[0], s.replies[1:]
 		}
 		s.mu.Unlock()
-		s.Queries <- string(q[5 : len(q)-1])
-		for part := range strings.SplitSeq(strings.TrimSuffix(reply, "!"), "|") { // each in a piece of its own
+		s.Queries <- string(query[5 : len(query)-1])
+		for part := range strings.SplitSeq(strings.TrimSuffix(reply, "!"), "|") { // each part in a separate write
 			io.WriteString(c, part)
 		}
 		if strings.HasSuffix(reply, "!") {
@@ -108,16 +110,16 @@
 	}
 }
 
-// ReadFrame reads one message whole, its head with it.
+// ReadFrame reads one complete message including its header, which has a type byte if typed is set.
 func ReadFrame(c net.Conn, typed bool) ([]byte, error) {
-	head := make([]byte, 4, 5)
+	header := make([]byte, 4, 5)
 	if typed {
-		head = head[:5]
+		header = header[:5]
 	}
-	if _, err := io.ReadFull(c, head); err != nil {
+	if _, err := io.ReadFull(c, header); err != nil {
 		return nil, err
 	}
-	b := append(head, make([]byte, int(binary.BigEndian.Uint32(head[len(head)-4:]))-4)...)
-	_, err := io.ReadFull(c, b[len(head):])
-	return b, err
+	message := append(header, make([]byte, int(binary.BigEndian.Uint32(header[len(header)-4:]))-4)...)
+	_, err := io.ReadFull(c, message[len(header):])
+	return message, err
 }
