--- a/internal/testcluster/process/child.go
+++ b/internal/testcluster/process/child.go
@@ -13,16 +13,17 @@
 	"cairntiller/internal/serve"
 )
 
-// ChildOptions is what the command line of a router process says.
+// ChildOptions holds the command line options of a router process.
 type ChildOptions struct {
 	OperatorFile  string
-	Clock         string // as ClockSkew.String prints it
-	SourceAddress string // IP address from which it connects and sends
+	Clock         string // clock skew in the format of ClockSkew.String
+	SourceAddress string // IP address from which it opens connections to other members
 }
 
-// RunChild runs a router as a process of a harness and returns when it ends. It sends from the address at which it listens, so
-// that relays know it, has its machine's clock, and exits when its parent does. handleLine gets each line of standard input
-// and may be nil; onLeaseService gets the router's lease service and may be nil.
+// RunChild runs a router as a process of a harness and returns when the router ends. It connects from the address on which it
+// listens, by which relays identify it, and uses the skewed clock of its machine for leases. It exits with code 3 at the end of
+// standard input, which the parent's exit causes. handleLine receives each line of standard input, and onLeaseService the
+// router's lease service; either may be nil.
 func RunChild(options ChildOptions, handleLine func(line string), onLeaseService func(*leaseservice.Service)) error {
 	skew, err := ParseClockSkew(options.Clock)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return serve.Run(options.OperatorFile, serve.TestHooks{WrapTransport: wrapTransport, LeaseClock: skew.Clock, OnLeases: onLeaseService})
 }
 
-// sourceBoundTransport opens connections from the address at which the member listens.
+// sourceBoundTransport opens connections from the IP address on which the member listens.
 type sourceBoundTransport struct {
 	memberlist.NodeAwareTransport
 	address net.IP
--- a/internal/testcluster/process/clock_skew.go
+++ b/internal/testcluster/process/clock_skew.go
@@ -7,33 +7,33 @@
 	"cairntiller/internal/leaseservice"
 )
 
-// ClockSkew is how a machine's clock differs from the true one. All processes of one machine have the same.
+// ClockSkew describes how the clock of a machine differs from the true clock. All processes of a machine share it.
 type ClockSkew struct {
-	Rate   float64       // its seconds in a true second
-	Offset time.Duration // at the true clock's zero
-	JumpAt int64         // us of the true clock at which it jumps, 0 for never
+	Rate   float64       // seconds of the machine's clock per true second
+	Offset time.Duration // difference at time 0 of the true clock
+	JumpAt int64         // true time of the jump in us, 0 for no jump
 	Jump   time.Duration
 }
 
-// TrueClock is the clock by which the test cluster records what happened, in us of Unix time.
+// TrueClock returns the time of the clock by which the test cluster records events, in us since the Unix epoch.
 func TrueClock() int64 { return leaseservice.Clock() }
 
-// Clock is the machine's own clock, in us of Unix time.
+// Clock returns the time of the machine's skewed clock, in us since the Unix epoch.
 func (k ClockSkew) Clock() int64 {
 	now := TrueClock()
-	own := int64(float64(now)*k.Rate) + k.Offset.Microseconds()
+	skewed := int64(float64(now)*k.Rate) + k.Offset.Microseconds()
 	if k.JumpAt > 0 && now >= k.JumpAt {
-		own += k.Jump.Microseconds()
+		skewed += k.Jump.Microseconds()
 	}
-	return own
+	return skewed
 }
 
-// String prints the clock in the form that ParseClockSkew reads.
+// String formats the clock skew for ParseClockSkew.
 func (k ClockSkew) String() string {
 	return fmt.Sprintf("%.6f,%d,%d,%d", k.Rate, k.Offset.Microseconds(), k.JumpAt, k.Jump.Microseconds())
 }
 
-// ParseClockSkew reads what ClockSkew.String prints; "" is the true clock.
+// ParseClockSkew parses the format of ClockSkew.String. "" stands for the true clock.
 func ParseClockSkew(text string) (ClockSkew, error) {
 	if text == "" {
 		return ClockSkew{Rate: 1}, nil
@@ -41,7 +41,7 @@
 	var k ClockSkew
 	var offset, jump int64
 	if _, err := fmt.Sscanf(text, "%f,%d,%d,%d", &k.Rate, &offset, &k.JumpAt, &jump); err != nil {
-		return k, fmt.Errorf("clock %q: %w", text, err)
+		return k, fmt.Errorf("parse clock skew %q: %w", text, err)
 	}
 	k.Offset = time.Duration(offset) * time.Microsecond
 	k.Jump = time.Duration(jump) * time.Microsecond
--- a/internal/testcluster/process/harness.go
+++ b/internal/testcluster/process/harness.go
@@ -17,16 +17,16 @@
 	"cairntiller/internal/testcluster/faultnet"
 )
 
-// Harness is router processes in front of one test cluster, and the faulty links between them.
+// Harness runs router processes in front of one test cluster, connected by links with faults.
 type Harness struct {
 	Cluster  *cluster.Cluster
 	Relays   *faultnet.Relays
 	Folder   string
 	Log      io.Writer
-	Progress io.Writer // gets a line for each step as it is played, nil for none
+	Progress io.Writer // receives a line for each step that is played; may be nil
 
 	processes []*routerProcess
-	handlers  map[string]func(args []string) error // commands that the harness does not know itself
+	handlers  map[string]func(args []string) error // handlers of additional script commands, set by HandleCommand
 
 	mu     sync.Mutex
 	played []PlayedStep
@@ -34,27 +34,27 @@
 
 // routerProcess is one process of a harness.
 type routerProcess struct {
-	router         *cluster.Router
-	skew           ClockSkew // of its machine's clock
-	membershipPart string    // its part (fleet ...) of the operator's file
-	ended          bool      // by a step; guarded by Harness.mu
+	router       *cluster.Router
+	skew         ClockSkew // clock skew of its machine
+	fleetSection string    // section (fleet ...) of its operator's file
+	ended        bool      // whether a step has ended it; guarded by Harness.mu
 }
 
-// Machine is where one process runs: its clock, and what its operator's file says beside the part (fleet ...).
+// Machine configures the machine of one process: its clock, the operator's file and the arguments of the process.
 type Machine struct {
 	Skew ClockSkew
-	File string   // parts of the operator's file beside fleet
-	Args []string // of the child beside the harness's own
+	File string   // sections of the operator's file other than (fleet ...)
+	Args []string // additional arguments of the process
 }
 
-// maxSeeds is how many processes the others look for at their start.
+// maxSeeds is the maximum number of processes that are listed as join addresses in each operator's file.
 const maxSeeds = 3
 
-// startGap is the time between the starts of two processes, so that many do not start in one instant.
-const startGap = 5 * time.Millisecond
+// startInterval is the interval between the starts of processes. It keeps many processes from starting at the same instant.
+const startInterval = 5 * time.Millisecond
 
-// New starts a router on each machine, all of them members of one fleet that talk through relays. child is the beginning of
-// the arguments with which this program runs a router, as RunChild reads them.
+// New starts a router process for each machine. The routers are members of one fleet and communicate through relays. child holds
+// the leading command line arguments that make this program call RunChild.
 func New(seed uint64, testCluster *cluster.Cluster, machines []Machine, log, progress io.Writer, child ...string) (*Harness, error) {
 	h := &Harness{
 		Cluster:  testCluster,
@@ -89,51 +89,52 @@
 	return h, nil
 }
 
-// prepare makes a process ready to start.
+// prepare writes the files of a process and returns the process without starting it.
 func (h *Harness) prepare(i, count int, machine Machine, seeds string, child []string) (*routerProcess, error) {
 	key := base64.StdEncoding.EncodeToString([]byte("a key for harnesses of 32 bytes,"))
-	part := fmt.Sprintf("(fleet (name %q) (cluster \"harness\") (listen %q) (advertise %q) (join %s) (keys %q))\n", ProcessName(i),
+	fleetSection := fmt.Sprintf("(fleet (name %q) (cluster \"harness\") (listen %q) (advertise %q) (join %s) (keys %q))\n", ProcessName(i),
 		h.Relays.ProcessAddress(i), h.Relays.RelayAddress(i), seeds, key)
 	sourceAddress, _, _ := net.SplitHostPort(h.Relays.ProcessAddress(i))
 	args := slices.Concat(child, []string{"--clock", machine.Skew.String(), "--own", sourceAddress}, machine.Args)
-	router, err := h.Cluster.PrepareRouter(ProcessName(i), count, part+machine.File, h.Log, args...)
+	router, err := h.Cluster.PrepareRouter(ProcessName(i), count, fleetSection+machine.File, h.Log, args...)
 	if err != nil {
 		return nil, err
 	}
-	return &routerProcess{router: router, skew: machine.Skew, membershipPart: part}, nil
+	return &routerProcess{router: router, skew: machine.Skew, fleetSection: fleetSection}, nil
 }
 
-// startAll starts all processes and returns when each takes connections.
+// startAll starts all processes and waits until each accepts commands.
 func (h *Harness) startAll() error {
-	var starting sync.WaitGroup
+	var starts sync.WaitGroup
 	errs := make([]error, len(h.processes))
 	for i, process := range h.processes {
-		starting.Go(func() { errs[i] = process.router.Start() })
-		time.Sleep(startGap)
+		starts.Go(func() { errs[i] = process.router.Start() })
+		time.Sleep(startInterval)
 	}
-	starting.Wait()
+	starts.Wait()
 	return errors.Join(errs...)
 }
 
-// ProcessName returns a process's name.
+// ProcessName returns the name of a process.
 func ProcessName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// StateFolder returns a folder that outlives the process's restarts.
+// StateFolder returns the folder for the state that a process keeps across restarts. The step "bare" removes it.
 func (h *Harness) StateFolder(i int) string { return filepath.Join(h.Folder, "keep-"+ProcessName(i)) }
 
-// AdminSocket returns where a process listens for operators, if its file says so.
+// AdminSocket returns the path for the admin socket of a process, which exists only if its operator's file configures it.
 func (h *Harness) AdminSocket(i int) string { return filepath.Join(h.Folder, ProcessName(i)+".sock") }
 
-// WriteOperatorFile replaces a process's operator's file but for the part (fleet ...). SIGHUP or its next start reads it.
+// WriteOperatorFile replaces all sections of a process's operator's file other than (fleet ...). The process reads the file on
+// SIGHUP and when it starts.
 func (h *Harness) WriteOperatorFile(i int, text string) error {
 	process := h.processes[i]
-	return process.router.WriteOperatorFile(process.membershipPart + text)
+	return process.router.WriteOperatorFile(process.fleetSection + text)
 }
 
-// Router returns a process.
+// Router returns the router of a process.
 func (h *Harness) Router(i int) *cluster.Router { return h.processes[i].router }
 
-// ClockSkew returns a machine's clock.
+// ClockSkew returns the clock skew of a process's machine.
 func (h *Harness) ClockSkew(i int) ClockSkew { return h.processes[i].skew }
 
 // Close kills all processes and stops the relays.
--- a/internal/testcluster/process/random_script.go
+++ b/internal/testcluster/process/random_script.go
@@ -6,122 +6,123 @@
 	"time"
 )
 
-// ExtraSteps draws further kinds of steps for a random script.
+// ExtraSteps generates steps of an additional kind at a time of a random script.
 type ExtraSteps func(random *rand.Rand, at time.Duration) []Step
 
-// faultWeights is how many of the equally likely draws of a random script are mixed faults; each ExtraSteps has one more.
-const faultWeights = 11
+// faultWeight is the number of equally likely cases of addFault. Each ExtraSteps adds one more case.
+const faultWeight = 11
 
-// RandomScript returns a script of mixed faults drawn from a seed: about one each gap, up to an end at which all links are
-// healed. Equal arguments give equal scripts: the order of the draws is part of that.
+// RandomScript generates a script of mixed faults from a seed: on average one per gap, up to end, when all links are healed and
+// their faults reset. The same arguments give the same script, so the order of the calls to the random generator must not change.
 func RandomScript(seed uint64, processes int, gap, end time.Duration, extraSteps ...ExtraSteps) Script {
-	d := &scriptDrawing{
+	g := &scriptGenerator{
 		random:    rand.New(rand.NewPCG(seed, 6)),
 		end:       end,
 		busyUntil: make([]time.Duration, processes),
 	}
 	for at := time.Duration(0); at < end; {
-		at += time.Duration(d.random.Int64N(int64(2 * gap)))
-		process := d.random.IntN(processes)
-		span := time.Duration(d.random.Int64N(int64(4*gap))) + gap/2
-		draw := d.random.IntN(faultWeights + len(extraSteps))
-		if draw < faultWeights {
-			d.addFault(draw, process, at, span)
+		at += time.Duration(g.random.Int64N(int64(2 * gap)))
+		process := g.random.IntN(processes)
+		span := time.Duration(g.random.Int64N(int64(4*gap))) + gap/2
+		kind := g.random.IntN(faultWeight + len(extraSteps))
+		if kind < faultWeight {
+			g.addFault(kind, process, at, span)
 			continue
 		}
-		drawExtra := extraSteps[d.random.IntN(len(extraSteps))]
-		d.script = append(d.script, drawExtra(d.random, at)...)
+		generate := extraSteps[g.random.IntN(len(extraSteps))]
+		g.script = append(g.script, generate(g.random, at)...)
 	}
-	d.add(end, "heal")
-	d.add(end, "fate", "0", "0", "0", "0", "0")
-	d.script.sort()
-	return d.script
+	g.add(end, "heal")
+	g.add(end, "fate", "0", "0", "0", "0", "0")
+	g.script.sort()
+	return g.script
 }
 
-// scriptDrawing is a script that is being drawn.
-type scriptDrawing struct {
+// scriptGenerator holds the state of the generation of a random script.
+type scriptGenerator struct {
 	random    *rand.Rand
 	end       time.Duration
-	busyUntil []time.Duration // by process: it is killed or stopped until then
+	busyUntil []time.Duration // for each process, when its latest kill or stop is over
 	script    Script
 }
 
-// add adds a step, at the end at the latest.
-func (d *scriptDrawing) add(at time.Duration, command string, args ...any) {
-	step := Step{At: min(at, d.end), Command: command}
+// add appends a step. A time after the end of the script is replaced by the end.
+func (g *scriptGenerator) add(at time.Duration, command string, args ...any) {
+	step := Step{At: min(at, g.end), Command: command}
 	for _, arg := range args {
 		step.Args = append(step.Args, fmt.Sprint(arg))
 	}
-	d.script = append(d.script, step)
+	g.script = append(g.script, step)
 }
 
-// isFree reports whether a process is neither killed nor stopped at a time, and a fault of a span ends before the script.
-func (d *scriptDrawing) isFree(process int, at, span time.Duration) bool {
-	return at >= d.busyUntil[process] && at+span < d.end
+// isFree reports whether a process is neither killed nor stopped at a time, and a fault that lasts for span is over before the
+// end of the script.
+func (g *scriptGenerator) isFree(process int, at, span time.Duration) bool {
+	return at >= g.busyUntil[process] && at+span < g.end
 }
 
-// addFault adds the fault that was drawn, and the step that ends it a span later.
-func (d *scriptDrawing) addFault(draw, process int, at, span time.Duration) {
+// addFault adds a fault of the given kind, 0 to faultWeight-1, and the step that ends it after span.
+func (g *scriptGenerator) addFault(draw, process int, at, span time.Duration) {
 	switch draw {
 	case 0, 1:
-		if d.isFree(process, at, span) {
-			d.addKill(process, at, span)
+		if g.isFree(process, at, span) {
+			g.addKill(process, at, span)
 		}
 	case 2, 3:
-		if d.isFree(process, at, span) {
-			d.busyUntil[process] = at + span
-			d.add(at, "stop", process)
-			d.add(at+span, "cont", process)
+		if g.isFree(process, at, span) {
+			g.busyUntil[process] = at + span
+			g.add(at, "stop", process)
+			g.add(at+span, "cont", process)
 		}
-	case 4: // the process hears everybody and is heard by nobody
-		d.addCut(at, span, process, "*")
-	case 5: // the other way round
-		d.addCut(at, span, "*", process)
+	case 4: // the process receives from all others, but none receives from it
+		g.addCut(at, span, process, "*")
+	case 5: // the opposite direction
+		g.addCut(at, span, "*", process)
 	case 6:
-		d.addCut(at, span, process, "*", "both")
+		g.addCut(at, span, process, "*", "both")
 	case 7:
-		d.addCut(at, span, process, d.random.IntN(len(d.busyUntil)))
+		g.addCut(at, span, process, g.random.IntN(len(g.busyUntil)))
 	case 8, 9:
-		d.addLinkFaults(at, span)
+		g.addLinkFaults(at, span)
 	case 10:
-		other := d.random.IntN(len(d.busyUntil))
-		if other != process && d.isFree(process, at, span) && d.isFree(other, at, span) {
-			d.addTwoKills(process, other, at, span)
+		other := g.random.IntN(len(g.busyUntil))
+		if other != process && g.isFree(process, at, span) && g.isFree(other, at, span) {
+			g.addTwoKills(process, other, at, span)
 		}
 	}
 }
 
-// addKill kills a process and starts it again, in one of three cases without its state.
-func (d *scriptDrawing) addKill(process int, at, span time.Duration) {
-	d.busyUntil[process] = at + span
-	d.add(at, "kill", process)
-	start := []string{"start", "start", "bare"}[d.random.IntN(3)]
-	d.add(at+span, start, process)
+// addKill kills a process and restarts it, with a probability of 1/3 without its stored state.
+func (g *scriptGenerator) addKill(process int, at, span time.Duration) {
+	g.busyUntil[process] = at + span
+	g.add(at, "kill", process)
+	start := []string{"start", "start", "bare"}[g.random.IntN(3)]
+	g.add(at+span, start, process)
 }
 
-// addTwoKills kills two processes at once and starts them again together.
-func (d *scriptDrawing) addTwoKills(one, other int, at, span time.Duration) {
-	d.busyUntil[one] = at + span
-	d.busyUntil[other] = at + span
-	d.add(at, "kill", one)
-	d.add(at, "kill", other)
-	d.add(at+span, "start", one)
-	d.add(at+span, "start", other)
+// addTwoKills kills two processes at the same time and restarts both at the same time.
+func (g *scriptGenerator) addTwoKills(first, second int, at, span time.Duration) {
+	g.busyUntil[first] = at + span
+	g.busyUntil[second] = at + span
+	g.add(at, "kill", first)
+	g.add(at, "kill", second)
+	g.add(at+span, "start", first)
+	g.add(at+span, "start", second)
 }
 
-// addCut cuts links and heals all of them later.
-func (d *scriptDrawing) addCut(at, span time.Duration, args ...any) {
-	d.add(at, "cut", args...)
-	d.add(at+span, "heal")
+// addCut cuts links and heals all links after span.
+func (g *scriptGenerator) addCut(at, span time.Duration, args ...any) {
+	g.add(at, "cut", args...)
+	g.add(at+span, "heal")
 }
 
-// addLinkFaults makes all links bad, and later nearly good.
-func (d *scriptDrawing) addLinkFaults(at, span time.Duration) {
-	loss := fmt.Sprintf("%.2f", d.random.Float64()*0.4)
-	duplication := fmt.Sprintf("%.2f", d.random.Float64()*0.4)
-	corruption := fmt.Sprintf("%.3f", d.random.Float64()*0.02)
-	delayMilliseconds := d.random.IntN(100)
-	lateShare := fmt.Sprintf("%.2f", d.random.Float64()*0.5)
-	d.add(at, "fate", loss, duplication, corruption, delayMilliseconds, lateShare)
-	d.add(at+span, "fate", "0.01", "0.02", "0", "2", "0.1")
+// addLinkFaults sets severe faults on all links, and slight ones after span.
+func (g *scriptGenerator) addLinkFaults(at, span time.Duration) {
+	loss := fmt.Sprintf("%.2f", g.random.Float64()*0.4)
+	duplication := fmt.Sprintf("%.2f", g.random.Float64()*0.4)
+	corruption := fmt.Sprintf("%.3f", g.random.Float64()*0.02)
+	delayMilliseconds := g.random.IntN(100)
+	lateShare := fmt.Sprintf("%.2f", g.random.Float64()*0.5)
+	g.add(at, "fate", loss, duplication, corruption, delayMilliseconds, lateShare)
+	g.add(at+span, "fate", "0.01", "0.02", "0", "2", "0.1")
 }
--- a/internal/testcluster/process/script.go
+++ b/internal/testcluster/process/script.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// Step is one command of a script and when it is executed.
+// Step is one command of a script with its time, relative to the start of the script.
 type Step struct {
 	At      time.Duration
 	Command string
 	Args    []string
 }
 
-// Script is the steps to play, in the order of their times.
+// Script is a list of steps, ordered by time.
 type Script []Step
 
-// String prints a script, one step a line: the time in ms, the command, its arguments.
+// String formats a script with one step per line: the time in ms, the command and its arguments.
 func (s Script) String() string {
 	var b strings.Builder
-	for _, one := range s {
-		fmt.Fprintf(&b, "%d %s\n", one.At.Milliseconds(), strings.Join(append([]string{one.Command}, one.Args...), " "))
+	for _, step := range s {
+		fmt.Fprintf(&b, "%d %s\n", step.At.Milliseconds(), strings.Join(append([]string{step.Command}, step.Args...), " "))
 	}
 	return b.String()
 }
 
-// ParseScript reads what Script.String prints. Empty lines and lines that begin with # are ignored.
+// ParseScript parses the format of Script.String. Empty lines and lines that begin with # are ignored.
 func ParseScript(text string) (Script, error) {
 	var s Script
 	lines := bufio.NewScanner(strings.NewReader(text))
@@ -40,7 +40,7 @@
 		}
 		at, err := strconv.ParseInt(fields[0], 10, 64)
 		if err != nil || len(fields) < 2 || commands[fields[1]] == "" {
-			return nil, fmt.Errorf("line %d: %q, want a time in ms, one of the commands, and its arguments", n, lines.Text())
+			return nil, fmt.Errorf("line %d: %q is not a step: expected a time in ms, a known command and its arguments", n, lines.Text())
 		}
 		s = append(s, Step{At: time.Duration(at) * time.Millisecond, Command: fields[1], Args: fields[2:]})
 	}
@@ -48,37 +48,39 @@
 	return s, nil
 }
 
+// sort orders the steps by time. Steps with equal times keep their order.
 func (s Script) sort() {
 	slices.SortStableFunc(s, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 }
 
-// commands are what a step may do, each with its arguments. Processes are given by number.
+// commands maps each command of a script to its arguments and its effect. N and M are numbers of processes.
 var commands = map[string]string{
-	"kill": "N: end it at once", "start": "N: start it again", "bare": "N: the same, without what it kept",
-	"stop": "N: hold it still", "cont": "N: let it go on", "term": "N: end it in order",
-	"cut":  "N M: what goes from N to M, * for all; both ways with a third word both",
-	"heal": "mend all links", "fate": "LOSS TWICE CORRUPT DELAY_MS LATE: of all links",
+	"kill": "N: kill the process with SIGKILL", "start": "N: restart the process", "bare": "N: restart the process without its stored state",
+	"stop": "N: stop the process with SIGSTOP", "cont": "N: continue the process with SIGCONT", "term": "N: shut the process down with SIGTERM",
+	"cut":  "N M: cut the link from N to M, * for all processes; with a third argument both, in both directions",
+	"heal": "heal all links", "fate": "LOSS TWICE CORRUPT DELAY_MS LATE: set the faults of all links",
 }
 
-// RegisterCommand adds a command, with a line on its arguments. Harness.HandleCommand says who executes it.
+// RegisterCommand adds a script command; help describes its arguments and effect. Harness.HandleCommand sets its handler.
 func RegisterCommand(name, help string) { commands[name] = help }
 
-// Shrink removes steps from a script as long as it still fails, halves first and single steps last, and returns what is left.
-// fails plays a script; because processes in real time don't always fail alike, it may play it more than once.
+// Shrink removes steps from a script as long as the script still fails, from halves down to single steps, and returns the
+// remaining script. fails reports whether a script fails; it may play the script several times, because failures of real
+// processes are not fully reproducible.
 func Shrink(script Script, fails func(Script) bool) Script {
-	for size := max(1, len(script)/2); size > 0; {
+	for chunkSize := max(1, len(script)/2); chunkSize > 0; {
 		shrunk := false
-		for from := 0; from < len(script); {
-			candidate := slices.Concat(script[:from], script[min(len(script), from+size):])
+		for start := 0; start < len(script); {
+			candidate := slices.Concat(script[:start], script[min(len(script), start+chunkSize):])
 			if len(candidate) < len(script) && fails(candidate) {
 				script = candidate
 				shrunk = true
 			} else {
-				from += size
+				start += chunkSize
 			}
 		}
-		if !shrunk || size > len(script) {
-			size /= 2
+		if !shrunk || chunkSize > len(script) {
+			chunkSize /= 2
 		}
 	}
 	return script
--- a/internal/testcluster/process/steps.go
+++ b/internal/testcluster/process/steps.go
@@ -13,43 +13,43 @@
 	"cairntiller/internal/testcluster/faultnet"
 )
 
-// MaxPacketDelay bounds the delay of a duplicate that comes very late: over any timeout of the protocols under test.
+// MaxPacketDelay bounds the delay of late duplicates. It is longer than any timeout of the protocols under test.
 const MaxPacketDelay = time.Minute
 
-// PlayedStep is a step that was played, and when by the true clock, in us.
+// PlayedStep is a step that was played, with the time of the true clock in us.
 type PlayedStep struct {
 	At   int64
 	Step Step
 }
 
-// HandleCommand sets who executes a command that the harness does not know.
-func (h *Harness) HandleCommand(command string, do func(args []string) error) {
-	h.handlers[command] = do
+// HandleCommand sets the handler of a script command. It takes precedence over a built-in command of the same name.
+func (h *Harness) HandleCommand(command string, handler func(args []string) error) {
+	h.handlers[command] = handler
 }
 
-// Played returns the steps that were played so far.
+// Played returns the steps played so far.
 func (h *Harness) Played() []PlayedStep {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]PlayedStep(nil), h.played...)
 }
 
-// Play plays a script, whose times count from now, and returns when all steps are over, with their errors joined.
+// Play plays a script, with times relative to the call. It returns when all steps are done, with their errors joined.
 func (h *Harness) Play(s Script) error {
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	var errs []error
 	var mu sync.Mutex
-	for _, one := range s {
-		time.Sleep(one.At - time.Since(began))
+	for _, step := range s {
+		time.Sleep(step.At - time.Since(start))
 		if h.Progress != nil {
-			fmt.Fprintf(h.Progress, "%7.2f s  %s %s\n", time.Since(began).Seconds(), one.Command, strings.Join(one.Args, " "))
+			fmt.Fprintf(h.Progress, "%7.2f s  %s %s\n", time.Since(start).Seconds(), step.Command, strings.Join(step.Args, " "))
 		}
-		h.recordPlayed(one)
-		wg.Go(func() { // a start takes a while, and the next step must not wait for it
-			if err := h.Execute(one); err != nil {
+		h.recordPlayed(step)
+		wg.Go(func() { // starting a process takes time and must not delay the next step
+			if err := h.Execute(step); err != nil {
 				mu.Lock()
-				errs = append(errs, fmt.Errorf("%d ms %s %v: %w", one.At.Milliseconds(), one.Command, one.Args, err))
+				errs = append(errs, fmt.Errorf("%d ms %s %v: %w", step.At.Milliseconds(), step.Command, step.Args, err))
 				mu.Unlock()
 			}
 		})
@@ -58,23 +58,25 @@
 	return errors.Join(errs...)
 }
 
-func (h *Harness) recordPlayed(one Step) {
+// recordPlayed records a step with the current time of the true clock.
+func (h *Harness) recordPlayed(step Step) {
 	h.mu.Lock()
-	h.played = append(h.played, PlayedStep{TrueClock(), one})
+	h.played = append(h.played, PlayedStep{TrueClock(), step})
 	h.mu.Unlock()
 }
 
-// Errors of a step.
+// Errors that Execute returns for invalid steps.
 var (
-	ErrUnknownStep    = errors.New("unknown step")
-	ErrUnknownProcess = errors.New("no such process")
-	ErrLinkFaults     = errors.New("fate wants five figures")
+	ErrUnknownStep    = errors.New("unknown command")
+	ErrUnknownProcess = errors.New("invalid process number")
+	ErrLinkFaults     = errors.New("fate needs five numbers")
 )
 
-// Execute executes one step now. The error is one of those above, or why a process did not start or end.
+// Execute executes one step immediately. The error is one of the errors above, an invalid number, an error of a handler, or the
+// reason why a process failed to start or stop.
 func (h *Harness) Execute(step Step) error {
-	if do := h.handlers[step.Command]; do != nil {
-		return do(step.Args)
+	if handler := h.handlers[step.Command]; handler != nil {
+		return handler(step.Args)
 	}
 	switch step.Command {
 	case "cut":
@@ -86,18 +88,18 @@
 	case "fate":
 		return h.setLinkFaults(step.Args)
 	}
-	act := processSteps[step.Command]
-	if act == nil {
+	run := processSteps[step.Command]
+	if run == nil {
 		return fmt.Errorf("%w %q", ErrUnknownStep, step.Command)
 	}
 	i, err := h.processNumber(step.Args)
 	if err != nil {
 		return err
 	}
-	return act(h, i)
+	return run(h, i)
 }
 
-// processSteps are the commands on one process.
+// processSteps holds the built-in commands that act on one process.
 var processSteps = map[string]func(h *Harness, i int) error{
 	"kill": func(h *Harness, i int) error {
 		h.setEnded(i, true)
@@ -125,7 +127,7 @@
 	},
 }
 
-// processNumber reads the first argument of a command on one process.
+// processNumber parses the process number in the first argument of a command.
 func (h *Harness) processNumber(args []string) (int, error) {
 	if len(args) > 0 {
 		if i, err := strconv.Atoi(args[0]); err == nil && i >= 0 && i < len(h.processes) {
@@ -135,7 +137,7 @@
 	return 0, fmt.Errorf("%w: %q", ErrUnknownProcess, args)
 }
 
-// startEnded starts a process that a step has ended; one that runs is left alone.
+// startEnded starts a process that a step has ended. It does nothing if the process runs.
 func (h *Harness) startEnded(i int) error {
 	if !h.setEnded(i, false) {
 		return nil
@@ -143,23 +145,23 @@
 	return h.Router(i).Start()
 }
 
-// setEnded notes whether a step has ended a process, and returns what it was before.
-func (h *Harness) setEnded(i int, ended bool) (before bool) {
+// setEnded records whether a step has ended a process, and returns the previous value.
+func (h *Harness) setEnded(i int, ended bool) (wasEnded bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before = h.processes[i].ended
+	wasEnded = h.processes[i].ended
 	h.processes[i].ended = ended
-	return before
+	return wasEnded
 }
 
-// IsRunning reports whether no step has ended the process.
+// IsRunning reports whether a process runs, as far as steps have started and ended it.
 func (h *Harness) IsRunning(i int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.processes[i].ended
 }
 
-// cutLinks cuts the links from one process to another, "*" for all; both ways if there is a third argument.
+// cutLinks cuts the link from one process to another, where "*" stands for all processes. A third argument cuts both directions.
 func (h *Harness) cutLinks(args []string) {
 	matches := func(arg string, i int) bool { return arg == "*" || arg == strconv.Itoa(i) }
 	bothWays := len(args) > 2
@@ -172,7 +174,7 @@
 	})
 }
 
-// changeLinks changes the faults of all links.
+// changeLinks applies a change to the faults of each link.
 func (h *Harness) changeLinks(change func(f *faultnet.LinkFaults)) {
 	h.eachLink(func(from, to int) {
 		faults := h.Relays.Faults(from, to)
@@ -181,35 +183,36 @@
 	})
 }
 
-// eachLink calls do for each ordered pair of processes.
-func (h *Harness) eachLink(do func(from, to int)) {
+// eachLink calls do for each ordered pair of different processes.
+func (h *Harness) eachLink(visit func(from, to int)) {
 	for from := range h.processes {
 		for to := range h.processes {
 			if from != to {
-				do(from, to)
+				visit(from, to)
 			}
 		}
 	}
 }
 
-// setLinkFaults sets the faults of all links but cuts: loss, duplication, corruption, delay in ms, share of late duplicates.
+// setLinkFaults sets the faults of all links: loss, duplication, corruption, maximum delay in ms, and share of late duplicates.
+// Cuts stay as they are.
 func (h *Harness) setLinkFaults(args []string) error {
-	var figures [5]float64
-	if len(args) < len(figures) {
+	var values [5]float64
+	if len(args) < len(values) {
 		return ErrLinkFaults
 	}
-	for i := range figures {
+	for i := range values {
 		var err error
-		if figures[i], err = strconv.ParseFloat(args[i], 64); err != nil {
+		if values[i], err = strconv.ParseFloat(args[i], 64); err != nil {
 			return err
 		}
 	}
 	h.changeLinks(func(f *faultnet.LinkFaults) {
-		f.Loss = figures[0]
-		f.Duplication = figures[1]
-		f.Corruption = figures[2]
-		f.MaxDelay = time.Duration(figures[3] * float64(time.Millisecond))
-		f.LateShare = figures[4]
+		f.Loss = values[0]
+		f.Duplication = values[1]
+		f.Corruption = values[2]
+		f.MaxDelay = time.Duration(values[3] * float64(time.Millisecond))
+		f.LateShare = values[4]
 		f.MaxLateDelay = MaxPacketDelay
 	})
 	return nil
