--- a/cmd/cairntiller/demo.go
+++ b/cmd/cairntiller/demo.go
@@ -252,7 +252,7 @@
 func commandCounts(c *database.Cluster) map[string]int {
 	counts := map[string]int{}
 	for _, n := range c.Nodes() {
-		counts[n.Name] = n.QueryCount()
+		counts[n.Name] = n.CommandCount()
 	}
 	return counts
 }
@@ -266,7 +266,7 @@
 		if n.IsPrimary() {
 			role = "primary"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", n.Name, role, before[n.Name], n.QueryCount()-before[n.Name], len(n.ProbeTimes()))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", n.Name, role, before[n.Name], n.CommandCount()-before[n.Name], len(n.ProbeTimes()))
 	}
 	w.Flush()
 }
--- a/internal/testcluster/database/node.go
+++ b/internal/testcluster/database/node.go
@@ -26,8 +26,8 @@
 	warmUp         int64 // us after a restart during which the node is slow
 	drainingSince  int64 // start of the drain in us, 0 if not draining
 
-	probeTimes []int64
-	queryCount int // number of commands received
+	probeTimes   []int64
+	commandCount int // number of commands received
 }
 
 // listen opens the node's listening socket and starts to accept connections.
@@ -172,11 +172,11 @@
 	return append([]int64(nil), n.probeTimes...)
 }
 
-// QueryCount returns the number of commands that the node received.
-func (n *Node) QueryCount() int {
+// CommandCount returns the number of commands that the node received.
+func (n *Node) CommandCount() int {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	return n.queryCount
+	return n.commandCount
 }
 
 // isHung reports whether the node has stopped answering.
--- a/internal/testcluster/database/protocol.go
+++ b/internal/testcluster/database/protocol.go
@@ -118,7 +118,7 @@
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	now := n.cluster.now()
-	n.queryCount++
+	n.commandCount++
 	if n.drainingSince > 0 && now > n.drainingSince+n.cluster.drainGrace {
 		n.cluster.recordViolation("node %s received command %s %d us after the start of its drain", n.Name, cmd.ID, now-n.drainingSince)
 	}
--- a/internal/testcluster/proof/rollout_operator.go
+++ b/internal/testcluster/proof/rollout_operator.go
@@ -113,7 +113,7 @@
 // checkUnused compares how many queries have come to unused nodes with the counts before, and keeps the counts.
 func (run *rolloutRun) checkUnused(unused map[string]bool, queries map[string]int) {
 	for name := range unused {
-		count := run.cluster.Node(name).QueryCount()
+		count := run.cluster.Node(name).CommandCount()
 		if before, known := queries[name]; known && count > before {
 			run.violated("%d commands came to %s, which counts as out of use", count-before, name)
 		}
