--- a/internal/testcluster/process/clock_skew.go
+++ b/internal/testcluster/process/clock_skew.go
@@ -15,10 +15,11 @@
 	Jump   time.Duration
 }
 
-// TrueClock returns the time of the clock by which the test cluster records events, in us since the Unix epoch.
+// TrueClock returns the unskewed time in us, by which the harness records steps. On Linux it counts from the boot of the machine,
+// so that all processes read the same clock.
 func TrueClock() int64 { return leaseservice.Clock() }
 
-// Clock returns the time of the machine's skewed clock, in us since the Unix epoch.
+// Clock returns the time of the machine's skewed clock in us, derived from TrueClock.
 func (k ClockSkew) Clock() int64 {
 	now := TrueClock()
 	skewed := int64(float64(now)*k.Rate) + k.Offset.Microseconds()
--- a/internal/testcluster/process/random_script.go
+++ b/internal/testcluster/process/random_script.go
@@ -62,8 +62,8 @@
 }
 
 // addFault adds a fault of the given kind, 0 to faultWeight-1, and the step that ends it after span.
-func (g *scriptGenerator) addFault(draw, process int, at, span time.Duration) {
-	switch draw {
+func (g *scriptGenerator) addFault(kind, process int, at, span time.Duration) {
+	switch kind {
 	case 0, 1:
 		if g.isFree(process, at, span) {
 			g.addKill(process, at, span)
--- a/internal/testcluster/process/steps.go
+++ b/internal/testcluster/process/steps.go
@@ -183,7 +183,7 @@
 	})
 }
 
-// eachLink calls do for each ordered pair of different processes.
+// eachLink calls visit for each ordered pair of different processes.
 func (h *Harness) eachLink(visit func(from, to int)) {
 	for from := range h.processes {
 		for to := range h.processes {
