--- a/internal/testcluster/process/steps.go
+++ b/internal/testcluster/process/steps.go
@@ -13,8 +13,8 @@
 	"cairntiller/internal/testcluster/faultnet"
 )
 
-// MaxPacketDelay bounds the delay of late duplicates. It is longer than any timeout of the protocols under test.
-const MaxPacketDelay = time.Minute
+// MaxLateDelay bounds the delay of late duplicates. It is longer than any timeout of the protocols under test.
+const MaxLateDelay = time.Minute
 
 // PlayedStep is a step that was played, with the time of the true clock in us.
 type PlayedStep struct {
@@ -213,7 +213,7 @@
 		f.Corruption = values[2]
 		f.MaxDelay = time.Duration(values[3] * float64(time.Millisecond))
 		f.LateShare = values[4]
-		f.MaxLateDelay = MaxPacketDelay
+		f.MaxLateDelay = MaxLateDelay
 	})
 	return nil
 }
