--- a/internal/simulation/eventqueue/queue.go
+++ b/internal/simulation/eventqueue/queue.go
@@ -1,23 +1,23 @@
-// Package eventqueue holds what is due in a simulated run: by time, and of one time in the order in which it was pushed,
-// so that equal seeds give equal runs.
+// Package eventqueue implements the event queue of a discrete-event simulation. Events are ordered by time, and events of
+// the same time by insertion order, so that a simulation with the same seed always runs the same way.
 package eventqueue
 
 import "container/heap"
 
-// Queue holds events of a type; the zero value is empty.
+// Queue is a priority queue of events. The zero value is an empty queue.
 type Queue[E any] struct {
-	entries entries[E]
-	pushed  int64
+	entries      entries[E]
+	lastSequence int64
 }
 
-// entry is an event and its place: by time, then by how many were pushed before it.
+// entry is an event with its sort key: its time, then its sequence number.
 type entry[E any] struct {
 	at       int64
 	sequence int64
 	event    E
 }
 
-// entries is a heap, the next due first.
+// entries is a min-heap for container/heap.
 type entries[E any] []entry[E]
 
 // Len implements heap.Interface.
@@ -38,18 +38,18 @@
 func (e *entries[E]) Pop() any {
 	old := *e
 	last := old[len(old)-1]
-	old[len(old)-1] = entry[E]{} // so that what the event refers to can be freed
+	old[len(old)-1] = entry[E]{} // release references held by the event
 	*e = old[:len(old)-1]
 	return last
 }
 
-// Push schedules an event for a time.
+// Push schedules an event at the given time.
 func (q *Queue[E]) Push(at int64, event E) {
-	q.pushed++
-	heap.Push(&q.entries, entry[E]{at: at, sequence: q.pushed, event: event})
+	q.lastSequence++
+	heap.Push(&q.entries, entry[E]{at: at, sequence: q.lastSequence, event: event})
 }
 
-// Pop takes the next event that is due up to a time; due is false where there is none.
+// Pop removes and returns the earliest event with a time of at most until. due is false if there is none.
 func (q *Queue[E]) Pop(until int64) (at int64, event E, due bool) {
 	if len(q.entries) == 0 || q.entries[0].at > until {
 		return 0, event, false
--- a/internal/simulation/eventqueue/queue_test.go
+++ b/internal/simulation/eventqueue/queue_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestOrder: two events of one time came out in another order than they were pushed, and two runs of one seed differed. Events
-// come by time, of one time in the order in which they were pushed, and none before its time.
+// TestOrder checks that events are popped by time, events of the same time in insertion order, and none before it is due.
+// Without a stable order of simultaneous events, two runs with the same seed differ.
 func TestOrder(t *testing.T) {
 	var q Queue[string]
 	for _, e := range []struct {
@@ -23,19 +23,19 @@
 				return
 			}
 			if at > until {
-				t.Errorf("%s of %d came by %d", name, at, until)
+				t.Errorf("event %s scheduled at %d was popped by Pop(%d)", name, at, until)
 			}
 			got = append(got, name)
 		}
 	}
 	take(9)
 	if len(got) > 0 {
-		t.Errorf("%v came before their time", got)
+		t.Errorf("events %v were popped before they were due", got)
 	}
 	take(20)
 	q.Push(20, "late")
 	take(30)
 	if want := []string{"a", "b", "c", "d", "late", "e"}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("events popped in order %v, want %v", got, want)
 	}
 }
