--- a/internal/simulation/leasesim/doc.go
+++ b/internal/simulation/leasesim/doc.go
@@ -1,9 +1,11 @@
-// Package leasesim simulates processes that vote on leases and hold them: each has its own clock, messages are lost,
-// doubled, late and out of order, links are cut one way or both, processes are stopped, killed and started anew with or
-// without what they stored, and the set of voters changes. It knows the true time and checks after each event that no two
-// processes could act under one lease at once and that terms only grow. Equal seeds give equal runs, as a hash over all
-// events shows. It is for tests and proofs; mistakes can be planted to see that it finds them.
+// Package leasesim is a deterministic simulation of processes that vote on leases and hold them. Each process has its own
+// clock. Messages are lost, duplicated, delayed and reordered; links are cut in one or both directions; processes are
+// paused, killed and restarted with or without their stored state; and the set of voters changes. The simulation knows the
+// true time. It checks after each event that no two processes can act under the same lease at the same time and that terms
+// only increase. Runs with the same seed are identical, which a hash over all events verifies. The package is used by tests
+// and proofs. Mistakes can be planted in the lease protocol to verify that the checks detect them.
 //
-// scenario.go holds what a run is made of, simulation.go the events, process.go a simulated process and its actions,
-// network.go its links, truth.go the rules that are checked, faults.go what goes wrong, mistakes.go what is planted.
+// scenario.go defines the parameters of a run, simulation.go the event loop, process.go the simulated processes and their
+// actions, network.go the links, invariants.go the checked invariants, faults.go the injected faults, and mistakes.go the
+// planted mistakes.
 package leasesim
--- a/internal/simulation/leasesim/faults.go
+++ b/internal/simulation/leasesim/faults.go
@@ -6,15 +6,15 @@
 	"cairntiller/internal/lease"
 )
 
-// drawFault draws the next thing that goes wrong, and when the one after it does.
-func (s *Simulation) drawFault() {
+// injectFault injects a random fault and schedules the next one.
+func (s *Simulation) injectFault() {
 	n := len(s.processes)
 	i := s.rng.IntN(n)
-	if s.rng.IntN(3) == 0 { // rare states lie near the voters
+	if s.rng.IntN(3) == 0 { // faults of voters reach more rare states
 		i = s.rng.IntN(s.Voters)
 	}
 	l := s.rng.IntN(s.Leases)
-	if holder := s.Holder(l); holder >= 0 && s.rng.IntN(3) == 0 { // and near a holder
+	if holder := s.Holder(l); holder >= 0 && s.rng.IntN(3) == 0 { // and so do faults of holders
 		i = holder
 	}
 	span := s.rng.Int64N(3 * s.Length)
@@ -29,13 +29,13 @@
 	case 4:
 		s.cutOneWay(i, span)
 	case 5:
-		s.cutOff(i, span)
-	case 6: // one pair, one way
+		s.isolate(i, span)
+	case 6: // the link of one pair in one direction
 		j := s.rng.IntN(n)
 		s.Cut(i, j, i != j)
-		s.keepCut(i, span)
+		s.scheduleHeal(i, span)
 	case 7:
-		s.part(span)
+		s.partition(span)
 	case 8:
 		if s.rng.IntN(3) == 0 {
 			s.killAll()
@@ -52,11 +52,11 @@
 		s.releaseByHolder(l)
 	case 13:
 		s.changeVoterSet()
-	case 14: // it comes back at once, and again
+	case 14: // crash loop with fast restarts
 		for k := range int64(3) {
 			s.schedule(s.Now+k*s.Length/4, event{kind: flapEvent, process: i})
 		}
-	case 15: // one pair's links are slower than a lease is long
+	case 15: // delays between one pair of up to the lease length
 		j := s.rng.IntN(n)
 		s.link(i, j).maxDelay = s.rng.Int64N(s.Length)
 		s.link(j, i).maxDelay = s.rng.Int64N(s.Length)
@@ -68,7 +68,7 @@
 	s.schedule(s.Now+s.rng.Int64N(s.Length), event{kind: faultEvent})
 }
 
-// cutOneWay cuts a process's links one way: it hears and isn't heard, or the other way round.
+// cutOneWay cuts either all incoming or all outgoing links of a process.
 func (s *Simulation) cutOneWay(i int, span int64) {
 	outgoing := s.rng.IntN(2) == 0
 	for j := range s.processes {
@@ -78,20 +78,20 @@
 			s.Cut(j, i, i != j)
 		}
 	}
-	s.keepCut(i, span)
+	s.scheduleHeal(i, span)
 }
 
-// cutOff cuts a process's links both ways.
-func (s *Simulation) cutOff(i int, span int64) {
+// isolate cuts all links of a process in both directions.
+func (s *Simulation) isolate(i int, span int64) {
 	for j := range s.processes {
 		s.Cut(i, j, i != j)
 		s.Cut(j, i, i != j)
 	}
-	s.keepCut(i, span)
+	s.scheduleHeal(i, span)
 }
 
-// part cuts the links between one half of the processes and the other.
-func (s *Simulation) part(span int64) {
+// partition splits the network into two halves.
+func (s *Simulation) partition(span int64) {
 	n := len(s.processes)
 	for a := range n {
 		for b := range n {
@@ -101,21 +101,21 @@
 		}
 	}
 	for a := range n {
-		s.keepCut(a, span)
+		s.scheduleHeal(a, span)
 	}
 }
 
-// killAll kills all processes, and so all voters, at once.
+// killAll kills all processes at the same time, including all voters.
 func (s *Simulation) killAll() {
 	for i := range s.processes {
 		s.Kill(i, s.rng.Int64N(s.Length))
 	}
 }
 
-// releaseByHolder lets a lease's holder be done with it, and hand it over to somebody or to nobody.
+// releaseByHolder makes the holder of a lease release it, with or without a designated next holder.
 func (s *Simulation) releaseByHolder(l int) {
 	i := s.Holder(l)
-	if i < 0 || s.processes[i].stopped {
+	if i < 0 || s.processes[i].paused {
 		return
 	}
 	next := ""
@@ -126,29 +126,29 @@
 	s.carryOutActions(s.processes[i])
 }
 
-// changeVoterSet makes the next set of voters, which differs by one, and brings the file to every process within a while.
-// An operator waits until the one before is everywhere.
+// changeVoterSet creates the next voter set, which differs by one voter, and rolls the operator file out to every process
+// within two lease lengths. Like an operator, it waits until the previous set has reached all processes.
 func (s *Simulation) changeVoterSet() {
 	if s.Now < s.setChangeAt {
 		return
 	}
-	was := s.voterSets[len(s.voterSets)-1].Names
-	now := s.drawVoterSet(was)
-	if slices.Equal(now, was) {
+	previous := s.voterSets[len(s.voterSets)-1].Names
+	now := s.randomVoterSet(previous)
+	if slices.Equal(now, previous) {
 		return
 	}
 	number := uint64(len(s.voterSets) + 1)
-	s.voterSets = append(s.voterSets, lease.VoterSet{Number: number, Names: now, Previous: was})
+	s.voterSets = append(s.voterSets, lease.VoterSet{Number: number, Names: now, Previous: previous})
 	s.setChangeAt = s.Now + 6*s.Length
 	for i := range s.processes {
-		s.schedule(s.Now+s.rng.Int64N(2*s.Length), event{kind: fileEvent, process: i, set: number})
+		s.schedule(s.Now+s.rng.Int64N(2*s.Length), event{kind: configEvent, process: i, set: number})
 	}
-	s.trace("voters number %d: %v", number, now)
+	s.trace("voter set %d: %v", number, now)
 }
 
-// drawVoterSet draws a set that differs from another by one voter, or by two where that mistake is planted.
-func (s *Simulation) drawVoterSet(was []string) []string {
-	now := slices.Clone(was)
+// randomVoterSet returns a set that differs from another by one voter, or by two if the mistake TwoAtOnce is planted.
+func (s *Simulation) randomVoterSet(previous []string) []string {
+	now := slices.Clone(previous)
 	if len(now) > 2 && s.rng.IntN(2) == 0 {
 		k := s.rng.IntN(len(now))
 		now = slices.Delete(now, k, k+1)
@@ -164,7 +164,7 @@
 	return now
 }
 
-// addVoter adds a process to a set of voters, where it is not in it and there is room.
+// addVoter adds a random process to a voter set, unless it is already a member or the set is full.
 func (s *Simulation) addVoter(names []string) []string {
 	name := s.processes[s.rng.IntN(len(s.processes))].name
 	if len(names) < lease.MaxVoters && !slices.Contains(names, name) {
--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -12,23 +12,23 @@
 	"cairntiller/internal/lease"
 )
 
-// recording is one run whose actions were recorded before the lease packages were rewritten for their readers.
+// recording is a run whose actions were recorded before the lease packages were refactored for readability.
 type recording struct {
 	name string
-	play func(observe func(at int64, process string, action lease.Action)) *Simulation
+	run  func(observe func(at int64, process string, action lease.Action)) *Simulation
 }
 
-// recordings lists the runs: mixed faults, a planted fault each, and calm fleets whose leases are handed over, taken
-// from a killed holder and carried over while voters restart.
+// recordings returns the runs: mixed faults, one for each planted mistake, and clusters without random faults whose leases
+// are handed over, taken over from a killed holder, and carried over while voters restart.
 func recordings() (all []recording) {
-	observed := func(scenario Scenario, observe func(at int64, process string, action lease.Action)) *Simulation {
+	newObserved := func(scenario Scenario, observe func(at int64, process string, action lease.Action)) *Simulation {
 		sim := New(scenario)
 		sim.Observe = observe
 		return sim
 	}
 	for seed := range uint64(40) {
 		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
-			sim := observed(MixedFaults(seed), observe)
+			sim := newObserved(MixedFaults(seed), observe)
 			sim.Run(sim.Span)
 			sim.Settle()
 			sim.Run(sim.Now + 4*sim.Length)
@@ -37,14 +37,14 @@
 	}
 	for mistake := None + 1; mistake < MistakeCount; mistake++ {
 		all = append(all, recording{"planted-" + mistake.String(), func(observe func(int64, string, lease.Action)) *Simulation {
-			sim := observed(MixedFaults(uint64(mistake)).WithMistake(mistake), observe)
+			sim := newObserved(MixedFaults(uint64(mistake)).WithMistake(mistake), observe)
 			sim.Run(sim.Span)
 			return sim
 		}})
 	}
 	for seed, voters := range []int{3, 5, 3, 5} {
 		all = append(all, recording{fmt.Sprintf("handover-%d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
-			sim := observed(Scenario{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, Wanted: 4, Length: 2_000_000, Drift: 10_000, Lasting: seed >= 2, Calm: true}, observe)
+			sim := newObserved(Scenario{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, Wanted: 4, Length: 2_000_000, Drift: 10_000, Lasting: seed >= 2, Calm: true}, observe)
 			sim.Run(8_000_000)
 			for l := range 12 {
 				sim.Release(l, (l+seed)%(voters+3))
@@ -62,7 +62,7 @@
 	return all
 }
 
-// recordedForm is an action as it was recorded: a number for its kind, and one set of fields for all kinds.
+// recordedForm is the recorded form of an action: a number for its type, and one set of fields for all types.
 type recordedForm struct {
 	kind        int
 	to, lease   string
@@ -96,10 +96,10 @@
 	case lease.ClockOutOfBound:
 		return recordedForm{kind: 10, who: a.Voter, why: a.Text}
 	}
-	panic(fmt.Sprintf("an action of type %T has no recorded form", action))
+	panic(fmt.Sprintf("action type %T has no recorded form", action))
 }
 
-// writeAction writes each field of an action, and of the message that it sends, in a form that no renaming changes.
+// writeAction writes every field of an action and of the message that it sends in a format that is independent of Go names.
 func writeAction(to io.Writer, at int64, process string, action lease.Action) {
 	o := formOf(action)
 	fmt.Fprintf(to, "%d %s %d %q %q %d %d %d %q %q\n", at, process, o.kind, o.to, o.lease, o.term, o.until, o.incarnation, o.who, o.why)
@@ -115,7 +115,7 @@
 	}
 }
 
-// recordedMessage is a message as it was recorded: one set of fields for all kinds.
+// recordedMessage is the recorded form of a message: one set of fields for all types.
 type recordedMessage struct {
 	kind                 int
 	from                 string
@@ -136,32 +136,32 @@
 func formOfMessage(message lease.Message) recordedMessage {
 	header := message.CommonHeader()
 	r := recordedMessage{from: header.From, incarnation: header.Incarnation, setNumber: header.SetNumber}
-	ofRequest := func(kind int, h *lease.RequestHeader) {
+	setRequest := func(kind int, h *lease.RequestHeader) {
 		r.kind, r.requestID, r.generation = kind, h.RequestID, h.Generation
 	}
-	ofResponse := func(kind int, h *lease.ResponseHeader) {
+	setResponse := func(kind int, h *lease.ResponseHeader) {
 		r.kind, r.requestID, r.generation = kind, h.RequestID, h.Generation
 		r.requester, r.endedGrants, r.voterClock, r.setNames = h.Requester, h.EndedGrants, h.VoterClock, h.SetNames
 	}
 	add := func(l lease.LeaseVerdict) { r.leases = append(r.leases, l) }
 	switch m := message.(type) {
 	case *lease.GrantRequest:
-		ofRequest(1, &m.RequestHeader)
+		setRequest(1, &m.RequestHeader)
 		for _, wanted := range m.Leases {
 			add(lease.LeaseVerdict{WantedLease: wanted})
 		}
 	case *lease.RenewRequest:
-		ofRequest(2, &m.RequestHeader)
+		setRequest(2, &m.RequestHeader)
 	case *lease.Release:
-		ofRequest(3, &m.RequestHeader)
+		setRequest(3, &m.RequestHeader)
 		for _, l := range m.Leases {
 			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term}, Holder: l.Next})
 		}
 	case *lease.GrantResponse:
-		ofResponse(4, &m.ResponseHeader)
+		setResponse(4, &m.ResponseHeader)
 		r.leases = m.Leases
 	case *lease.RenewResponse:
-		ofResponse(5, &m.ResponseHeader)
+		setResponse(5, &m.ResponseHeader)
 		r.renewedCount = m.RenewedCount
 		for _, l := range m.Waiting {
 			add(lease.LeaseVerdict{WantedLease: lease.WantedLease{Lease: l.Lease, Term: l.Term, Priority: l.Priority}, Holder: l.First, Wait: l.WaitedFor})
@@ -175,16 +175,16 @@
 		r.kind, r.voterClock, r.setNames = 7, m.VoterClock, m.SetNames
 		r.termFloor, r.longestLease, r.setAge = m.TermFloor, m.LongestLease, m.SetAge
 	default:
-		panic(fmt.Sprintf("a message of type %T has no recorded form", message))
+		panic(fmt.Sprintf("message type %T has no recorded form", message))
 	}
 	return r
 }
 
-// TestActionsAsRecorded plays recorded runs again. Someone rewrote the voter or the candidate to read better, and one
-// lease in a thousand was granted a moment later than before: no rule is broken, no other test sees it. Here every
-// action of every process, with each field of each message, goes into a hash in the order in which it was taken; the
-// hashes in testdata/actions.txt were recorded on the code before that rewrite. A change that is meant to change
-// behaviour records them anew and says so.
+// TestActionsAsRecorded replays recorded runs and compares a hash over every action of every process, in order, with every
+// field of each message. It guards against refactorings of the voter or the candidate that change timing without violating
+// an invariant, such as one lease in a thousand granted slightly later, which no other test detects. The hashes in
+// testdata/actions.txt were recorded before such a refactoring. A change that intends to alter behaviour must record them
+// again and say so.
 func TestActionsAsRecorded(t *testing.T) {
 	raw, err := os.ReadFile("testdata/actions.txt")
 	if err != nil {
@@ -197,20 +197,20 @@
 	}
 	all := recordings()
 	if len(recorded) != len(all) {
-		t.Errorf("%d runs are recorded, %d are played", len(recorded), len(all))
+		t.Errorf("%d runs are recorded, %d are replayed", len(recorded), len(all))
 	}
 	for _, r := range all {
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
 			hash, count := xxhash.New(), 0
-			sim := r.play(func(at int64, process string, action lease.Action) {
+			sim := r.run(func(at int64, process string, action lease.Action) {
 				writeAction(hash, at, process, action)
 				count++
 			})
-			figures := sim.Figures()
-			got := fmt.Sprintf("actions=%d hash=%016x events=%d eventhash=%016x", count, hash.Sum64(), figures.Events, figures.Hash)
+			result := sim.Figures()
+			got := fmt.Sprintf("actions=%d hash=%016x events=%d eventhash=%016x", count, hash.Sum64(), result.Events, result.Hash)
 			if want := recorded[r.name]; got != want {
-				t.Errorf("%s: played %s, recorded %s", r.name, got, want)
+				t.Errorf("%s: got %s, recorded %s", r.name, got, want)
 			}
 		})
 	}
--- a/internal/simulation/leasesim/invariants.go
+++ b/internal/simulation/leasesim/invariants.go
@@ -2,144 +2,145 @@
 
 import "fmt"
 
-// notHeld stands for a lease without a holder, in place of a time.
+// notHeld replaces the time in heldSince for a lease without a holder.
 const notHeld = -1
 
-// leaseTruth is what is true of one lease, whatever any process believes. Times are true ones, in us.
-type leaseTruth struct {
+// leaseState is the actual state of a lease, independent of what any process believes. Times are true times in us.
+type leaseState struct {
 	name        string
-	highestTerm uint64 // under which it was held
+	highestTerm uint64 // highest term under which it was held
 	lastHolder  string
-	mayAct      []actor // who could act until when
-	heldSince   int64   // by the present holder, or notHeld
+	actors      []actor // processes that may act under the lease, and until when
+	heldSince   int64   // when the current holder acquired it, or notHeld
 	heldTotal   int64
-	freeSince   int64 // when it was last without a holder, 0 for never
-	takeovers   []int64
+	freeSince   int64   // when its last holder's lease ended, 0 if never
+	takeovers   []int64 // durations without a holder, us
 }
 
-// actor is a process that could act under a lease.
+// actor is a process that may act under a lease.
 type actor struct {
-	process string // its id
+	process string // process.id
 	until   int64
 }
 
-// acquired notes a new holder and checks that nobody else can still act.
-func (s *Simulation) acquired(p *process, l int, term uint64, until int64) {
-	truth := s.leases[l]
-	s.trace("%s holds %s at %d until %d", p.name, truth.name, term, p.trueTime(until))
+// recordAcquired records a new holder and checks that no other process can still act.
+func (s *Simulation) recordAcquired(p *process, l int, term uint64, until int64) {
+	state := s.leases[l]
+	s.trace("%s acquired %s under term %d until %d", p.name, state.name, term, p.trueTime(until))
 	s.hash(hashedAcquired, p.index, int64(term), until)
-	if term <= truth.highestTerm {
-		s.violated("%s holds %s under term %d, and %s had it under %d", p.name, truth.name, term, truth.lastHolder, truth.highestTerm)
+	if term <= state.highestTerm {
+		s.reportViolation("%s acquired %s under term %d, but %s already held it under term %d", p.name, state.name, term, state.lastHolder, state.highestTerm)
 	}
-	truth.highestTerm = term
-	truth.lastHolder = p.name
-	p.tenures[l] = tenure{term: term, until: until}
-	s.checkAlone(p, l, until)
-	s.figures.Holds++
-	if truth.heldSince != notHeld {
+	state.highestTerm = term
+	state.lastHolder = p.name
+	p.localLeases[l] = localLease{term: term, until: until}
+	s.checkExclusive(p, l, until)
+	s.result.Holds++
+	if state.heldSince != notHeld {
 		return
 	}
-	truth.heldSince = s.Now
-	if truth.freeSince > 0 {
-		truth.takeovers = append(truth.takeovers, s.Now-truth.freeSince)
+	state.heldSince = s.Now
+	if state.freeSince > 0 {
+		state.takeovers = append(state.takeovers, s.Now-state.freeSince)
 	}
 }
 
-// extended notes that a holder may act for longer, perhaps under a later term.
-func (s *Simulation) extended(p *process, l int, term uint64, until int64) {
+// recordExtended records that a holder's lease was extended, possibly under a later term.
+func (s *Simulation) recordExtended(p *process, l int, term uint64, until int64) {
 	s.hash(hashedExtended, p.index, int64(l), until)
-	truth := s.leases[l]
-	if term != p.tenures[l].term { // carried over to a later term
-		s.trace("%s carries %s over to %d", p.name, truth.name, term)
-		if term <= truth.highestTerm {
-			s.violated("%s carries %s over to term %d, and %s had it under %d", p.name, truth.name, term, truth.lastHolder, truth.highestTerm)
+	state := s.leases[l]
+	if term != p.localLeases[l].term { // carried over to a later term
+		s.trace("%s carried %s over to term %d", p.name, state.name, term)
+		if term <= state.highestTerm {
+			s.reportViolation("%s carried %s over to term %d, but %s already held it under term %d", p.name, state.name, term, state.lastHolder, state.highestTerm)
 		}
-		truth.highestTerm = term
-		truth.lastHolder = p.name
-		p.tenures[l].term = term
-		s.figures.CarryOvers++
+		state.highestTerm = term
+		state.lastHolder = p.name
+		p.localLeases[l].term = term
+		s.result.CarryOvers++
 	}
-	p.tenures[l].until = until
-	s.checkAlone(p, l, until)
+	p.localLeases[l].until = until
+	s.checkExclusive(p, l, until)
 }
 
-// checkAlone checks that no other process could act under a lease from now on, up to the end of its time, and notes this
-// one's. A process that was killed counts up to its time too: what it started may go on without it.
-func (s *Simulation) checkAlone(p *process, l int, until int64) {
-	truth := s.leases[l]
+// checkExclusive checks that no other process can act under a lease at any time from now until its expiry, and records
+// this process as an actor. A killed process still counts until the expiry of its lease, because actions that it started
+// may continue without it.
+func (s *Simulation) checkExclusive(p *process, l int, until int64) {
+	state := s.leases[l]
 	own := actor{process: p.id(), until: p.trueTime(until)}
-	if s.PlantedMistake == NoClock { // it acts until it is told that it lost
+	if s.PlantedMistake == NoClock { // it acts until it is told that the lease is lost
 		own.until = s.Now + 10*s.Length
 	}
-	others := truth.mayAct[:0]
-	for _, other := range truth.mayAct {
+	others := state.actors[:0]
+	for _, other := range state.actors {
 		if other.until <= s.Now || other.process == own.process {
 			continue
 		}
-		if both := min(other.until, own.until) - s.Now; both > 0 {
-			s.violated("%s and %s can both act on %s, for %d us more", own.process, other.process, truth.name, both)
+		if overlap := min(other.until, own.until) - s.Now; overlap > 0 {
+			s.reportViolation("%s and %s can both act under %s for another %d us", own.process, other.process, state.name, overlap)
 		}
 		others = append(others, other)
 	}
-	truth.mayAct = append(others, own)
+	state.actors = append(others, own)
 }
 
-// violated notes that a rule was broken; the first one counts.
-func (s *Simulation) violated(format string, args ...any) {
+// reportViolation records an invariant violation. Only the first one is kept.
+func (s *Simulation) reportViolation(format string, args ...any) {
 	if s.Violation == "" {
 		s.Violation = fmt.Sprintf("%.3f s: ", float64(s.Now)/1e6) + fmt.Sprintf(format, args...)
-		s.trace("BROKEN %s", s.Violation)
+		s.trace("INVARIANT VIOLATED %s", s.Violation)
 	}
 }
 
-// lost notes that a process knows that it holds a lease no more. What it did by its guard ended with its time.
-func (s *Simulation) lost(p *process, l int, reason string) {
-	s.trace("%s loses %s: %s", p.name, s.leases[l].name, reason)
+// recordLost records that a process learned that its lease is lost. Its actions ended when the lease expired.
+func (s *Simulation) recordLost(p *process, l int, reason string) {
+	s.trace("%s lost %s: %s", p.name, s.leases[l].name, reason)
 	s.hash(hashedLost, p.index, int64(l), 0)
-	s.figures.Losses++
-	s.endTenure(p, l)
+	s.result.Losses++
+	s.endHold(p, l)
 	if s.PlantedMistake == NoClock {
-		s.endActs(p, l, s.Now)
+		s.endActions(p, l, s.Now)
 	}
-	p.tenures[l].term = 0
+	p.localLeases[l].term = 0
 }
 
-// endTenure notes that nobody holds a lease from when its holder's time was over.
-func (s *Simulation) endTenure(p *process, l int) {
-	truth := s.leases[l]
-	own := p.tenures[l]
-	if own.term == 0 || own.term != truth.highestTerm || truth.heldSince == notHeld {
+// endHold records that a lease has no holder since its holder's lease expired, or since now if it has not expired yet.
+func (s *Simulation) endHold(p *process, l int) {
+	state := s.leases[l]
+	own := p.localLeases[l]
+	if own.term == 0 || own.term != state.highestTerm || state.heldSince == notHeld {
 		return
 	}
-	end := min(s.Now, max(truth.heldSince, p.trueTime(own.until)))
-	truth.heldTotal += end - truth.heldSince
-	truth.heldSince = notHeld
-	truth.freeSince = end
+	end := min(s.Now, max(state.heldSince, p.trueTime(own.until)))
+	state.heldTotal += end - state.heldSince
+	state.heldSince = notHeld
+	state.freeSince = end
 }
 
-// release gives a lease up after its acts have ended.
+// release makes a process release a lease after its actions under it have ended.
 func (s *Simulation) release(p *process, l int, next string) {
-	if p.tenures[l].term == 0 {
+	if p.localLeases[l].term == 0 {
 		return
 	}
 	s.hash(hashedRelease, p.index, int64(l), 0)
-	s.endTenure(p, l)
-	actsEnd := s.Now
+	s.endHold(p, l)
+	actionsEnd := s.Now
 	if s.PlantedMistake == EarlyFree {
-		actsEnd += s.Length / 4 // the act goes on a while
+		actionsEnd += s.Length / 4 // the action continues for a while
 	}
-	s.endActs(p, l, actsEnd)
-	p.tenures[l].term = 0
+	s.endActions(p, l, actionsEnd)
+	p.localLeases[l].term = 0
 	p.candidate.Release(p.clock(s.Now), s.leases[l].name, next)
 }
 
-// endActs notes that a process that is up acts under a lease no longer than up to a time.
-func (s *Simulation) endActs(p *process, l int, until int64) {
+// endActions records that a running process does not act under a lease after the given time.
+func (s *Simulation) endActions(p *process, l int, until int64) {
 	id := p.id()
-	mayAct := s.leases[l].mayAct
-	for i := range mayAct {
-		if mayAct[i].process == id {
-			mayAct[i].until = min(mayAct[i].until, until)
+	actors := s.leases[l].actors
+	for i := range actors {
+		if actors[i].process == id {
+			actors[i].until = min(actors[i].until, until)
 		}
 	}
 }
--- a/internal/simulation/leasesim/mistakes.go
+++ b/internal/simulation/leasesim/mistakes.go
@@ -2,26 +2,26 @@
 
 import "cairntiller/internal/lease"
 
-// requestKey names a request of a process to a voter.
+// requestKey identifies a request from a process to a voter.
 type requestKey struct {
 	from, to string
 	id       uint64
 }
 
-// noteAskedUnder notes under which set a request went out, for the planted mistake OldSet.
-func (s *Simulation) noteAskedUnder(p *process, to string, message Message) {
+// recordRequestSet records the voter set under which a request was sent, for the planted mistake OldSet.
+func (s *Simulation) recordRequestSet(p *process, to string, message Message) {
 	if s.PlantedMistake != OldSet {
 		return
 	}
 	switch m := message.(type) {
 	case *lease.GrantRequest:
-		s.askedUnder[requestKey{p.name, to, m.RequestID}] = m.SetNumber
+		s.requestSets[requestKey{p.name, to, m.RequestID}] = m.SetNumber
 	case *lease.RenewRequest:
-		s.askedUnder[requestKey{p.name, to, m.RequestID}] = m.SetNumber
+		s.requestSets[requestKey{p.name, to, m.RequestID}] = m.SetNumber
 	}
 }
 
-// responseHeader is that of a voter's answer, nil for other messages.
+// responseHeader returns the header of a voter's response, or nil for other messages.
 func responseHeader(message Message) *lease.ResponseHeader {
 	switch m := message.(type) {
 	case *lease.GrantResponse:
@@ -32,18 +32,18 @@
 	return nil
 }
 
-// tamper plants a mistake in a message as it is read, where the scenario says so. The simulation alone may do this with a
-// message that was sent.
-func (s *Simulation) tamper(p *process, message Message) {
+// applyMistake modifies a message on receipt to simulate the planted mistake. Only the simulation may modify a message
+// that was already sent.
+func (s *Simulation) applyMistake(p *process, message Message) {
 	switch s.PlantedMistake {
-	case FromAnswer: // as if the request had gone out when the answer came: the newest request's ID
+	case FromAnswer: // answers the newest request, as if it had been sent when the response arrived
 		if response := responseHeader(message); response != nil {
 			response.RequestID = max(response.RequestID, p.candidate.LastRequestID())
 		}
 	case FormerVoter:
-		s.tamperFormerVoter(p, message)
+		s.applyFormerVoter(p, message)
 	case OldSet:
-		s.tamperOldSet(p, message)
+		s.applyOldSet(p, message)
 	case ShortVotes:
 		if m, is := message.(*lease.GrantResponse); is {
 			for i := range m.Leases {
@@ -61,24 +61,24 @@
 	}
 }
 
-// tamperFormerVoter lets every process of a voter speak as the first that was heard.
-func (s *Simulation) tamperFormerVoter(p *process, message Message) {
+// applyFormerVoter makes each restarted process of a voter answer as the first one that was seen.
+func (s *Simulation) applyFormerVoter(p *process, message Message) {
 	pair := p.name + "<" + message.CommonHeader().From
 	switch m := message.(type) {
 	case *lease.GrantResponse:
-		if told := p.toldIncarnation[pair]; told != 0 {
-			m.Incarnation = told
+		if seen := p.seenIncarnation[pair]; seen != 0 {
+			m.Incarnation = seen
 		}
-		p.toldEndedGrants[pair] = m.EndedGrants
-		p.toldIncarnation[pair] = m.Incarnation
+		p.seenEndedGrants[pair] = m.EndedGrants
+		p.seenIncarnation[pair] = m.Incarnation
 	case *lease.RenewResponse:
-		m.EndedGrants = p.toldEndedGrants[pair]
-		m.Incarnation = p.toldIncarnation[pair]
+		m.EndedGrants = p.seenEndedGrants[pair]
+		m.Incarnation = p.seenIncarnation[pair]
 	}
 }
 
-// tamperOldSet lets a voter take requests under any set, and its answer count under the set of the request.
-func (s *Simulation) tamperOldSet(p *process, message Message) {
+// applyOldSet makes a voter accept requests under any voter set, and its response count for the set of the request.
+func (s *Simulation) applyOldSet(p *process, message Message) {
 	switch m := message.(type) {
 	case *lease.GrantRequest:
 		m.SetNumber, _ = p.voter.CurrentSet()
@@ -89,13 +89,13 @@
 	if response == nil {
 		return
 	}
-	number, known := s.askedUnder[requestKey{p.name, response.From, response.RequestID}]
+	number, known := s.requestSets[requestKey{p.name, response.From, response.RequestID}]
 	if known && response.Requester == p.incarnation {
 		response.SetNumber = number
 	}
 }
 
-// countTwice lets one voter's answer count for two voters.
+// countTwice makes the response of one voter count for two voters.
 func (s *Simulation) countTwice(p *process, m *lease.GrantResponse) {
 	for _, name := range s.voterSet(m.SetNumber).Names {
 		if name != m.From {
--- a/internal/simulation/leasesim/network.go
+++ b/internal/simulation/leasesim/network.go
@@ -6,29 +6,29 @@
 	"cairntiller/internal/lease"
 )
 
-// link is the way from one process to another.
+// link is the one-way connection from one process to another.
 type link struct {
 	cut      bool
-	maxDelay int64 // us that each message takes beside, at most
+	maxDelay int64 // maximum extra delay of each message, us
 }
 
-// maxStoppedInbox is how many messages wait for a process that is stopped; a socket takes no more either.
-const maxStoppedInbox = 10_000
+// maxPausedInbox limits the messages buffered for a paused process, like a socket's receive buffer.
+const maxPausedInbox = 10_000
 
 func (s *Simulation) link(from, to int) *link { return &s.links[from*len(s.processes)+to] }
 
-// Cut cuts what goes from one process to another, or mends it.
+// Cut cuts or restores the link from one process to another.
 func (s *Simulation) Cut(from, to int, cut bool) { s.link(from, to).cut = cut }
 
-// keepCut mends a process's links after a while.
-func (s *Simulation) keepCut(i int, span int64) {
+// scheduleHeal schedules the restoration of a process's links after the given time (us).
+func (s *Simulation) scheduleHeal(i int, span int64) {
 	p := s.processes[i]
 	p.cutUntil = max(p.cutUntil, s.Now+span)
-	s.schedule(p.cutUntil, event{kind: mendEvent, process: i})
+	s.schedule(p.cutUntil, event{kind: healEvent, process: i})
 }
 
-// mendLinks mends a process's links but those to processes that are still to be cut off.
-func (s *Simulation) mendLinks(i int) {
+// healLinks restores a process's links, except those to processes whose links must stay cut for longer.
+func (s *Simulation) healLinks(i int) {
 	if s.Now < s.processes[i].cutUntil {
 		return
 	}
@@ -40,42 +40,42 @@
 	}
 }
 
-// send lets a message out, which may be lost, doubled, or late.
+// send sends a message, which may be lost, duplicated or delayed.
 func (s *Simulation) send(p *process, to string, m Message) {
 	i, known := s.processIndex[to]
 	if !known {
 		return
 	}
-	s.figures.Messages++
+	s.result.Messages++
 	if s.MessageSize != nil {
-		s.figures.Bytes += int64(s.MessageSize(m))
+		s.result.Bytes += int64(s.MessageSize(m))
 	}
 	s.hash(hashedSend, p.index, int64(i), hashOf(m))
 	arrival := event{kind: arrivalEvent, process: i, message: m}
-	if i == p.index { // to itself it is no message
+	if i == p.index { // messages to itself skip the network
 		s.schedule(s.Now+1, arrival)
 		return
 	}
-	way := s.link(p.index, i)
-	if way.cut || s.rng.Float64() < s.lossRate {
+	route := s.link(p.index, i)
+	if route.cut || s.rng.Float64() < s.lossRate {
 		return
 	}
-	s.noteAskedUnder(p, to, m)
-	s.schedule(s.Now+s.drawDelay(way), arrival)
+	s.recordRequestSet(p, to, m)
+	s.schedule(s.Now+s.randomDelay(route), arrival)
 	if s.rng.Float64() < s.duplicateRate {
-		at := s.Now + s.drawDelay(way)
-		if s.rng.IntN(4) == 0 { // very late
+		at := s.Now + s.randomDelay(route)
+		if s.rng.IntN(4) == 0 { // a very late duplicate
 			at = s.Now + s.rng.Int64N(60_000_000)
 		}
 		s.schedule(at, arrival)
 	}
-	if _, is := m.(*lease.GrantResponse); is && !s.Calm && s.rng.IntN(400) == 0 { // a voter killed between its vote and its answer's arrival
+	if _, is := m.(*lease.GrantResponse); is && !s.Calm && s.rng.IntN(400) == 0 { // kill a voter between its vote and the arrival of its response
 		s.Kill(p.index, s.rng.Int64N(2*s.Length))
 	}
 }
 
-// hashOf is what of a message goes into the hash of the run: its kind, by a number that is part of recorded hashes, and the
-// ID of its request.
+// hashOf returns the part of a message that goes into the hash of the run: its type, as a number that recorded hashes
+// depend on, and its request ID.
 func hashOf(message Message) int64 {
 	kind := 0
 	requestID := uint64(0)
@@ -103,28 +103,28 @@
 	return int64(kind)<<40 | int64(requestID)
 }
 
-// drawDelay draws how long a message takes, in us.
-func (s *Simulation) drawDelay(way *link) int64 {
-	delay := 1 + s.rng.Int64N(s.maxDelay) + s.rng.Int64N(way.maxDelay+1)
+// randomDelay returns the delay of a message, in us.
+func (s *Simulation) randomDelay(route *link) int64 {
+	delay := 1 + s.rng.Int64N(s.maxDelay) + s.rng.Int64N(route.maxDelay+1)
 	if !s.Calm && s.rng.IntN(50) == 0 {
 		delay *= 20
 	}
 	return delay
 }
 
-// arrive hands a message to the process that has the name now.
+// arrive delivers a message to the current process, or buffers it if the process is paused.
 func (s *Simulation) arrive(p *process, m Message) {
 	if !p.up {
 		return
 	}
-	if p.stopped {
-		if len(p.inbox) < maxStoppedInbox {
+	if p.paused {
+		if len(p.inbox) < maxPausedInbox {
 			p.inbox = append(p.inbox, m)
 		}
 		return
 	}
 	s.hash(hashedArrival, p.index, hashOf(m), int64(m.CommonHeader().Incarnation))
-	s.tamper(p, m)
+	s.applyMistake(p, m)
 	defer s.measure(p, time.Now())
 	own := p.clock(s.Now)
 	if lease.ForVoter(m) {
--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -9,64 +9,64 @@
 	"cairntiller/internal/lease"
 )
 
-// process is one instance; a new start under its name gets a new candidate, voter and incarnation.
+// process is a simulated process. Each restart gives it a new candidate, voter and incarnation.
 type process struct {
 	name        string
 	index       int
 	up          bool
-	stopped     bool
-	starts      int // counts up
+	paused      bool
+	starts      int // number of starts so far
 	incarnation uint64
 	candidate   *lease.Candidate
 	voter       *lease.Voter
-	rate        float64 // of its clock against the true time
-	clockZero   int64   // its clock at true time 0
-	wallOffset  int64   // of its wall clock
-	setNumber   uint64  // of the voter set that its file names
-	cutUntil    int64   // until when faults keep its links cut
-	inbox       []Message
-	tenures     []tenure // by lease
+	rate        float64      // rate of its clock relative to the true time
+	clockOffset int64        // reading of its clock at true time 0, us
+	wallOffset  int64        // of its wall clock, us
+	setNumber   uint64       // number of the voter set in its operator file
+	cutUntil    int64        // true time until which its links stay cut
+	inbox       []Message    // received while paused
+	localLeases []localLease // by lease index
 
-	// What it stored, which outlives it.
+	// Stored state, which survives restarts.
 	storedGrants map[string]lease.GrantRecord
 	storedFloor  uint64
 	storedSet    uint64
 
-	// What the planted mistake FormerVoter takes for what a voter's process said, by pair.
-	toldEndedGrants map[string]uint64
-	toldIncarnation map[string]uint64
+	// State of the planted mistake FormerVoter: the last values seen in a voter's responses, by pair of receiver and voter.
+	seenEndedGrants map[string]uint64
+	seenIncarnation map[string]uint64
 }
 
-// tenure is a process's own view of a lease: what its guard goes by.
-type tenure struct {
-	term  uint64 // 0 where it does not hold it
-	until int64  // on its clock
+// localLease is a process's own view of a lease, by which it decides whether it may act.
+type localLease struct {
+	term  uint64 // 0 if it does not hold the lease
+	until int64  // expiry by the process's own clock
 }
 
-// clock is a process's clock at a true time; trueTime is the other way round.
-func (p *process) clock(now int64) int64    { return p.clockZero + int64(float64(now)*p.rate) }
-func (p *process) trueTime(own int64) int64 { return int64(float64(own-p.clockZero) / p.rate) }
+// clock converts a true time to the process's clock. trueTime is the inverse.
+func (p *process) clock(now int64) int64    { return p.clockOffset + int64(float64(now)*p.rate) }
+func (p *process) trueTime(own int64) int64 { return int64(float64(own-p.clockOffset) / p.rate) }
 
-// holds reports whether its guard would let an act begin now.
+// holds reports whether the process may start an action under the lease now.
 func (p *process) holds(l int, now int64) bool {
-	return p.up && p.tenures[l].term != 0 && p.clock(now) < p.tenures[l].until
+	return p.up && p.localLeases[l].term != 0 && p.clock(now) < p.localLeases[l].until
 }
 
-// id names one process among all that had its name.
+// id identifies one start of the process.
 func (p *process) id() string { return fmt.Sprint(p.name, "/", p.starts) }
 
-// start starts a process, or starts it anew, knowing what it stored and no more.
+// start starts or restarts a process. Only its stored state is kept.
 func (s *Simulation) start(p *process) {
 	p.starts++
 	p.up = true
-	p.stopped = false
+	p.paused = false
 	p.inbox = nil
 	s.incarnations++
 	if p.incarnation == 0 || s.PlantedMistake != SameProcess {
 		p.incarnation = s.incarnations
 	}
-	if p.rate == 0 { // the machine's clock goes on through restarts of the process
-		s.drawClock(p)
+	if p.rate == 0 { // the clock belongs to the machine and survives restarts of the process
+		s.randomizeClock(p)
 	}
 	own := p.clock(s.Now)
 	drift := s.Drift
@@ -79,32 +79,32 @@
 	}
 	voters := s.voterSet(number)
 	p.candidate = lease.NewCandidate(p.name, p.incarnation, drift, voters.Number, voters.Names)
-	p.tenures = make([]tenure, s.Leases)
-	p.toldEndedGrants = map[string]uint64{}
-	p.toldIncarnation = map[string]uint64{}
-	for l, truth := range s.leases {
+	p.localLeases = make([]localLease, s.Leases)
+	p.seenEndedGrants = map[string]uint64{}
+	p.seenIncarnation = map[string]uint64{}
+	for l, state := range s.leases {
 		if s.Wanted == 0 || (p.index+l)%len(s.processes) < s.Wanted {
-			p.candidate.RequestLease(own, s.request(l, truth))
+			p.candidate.RequestLease(own, s.request(l, state))
 		}
 	}
-	s.startVoter(p, own, voters) // one that is in no set answers nothing, and may be in the next one
+	s.startVoter(p, own, voters) // every process has one: one outside the voter set answers nothing, but may join a later set
 	s.hash(hashedStart, p.index, int64(p.incarnation), own)
 	s.schedule(s.Now+s.rng.Int64N(tickInterval), event{kind: tickEvent, process: p.index, start: p.starts})
 }
 
-// drawClock draws the rate and the reading of a machine's clock.
-func (s *Simulation) drawClock(p *process) {
+// randomizeClock chooses the drift and the initial reading of a machine's clock.
+func (s *Simulation) randomizeClock(p *process) {
 	bound := float64(s.TrueDrift) / 1e6
 	p.rate = 1 + (s.rng.Float64()*2-1)*float64(s.TrueDrift)/1e6
-	if p.index < s.Voters && s.rng.IntN(3) == 0 { // often at the bound
+	if p.index < s.Voters && s.rng.IntN(3) == 0 { // often exactly at the drift bound
 		p.rate = 1 + bound
 	} else if s.rng.IntN(3) == 0 {
 		p.rate = 1 - bound
 	}
-	p.clockZero = s.rng.Int64N(day)
+	p.clockOffset = s.rng.Int64N(day)
 }
 
-// startVoter gives a process its voter.
+// startVoter creates the voter of a process, from stored grants if they are kept.
 func (s *Simulation) startVoter(p *process, own int64, voters lease.VoterSet) {
 	longest := s.Length
 	floor := uint64(wallStart + s.Now + p.wallOffset + longest)
@@ -130,21 +130,21 @@
 	p.voter = lease.NewVoter(startedAt, p.name, p.incarnation, longest, 20_000, floor, voters, stored)
 }
 
-// request is how a process wants a lease.
-func (s *Simulation) request(l int, truth *leaseTruth) lease.Request {
-	r := lease.Request{Lease: truth.name, Length: s.Length}
+// request returns a process's request for a lease.
+func (s *Simulation) request(l int, state *leaseState) lease.Request {
+	r := lease.Request{Lease: state.name, Length: s.Length}
 	if !s.Calm && l%3 == 1 {
 		r.YieldAfter = 4 * s.Length
 	}
 	return r
 }
 
-// tickIfUp ticks a process's modules, and schedules its next tick.
+// tickIfUp ticks a process if it is still the same start, and schedules its next tick.
 func (s *Simulation) tickIfUp(p *process, start int) {
 	if !p.up || p.starts != start {
 		return
 	}
-	if !p.stopped {
+	if !p.paused {
 		s.tick(p)
 	}
 	if p.up {
@@ -157,21 +157,21 @@
 	own := p.clock(s.Now)
 	p.candidate.Tick(own)
 	p.voter.Tick(own)
-	if number, _ := p.voter.CurrentSet(); number < p.setNumber && s.rng.IntN(20) == 0 { // the operator looks after who is behind
+	if number, _ := p.voter.CurrentSet(); number < p.setNumber && s.rng.IntN(20) == 0 { // the operator updates voters that lag behind
 		p.voter.SetVoters(own, s.voterSet(number+1))
 	}
 	s.carryOutActions(p)
 }
 
-// measure adds the real time that a process's modules took.
+// measure records the real time spent in a process's candidate and voter.
 func (s *Simulation) measure(p *process, began time.Time) {
 	if s.Measure {
 		s.ModuleTime[p.index] += time.Since(began)
 	}
 }
 
-// carryOutActions does what a process's modules ask for. A voter's records are stored before its answers go out; one
-// that is killed between does no more.
+// carryOutActions executes the actions of a process's candidate and voter. A voter's records are stored before its
+// responses are sent; if it is killed in between, the remaining actions are dropped.
 func (s *Simulation) carryOutActions(p *process) {
 	for _, action := range p.candidate.TakeActions() {
 		s.carryOut(p, action)
@@ -204,18 +204,18 @@
 			p.storedSet = a.Number
 		}
 	case lease.Acquired:
-		s.acquired(p, s.leaseIndex[a.Lease], a.Term, a.Until)
+		s.recordAcquired(p, s.leaseIndex[a.Lease], a.Term, a.Until)
 	case lease.Extended:
-		s.extended(p, s.leaseIndex[a.Lease], a.Term, a.Until)
+		s.recordExtended(p, s.leaseIndex[a.Lease], a.Term, a.Until)
 	case lease.Lost:
-		s.lost(p, s.leaseIndex[a.Lease], a.Reason)
+		s.recordLost(p, s.leaseIndex[a.Lease], a.Reason)
 	case lease.YieldRequested:
-		s.trace("%s is to yield %s to %s: %s", p.name, a.Lease, a.Next, a.Reason)
+		s.trace("%s is asked to yield %s to %s: %s", p.name, a.Lease, a.Next, a.Reason)
 		s.release(p, s.leaseIndex[a.Lease], a.Next)
 	}
 }
 
-// Kill ends a process at once; it starts anew after a while, in us, or not where that is negative.
+// Kill terminates a process immediately and restarts it after the given time (us), or never if that is negative.
 func (s *Simulation) Kill(i int, after int64) {
 	p := s.processes[i]
 	if !p.up {
@@ -225,34 +225,34 @@
 	s.hash(hashedKill, i, after, 0)
 	p.up = false
 	for l := range s.leases {
-		s.endTenure(p, l) // it acts no more; what it had started may go on until its time
-		p.tenures[l].term = 0
+		s.endHold(p, l) // it starts no new actions; those already started may continue until the lease expires
+		p.localLeases[l].term = 0
 	}
 	if after >= 0 {
 		s.schedule(s.Now+after, event{kind: startEvent, process: i})
 	}
 }
 
-// Stop holds a process still for a while, in us.
+// Stop pauses a process for the given time (us).
 func (s *Simulation) Stop(i int, span int64) {
 	p := s.processes[i]
-	if !p.up || p.stopped {
+	if !p.up || p.paused {
 		return
 	}
-	s.trace("%s is stopped for %d us", p.name, span)
+	s.trace("%s is paused for %d us", p.name, span)
 	s.hash(hashedStop, i, span, 0)
-	p.stopped = true
-	s.schedule(s.Now+span, event{kind: continueEvent, process: i})
+	p.paused = true
+	s.schedule(s.Now+span, event{kind: resumeEvent, process: i})
 }
 
-// Continue lets a stopped process go on; what came meanwhile is read first, as from a socket.
+// Continue resumes a paused process. It first reads the messages that arrived meanwhile, as from a socket buffer.
 func (s *Simulation) Continue(i int) {
 	p := s.processes[i]
-	if !p.up || !p.stopped {
+	if !p.up || !p.paused {
 		return
 	}
-	s.trace("%s goes on", p.name)
-	p.stopped = false
+	s.trace("%s resumes", p.name)
+	p.paused = false
 	inbox := p.inbox
 	p.inbox = nil
 	for _, m := range inbox {
@@ -260,22 +260,22 @@
 	}
 }
 
-// takeFile gives a process the new operator's file; where it is down it reads it at its next start.
-func (s *Simulation) takeFile(p *process, number uint64) {
+// loadConfig makes a process load a new operator file. A process that is down reads it at its next start.
+func (s *Simulation) loadConfig(p *process, number uint64) {
 	p.setNumber = max(p.setNumber, number)
 	if !p.up {
 		return
 	}
-	if p.stopped { // the signal waits for it
-		s.schedule(s.Now+tickInterval, event{kind: fileEvent, process: p.index, set: number})
+	if p.paused { // the reload signal stays pending
+		s.schedule(s.Now+tickInterval, event{kind: configEvent, process: p.index, set: number})
 		return
 	}
 	own := p.clock(s.Now)
 	voters := s.voterSet(number)
-	if slices.Contains(voters.Names, p.name) || s.rng.IntN(3) > 0 { // those without a vote are forgotten at times; voters tell them
+	if slices.Contains(voters.Names, p.name) || s.rng.IntN(3) > 0 { // sometimes the operator misses processes without a vote; they learn the set from the voters
 		p.candidate.SetVoters(number, voters.Names)
 	}
-	if s.PlantedMistake == TwoAtOnce { // it adopts any file, as a voter that starts anew and asks nobody would
+	if s.PlantedMistake == TwoAtOnce { // adopts any set, like a restarting voter that asks nobody
 		voters.Previous = nil
 		s.startVoter(p, own, voters)
 	} else {
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -2,52 +2,52 @@
 
 import "math/rand/v2"
 
-// Scenario is what a run is made of.
+// Scenario holds the parameters of a run.
 type Scenario struct {
 	Seed           uint64
-	Voters         int   // of the first set
-	Others         int   // processes that do not vote
-	Leases         int   // each requested by everybody
-	Wanted         int   // of the processes, how many request each lease; 0 for all
-	Length         int64 // us
-	Drift          int64 // parts of a million that the processes are told
-	TrueDrift      int64 // parts of a million by which their clocks really are off, at most; 0 for as told
-	Lasting        bool  // voters store their records
-	Span           int64 // us
-	Calm           bool  // no faults but what Kill and others are called for
+	Voters         int   // number of voters in the first set
+	Others         int   // number of processes that do not vote
+	Leases         int   // number of leases
+	Wanted         int   // number of processes that request each lease, 0 for all
+	Length         int64 // lease length, us
+	Drift          int64 // drift bound that the processes are configured with, ppm
+	TrueDrift      int64 // maximum actual drift of their clocks, ppm; 0 means Drift
+	Lasting        bool  // voters keep their records across restarts
+	Span           int64 // duration of the run, us
+	Calm           bool  // no random faults, only explicit calls such as Kill
 	PlantedMistake Mistake
 }
 
-// Mistake is a mistake that is planted in the deciding module, or in how it is carried.
+// Mistake is a deliberate mistake in the lease protocol or in the way that its messages and actions are handled.
 type Mistake int
 
-// The planted mistakes; each breaks one rule that the argument for safety rests on.
+// The planted mistakes. Each breaks one rule that the safety argument relies on.
 const (
 	None            Mistake = iota
-	Forgets                 // a voter that comes back votes at once
-	NoMargin                // a candidate leaves no room for drift
-	FromAnswer              // a vote counts from its answer, not from its request
-	FormerVoter             // what a voter's new process says stands for what the former one granted
-	TermReused              // a voter that comes back knows no terms, and asks nobody
-	EarlyFree               // a lease is given up while its acts still run
-	NoClock                 // a holder goes by what it was told, not by the time that is left
-	TwoAtOnce               // two voters are replaced in one change of the set
-	OldSet                  // a voter takes requests under any set of voters
-	ShortVotes              // a voter keeps a grant for less than it said
-	SameProcess             // a process that starts anew takes its former one's incarnation
-	ShortAbstinence         // a voter that comes back abstains for half the longest lease
-	HalfMajority            // half of the voters are enough
+	Forgets                 // a restarted voter votes immediately
+	NoMargin                // a candidate leaves no margin for clock drift
+	FromAnswer              // a vote is valid from its response instead of from its request
+	FormerVoter             // responses of a restarted voter count for grants of its former process
+	TermReused              // a restarted voter has no term floor and asks nobody for one
+	EarlyFree               // a lease is released while actions under it still run
+	NoClock                 // a holder acts until told otherwise, ignoring the expiry
+	TwoAtOnce               // the voter set changes by two voters at once
+	OldSet                  // a voter accepts requests under any voter set
+	ShortVotes              // a voter keeps a grant for less time than it promised
+	SameProcess             // a restarted process reuses its incarnation
+	ShortAbstinence         // a restarted voter abstains for only half the longest lease
+	HalfMajority            // half of the voters count as a majority
 	MistakeCount
 )
 
-// String names the mistake.
+// String returns the mistake's name in recordings and reports.
 func (m Mistake) String() string {
 	return [...]string{"none", "forgets", "no-margin", "from-answer", "former-voter",
 		"term-reused", "early-free", "no-clock", "two-at-once", "old-set", "short-votes", "same-process",
 		"short-abstinence", "half-majority"}[m]
 }
 
-// MixedFaults draws a scenario of mixed faults from a seed.
+// MixedFaults returns a random scenario with mixed faults for a seed.
 func MixedFaults(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	s := Scenario{
@@ -66,10 +66,10 @@
 	return s
 }
 
-// WithMistake returns the scenario with a mistake planted, long enough for it to come to light.
+// WithMistake returns the scenario with a mistake planted and, where needed, a longer run so that the mistake shows.
 func (s Scenario) WithMistake(m Mistake) Scenario {
 	s.PlantedMistake = m
-	if m == OldSet || m == TwoAtOnce { // the set of voters has to change more than once
+	if m == OldSet || m == TwoAtOnce { // the voter set must change more than once
 		s.Span *= 4
 	}
 	return s
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -13,80 +13,80 @@
 )
 
 const (
-	tickInterval = 30_000 // us between a process's ticks, by chance up to half more or less
+	tickInterval = 30_000 // us between ticks of a process, with jitter of up to half of it either way
 	day          = 86_400_000_000
-	wallStart    = 1_800_000_000_000_000 // us of Unix time at the start of each run
+	wallStart    = 1_800_000_000_000_000 // Unix time at the start of each run, us
 )
 
-// Message is what processes send one another.
+// Message is a message of the lease protocol.
 type Message = lease.Message
 
-// Figures are what a run measured.
+// Figures holds the measurements of a run.
 type Figures struct {
 	Events     int64
 	Messages   int64
 	Bytes      int64
 	Holds      int64
 	Losses     int64
-	CarryOvers int64   // times that a lease was carried over to a later term
-	HeldShare  float64 // of the time, over all leases
-	Hash       uint64  // over all events
+	CarryOvers int64   // number of times a held lease was carried over to a later term
+	HeldShare  float64 // fraction of the time that a lease was held, averaged over all leases
+	Hash       uint64  // of all events
 }
 
-// Simulation is one run.
+// Simulation is a single run of a scenario.
 type Simulation struct {
 	Scenario
 	Now         int64  // true time, us
-	Violation   string // the first rule that was broken, "" for none
+	Violation   string // the first invariant violation, "" if none
 	MessageSize func(Message) int
 	Trace       func(at int64, what string)
-	Observe     func(at int64, process string, action lease.Action) // each action, before it is carried out
+	Observe     func(at int64, process string, action lease.Action) // called with each action before it is carried out
 	Measure     bool
-	ModuleTime  []time.Duration // real time in each process's modules, where Measure is set
+	ModuleTime  []time.Duration // real time spent in each process's candidate and voter, recorded if Measure is set
 
 	rng           *rand.Rand
 	processes     []*process
 	processIndex  map[string]int
-	leases        []*leaseTruth
+	leases        []*leaseState
 	leaseIndex    map[string]int
 	queue         eventqueue.Queue[event]
 	digest        *xxhash.Digest
-	figures       Figures
-	voterSets     []lease.VoterSet // by number less one
-	setChangeAt   int64            // when the set of voters may change again
-	incarnations  uint64           // given out
-	links         []link           // from*n + to
-	lossRate      float64          // of messages
-	duplicateRate float64          // of messages
-	maxDelay      int64            // us that a message takes at most
-	askedUnder    map[requestKey]uint64
+	result        Figures
+	voterSets     []lease.VoterSet // the set with number n is at index n-1
+	setChangeAt   int64            // earliest time of the next change of the voter set
+	incarnations  uint64           // last incarnation assigned
+	links         []link           // indexed by from*n + to
+	lossRate      float64          // probability that a message is lost
+	duplicateRate float64          // probability that a message is delivered twice
+	maxDelay      int64            // maximum delay of a message, us
+	requestSets   map[requestKey]uint64
 	scratch       [32]byte
 }
 
-// eventKind is what happens.
+// eventKind is the type of an event.
 type eventKind int8
 
 const (
-	tickEvent     eventKind = iota // a process's modules are ticked
-	arrivalEvent                   // a message arrives
-	startEvent                     // a process that was killed starts anew
-	continueEvent                  // a process that was stopped goes on
-	mendEvent                      // a process's links are mended
-	faultEvent                     // the next fault is drawn
-	fileEvent                      // a process gets a new operator's file
-	flapEvent                      // a process is killed for a moment
+	tickEvent    eventKind = iota // a process's candidate and voter are ticked
+	arrivalEvent                  // a message arrives
+	startEvent                    // a killed process restarts
+	resumeEvent                   // a paused process resumes
+	healEvent                     // a process's links are restored
+	faultEvent                    // the next random fault is injected
+	configEvent                   // a process loads a new operator file
+	flapEvent                     // a process is killed and restarts shortly after
 )
 
-// event is one thing that is due.
+// event is a scheduled event.
 type event struct {
 	kind    eventKind
 	process int
-	start   int // tickEvent: of the process, so that what was due for a former one comes to nothing
+	start   int // tickEvent: start counter of the process; ticks of earlier starts are ignored
 	message Message
-	set     uint64 // fileEvent: number of the voter set in it
+	set     uint64 // configEvent: number of the voter set in the operator file
 }
 
-// What goes into the hash of a run; the numbers are part of recorded hashes.
+// Event types in the hash of a run. Recorded hashes depend on these numbers.
 const (
 	hashedArrival  = 1
 	hashedStart    = 2
@@ -99,7 +99,7 @@
 	hashedStop     = 21
 )
 
-// New makes a run of a scenario; all processes start within a tick.
+// New creates a run of a scenario. All processes tick for the first time within one tick interval.
 func New(scenario Scenario) *Simulation {
 	if scenario.TrueDrift == 0 {
 		scenario.TrueDrift = scenario.Drift
@@ -114,7 +114,7 @@
 		digest:       xxhash.New(),
 		links:        make([]link, n*n),
 		maxDelay:     5_000,
-		askedUnder:   map[requestKey]uint64{},
+		requestSets:  map[requestKey]uint64{},
 	}
 	var voters []string
 	for i := range n {
@@ -127,16 +127,16 @@
 	}
 	s.voterSets = []lease.VoterSet{{Number: 1, Names: voters}}
 	for l := range s.Leases {
-		truth := &leaseTruth{name: fmt.Sprintf("task-%04d", l), heldSince: notHeld}
-		s.leases = append(s.leases, truth)
-		s.leaseIndex[truth.name] = l
+		state := &leaseState{name: fmt.Sprintf("task-%04d", l), heldSince: notHeld}
+		s.leases = append(s.leases, state)
+		s.leaseIndex[state.name] = l
 	}
 	for _, p := range s.processes {
-		off := s.Length / 2 // what is promised without a file: wall clocks within the longest lease of one another
+		maxOffset := s.Length / 2 // without stored state, wall clocks must agree to within the longest lease
 		if s.Lasting {
-			off = day
+			maxOffset = day
 		}
-		p.wallOffset = s.rng.Int64N(2*off) - off
+		p.wallOffset = s.rng.Int64N(2*maxOffset) - maxOffset
 		s.start(p)
 	}
 	if !s.Calm {
@@ -150,7 +150,7 @@
 
 func (s *Simulation) schedule(at int64, e event) { s.queue.Push(at, e) }
 
-// hash mixes an event into the hash of the run.
+// hash adds an event to the hash of the run.
 func (s *Simulation) hash(kind int8, process int, a, b int64) {
 	binary.LittleEndian.PutUint64(s.scratch[0:], uint64(s.Now))
 	binary.LittleEndian.PutUint64(s.scratch[8:], uint64(kind)<<32|uint64(process))
@@ -165,12 +165,12 @@
 	}
 }
 
-// voterSet is that of a number, or the newest below it.
+// voterSet returns the voter set with the given number, or the newest one if the number does not exist yet.
 func (s *Simulation) voterSet(number uint64) lease.VoterSet {
 	return s.voterSets[min(int(number), len(s.voterSets))-1]
 }
 
-// Run plays up to a time, or until a rule is broken.
+// Run processes all events up to the given time, or until an invariant is violated.
 func (s *Simulation) Run(until int64) {
 	for s.Violation == "" {
 		at, e, due := s.queue.Pop(until)
@@ -178,7 +178,7 @@
 			break
 		}
 		s.Now = max(s.Now, at)
-		s.figures.Events++
+		s.result.Events++
 		s.handle(e)
 	}
 	s.Now = max(s.Now, until)
@@ -192,27 +192,27 @@
 		s.arrive(s.processes[e.process], e.message)
 	case startEvent:
 		if p := s.processes[e.process]; !p.up {
-			s.trace("%s starts", p.name)
+			s.trace("%s restarts", p.name)
 			s.start(p)
 		}
-	case continueEvent:
+	case resumeEvent:
 		s.Continue(e.process)
-	case mendEvent:
-		s.mendLinks(e.process)
+	case healEvent:
+		s.healLinks(e.process)
 	case faultEvent:
 		if !s.Calm {
-			s.drawFault()
+			s.injectFault()
 		}
 	case flapEvent:
 		if !s.Calm {
 			s.Kill(e.process, 1+s.rng.Int64N(20_000))
 		}
-	case fileEvent:
-		s.takeFile(s.processes[e.process], e.set)
+	case configEvent:
+		s.loadConfig(s.processes[e.process], e.set)
 	}
 }
 
-// Settle ends all that goes wrong: links are whole, processes go on or start anew, messages come soon and once.
+// Settle ends all faults: links are restored, processes resume or restart, and messages arrive promptly and exactly once.
 func (s *Simulation) Settle() {
 	s.Calm = true
 	s.lossRate = 0
@@ -227,29 +227,29 @@
 	}
 }
 
-// Figures ends the run's account.
+// Figures returns the measurements of the run up to now.
 func (s *Simulation) Figures() Figures {
 	total := int64(0)
-	for _, truth := range s.leases {
-		total += truth.heldTotal
-		if truth.heldSince != notHeld {
-			total += s.Now - truth.heldSince
+	for _, state := range s.leases {
+		total += state.heldTotal
+		if state.heldSince != notHeld {
+			total += s.Now - state.heldSince
 		}
 	}
-	s.figures.HeldShare = float64(total) / float64(max(1, s.Now*int64(len(s.leases))))
-	s.figures.Hash = s.digest.Sum64()
-	return s.figures
+	s.result.HeldShare = float64(total) / float64(max(1, s.Now*int64(len(s.leases))))
+	s.result.Hash = s.digest.Sum64()
+	return s.result
 }
 
-// TakeoverTimes lists the times from a lease's loss to its next holder, in us.
+// TakeoverTimes returns the times between the end of a holder's lease and the acquisition by its next holder, in us.
 func (s *Simulation) TakeoverTimes() (all []int64) {
-	for _, truth := range s.leases {
-		all = append(all, truth.takeovers...)
+	for _, state := range s.leases {
+		all = append(all, state.takeovers...)
 	}
 	return all
 }
 
-// Holder is the process that holds a lease now, -1 for none.
+// Holder returns the index of the process that holds a lease now, or -1 if there is none.
 func (s *Simulation) Holder(l int) int {
 	for i, p := range s.processes {
 		if p.holds(l, s.Now) {
@@ -259,7 +259,7 @@
 	return -1
 }
 
-// HeldBy counts the leases that a process holds now.
+// HeldBy returns the number of leases that a process holds now.
 func (s *Simulation) HeldBy(i int) (n int) {
 	for l := range s.leases {
 		if s.processes[i].holds(l, s.Now) {
@@ -269,7 +269,7 @@
 	return n
 }
 
-// Held counts the leases that somebody holds now.
+// Held returns the number of leases that are held now.
 func (s *Simulation) Held() (n int) {
 	for i := range s.processes {
 		n += s.HeldBy(i)
@@ -277,17 +277,17 @@
 	return n
 }
 
-// Unheld names a lease that nobody holds, "" for none.
+// Unheld returns the name of a lease without a holder, or "" if all leases are held.
 func (s *Simulation) Unheld() string {
-	for l, truth := range s.leases {
+	for l, state := range s.leases {
 		if s.Holder(l) < 0 {
-			return truth.name
+			return state.name
 		}
 	}
 	return ""
 }
 
-// Release lets a lease's holder hand it over to another process.
+// Release makes the holder of a lease hand it over to the process with index to.
 func (s *Simulation) Release(l, to int) {
 	if i := s.Holder(l); i >= 0 {
 		holder := s.processes[i]
