--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -21,8 +21,8 @@
 // Message is a message of the lease protocol.
 type Message = lease.Message
 
-// Figures holds the measurements of a run.
-type Figures struct {
+// Result holds the measurements of a run.
+type Result struct {
 	Events     int64
 	Messages   int64
 	Bytes      int64
@@ -51,7 +51,7 @@
 	leaseIndex    map[string]int
 	queue         eventqueue.Queue[event]
 	digest        *xxhash.Digest
-	result        Figures
+	result        Result
 	voterSets     []lease.VoterSet // the set with number n is at index n-1
 	setChangeAt   int64            // earliest time of the next change of the voter set
 	incarnations  uint64           // last incarnation assigned
@@ -228,7 +228,7 @@
 }
 
 // Figures returns the measurements of the run up to now.
-func (s *Simulation) Figures() Figures {
+func (s *Simulation) Figures() Result {
 	total := int64(0)
 	for _, state := range s.leases {
 		total += state.heldTotal
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -60,13 +60,13 @@
 // runMixedFaults plays the seeds of mixed faults.
 func (p LeaseSimulation) runMixedFaults() (result leaseRuns) {
 	heldShares := 0.0
-	play := func(seed uint64) (figures leasesim.Figures, hash uint64, violation string) {
+	play := func(seed uint64) (figures leasesim.Result, hash uint64, violation string) {
 		sim := leasesim.New(leasesim.MixedFaults(seed))
 		sim.Run(sim.Span)
 		figures = sim.Figures()
 		return figures, figures.Hash, sim.Violation
 	}
-	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Figures) {
+	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Result) {
 		result.events += figures.Events
 		result.holds += figures.Holds
 		heldShares += figures.HeldShare
