--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -207,7 +207,7 @@
 				writeAction(hash, at, process, action)
 				count++
 			})
-			result := sim.Figures()
+			result := sim.Result()
 			got := fmt.Sprintf("actions=%d hash=%016x events=%d eventhash=%016x", count, hash.Sum64(), result.Events, result.Hash)
 			if want := recorded[r.name]; got != want {
 				t.Errorf("%s: got %s, recorded %s", r.name, got, want)
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// Figures returns the measurements of the run up to now.
-func (s *Simulation) Figures() Result {
+// Result returns the measurements of the run up to now.
+func (s *Simulation) Result() Result {
 	total := int64(0)
 	for _, state := range s.leases {
 		total += state.heldTotal
--- a/internal/simulation/leasesim/simulation_test.go
+++ b/internal/simulation/leasesim/simulation_test.go
@@ -29,7 +29,7 @@
 		for i := range hash {
 			sim := New(MixedFaults(seed))
 			sim.Run(sim.Span)
-			hash[i] = sim.Figures().Hash
+			hash[i] = sim.Result().Hash
 		}
 		if hash[0] != hash[1] {
 			t.Errorf("seed %d: the hashes %x and %x differ", seed, hash[0], hash[1])
@@ -99,7 +99,7 @@
 				}
 			}
 		}
-		result := sim.Figures()
+		result := sim.Result()
 		if sim.Violation != "" || result.Losses > 0 {
 			t.Errorf("durable voters %v: %d leases lost, violation: %s", durableVoters, result.Losses, sim.Violation)
 		}
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -63,7 +63,7 @@
 	play := func(seed uint64) (figures leasesim.Result, hash uint64, violation string) {
 		sim := leasesim.New(leasesim.MixedFaults(seed))
 		sim.Run(sim.Span)
-		figures = sim.Figures()
+		figures = sim.Result()
 		return figures, figures.Hash, sim.Violation
 	}
 	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Result) {
@@ -130,10 +130,10 @@
 		heldAfter++
 	}
 	sim.Run(sim.Now + 2*length)
-	before := sim.Figures()
+	before := sim.Result()
 	sim.Measure = true
 	sim.Run(sim.Now + span*second)
-	after := sim.Figures()
+	after := sim.Result()
 	sim.Measure = false
 	voterTime := slices.Max(sim.ModuleTime[:voters])
 	holderTime := time.Duration(0)
