--- a/internal/simulation/leasesim/invariants.go
+++ b/internal/simulation/leasesim/invariants.go
@@ -35,7 +35,7 @@
 	state.lastHolder = p.name
 	p.localLeases[l] = localLease{term: term, until: until}
 	s.checkExclusive(p, l, until)
-	s.result.Holds++
+	s.result.Acquisitions++
 	if state.heldSince != notHeld {
 		return
 	}
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -23,14 +23,14 @@
 
 // Result holds the measurements of a run.
 type Result struct {
-	Events     int64
-	Messages   int64
-	Bytes      int64
-	Holds      int64
-	Losses     int64
-	CarryOvers int64   // number of times a held lease was carried over to a later term
-	HeldShare  float64 // fraction of the time that a lease was held, averaged over all leases
-	Hash       uint64  // of all events
+	Events       int64
+	Messages     int64
+	Bytes        int64
+	Acquisitions int64
+	Losses       int64
+	CarryOvers   int64   // number of times a held lease was carried over to a later term
+	HeldShare    float64 // fraction of the time that a lease was held, averaged over all leases
+	Hash         uint64  // of all events
 }
 
 // Simulation is a single run of a scenario.
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -68,7 +68,7 @@
 	}
 	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Result) {
 		result.events += figures.Events
-		result.holds += figures.Holds
+		result.holds += figures.Acquisitions
 		heldShares += figures.HeldShare
 	})
 	result.heldShare = heldShares / float64(max(1, p.Seeds))
