--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -74,7 +74,7 @@
 		drift = 0
 	}
 	number := p.setNumber
-	if s.Lasting {
+	if s.DurableVoters {
 		number = max(number, p.storedSet)
 	}
 	voters := s.voterSet(number)
@@ -110,7 +110,7 @@
 	floor := uint64(wallStart + s.Now + p.wallOffset + longest)
 	startedAt := own
 	var stored []lease.GrantRecord
-	if s.Lasting {
+	if s.DurableVoters {
 		floor = max(floor, p.storedFloor)
 		for _, name := range slices.Sorted(maps.Keys(p.storedGrants)) {
 			stored = append(stored, p.storedGrants[name])
@@ -192,7 +192,7 @@
 	case lease.Send:
 		s.send(p, a.To, a.Message)
 	case lease.StoreGrant:
-		if s.Lasting {
+		if s.DurableVoters {
 			p.storedGrants[a.Lease] = a.GrantRecord
 			p.storedFloor = max(p.storedFloor, p.voter.TermFloor())
 		}
@@ -200,7 +200,7 @@
 		delete(p.storedGrants, a.Lease)
 		p.storedFloor = max(p.storedFloor, p.voter.TermFloor())
 	case lease.StoreVoterSet:
-		if s.Lasting {
+		if s.DurableVoters {
 			p.storedSet = a.Number
 		}
 	case lease.Acquired:
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -12,7 +12,7 @@
 	Length         int64 // lease length, us
 	Drift          int64 // drift bound that the processes are configured with, ppm
 	TrueDrift      int64 // maximum actual drift of their clocks, ppm; 0 means Drift
-	Lasting        bool  // voters keep their records across restarts
+	DurableVoters  bool  // voters keep their records across restarts
 	Span           int64 // duration of the run, us
 	Calm           bool  // no random faults, only explicit calls such as Kill
 	PlantedMistake Mistake
@@ -51,14 +51,14 @@
 func MixedFaults(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	s := Scenario{
-		Seed:    seed,
-		Voters:  []int{3, 3, 3, 5, 5, 1}[rng.IntN(6)],
-		Others:  rng.IntN(4),
-		Leases:  1 + rng.IntN(3),
-		Length:  1_000_000 + rng.Int64N(1_000_000),
-		Drift:   10_000,
-		Lasting: rng.IntN(2) == 0,
-		Span:    20_000_000,
+		Seed:          seed,
+		Voters:        []int{3, 3, 3, 5, 5, 1}[rng.IntN(6)],
+		Others:        rng.IntN(4),
+		Leases:        1 + rng.IntN(3),
+		Length:        1_000_000 + rng.Int64N(1_000_000),
+		Drift:         10_000,
+		DurableVoters: rng.IntN(2) == 0,
+		Span:          20_000_000,
 	}
 	if s.Voters+s.Others < 3 {
 		s.Others = 2
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -133,7 +133,7 @@
 	}
 	for _, p := range s.processes {
 		maxOffset := s.Length / 2 // without stored state, wall clocks must agree to within the longest lease
-		if s.Lasting {
+		if s.DurableVoters {
 			maxOffset = day
 		}
 		p.wallOffset = s.rng.Int64N(2*maxOffset) - maxOffset
