--- a/internal/simulation/leasesim/network.go
+++ b/internal/simulation/leasesim/network.go
@@ -69,7 +69,7 @@
 		}
 		s.schedule(at, arrival)
 	}
-	if _, is := m.(*lease.GrantResponse); is && !s.Calm && s.rng.IntN(400) == 0 { // kill a voter between its vote and the arrival of its response
+	if _, is := m.(*lease.GrantResponse); is && !s.NoFaults && s.rng.IntN(400) == 0 { // kill a voter between its vote and the arrival of its response
 		s.Kill(p.index, s.rng.Int64N(2*s.Length))
 	}
 }
@@ -106,7 +106,7 @@
 // randomDelay returns the delay of a message, in us.
 func (s *Simulation) randomDelay(route *link) int64 {
 	delay := 1 + s.rng.Int64N(s.maxDelay) + s.rng.Int64N(route.maxDelay+1)
-	if !s.Calm && s.rng.IntN(50) == 0 {
+	if !s.NoFaults && s.rng.IntN(50) == 0 {
 		delay *= 20
 	}
 	return delay
--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -133,7 +133,7 @@
 // request returns a process's request for a lease.
 func (s *Simulation) request(l int, state *leaseState) lease.Request {
 	r := lease.Request{Lease: state.name, Length: s.Length}
-	if !s.Calm && l%3 == 1 {
+	if !s.NoFaults && l%3 == 1 {
 		r.YieldAfter = 4 * s.Length
 	}
 	return r
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -14,7 +14,7 @@
 	TrueDrift      int64 // maximum actual drift of their clocks, ppm; 0 means Drift
 	DurableVoters  bool  // voters keep their records across restarts
 	Span           int64 // duration of the run, us
-	Calm           bool  // no random faults, only explicit calls such as Kill
+	NoFaults       bool  // no random faults, only explicit calls such as Kill
 	PlantedMistake Mistake
 }
 
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -139,7 +139,7 @@
 		p.wallOffset = s.rng.Int64N(2*maxOffset) - maxOffset
 		s.start(p)
 	}
-	if !s.Calm {
+	if !s.NoFaults {
 		s.lossRate = s.rng.Float64() * 0.2
 		s.duplicateRate = s.rng.Float64() * 0.2
 		s.maxDelay = 1 + s.rng.Int64N(40_000)
@@ -200,11 +200,11 @@
 	case healEvent:
 		s.healLinks(e.process)
 	case faultEvent:
-		if !s.Calm {
+		if !s.NoFaults {
 			s.injectFault()
 		}
 	case flapEvent:
-		if !s.Calm {
+		if !s.NoFaults {
 			s.Kill(e.process, 1+s.rng.Int64N(20_000))
 		}
 	case configEvent:
@@ -214,7 +214,7 @@
 
 // Settle ends all faults: links are restored, processes resume or restart, and messages arrive promptly and exactly once.
 func (s *Simulation) Settle() {
-	s.Calm = true
+	s.NoFaults = true
 	s.lossRate = 0
 	s.duplicateRate = 0
 	s.maxDelay = 5_000
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -121,7 +121,7 @@
 	)
 	began := time.Now()
 	sim := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: voters, Others: instances - voters, Leases: leases, Wanted: min(instances, 3),
-		Length: length, Drift: 10_000, Calm: true})
+		Length: length, Drift: 10_000, NoFaults: true})
 	sim.MessageSize = func(m leasesim.Message) int { return len(leaseservice.Encode(m)) }
 	sim.Run(length) // they abstain
 	heldAfter := 0
