--- a/internal/simulation/leasesim/faults.go
+++ b/internal/simulation/leasesim/faults.go
@@ -25,7 +25,7 @@
 		}
 		s.Kill(i, span)
 	case 2, 3:
-		s.Stop(i, span)
+		s.Pause(i, span)
 	case 4:
 		s.cutOneWay(i, span)
 	case 5:
--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -233,8 +233,8 @@
 	}
 }
 
-// Stop pauses a process for the given time (us).
-func (s *Simulation) Stop(i int, span int64) {
+// Pause pauses a process for the given time (us).
+func (s *Simulation) Pause(i int, span int64) {
 	p := s.processes[i]
 	if !p.up || p.paused {
 		return
