--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -245,8 +245,8 @@
 	s.schedule(s.Now+span, event{kind: resumeEvent, process: i})
 }
 
-// Continue resumes a paused process. It first reads the messages that arrived meanwhile, as from a socket buffer.
-func (s *Simulation) Continue(i int) {
+// Resume resumes a paused process. It first reads the messages that arrived meanwhile, as from a socket buffer.
+func (s *Simulation) Resume(i int) {
 	p := s.processes[i]
 	if !p.up || !p.paused {
 		return
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -196,7 +196,7 @@
 			s.start(p)
 		}
 	case resumeEvent:
-		s.Continue(e.process)
+		s.Resume(e.process)
 	case healEvent:
 		s.healLinks(e.process)
 	case faultEvent:
@@ -220,7 +220,7 @@
 	s.maxDelay = 5_000
 	clear(s.links)
 	for i, p := range s.processes {
-		s.Continue(i)
+		s.Resume(i)
 		if !p.up {
 			s.schedule(s.Now, event{kind: startEvent, process: i})
 		}
