--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -30,7 +30,7 @@
 		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
 			sim := newObserved(MixedFaults(seed), observe)
 			sim.Run(sim.Span)
-			sim.Settle()
+			sim.EndFaults()
 			sim.Run(sim.Now + 4*sim.Length)
 			return sim
 		}})
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// Settle ends all faults: links are restored, processes resume or restart, and messages arrive promptly and exactly once.
-func (s *Simulation) Settle() {
+// EndFaults ends all faults: links are restored, processes resume or restart, and messages arrive promptly and exactly once.
+func (s *Simulation) EndFaults() {
 	s.NoFaults = true
 	s.lossRate = 0
 	s.duplicateRate = 0
--- a/internal/simulation/leasesim/simulation_test.go
+++ b/internal/simulation/leasesim/simulation_test.go
@@ -65,7 +65,7 @@
 	for seed := range uint64(*seeds) {
 		sim := New(MixedFaults(seed))
 		sim.Run(sim.Span)
-		sim.Settle()
+		sim.EndFaults()
 		sim.Run(sim.Now + sim.Length) // voters that restart now abstain
 		from := sim.Now
 		for sim.Unheld() != "" && sim.Now < from+8*sim.Length {
