--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -83,7 +83,7 @@
 	p.seenEndedGrants = map[string]uint64{}
 	p.seenIncarnation = map[string]uint64{}
 	for l, state := range s.leases {
-		if s.Wanted == 0 || (p.index+l)%len(s.processes) < s.Wanted {
+		if s.RequestersPerLease == 0 || (p.index+l)%len(s.processes) < s.RequestersPerLease {
 			p.candidate.RequestLease(own, s.request(l, state))
 		}
 	}
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -4,18 +4,18 @@
 
 // Scenario holds the parameters of a run.
 type Scenario struct {
-	Seed           uint64
-	Voters         int   // number of voters in the first set
-	Others         int   // number of processes that do not vote
-	Leases         int   // number of leases
-	Wanted         int   // number of processes that request each lease, 0 for all
-	Length         int64 // lease length, us
-	Drift          int64 // drift bound that the processes are configured with, ppm
-	TrueDrift      int64 // maximum actual drift of their clocks, ppm; 0 means Drift
-	DurableVoters  bool  // voters keep their records across restarts
-	Span           int64 // duration of the run, us
-	NoFaults       bool  // no random faults, only explicit calls such as Kill
-	PlantedMistake Mistake
+	Seed               uint64
+	Voters             int   // number of voters in the first set
+	Others             int   // number of processes that do not vote
+	Leases             int   // number of leases
+	RequestersPerLease int   // number of processes that request each lease, 0 for all
+	Length             int64 // lease length, us
+	Drift              int64 // drift bound that the processes are configured with, ppm
+	TrueDrift          int64 // maximum actual drift of their clocks, ppm; 0 means Drift
+	DurableVoters      bool  // voters keep their records across restarts
+	Span               int64 // duration of the run, us
+	NoFaults           bool  // no random faults, only explicit calls such as Kill
+	PlantedMistake     Mistake
 }
 
 // Mistake is a deliberate mistake in the lease protocol or in the way that its messages and actions are handled.
