--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -44,7 +44,7 @@
 	}
 	for seed, voters := range []int{3, 5, 3, 5} {
 		all = append(all, recording{fmt.Sprintf("handover-%d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
-			sim := newObserved(Scenario{Seed: uint64(seed), Voters: voters, Others: 3, Leases: 12, RequestersPerLease: 4, Length: 2_000_000, Drift: 10_000, DurableVoters: seed >= 2, NoFaults: true}, observe)
+			sim := newObserved(Scenario{Seed: uint64(seed), Voters: voters, NonVoters: 3, Leases: 12, RequestersPerLease: 4, Length: 2_000_000, Drift: 10_000, DurableVoters: seed >= 2, NoFaults: true}, observe)
 			sim.Run(8_000_000)
 			for l := range 12 {
 				sim.Release(l, (l+seed)%(voters+3))
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -6,7 +6,7 @@
 type Scenario struct {
 	Seed               uint64
 	Voters             int   // number of voters in the first set
-	Others             int   // number of processes that do not vote
+	NonVoters          int   // number of processes that do not vote
 	Leases             int   // number of leases
 	RequestersPerLease int   // number of processes that request each lease, 0 for all
 	Length             int64 // lease length, us
@@ -53,15 +53,15 @@
 	s := Scenario{
 		Seed:          seed,
 		Voters:        []int{3, 3, 3, 5, 5, 1}[rng.IntN(6)],
-		Others:        rng.IntN(4),
+		NonVoters:     rng.IntN(4),
 		Leases:        1 + rng.IntN(3),
 		Length:        1_000_000 + rng.Int64N(1_000_000),
 		Drift:         10_000,
 		DurableVoters: rng.IntN(2) == 0,
 		Span:          20_000_000,
 	}
-	if s.Voters+s.Others < 3 {
-		s.Others = 2
+	if s.Voters+s.NonVoters < 3 {
+		s.NonVoters = 2
 	}
 	return s
 }
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -104,7 +104,7 @@
 	if scenario.TrueDrift == 0 {
 		scenario.TrueDrift = scenario.Drift
 	}
-	n := scenario.Voters + scenario.Others
+	n := scenario.Voters + scenario.NonVoters
 	s := &Simulation{
 		Scenario:     scenario,
 		ModuleTime:   make([]time.Duration, n),
--- a/internal/simulation/leasesim/simulation_test.go
+++ b/internal/simulation/leasesim/simulation_test.go
@@ -85,7 +85,7 @@
 // connected. A holder must instead carry its lease over to a later term that the restarted voter can vote for.
 func TestVotersRestartOneByOne(t *testing.T) {
 	for _, durableVoters := range []bool{false, true} {
-		sim := New(Scenario{Seed: 1, Voters: 3, Others: 3, Leases: 20, RequestersPerLease: 3, Length: 2_000_000, Drift: 10_000, DurableVoters: durableVoters, NoFaults: true})
+		sim := New(Scenario{Seed: 1, Voters: 3, NonVoters: 3, Leases: 20, RequestersPerLease: 3, Length: 2_000_000, Drift: 10_000, DurableVoters: durableVoters, NoFaults: true})
 		sim.Run(8_000_000)
 		if name := sim.Unheld(); name != "" {
 			t.Fatal("no holder of", name)
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -120,7 +120,7 @@
 		voters = 3
 	)
 	began := time.Now()
-	sim := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: voters, Others: instances - voters, Leases: leases, RequestersPerLease: min(instances, 3),
+	sim := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: voters, NonVoters: instances - voters, Leases: leases, RequestersPerLease: min(instances, 3),
 		Length: length, Drift: 10_000, NoFaults: true})
 	sim.MessageSize = func(m leasesim.Message) int { return len(leaseservice.Encode(m)) }
 	sim.Run(length) // they abstain
