--- a/internal/simulation/leasesim/golden_test.go
+++ b/internal/simulation/leasesim/golden_test.go
@@ -29,7 +29,7 @@
 	for seed := range uint64(40) {
 		all = append(all, recording{fmt.Sprintf("mixed-%02d", seed), func(observe func(int64, string, lease.Action)) *Simulation {
 			sim := newObserved(MixedFaults(seed), observe)
-			sim.Run(sim.Span)
+			sim.Run(sim.Duration)
 			sim.EndFaults()
 			sim.Run(sim.Now + 4*sim.Length)
 			return sim
@@ -38,7 +38,7 @@
 	for mistake := None + 1; mistake < MistakeCount; mistake++ {
 		all = append(all, recording{"planted-" + mistake.String(), func(observe func(int64, string, lease.Action)) *Simulation {
 			sim := newObserved(MixedFaults(uint64(mistake)).WithMistake(mistake), observe)
-			sim.Run(sim.Span)
+			sim.Run(sim.Duration)
 			return sim
 		}})
 	}
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -13,7 +13,7 @@
 	Drift              int64 // drift bound that the processes are configured with, ppm
 	TrueDrift          int64 // maximum actual drift of their clocks, ppm; 0 means Drift
 	DurableVoters      bool  // voters keep their records across restarts
-	Span               int64 // duration of the run, us
+	Duration           int64 // duration of the run, us
 	NoFaults           bool  // no random faults, only explicit calls such as Kill
 	PlantedMistake     Mistake
 }
@@ -58,7 +58,7 @@
 		Length:        1_000_000 + rng.Int64N(1_000_000),
 		Drift:         10_000,
 		DurableVoters: rng.IntN(2) == 0,
-		Span:          20_000_000,
+		Duration:      20_000_000,
 	}
 	if s.Voters+s.NonVoters < 3 {
 		s.NonVoters = 2
@@ -70,7 +70,7 @@
 func (s Scenario) WithMistake(m Mistake) Scenario {
 	s.PlantedMistake = m
 	if m == OldSet || m == TwoAtOnce { // the voter set must change more than once
-		s.Span *= 4
+		s.Duration *= 4
 	}
 	return s
 }
--- a/internal/simulation/leasesim/simulation_test.go
+++ b/internal/simulation/leasesim/simulation_test.go
@@ -14,7 +14,7 @@
 func TestMixedFaults(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		sim := New(MixedFaults(seed))
-		sim.Run(sim.Span)
+		sim.Run(sim.Duration)
 		if sim.Violation != "" {
 			t.Fatalf("seed %d, %+v: %s", seed, sim.Scenario, sim.Violation)
 		}
@@ -28,7 +28,7 @@
 		var hash [2]uint64
 		for i := range hash {
 			sim := New(MixedFaults(seed))
-			sim.Run(sim.Span)
+			sim.Run(sim.Duration)
 			hash[i] = sim.Result().Hash
 		}
 		if hash[0] != hash[1] {
@@ -47,7 +47,7 @@
 			t.Parallel()
 			for seed := firstSeed[mistake]; seed < firstSeed[mistake]+45; seed++ {
 				sim := New(MixedFaults(seed).WithMistake(mistake))
-				sim.Run(sim.Span)
+				sim.Run(sim.Duration)
 				if sim.Violation != "" {
 					t.Logf("found with seed %d: %s", seed, sim.Violation)
 					return
@@ -64,7 +64,7 @@
 	var all []int64
 	for seed := range uint64(*seeds) {
 		sim := New(MixedFaults(seed))
-		sim.Run(sim.Span)
+		sim.Run(sim.Duration)
 		sim.EndFaults()
 		sim.Run(sim.Now + sim.Length) // voters that restart now abstain
 		from := sim.Now
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -62,7 +62,7 @@
 	heldShares := 0.0
 	play := func(seed uint64) (figures leasesim.Result, hash uint64, violation string) {
 		sim := leasesim.New(leasesim.MixedFaults(seed))
-		sim.Run(sim.Span)
+		sim.Run(sim.Duration)
 		figures = sim.Result()
 		return figures, figures.Hash, sim.Violation
 	}
@@ -84,7 +84,7 @@
 	for mistake := leasesim.None + 1; mistake < leasesim.MistakeCount; mistake++ {
 		seeds[mistake] = firstSeedThat(p.MistakeSeeds, func(seed uint64) bool {
 			sim := leasesim.New(leasesim.MixedFaults(seed).WithMistake(mistake))
-			sim.Run(sim.Span)
+			sim.Run(sim.Duration)
 			return sim.Violation != ""
 		})
 	}
