--- a/internal/simulation/rolloutsim/actions.go
+++ b/internal/simulation/rolloutsim/actions.go
@@ -2,7 +2,7 @@
 
 import "cairntiller/internal/rollout"
 
-// carryOut does what a router's parts want done, and checks what its leader commits.
+// carryOut executes the actions of a router's member and leader, and checks what the leader commits.
 func (w *World) carryOut(r *router) {
 	for _, action := range r.member.TakeActions() {
 		w.carryOutOne(r, action)
@@ -43,14 +43,14 @@
 	case rollout.DrainNodes:
 		w.drainNodes(r, a.Nodes)
 	case rollout.TransferLeadership:
-		w.handOverLead(r)
+		w.transferLeadership(r)
 	case rollout.LogEvent:
 		w.trace("%s: %s %s", r.name, a.PlanID, a.Text)
-	case rollout.ReplyToCommand: // operators go by the committed record, see sendCommand
+	case rollout.ReplyToCommand: // operators check the committed record instead, see sendCommand
 	}
 }
 
-// queryDrainedNodes carries a member's question to all voters and their answers back.
+// queryDrainedNodes asks all voters for the drained nodes on behalf of a member, and delivers their answers.
 func (w *World) queryDrainedNodes(r *router) {
 	for _, voter := range w.routers[:w.Voters] {
 		w.send(r, voter, func() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// deliverStatement hands a member a statement of the leader with this index, -1 for a voter's.
+// deliverStatement delivers a statement to a member. leader is the index of the sending leader, or -1 for a voter.
 func (w *World) deliverStatement(r *router, s *rollout.Statement, leader int) {
 	if w.Planted == IgnoresIncarnation && s.Instruction == rollout.InstructionLeave {
 		s.Incarnation = r.incarnation
--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -13,7 +13,7 @@
 	"cairntiller/internal/rollout"
 )
 
-// writeRecord writes all of a record in a form that depends on no name in the code.
+// writeRecord writes every field of a record in a format that is independent of Go names.
 func writeRecord(out io.Writer, r *rollout.Record) {
 	fmt.Fprintf(out, "record %d %d %d %q %q\n", r.Term, r.Seq, r.SlotsGranted, r.Members, r.Tokens)
 	for _, p := range r.Plans {
@@ -28,7 +28,7 @@
 	}
 }
 
-// writeAction writes all of an action in such a form.
+// writeAction writes every field of an action in a format that is independent of Go names.
 func writeAction(out io.Writer, now int64, router string, action rollout.Action) {
 	fmt.Fprintf(out, "%d %s ", now, router)
 	switch a := action.(type) {
@@ -59,12 +59,12 @@
 	case rollout.LogEvent:
 		fmt.Fprintf(out, "log %q %q\n", a.PlanID, a.Text)
 	default:
-		panic("unknown action")
+		panic("unknown action type")
 	}
 }
 
-// giveCommands gives a run operators' commands of every type, right ones and wrong ones, beside those of mixed faults.
-func giveCommands(w *World, seed uint64) {
+// scheduleCommands adds operator commands of every type, valid and invalid, to those of mixed faults.
+func scheduleCommands(w *World, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	first := w.Plans[0]
 	for range 14 {
@@ -95,13 +95,13 @@
 		case 11:
 			c = rollout.Command{Type: rollout.CommandStart, Plan: rollout.Plan{ID: "wrong", Kind: rollout.Kind(rng.IntN(5)), Units: [][]string{nil, {""}, {unit, unit}, {"nobody"}}[rng.IntN(4)]}}
 		}
-		w.after(12_000_000+rng.Int64N(150_000_000), func() { w.sendCommand(c, 50) })
+		w.schedule(12_000_000+rng.Int64N(150_000_000), func() { w.sendCommand(c, 50) })
 	}
 }
 
-// TestActionsAsRecorded plays runs on fixed seeds and compares a hash over every action of every router, in order and with
-// all that it carries, with the one that testdata/actions.golden holds. A decision that changes, be it by a constant or by
-// the order of two steps, shows here. The file is recorded anew only by a commit that changes a decision and says so.
+// TestActionsAsRecorded runs fixed seeds and compares a hash over every action of every router, in order and with all its
+// fields, with the one recorded in testdata/actions.golden. It detects any changed decision, such as by another constant or
+// by two steps in another order. The file may be recorded again only by a commit that changes a decision and says so.
 func TestActionsAsRecorded(t *testing.T) {
 	raw, err := os.ReadFile("testdata/actions.golden")
 	if err != nil {
@@ -113,7 +113,7 @@
 		recorded[name] = rest
 	}
 	compared := 0
-	play := func(name string, w *World) {
+	run := func(name string, w *World) {
 		compared++
 		t.Run(name, func(t *testing.T) {
 			digest := xxhash.New()
@@ -125,28 +125,28 @@
 			figures := w.Run()
 			got := fmt.Sprintf("%#016x\t%#016x\t%d\t%s", digest.Sum64(), figures.Hash, actions, w.Violation)
 			if got != recorded[name] {
-				t.Errorf("hash of actions, hash of events, actions, rule broken: %s, want %s", got, recorded[name])
+				t.Errorf("hash of actions, hash of events, number of actions, violation: got %s, want %s", got, recorded[name])
 			}
 		})
 	}
 	for seed := range uint64(24) {
-		play(fmt.Sprintf("mixed %d", seed), New(MixedFaults(seed)))
+		run(fmt.Sprintf("mixed %d", seed), New(MixedFaults(seed)))
 	}
 	for seed := uint64(100); seed < 124; seed++ {
 		w := New(MixedFaults(seed))
-		giveCommands(w, seed)
-		play(fmt.Sprintf("commands %d", seed), w)
+		scheduleCommands(w, seed)
+		run(fmt.Sprintf("commands %d", seed), w)
 	}
 	for seed := range uint64(3) {
-		play(fmt.Sprintf("good version %d", seed), New(VersionRollout(seed, 0)))
-		play(fmt.Sprintf("bad version %d", seed), New(VersionRollout(seed, 0.02)))
+		run(fmt.Sprintf("good version %d", seed), New(VersionRollout(seed, 0)))
+		run(fmt.Sprintf("bad version %d", seed), New(VersionRollout(seed, 0.02)))
 	}
 	for m := FreesSlotByTime; m < Mistakes; m++ {
 		s := MixedFaults(3)
 		s.Planted = m
-		play(fmt.Sprintf("planted %v", m), New(s))
+		run(fmt.Sprintf("planted %v", m), New(s))
 	}
 	if compared != len(recorded) {
-		t.Errorf("%d runs were compared, and %d are recorded", compared, len(recorded))
+		t.Errorf("%d runs were compared, but %d are recorded", compared, len(recorded))
 	}
 }
--- a/internal/simulation/rolloutsim/doc.go
+++ b/internal/simulation/rolloutsim/doc.go
@@ -1,7 +1,7 @@
-// Package rolloutsim simulates a fleet that goes through rollout plans: routers that leave, come back, crash, or come
-// back with the wrong version; nodes that are drained and hand over; leaders that are killed or cut off; voters that
-// forget; messages that are lost, doubled and late. It knows the truth and checks after each event (checks.go) that the
-// budget holds, that nothing leaves twice or without a slot, and that no node counts as out of use while a router uses
-// it. Equal seeds give equal runs. It is for tests and proofs; mistakes can be planted (mistakes.go) to see that it
-// finds them.
+// Package rolloutsim is a deterministic simulation of a fleet that executes rollout plans. Routers leave service, return,
+// crash, or return with the wrong version; nodes are drained and switch over; leaders are killed or disconnected; voters
+// lose their state; and messages are lost, duplicated and delayed. The simulation knows the actual state of the fleet. The
+// checks in checks.go verify after each event that the budget is respected, that no router leaves service twice or without
+// a slot, and that no node counts as unavailable while a router uses it. Runs with the same seed are identical. The package
+// is used by tests and proofs. Mistakes can be planted (mistakes.go) to verify that the checks detect them.
 package rolloutsim
--- a/internal/simulation/rolloutsim/faults.go
+++ b/internal/simulation/rolloutsim/faults.go
@@ -2,51 +2,51 @@
 
 import "cairntiller/internal/rollout"
 
-// injectFault draws the next thing that goes wrong.
+// injectFault injects a random fault and schedules the next one.
 func (w *World) injectFault() {
 	if w.faultsOver {
 		return
 	}
-	w.after(w.rng.Int64N(8_000_000), w.injectFault)
+	w.schedule(w.rng.Int64N(8_000_000), w.injectFault)
 	r := w.routers[w.rng.IntN(len(w.routers))]
 	span := 1 + w.rng.Int64N(10_000_000)
 	switch w.rng.IntN(14) {
-	case 0: // an unplanned loss
+	case 0: // an unplanned crash
 		w.kill(r, 3*span)
-	case 1: // three at once
+	case 1: // up to three routers crash at the same time
 		for range 3 {
 			w.kill(w.routers[w.rng.IntN(len(w.routers))], w.rng.Int64N(30_000_000))
 		}
-	case 2, 3: // the leader, at whatever step it is
+	case 2, 3: // the leader crashes, at any step
 		if w.holder >= 0 {
 			w.kill(w.routers[w.holder], span)
 		}
 	case 4:
 		w.killLeaving(span)
-	case 5: // the fleet parted in two
+	case 5: // a network partition in two halves
 		for _, other := range w.routers[:len(w.routers)/2] {
 			other.partition = 1
 		}
-		w.after(span, w.healPartitions)
-	case 6: // a zone cut off
+		w.schedule(span, w.healPartitions)
+	case 6: // an isolated zone
 		for _, other := range w.routers {
 			if other.zone == r.zone {
 				other.partition = 2
 			}
 		}
-		w.after(span, w.healPartitions)
+		w.schedule(span, w.healPartitions)
 	case 7:
 		w.cutOneWay(r, span)
-	case 8: // a voter, or most of them
+	case 8: // one voter crashes, or up to three do
 		for range 1 + 2*w.rng.IntN(2) {
 			w.kill(w.routers[w.rng.IntN(w.Voters)], w.rng.Int64N(3_000_000))
 		}
 	case 9:
-		w.loss = w.rng.Float64() * 0.3
-		w.duplication = w.rng.Float64() * 0.4
+		w.lossRate = w.rng.Float64() * 0.3
+		w.duplicateRate = w.rng.Float64() * 0.4
 	case 10:
-		w.loss = 0
-		w.duplication = 0
+		w.lossRate = 0
+		w.duplicateRate = 0
 	case 11, 12:
 		w.injectNodeFault(span)
 	case 13:
@@ -54,7 +54,7 @@
 	}
 }
 
-// killLeaving kills one that is out by a plan: it stays away for longer, or is started with the version it had.
+// killLeaving kills a router that leaves service by a plan. It may then restart with its old version a few times.
 func (w *World) killLeaving(span int64) {
 	for _, r := range w.routers {
 		if !r.planned || !r.leaving {
@@ -68,20 +68,20 @@
 	}
 }
 
-// cutOneWay lets a router hear nobody, or nobody hear it.
+// cutOneWay drops either all outgoing or all incoming messages of a router.
 func (w *World) cutOneWay(r *router, span int64) {
 	if w.rng.IntN(2) == 0 {
-		r.mute = true
+		r.dropsOutgoing = true
 	} else {
-		r.deaf = true
+		r.dropsIncoming = true
 	}
-	w.after(span, func() {
-		r.mute = false
-		r.deaf = false
+	w.schedule(span, func() {
+		r.dropsOutgoing = false
+		r.dropsIncoming = false
 	})
 }
 
-// injectNodeFault takes a node down, lets its log lag, or keeps it from handing over.
+// injectNodeFault takes a node down, makes it lag in the log, or keeps it from switching over.
 func (w *World) injectNodeFault(span int64) {
 	if len(w.nodes) == 0 {
 		return
@@ -90,26 +90,26 @@
 	switch w.rng.IntN(3) {
 	case 0:
 		n.up = false
-		n.nearLogEnd = false
+		n.caughtUp = false
 		n.downAt = w.Now
 		if n.primary {
-			w.after(2_000_000, func() { w.handOver(n) })
+			w.schedule(2_000_000, func() { w.switchOver(n) })
 		}
-		w.after(span, func() { n.up = true })
-		w.after(span+5_000_000, func() { n.nearLogEnd = n.up })
+		w.schedule(span, func() { n.up = true })
+		w.schedule(span+5_000_000, func() { n.caughtUp = n.up })
 	case 1:
-		n.nearLogEnd = false
-		w.after(span, func() { n.nearLogEnd = n.up })
+		n.caughtUp = false
+		w.schedule(span, func() { n.caughtUp = n.up })
 	default:
-		n.keepsPrimary = true
-		w.after(3*span, func() {
-			n.keepsPrimary = false
-			w.handOver(n)
+		n.refusesSwitchover = true
+		w.schedule(3*span, func() {
+			n.refusesSwitchover = false
+			w.switchOver(n)
 		})
 	}
 }
 
-// sendTwoCommands has an operator, or two of them, give two commands at once.
+// sendTwoCommands sends two operator commands at the same time.
 func (w *World) sendTwoCommands() {
 	if len(w.Plans) == 0 {
 		return
@@ -127,20 +127,20 @@
 	}
 }
 
-// endFaults mends all that went wrong; from a while later on an operator looks after voters that have forgotten.
+// endFaults ends all faults. From 20 s later on, an operator recovers the record if voters lost their state.
 func (w *World) endFaults() {
 	w.faultsOver = true
-	w.after(20_000_000, w.recoverRecord)
-	w.loss = 0
-	w.duplication = 0
+	w.schedule(20_000_000, w.recoverRecord)
+	w.lossRate = 0
+	w.duplicateRate = 0
 	w.healPartitions()
 	for _, r := range w.routers {
-		r.mute = false
-		r.deaf = false
+		r.dropsOutgoing = false
+		r.dropsIncoming = false
 	}
 	for _, n := range w.nodes {
 		n.up = true
-		n.nearLogEnd = true
-		n.keepsPrimary = false
+		n.caughtUp = true
+		n.refusesSwitchover = false
 	}
 }
--- a/internal/simulation/rolloutsim/leaders.go
+++ b/internal/simulation/rolloutsim/leaders.go
@@ -4,13 +4,14 @@
 
 const (
 	leaseLength   = 3_000_000 // us
-	detectionTime = 2_000_000 // us after which membership tells of a loss
+	detectionTime = 2_000_000 // us until the membership reports a lost router
 	leaderTick    = 250_000   // us between a leader's ticks
 )
 
-// renewLease is the fleet's lease, taken as proven: one holder at a time, under terms that grow.
+// renewLease models the lease of the fleet's leader. It assumes that leases are correct: there is one holder at a time, and
+// terms increase.
 func (w *World) renewLease() {
-	w.after(200_000, w.renewLease)
+	w.schedule(200_000, w.renewLease)
 	if w.holder >= 0 {
 		r := w.routers[w.holder]
 		if r.up && r.incarnation == w.holderIncarnation && w.reachesMajority(r) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// reachesMajority reports whether a router reaches a majority of voters, both ways.
+// reachesMajority reports whether a router and a majority of voters reach each other.
 func (w *World) reachesMajority(r *router) bool {
 	reached := 0
 	for _, voter := range w.routers[:w.Voters] {
@@ -53,7 +54,7 @@
 	w.holder = i
 	w.holderIncarnation = r.incarnation
 	w.leaseUntil = w.Now + leaseLength
-	w.trace("%s leads under term %d", r.name, w.term)
+	w.trace("%s becomes leader for term %d", r.name, w.term)
 	w.addToHash(hashedLeader, i, w.term)
 	r.leader.BecomeLeader(w.Now, w.term)
 	w.observeFleet(r)
@@ -61,12 +62,12 @@
 	w.tickLeader(r, r.incarnation, w.term)
 }
 
-// holdsLease reports whether a router's present process holds the lease.
+// holdsLease reports whether a router's current process holds the lease.
 func (w *World) holdsLease(r *router) bool {
 	return w.holder == r.index && w.holderIncarnation == r.incarnation
 }
 
-// leaseHolder is the router whose present process holds the lease, nil for none.
+// leaseHolder returns the router whose current process holds the lease, or nil if there is none.
 func (w *World) leaseHolder() *router {
 	if w.holder < 0 || !w.holdsLease(w.routers[w.holder]) {
 		return nil
@@ -74,7 +75,7 @@
 	return w.routers[w.holder]
 }
 
-// observeFleet tells a leader what its own router and the membership show.
+// observeFleet updates a leader with what its own router and the membership observe.
 func (w *World) observeFleet(r *router) {
 	for _, other := range w.routers {
 		switch {
@@ -99,18 +100,18 @@
 	w.plantMistake(r)
 	r.leader.Tick(w.Now)
 	w.carryOut(r)
-	w.after(leaderTick, func() { w.tickLeader(r, incarnation, term) })
+	w.schedule(leaderTick, func() { w.tickLeader(r, incarnation, term) })
 }
 
-// handOverLead gives the lease up; soon after some other router may get it.
-func (w *World) handOverLead(r *router) {
+// transferLeadership gives up the lease. Shortly after, a random other router may acquire it.
+func (w *World) transferLeadership(r *router) {
 	if !w.holdsLease(r) {
 		return
 	}
-	w.trace("%s yields", r.name)
+	w.trace("%s gives up leadership", r.name)
 	r.leader.StepDown()
 	w.holder = -1
-	w.after(50_000, func() {
+	w.schedule(50_000, func() {
 		if w.holder >= 0 {
 			return
 		}
@@ -121,11 +122,11 @@
 	})
 }
 
-// readVoter carries a leader's question to a voter and the answer back.
+// readVoter sends a leader's read request to a voter and returns the response.
 func (w *World) readVoter(r *router, a rollout.ReadVoter) {
 	to := w.routers[w.routerIndex[a.Voter]]
 	if w.Planted == ReadsOneVoter && to.index > 0 {
-		to = w.routers[0] // every voter's answer is the first one's
+		to = w.routers[0] // all answers come from the first voter
 	}
 	w.send(r, to, func() {
 		state, accepted := to.voter.Read(a.Term)
@@ -141,7 +142,7 @@
 	})
 }
 
-// writeVoter carries a leader's write to a voter and the answer back.
+// writeVoter sends a leader's write request to a voter and returns the response.
 func (w *World) writeVoter(r *router, a rollout.WriteVoter) {
 	to := w.routers[w.routerIndex[a.Voter]]
 	if w.Planted == AnnouncesBeforeCommit {
--- a/internal/simulation/rolloutsim/mistakes.go
+++ b/internal/simulation/rolloutsim/mistakes.go
@@ -2,24 +2,24 @@
 
 import "cairntiller/internal/rollout"
 
-// Mistake is a planted one. Those that lie in what is done with a leader's actions are planted where that is done, see
-// actions.go and World.deliverStatement; those that lie in what a leader is told, here.
+// Mistake is a planted mistake. Mistakes in the handling of actions are implemented where the actions are carried out, in
+// actions.go and leaders.go. Mistakes in a leader's input are implemented in this file.
 type Mistake int
 
 // The planted mistakes.
 const (
 	None                   Mistake = iota
-	FreesSlotByTime                // a slot is free after a while, whether the unit is back or not
-	IgnoresUnplannedLosses         // what is out unplanned does not count
-	AnnouncesBeforeCommit          // members are told before voters keep it
-	ReadsOneVoter                  // a new leader reads one voter
-	HidesForgottenState            // a voter that forgot answers as if nothing had ever been
-	IgnoresIncarnation             // what a member is told counts for its next process too
-	AcceptsOldStatements           // members heed statements that come late
-	IgnoresOpenCommands            // a node counts as unused before all routers in sight have said so
-	IgnoresPrimary                 // a drained primary counts as unused before another one leads
-	IgnoresGroups                  // nodes of one group go out together
-	Mistakes                       // how many there are, None among them
+	FreesSlotByTime                // a slot is freed after a timeout, whether the unit is back or not
+	IgnoresUnplannedLosses         // unplanned losses do not count against the budget
+	AnnouncesBeforeCommit          // members are told before a majority of voters stored the record
+	ReadsOneVoter                  // a new leader reads only one voter
+	HidesForgottenState            // a voter that lost its state does not report it
+	IgnoresIncarnation             // an instruction for a process also applies to its successor
+	AcceptsOldStatements           // members accept outdated statements
+	IgnoresOpenCommands            // a node counts as unused before all visible routers reported so
+	IgnoresPrimary                 // a drained primary counts as unused before the switchover
+	IgnoresGroups                  // nodes of the same group are drained together
+	Mistakes                       // number of mistakes, including None
 )
 
 var mistakeNames = [...]string{
@@ -27,18 +27,18 @@
 	"accepts-old-statements", "ignores-open-commands", "ignores-primary", "ignores-groups",
 }
 
-// String returns the name by which proofs print the mistake.
+// String returns the mistake's name in recordings and reports.
 func (m Mistake) String() string { return mistakeNames[m] }
 
-// plantMistake tells a leader something that is not so, right before it ticks.
+// plantMistake feeds false input to a leader right before its tick.
 func (w *World) plantMistake(leader *router) {
 	switch w.Planted {
 	case IgnoresUnplannedLosses:
 		w.reportLostAsPresent(leader)
 	case FreesSlotByTime:
-		w.reportAwayAsBack(leader)
+		w.reportUnavailableAsReturned(leader)
 	case IgnoresOpenCommands:
-		w.reportNothingOpen(leader)
+		w.reportNoOpenCommands(leader)
 	case IgnoresPrimary:
 		for _, n := range w.nodes {
 			state := n.state()
@@ -46,7 +46,7 @@
 			leader.leader.SetNode(state)
 		}
 	case IgnoresGroups:
-		w.reportGroupsOfTheirOwn(leader)
+		w.reportSeparateGroups(leader)
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-func (w *World) reportAwayAsBack(leader *router) {
+func (w *World) reportUnavailableAsReturned(leader *router) {
 	for _, r := range w.routers {
 		if !r.up && r.planned && w.Now-r.downAt > 2_000_000 {
 			leader.leader.HandleReport(w.Now, &rollout.Report{Member: r.name, Zone: r.zone, Incarnation: r.incarnation + 1, Version: r.nextVersion, Ready: true,
@@ -73,7 +73,7 @@
 	}
 }
 
-func (w *World) reportNothingOpen(leader *router) {
+func (w *World) reportNoOpenCommands(leader *router) {
 	_, record := leader.leader.Committed()
 	if record == nil {
 		return
@@ -90,11 +90,11 @@
 	}
 }
 
-// reportGroupsOfTheirOwn gives each node a group of its own with a primary and a replica that are well.
-func (w *World) reportGroupsOfTheirOwn(leader *router) {
+// reportSeparateGroups reports each node in a separate group with a healthy primary and replica.
+func (w *World) reportSeparateGroups(leader *router) {
 	for i, n := range w.nodes {
 		group := 1000 + i
-		leader.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: group, Primary: false, Up: n.up, CaughtUp: n.nearLogEnd})
+		leader.leader.SetNode(rollout.NodeState{Name: n.name, Zone: n.zone, Group: group, Primary: false, Up: n.up, CaughtUp: n.caughtUp})
 		leader.leader.SetNode(rollout.NodeState{Name: n.name + "+", Group: group, Primary: true, Up: true, CaughtUp: true})
 		leader.leader.SetNode(rollout.NodeState{Name: n.name + "-", Group: group, Up: true, CaughtUp: true})
 	}
--- a/internal/simulation/rolloutsim/operators.go
+++ b/internal/simulation/rolloutsim/operators.go
@@ -7,10 +7,10 @@
 	"cairntiller/internal/rollout"
 )
 
-// maxTries is how often an operator gives a command that is not accepted.
+// maxTries limits how often an operator retries a command that is not accepted.
 const maxTries = 60
 
-// sendCommand gives a command to whoever leads, each second until it is accepted, from a number of tries already made on.
+// sendCommand sends a command to the current leader every second until it is accepted. tries counts the attempts made so far.
 func (w *World) sendCommand(c rollout.Command, tries int) {
 	if c.Token == "" {
 		c.Token = w.newToken()
@@ -18,8 +18,8 @@
 	if tries > maxTries {
 		return
 	}
-	w.giveCommand(&c)
-	w.after(1_000_000, func() { // a command may be given twice: its token tells
+	w.deliverCommand(&c)
+	w.schedule(1_000_000, func() { // retries are safe: the token identifies the command
 		if w.committed == nil || !slices.Contains(w.committed.Tokens, c.Token) {
 			w.sendCommand(c, tries+1)
 		}
@@ -27,12 +27,12 @@
 }
 
 func (w *World) newToken() string {
-	w.commandsSent++
-	return fmt.Sprint("word-", w.commandsSent)
+	w.tokensIssued++
+	return fmt.Sprint("word-", w.tokensIssued)
 }
 
-// giveCommand gives a command to whoever leads, if anybody does.
-func (w *World) giveCommand(c *rollout.Command) {
+// deliverCommand delivers a command to the current leader, if there is one.
+func (w *World) deliverCommand(c *rollout.Command) {
 	r := w.leaseHolder()
 	if r == nil {
 		return
@@ -49,16 +49,16 @@
 	w.carryOut(r)
 }
 
-// recoverRecord lets an operator look after a fleet whose voters have forgotten.
+// recoverRecord periodically forces a recovery if the lease holder cannot lead because voters lost their state.
 func (w *World) recoverRecord() {
-	w.after(5_000_000, w.recoverRecord)
+	w.schedule(5_000_000, w.recoverRecord)
 	r := w.leaseHolder()
 	if r == nil || r.leader.NotLeadingReason() == "" {
 		return
 	}
 	token := w.newToken()
-	w.trace("%s is in doubt: %s", r.name, r.leader.NotLeadingReason())
-	w.recoveredByCommand = true
+	w.trace("%s cannot lead: %s", r.name, r.leader.NotLeadingReason())
+	w.recoveryForced = true
 	r.leader.HandleCommand(w.Now, &rollout.Command{Type: rollout.CommandForceRecovery, Token: token})
 	w.carryOut(r)
 }
--- a/internal/simulation/rolloutsim/routers.go
+++ b/internal/simulation/rolloutsim/routers.go
@@ -12,46 +12,46 @@
 const (
 	reportInterval    = 1_000_000 // us
 	zoneCount         = 3
-	usualFailureShare = 0.004 // of a router's commands, around which routers differ fourfold
+	usualFailureShare = 0.004 // mean share of failed commands; routers differ from it by up to a factor of two either way
 )
 
-// router is a router, its process and its supervisor.
+// router is a simulated router with its process and its supervisor.
 type router struct {
 	name, zone string
 	index      int
 	isVoter    bool
 
-	// Its process.
+	// State of its process.
 	up          bool
-	ready       bool // it takes commands
+	ready       bool // it accepts commands
 	leaving     bool
 	incarnation uint64
 	version     uint64
 	upAt        int64
 	downAt      int64
 	startupTime int64 // us
-	knownLeader int   // index of the leader that it last heard of, -1 for none
+	knownLeader int   // index of the last known leader, -1 if none
 	member      *rollout.Member
 	leader      *rollout.Leader
-	voter       *rollout.Voter // nil where it does not vote
+	voter       *rollout.Voter // nil if it is not a voter
 
-	// What it serves.
-	commandRate        float64 // a second
+	// Its load.
+	commandRate        float64 // commands per second
 	failureShare       float64
 	counts             rollout.CommandCounts
-	drainedSince       map[string]int64  // by node
-	openUntil          map[string]int64  // until when it has something open at a drained node
-	answersSinceReturn map[string]uint64 // of nodes that were returned
+	drainedSince       map[string]int64  // start of the drain, by node
+	openUntil          map[string]int64  // end of its last open command at a drained node, by node
+	answersSinceReturn map[string]uint64 // answers from a node since its return to service, by node
 
-	// Its supervisor and its disk.
-	planned            bool   // it is out by a plan, until it is ready again
-	nextVersion        uint64 // version that it is started with
-	wrongVersionStarts int    // times that it is started with the version it had instead
+	// State of its supervisor and its disk.
+	planned            bool   // taken out of service by a plan and not ready again yet
+	nextVersion        uint64 // version to start next
+	wrongVersionStarts int    // number of starts that still run the old version instead
 	durableRecord      *rollout.Record
 
-	// Its network.
-	partition  int // it reaches routers of the same one
-	mute, deaf bool
+	// State of its network.
+	partition                    int // it reaches only routers of the same partition
+	dropsOutgoing, dropsIncoming bool
 }
 
 func (w *World) addRouter(i int) {
@@ -78,7 +78,7 @@
 	return names
 }
 
-// start starts a router's process anew.
+// start starts a new process of a router.
 func (w *World) start(r *router) {
 	r.up = true
 	r.ready = false
@@ -106,25 +106,25 @@
 		r.voter = rollout.NewVoter(r.incarnation, kept)
 	}
 	incarnation := r.incarnation
-	w.after(r.startupTime, func() { w.becomeReady(r, incarnation) })
-	w.after(w.rng.Int64N(reportInterval), func() { w.serveOneSecond(r, incarnation) })
+	w.schedule(r.startupTime, func() { w.becomeReady(r, incarnation) })
+	w.schedule(w.rng.Int64N(reportInterval), func() { w.serveOneSecond(r, incarnation) })
 }
 
-// becomeReady lets a router take commands once it has heard what is drained, or has waited long enough for it.
+// becomeReady makes a router accept commands once it knows the drained nodes or has waited 4 s for them.
 func (w *World) becomeReady(r *router, incarnation uint64) {
 	if !r.up || r.incarnation != incarnation || r.ready {
 		return
 	}
 	if _, heard := r.member.Statement(); !heard && w.Now-r.upAt < 4_000_000 {
-		w.after(100_000, func() { w.becomeReady(r, incarnation) })
+		w.schedule(100_000, func() { w.becomeReady(r, incarnation) })
 		return
 	}
 	r.ready = true
 	r.planned = false
-	w.trace("%s is ready with version %d", r.name, r.version)
+	w.trace("%s is ready, running version %d", r.name, r.version)
 }
 
-// kill ends a router at once; it is started again after a while.
+// kill terminates a router immediately and restarts it after the given time (us).
 func (w *World) kill(r *router, restartAfter int64) {
 	if !r.up {
 		return
@@ -135,19 +135,19 @@
 	r.ready = false
 	r.leaving = false
 	r.downAt = w.Now
-	w.after(restartAfter, func() {
+	w.schedule(restartAfter, func() {
 		if !r.up {
 			w.start(r)
 		}
 	})
 }
 
-// serveOneSecond is a router's second: what it served, what it reports.
+// serveOneSecond simulates one second of a router: it serves commands and reports to the leader.
 func (w *World) serveOneSecond(r *router, incarnation uint64) {
 	if !r.up || r.incarnation != incarnation {
 		return
 	}
-	w.after(reportInterval, func() { w.serveOneSecond(r, incarnation) })
+	w.schedule(reportInterval, func() { w.serveOneSecond(r, incarnation) })
 	if r.ready {
 		w.serveCommands(r)
 	}
@@ -177,7 +177,7 @@
 	}
 }
 
-// report sends a router's report to the leader that it knows.
+// report sends a router's report to its last known leader.
 func (w *World) report(r *router) {
 	newest, _ := r.member.Statement()
 	report := &rollout.Report{
@@ -215,9 +215,9 @@
 	})
 }
 
-// leave lets a router leave in order, and checks that it may.
+// leave takes a router out of service gracefully, and checks that it is allowed to.
 func (w *World) leave(r *router, a rollout.LeaveService) {
-	w.trace("%s goes out by slot %d/%d for version %d", r.name, a.Slot.Term, a.Slot.Number, a.Version)
+	w.trace("%s leaves service with slot %d/%d for version %d", r.name, a.Slot.Term, a.Slot.Number, a.Version)
 	w.addToHash(hashedDeparture, r.index, a.Slot.Number)
 	w.checkSlot(r, a.Slot)
 	r.leaving = true
@@ -226,22 +226,22 @@
 	if a.Version > 0 {
 		r.nextVersion = a.Version
 	}
-	w.checkPlanned()
+	w.checkPlannedOutages()
 	incarnation := r.incarnation
-	w.after(300_000+w.rng.Int64N(700_000), func() {
+	w.schedule(300_000+w.rng.Int64N(700_000), func() {
 		if r.up && r.incarnation == incarnation {
 			w.kill(r, 300_000+w.rng.Int64N(2_000_000))
 		}
 	})
 }
 
-// drainNodes sets a router's drained nodes from now on; a drained primary hands over soon.
+// drainNodes sets the nodes that a router drains. A drained primary is switched over shortly after.
 func (w *World) drainNodes(r *router, names []string) {
 	for name := range r.drainedSince {
 		if !slices.Contains(names, name) {
 			delete(r.drainedSince, name)
 			r.answersSinceReturn[name] = 0
-			w.after(60_000_000, func() { delete(r.answersSinceReturn, name) })
+			w.schedule(60_000_000, func() { delete(r.answersSinceReturn, name) })
 		}
 	}
 	for _, name := range names {
@@ -252,9 +252,9 @@
 		r.drainedSince[name] = w.Now
 		r.openUntil[name] = w.Now + w.rng.Int64N(1_500_000)
 		n := w.nodeByName[name]
-		if n.primary && !n.keepsPrimary && !n.handingOver {
-			n.handingOver = true
-			w.after(300_000+w.rng.Int64N(600_000), func() { w.handOver(n) })
+		if n.primary && !n.refusesSwitchover && !n.switchingOver {
+			n.switchingOver = true
+			w.schedule(300_000+w.rng.Int64N(600_000), func() { w.switchOver(n) })
 		}
 	}
 }
--- a/internal/simulation/rolloutsim/setup.go
+++ b/internal/simulation/rolloutsim/setup.go
@@ -8,37 +8,37 @@
 	"cairntiller/internal/rollout"
 )
 
-// Setup is what a run is made of.
+// Setup holds the parameters of a run.
 type Setup struct {
 	Seed              uint64
 	Routers           int
-	Voters            int  // of the routers, the first ones
-	Groups            int  // of three nodes each
-	DurableVoters     bool // a voter that restarts remembers its record
-	Faults            bool
-	ExtraFailureShare float64 // share of commands that the new version fails, beside the usual
+	Voters            int     // the first routers are the voters
+	Groups            int     // number of groups, of nodesPerGroup nodes each
+	DurableVoters     bool    // voters keep their record across restarts
+	Faults            bool    // inject random faults
+	ExtraFailureShare float64 // additional share of failed commands of the new version
 	Plans             []rollout.Plan
-	FaultTime         int64 // us of faults; then all is mended
-	QuietTime         int64 // us to play after it
+	FaultTime         int64 // duration of the phase with faults, us
+	QuietTime         int64 // duration of the phase after all faults ended, us
 	Planted           Mistake
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
-	Hash            uint64 // over kills, leaders, departures and plans' states
+	Hash            uint64 // over kills, leader changes, departures and plan states
 	Events          int64
 	Messages        int64
 	Leaders         int
-	MaxUnavailable  int     // routers out by plans at once
-	PlanDurations   []int64 // us that each ended plan took
-	HaltsByEvidence int
+	MaxUnavailable  int     // most routers out of service by plans at the same time
+	PlanDurations   []int64 // duration of each ended plan, us
+	HaltsByEvidence int     // plans halted or rolled back on evidence of more failures
 }
 
-// MeanTimeOut is how long a router is out at the mean, from its slot to its proof: what it still serves, its stop, its
-// supervisor's pause, its start, a second's report, and twenty commands.
+// MeanTimeOut is the mean time between the grant of a router's slot and the proof that it is back. It covers finishing open
+// commands, the stop, the supervisor's delay, the start, the wait for the next report (1 s), and serving twenty commands.
 const MeanTimeOut = 7 * time.Second
 
-// MixedFaults draws a setup of mixed faults from a seed.
+// MixedFaults returns a random setup with mixed faults for a seed.
 func MixedFaults(seed uint64) Setup {
 	rng := rand.New(rand.NewPCG(seed, 10))
 	s := Setup{
@@ -59,8 +59,8 @@
 		routers = append(routers, routerName(i))
 	}
 	for group := range s.Groups {
-		for place := range nodesPerGroup {
-			nodes = append(nodes, nodeName(group, place))
+		for indexInGroup := range nodesPerGroup {
+			nodes = append(nodes, nodeName(group, indexInGroup))
 		}
 	}
 	rng.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
@@ -96,7 +96,8 @@
 	return s
 }
 
-// VersionRollout draws a setup without faults in which a new version goes round that fails so many more of its commands.
+// VersionRollout returns a random setup without faults that rolls out a new version, which fails an additional share of its
+// commands.
 func VersionRollout(seed uint64, extraFailureShare float64) Setup {
 	s := MixedFaults(seed)
 	s.Faults = false
@@ -117,4 +118,4 @@
 
 func routerName(i int) string { return fmt.Sprintf("r%04d", i) }
 
-func nodeName(group, place int) string { return fmt.Sprintf("s-%d%c", group, 'a'+place) }
+func nodeName(group, indexInGroup int) string { return fmt.Sprintf("s-%d%c", group, 'a'+indexInGroup) }
--- a/internal/simulation/rolloutsim/world.go
+++ b/internal/simulation/rolloutsim/world.go
@@ -11,13 +11,13 @@
 	"cairntiller/internal/simulation/eventqueue"
 )
 
-// World is one run.
+// World is a single run: the simulated fleet and its state.
 type World struct {
 	Setup
 	Now       int64                                 // us
-	Violation string                                // the first rule that was broken, "" for none; the run ends with it
-	Trace     func(at int64, what string)           // is told what happens; nil for nobody
-	observe   func(router string, a rollout.Action) // is told of each action before it is carried out; nil for nobody
+	Violation string                                // the first rule violation, "" if none; it ends the run
+	Trace     func(at int64, what string)           // called with a description of each event; may be nil
+	observe   func(router string, a rollout.Action) // called with each action before it is carried out; may be nil
 
 	rng    *rand.Rand
 	events eventqueue.Queue[func()]
@@ -30,27 +30,27 @@
 	nodeByName  map[string]*node
 
 	// Faults.
-	loss        float64 // share of messages
-	duplication float64 // share of messages
-	faultsOver  bool
+	lossRate      float64 // probability that a message is lost
+	duplicateRate float64 // probability that a message is delivered twice
+	faultsOver    bool
 
 	// The lease, see leaders.go.
-	holder            int // index of the router that holds it, -1 for none
+	holder            int // index of the router that holds it, -1 if none
 	holderIncarnation uint64
 	leaseUntil        int64
 	term              uint64
 
-	// What the checks know.
-	committed          *rollout.Record // the newest that a leader knows to be kept by a majority of voters
-	planStartedAt      map[string]int64
-	grantedSlots       map[string]rollout.Slot // the newest, by router
-	haltsCounted       map[string]bool         // plans whose halt by evidence was counted
-	recoveredByCommand bool                    // an operator's command let the leader begin from what was left
+	// State of the checks.
+	committed      *rollout.Record // the newest record that a leader knows to be stored by a majority of voters
+	planStartedAt  map[string]int64
+	grantedSlots   map[string]rollout.Slot // the newest slot of each router
+	haltsCounted   map[string]bool         // plans counted in HaltsByEvidence
+	recoveryForced bool                    // an operator command made the leader start from the remaining state
 
-	commandsSent int
+	tokensIssued int
 }
 
-// New makes a run; plans start one after another in its first third.
+// New creates a run. The plans start one after another, a quarter of the fault time apart.
 func New(s Setup) *World {
 	w := &World{
 		Setup:         s,
@@ -67,24 +67,24 @@
 		w.addRouter(i)
 	}
 	for group := range s.Groups {
-		for place := range nodesPerGroup {
-			w.addNode(group, place)
+		for indexInGroup := range nodesPerGroup {
+			w.addNode(group, indexInGroup)
 		}
 	}
-	w.after(0, w.renewLease)
+	w.schedule(0, w.renewLease)
 	for i, plan := range s.Plans {
 		start := 8_000_000 + int64(i)*s.FaultTime/4
-		w.after(start, func() { w.sendCommand(rollout.Command{Type: rollout.CommandStart, Plan: plan}, 0) })
+		w.schedule(start, func() { w.sendCommand(rollout.Command{Type: rollout.CommandStart, Plan: plan}, 0) })
 	}
 	if s.Faults {
-		w.loss = w.rng.Float64() * 0.15
-		w.duplication = w.rng.Float64() * 0.2
-		w.after(w.rng.Int64N(5_000_000), w.injectFault)
+		w.lossRate = w.rng.Float64() * 0.15
+		w.duplicateRate = w.rng.Float64() * 0.2
+		w.schedule(w.rng.Int64N(5_000_000), w.injectFault)
 	}
 	return w
 }
 
-// Run plays the whole run.
+// Run processes all events of the run and returns its measurements.
 func (w *World) Run() Result {
 	end := w.FaultTime + w.QuietTime
 	for w.Violation == "" {
@@ -107,9 +107,9 @@
 	return w.result
 }
 
-func (w *World) after(d int64, event func()) { w.events.Push(w.Now+d, event) }
+func (w *World) schedule(d int64, event func()) { w.events.Push(w.Now+d, event) }
 
-// What goes into a run's hash.
+// Event types in the hash of a run.
 const (
 	hashedKill = iota + 1
 	hashedLeader
@@ -132,10 +132,10 @@
 	}
 }
 
-// violated notes that a rule is broken.
-func (w *World) violated(format string, args ...any) {
+// reportViolation records a rule violation. Only the first one is kept.
+func (w *World) reportViolation(format string, args ...any) {
 	if w.Violation == "" {
 		w.Violation = fmt.Sprintf("%.3f s: ", float64(w.Now)/1e6) + fmt.Sprintf(format, args...)
-		w.trace("BROKEN %s", w.Violation)
+		w.trace("RULE VIOLATED %s", w.Violation)
 	}
 }
