--- a/internal/simulation/assignmentsim/cluster.go
+++ b/internal/simulation/assignmentsim/cluster.go
@@ -9,62 +9,62 @@
 	"cairntiller/internal/assignment"
 )
 
-// Step is the simulated time (us) between ticks.
+// Step is the simulated time between ticks, in us.
 const Step = 100_000
 
-// What the membership library needs with the timing that internal/membership gives it, in us.
+// Detection times of the membership library with the settings of internal/membership, in us.
 const (
-	detectionMin  = 1_500_000 // least time until an instance finds out that another can't be reached
-	detectionSpan = 2_000_000 // how much longer it may take
-	joinSpan      = 600_000   // longest time until it finds out that another can be reached
+	minDetectionTime      = 1_500_000 // minimum time until an instance detects that another is unreachable
+	maxExtraDetectionTime = 2_000_000 // maximum additional time
+	maxJoinTime           = 600_000   // maximum time until an instance detects that another is reachable
 )
 
-// broadcastSteps is how many steps pass between an instance's broadcasts; the instances take turns.
+// broadcastSteps is the number of steps between broadcasts of an instance. Instances are staggered over these steps.
 const broadcastSteps = 5
 
-// instancesAtOnce is how many instances one goroutine takes at a time.
-const instancesAtOnce = 8
+// chunkSize is the number of instances that a goroutine takes at a time.
+const chunkSize = 8
 
-// Cluster is the simulated instances and nodes.
+// Cluster holds the simulated instances and nodes.
 type Cluster struct {
-	Now         int64   // us since the start
-	Loss        float64 // probability that a batch of updates is lost on its way to one instance
-	Duplication float64 // probability that it arrives twice
-	MaxDelay    int64   // us that it may take at most
+	Now         int64   // simulated time since the start, us
+	Loss        float64 // probability that a batch of updates to one instance is lost
+	Duplication float64 // probability that such a batch arrives twice
+	MaxDelay    int64   // maximum delay of a batch, us
 
-	// OnProbe, if set, is called at each probe.
+	// OnProbe, if set, is called for each probe.
 	OnProbe func(at int64, instance, node int)
-	// MessageSize, if set, gives the bytes that a broadcast takes.
+	// MessageSize, if set, returns the size of a broadcast in bytes.
 	MessageSize func(origin string, updates []assignment.Update) int
 
-	// Measured since the start or the last ResetMeasurements.
-	PeakProbes  int32 // most probes of one node in one second
+	// Measurements since the start or the last ResetMeasurements.
+	PeakProbes  int32 // maximum number of probes of one node in one second
 	TotalProbes int64
 	UpdatesSent int64
 	Broadcasts  int64
-	BytesSent   int64 // of all broadcasts, by MessageSize
+	BytesSent   int64 // total size of all broadcasts, by MessageSize
 
-	taskConfig assignment.Config // of every instance, but for name and incarnation
+	taskConfig assignment.Config // of every instance, except for name and incarnation
 	instances  []*instance
 	nodes      []*node
 	nodeByKey  map[string]int
-	noRoute    map[[2]int]bool // ordered pairs of instances: what the first sends does not reach the second
-	noNode     map[[2]int]bool // instance and node: its probes do not get there
+	cutLinks   map[[2]int]bool // cut links, by sending and receiving instance
+	cutProbes  map[[2]int]bool // cut links for probes, by instance and node
 	random     *rand.Rand
 }
 
-// node is a simulated node, which is probed.
+// node is a simulated node, the target of probes.
 type node struct {
-	key         string // of its task
-	dead        bool   // it answers nobody
-	started     int64  // which process it is
-	lastProbe   int64
-	longestGap  int64 // longest time that it went unprobed
-	probes      int64
-	probesInSec int32 // in the second under way
+	key              string // key of its task
+	dead             bool   // it does not answer probes
+	started          int64  // start time of its process, which identifies the process
+	lastProbe        int64  // time of the last probe, us
+	longestUnprobed  int64  // longest time without a probe, us
+	probes           int64
+	probesThisSecond int32 // probes in the current second
 }
 
-// New makes instances and nodes, and starts all instances at once. interval is in us; maxRunRate and claimRate are as in
+// New creates a cluster and starts all instances at the same time. interval is in us. maxRunRate and claimRate are as in
 // assignment.Config.
 func New(seed uint64, instances, nodes int, interval int64, maxRunRate, claimRate float64) *Cluster {
 	c := &Cluster{
@@ -72,8 +72,8 @@
 		taskConfig: assignment.Config{Weight: 1, Interval: interval, Instances: instances, MaxRunRate: maxRunRate,
 			ClaimRate: claimRate},
 		nodeByKey: map[string]int{},
-		noRoute:   map[[2]int]bool{},
-		noNode:    map[[2]int]bool{},
+		cutLinks:  map[[2]int]bool{},
+		cutProbes: map[[2]int]bool{},
 		random:    rand.New(rand.NewPCG(seed, 0)),
 	}
 	for i := range nodes {
@@ -93,29 +93,29 @@
 	return c
 }
 
-// Run lets simulated time (us) pass.
+// Run advances the simulation by the given time (us).
 func (c *Cluster) Run(span int64) {
 	for end := c.Now + span; c.Now < end; c.Now += Step {
 		c.step()
 	}
 }
 
-// step lets every instance find out who can be reached, tick and read, and then carries what they run and broadcast, in
-// the order of the instances.
+// step simulates one step. Every instance updates its view of the others, ticks, and reads its inbox. Then due probes and
+// broadcasts are executed in the order of the instances.
 func (c *Cluster) step() {
 	step := c.Now / Step
 	c.updateViews()
-	c.turns(step)
+	c.runInstances(step)
 	if c.Now%1_000_000 == 0 {
 		for _, n := range c.nodes {
-			n.probesInSec = 0
+			n.probesThisSecond = 0
 		}
 	}
 	for i, in := range c.instances {
 		if !in.running() {
 			continue
 		}
-		if !in.muted {
+		if !in.tasksSuspended {
 			for _, run := range in.due {
 				c.probe(i, in, run)
 			}
@@ -125,27 +125,28 @@
 		}
 	}
 	for _, n := range c.nodes {
-		n.longestGap = max(n.longestGap, c.Now-n.lastProbe)
+		n.longestUnprobed = max(n.longestUnprobed, c.Now-n.lastProbe)
 	}
 }
 
-// turns gives each instance its turn of a step, several at once: a turn touches nothing of the others.
-func (c *Cluster) turns(step int64) {
+// runInstances runs the step of each instance, in parallel. This is safe because the step of an instance does not access
+// the state of other instances.
+func (c *Cluster) runInstances(step int64) {
 	var workers sync.WaitGroup
-	var lock sync.Mutex
+	var mu sync.Mutex
 	next := 0
-	take := func() []*instance {
-		lock.Lock()
-		defer lock.Unlock()
+	nextChunk := func() []*instance {
+		mu.Lock()
+		defer mu.Unlock()
 		from := min(next, len(c.instances))
-		next += instancesAtOnce
+		next += chunkSize
 		return c.instances[from:min(next, len(c.instances))]
 	}
 	for range min(runtime.GOMAXPROCS(0), len(c.instances)) {
 		workers.Go(func() {
-			for some := take(); len(some) > 0; some = take() {
-				for _, in := range some {
-					in.turn(c, step)
+			for chunk := nextChunk(); len(chunk) > 0; chunk = nextChunk() {
+				for _, in := range chunk {
+					in.runStep(c, step)
 				}
 			}
 		})
@@ -153,27 +154,27 @@
 	workers.Wait()
 }
 
-// probe lets an instance probe a node, and hands it the answer.
+// probe executes an instance's probe of a node and records the result in its table.
 func (c *Cluster) probe(i int, in *instance, run assignment.DueRun) {
 	index := c.nodeByKey[run.Key]
 	n := c.nodes[index]
 	n.lastProbe = c.Now
 	n.probes++
-	n.probesInSec++
+	n.probesThisSecond++
 	c.TotalProbes++
-	c.PeakProbes = max(c.PeakProbes, n.probesInSec)
+	c.PeakProbes = max(c.PeakProbes, n.probesThisSecond)
 	if c.OnProbe != nil {
 		c.OnProbe(c.Now, i, index)
 	}
 	update := assignment.Update{Key: run.Key, Position: c.Now + 1}
-	if n.dead || c.noNode[[2]int{i, index}] {
+	if n.dead || c.cutProbes[[2]int{i, index}] {
 		update.Unresponsive = true
 		update.Position = 0
 	}
 	in.unsent = append(in.unsent, in.table.RecordRun(in.clock(c), update, run.SecondOpinion))
 }
 
-// broadcast sends what an instance learned to all that it can reach; ages grow on the way.
+// broadcast sends the unsent updates of an instance to all instances that it reaches. Receivers add the delay to their ages.
 func (c *Cluster) broadcast(from int, in *instance) {
 	c.Broadcasts++
 	c.UpdatesSent += int64(len(in.unsent))
@@ -192,7 +193,7 @@
 	in.unsent = nil
 }
 
-// chance is 1 with a probability, otherwise 0.
+// chance returns 1 with the given probability, otherwise 0.
 func (c *Cluster) chance(probability float64) int {
 	if probability > 0 && c.random.Float64() < probability {
 		return 1
@@ -200,27 +201,27 @@
 	return 0
 }
 
-// reaches reports whether what one instance sends reaches another, straight or over a third one.
+// reaches reports whether messages of one instance reach another, either directly or through a third one.
 func (c *Cluster) reaches(from, to int) bool {
 	sender, receiver := c.instances[from], c.instances[to]
-	if !sender.up || !receiver.up || sender.paused || sender.side != receiver.side {
+	if !sender.up || !receiver.up || sender.paused || sender.partition != receiver.partition {
 		return false
 	}
-	if !c.noRoute[[2]int{from, to}] {
+	if !c.cutLinks[[2]int{from, to}] {
 		return true
 	}
 	for via, third := range c.instances {
-		if via == from || via == to || !third.running() || third.side != sender.side {
+		if via == from || via == to || !third.running() || third.partition != sender.partition {
 			continue
 		}
-		if !c.noRoute[[2]int{from, via}] && !c.noRoute[[2]int{via, to}] {
+		if !c.cutLinks[[2]int{from, via}] && !c.cutLinks[[2]int{via, to}] {
 			return true
 		}
 	}
 	return false
 }
 
-// updateViews lets each instance find out, each in its own time, which others can be reached.
+// updateViews updates each instance's view of which others are reachable, each with its own detection delay.
 func (c *Cluster) updateViews() {
 	for i, in := range c.instances {
 		if !in.running() {
--- a/internal/simulation/assignmentsim/faults.go
+++ b/internal/simulation/assignmentsim/faults.go
@@ -2,13 +2,13 @@
 
 import "cairntiller/internal/assignment"
 
-// Start starts an instance, or starts it again under its name, knowing nothing.
+// Start starts or restarts an instance without any state.
 func (c *Cluster) Start(i int) {
 	in := c.instances[i]
 	in.incarnation++
 	in.up = true
 	in.paused = false
-	in.stateTaken = false
+	in.stateLoaded = false
 	in.unread = nil
 	in.unsent = nil
 	clear(in.inbox)
@@ -22,23 +22,23 @@
 	}
 }
 
-// Kill ends an instance at once.
+// Kill terminates an instance immediately.
 func (c *Cluster) Kill(i int) { c.instances[i].up = false }
 
-// Pause holds an instance still, as SIGSTOP does.
+// Pause suspends an instance, as SIGSTOP does.
 func (c *Cluster) Pause(i int) { c.instances[i].paused = true }
 
-// Resume lets a paused instance go on, and read what came meanwhile.
+// Resume resumes a paused instance, which then reads the updates that arrived meanwhile.
 func (c *Cluster) Resume(i int) { c.instances[i].paused = false }
 
-// SetSide puts an instance on one side of a parted network: only those of one side reach each other.
-func (c *Cluster) SetSide(i, side int) { c.instances[i].side = side }
+// SetSide assigns an instance to a network partition. Only instances of the same partition reach each other.
+func (c *Cluster) SetSide(i, partition int) { c.instances[i].partition = partition }
 
-// CutOneWay cuts what goes from one instance to another, or mends it.
-func (c *Cluster) CutOneWay(from, to int, cut bool) { setFault(c.noRoute, [2]int{from, to}, cut) }
+// CutOneWay cuts or restores the link from one instance to another.
+func (c *Cluster) CutOneWay(from, to int, cut bool) { setFault(c.cutLinks, [2]int{from, to}, cut) }
 
-// CutFromNode cuts an instance from one node, or mends it.
-func (c *Cluster) CutFromNode(i, node int, cut bool) { setFault(c.noNode, [2]int{i, node}, cut) }
+// CutFromNode cuts or restores the link from an instance to a node.
+func (c *Cluster) CutFromNode(i, node int, cut bool) { setFault(c.cutProbes, [2]int{i, node}, cut) }
 
 func setFault(faults map[[2]int]bool, pair [2]int, on bool) {
 	delete(faults, pair)
@@ -47,19 +47,19 @@
 	}
 }
 
-// Mute makes an instance run nothing while its heartbeats go on, or run again.
-func (c *Cluster) Mute(i int, on bool) { c.instances[i].muted = on }
+// Mute makes an instance stop running its tasks while its heartbeats continue, or resume running them.
+func (c *Cluster) Mute(i int, on bool) { c.instances[i].tasksSuspended = on }
 
-// SetClock starts an instance again with its clock off the simulated time, by us.
+// SetClock restarts an instance with its clock offset from the simulated time, in us.
 func (c *Cluster) SetClock(i int, offset int64) {
 	c.instances[i].clockOffset = offset
 	c.Start(i)
 }
 
-// SetNodeDead makes a node answer nobody, or answer again.
+// SetNodeDead makes a node stop or resume answering probes.
 func (c *Cluster) SetNodeDead(node int, dead bool) { c.nodes[node].dead = dead }
 
-// ReplaceNode puts another process behind a node's name; the endpoint list tells every instance.
+// ReplaceNode replaces the process of a node. Every running instance learns of it immediately, as from the endpoint list.
 func (c *Cluster) ReplaceNode(node int) {
 	replaced := c.nodes[node]
 	replaced.started = c.Now + 1
--- a/internal/simulation/assignmentsim/instance.go
+++ b/internal/simulation/assignmentsim/instance.go
@@ -8,58 +8,58 @@
 	"cairntiller/internal/assignment"
 )
 
-// instance is one simulated instance.
+// instance is a simulated instance.
 type instance struct {
-	name        string
-	table       *assignment.Table
-	incarnation uint64
-	clockOffset int64 // us that its clock is ahead of the simulated time
-	up          bool
-	paused      bool // as by SIGSTOP
-	muted       bool // it runs nothing though its heartbeats go on
-	side        int  // instances of different sides can't reach each other
-	stateTaken  bool // it has been handed the state of the first member that it joined
+	name           string
+	table          *assignment.Table
+	incarnation    uint64
+	clockOffset    int64 // offset of its clock from the simulated time, us
+	up             bool
+	paused         bool // suspended, as by SIGSTOP
+	tasksSuspended bool // it runs no tasks, but its heartbeats continue
+	partition      int  // instances in different partitions cannot reach each other
+	stateLoaded    bool // it has loaded the state of the first member that it joined
 
-	views  []view              // of the other instances
-	inbox  map[int64][]batch   // by the step in which it is read
-	unread []batch             // what came while it was paused
-	unsent []assignment.Update // learned since its last broadcast
-	due    []assignment.DueRun // what Table.Tick returned last
-	random *rand.Rand
-	spent  time.Duration // wall time in its table
+	views     []view              // its view of each instance, by index
+	inbox     map[int64][]batch   // received updates, by the step in which they are read
+	unread    []batch             // updates that arrived while it was paused
+	unsent    []assignment.Update // updates since its last broadcast
+	due       []assignment.DueRun // last result of Table.Tick
+	random    *rand.Rand
+	tableTime time.Duration // wall time spent in its table
 }
 
-// view is what an instance believes of another, and what it will find out.
+// view is an instance's view of another, and the actual reachability that it has yet to detect.
 type view struct {
-	alive       bool
+	alive       bool // as the instance sees it
 	incarnation uint64
-	reachable   bool
-	knownAt     int64 // when it finds out that reachable has changed
+	reachable   bool  // actual reachability
+	detectedAt  int64 // when the instance detects the last change of reachable
 }
 
-// batch is updates that were sent together; all receivers share them.
+// batch is a set of updates sent in one broadcast. All receivers share the slice.
 type batch struct {
 	updates []assignment.Update
 	sentAt  int64
 }
 
-// running reports whether an instance is up and not paused.
+// running reports whether the instance is up and not paused.
 func (in *instance) running() bool { return in.up && !in.paused }
 
-// clock is an instance's own time.
+// clock returns the time by the instance's own clock.
 func (in *instance) clock(c *Cluster) int64 { return c.Now + in.clockOffset + 1 }
 
-// updateView lets an instance find out whether another, at an index, can be reached.
+// updateView updates the instance's view of another one, given its index and whether it is reachable.
 func (in *instance) updateView(c *Cluster, index int, other *instance, reachable bool) {
 	v := &in.views[index]
 	if reachable != v.reachable {
 		v.reachable = reachable
-		v.knownAt = c.Now + in.random.Int64N(joinSpan)
+		v.detectedAt = c.Now + in.random.Int64N(maxJoinTime)
 		if !reachable {
-			v.knownAt = c.Now + detectionMin + in.random.Int64N(detectionSpan)
+			v.detectedAt = c.Now + minDetectionTime + in.random.Int64N(maxExtraDetectionTime)
 		}
 	}
-	if c.Now < v.knownAt {
+	if c.Now < v.detectedAt {
 		return
 	}
 	now := in.clock(c)
@@ -69,8 +69,8 @@
 		v.alive = true
 		v.incarnation = other.incarnation
 		in.table.MemberUp(now, other.name, 1, other.incarnation)
-		if joined && !in.stateTaken {
-			in.takeState(c, now, other)
+		if joined && !in.stateLoaded {
+			in.loadState(c, now, other)
 		}
 	case !reachable && v.alive:
 		v.alive = false
@@ -78,16 +78,16 @@
 	}
 }
 
-// takeState takes what the first member that an instance joins hands to it.
-func (in *instance) takeState(c *Cluster, now int64, other *instance) {
-	in.stateTaken = true
+// loadState loads the state of the first member that the instance joins.
+func (in *instance) loadState(c *Cluster, now int64, other *instance) {
+	in.stateLoaded = true
 	if times := other.table.Rejoins(in.name); times > 0 {
 		in.table.HandleRejoin(now, times)
 	}
 	in.receive(c, batch{updates: other.newestUpdates(c), sentAt: c.Now})
 }
 
-// newestUpdates is what an instance hands to one that joins.
+// newestUpdates returns the state that the instance hands to a joining one.
 func (in *instance) newestUpdates(c *Cluster) []assignment.Update {
 	var updates []assignment.Update
 	for _, n := range c.nodes {
@@ -107,21 +107,21 @@
 	return updates
 }
 
-// turn is one step of one instance.
-func (in *instance) turn(c *Cluster, step int64) {
+// runStep runs one step of the instance.
+func (in *instance) runStep(c *Cluster, step int64) {
 	switch {
 	case !in.up:
 	case in.paused:
-		in.keepUnread(c, step)
+		in.bufferUnread(c, step)
 	default:
 		in.tick(c, step)
 	}
 }
 
-// keepUnread keeps what comes while an instance is paused, as its socket does.
-func (in *instance) keepUnread(c *Cluster, step int64) {
+// bufferUnread buffers the updates that arrive while the instance is paused, as a socket does.
+func (in *instance) bufferUnread(c *Cluster, step int64) {
 	for _, b := range in.inbox[step] {
-		kept := batch{updates: slices.Clone(b.updates), sentAt: b.sentAt} // the other receivers read the same updates
+		kept := batch{updates: slices.Clone(b.updates), sentAt: b.sentAt} // the other receivers share the slice
 		for i := range kept.updates {
 			kept.updates[i].Age += c.Now - b.sentAt
 		}
@@ -130,11 +130,11 @@
 	delete(in.inbox, step)
 }
 
-// tick lets an instance read what lay unread, tick, and read what comes in a step.
+// tick reads the buffered updates, ticks the table, and reads the updates of the current step.
 func (in *instance) tick(c *Cluster, step int64) {
 	began := time.Now()
 	now := in.clock(c)
-	for _, b := range in.unread { // it looks as old as when it came
+	for _, b := range in.unread { // the time in the buffer does not count towards their age
 		for _, update := range b.updates {
 			in.table.HandleUpdate(now, update)
 		}
@@ -145,7 +145,7 @@
 		in.receive(c, b)
 	}
 	delete(in.inbox, step)
-	in.spent += time.Since(began)
+	in.tableTime += time.Since(began)
 }
 
 func (in *instance) receive(c *Cluster, b batch) {
--- a/internal/simulation/assignmentsim/trace_test.go
+++ b/internal/simulation/assignmentsim/trace_test.go
@@ -11,7 +11,7 @@
 	"cairntiller/internal/assignment"
 )
 
-// trace hashes everything that a simulation does, in its order.
+// trace is a hash over everything that a simulation does, in order.
 type trace struct{ sum hash.Hash64 }
 
 func (t trace) text(s string) {
@@ -41,20 +41,20 @@
 	t.text(u.LoadReport)
 }
 
-// play runs one seed through every kind of fault that the simulation has, and hashes in each step what every instance
-// runs and sends, and once a second what each believes of every node.
-func play(seed uint64, instances, nodes int) uint64 {
+// runTrace runs one seed through every type of fault of the simulation. It hashes what every instance runs and sends in each
+// step, and the state of its table once a second.
+func runTrace(seed uint64, instances, nodes int) uint64 {
 	t := trace{fnv.New64a()}
 	c := New(seed, instances, nodes, 1_000_000, 4, 50)
-	c.MessageSize = func(origin string, words []assignment.Update) int {
+	c.MessageSize = func(origin string, updates []assignment.Update) int {
 		t.text(origin)
-		for _, one := range words {
-			t.update(one)
+		for _, update := range updates {
+			t.update(update)
 		}
-		return len(words)
+		return len(updates)
 	}
 	c.OnProbe = func(at int64, instance, node int) { t.number(at, int64(instance), int64(node)) }
-	pass := func(span int64) {
+	advance := func(span int64) {
 		for end := c.Now + span; c.Now < end; {
 			c.Run(Step)
 			for _, in := range c.instances {
@@ -62,48 +62,48 @@
 					t.text(r.Key)
 					t.flag(r.SecondOpinion)
 				}
-				for _, one := range in.unsent {
-					t.update(one)
+				for _, update := range in.unsent {
+					t.update(update)
 				}
 			}
 			if c.Now%1_000_000 == 0 {
-				t.beliefs(c)
+				t.tables(c)
 			}
 		}
 	}
 	at := func(n int) int { return (int(seed) + n) % instances }
-	pass(8_000_000)
+	advance(8_000_000)
 	c.Loss, c.Duplication, c.MaxDelay = 0.1, 0.2, 900_000
 	c.Kill(at(0))
-	pass(4_000_000)
+	advance(4_000_000)
 	c.Start(at(0))
 	if seed%2 == 1 {
 		c.Pause(at(1))
 	}
-	pass(6_000_000)
+	advance(6_000_000)
 	c.Resume(at(1))
 	c.SetSide(at(2), 1)
-	pass(8_000_000)
+	advance(8_000_000)
 	c.SetSide(at(2), 0)
 	c.CutOneWay(at(0), at(1), true)
 	c.Mute(at(3), true)
 	c.SetNodeDead(int(seed)%nodes, true)
 	c.CutFromNode(at(1), int(seed+1)%nodes, true)
-	pass(8_000_000)
+	advance(8_000_000)
 	c.CutOneWay(at(0), at(1), false)
 	c.Mute(at(3), false)
 	c.SetNodeDead(int(seed)%nodes, false)
 	c.CutFromNode(at(1), int(seed+1)%nodes, false)
 	c.ReplaceNode(int(seed+2) % nodes)
 	c.SetClock(at(4), 3600_000_000)
-	pass(8_000_000)
+	advance(8_000_000)
 	longest, node := c.LongestUnprobed()
 	t.number(longest, int64(node), c.TotalProbes, c.UpdatesSent, c.Broadcasts, c.BytesSent, int64(c.PeakProbes))
 	return t.sum.Sum64()
 }
 
-// beliefs hashes what each instance's table says of itself, of the others and of every node.
-func (t trace) beliefs(c *Cluster) {
+// tables hashes what each instance's table reports about itself, the other instances and every node.
+func (t trace) tables(c *Cluster) {
 	for i, in := range c.instances {
 		now := c.InstanceTime(i)
 		stats := in.table.Stats(now)
@@ -124,7 +124,8 @@
 	}
 }
 
-// recorded are the hashes since an instance's own stalls no longer count against others, by instances, nodes and seed.
+// recorded holds the expected hashes, by instances, nodes and seed. They were recorded after the change by which an instance's
+// own stalls no longer count against others.
 var recorded = map[string]uint64{
 	"3 instances, 10 nodes, seed 0":   0x2593ae512f425f2f,
 	"3 instances, 10 nodes, seed 1":   0xde3d60ea35958c47,
@@ -168,16 +169,17 @@
 	"80 instances, 200 nodes, seed 7": 0x822047813db44ebf,
 }
 
-// TestTraceIsAsRecorded guards changes that must not alter a decision: one that runs another task, says another thing or
-// believes another owner in any step of these runs shows as another hash. A change of a rule on purpose records anew.
+// TestTraceIsAsRecorded detects changes that alter a decision unintentionally. Running another task or sending another
+// update in any step, or having another owner in a table, changes the hash. An intended change of a rule must record the
+// hashes again.
 func TestTraceIsAsRecorded(t *testing.T) {
 	for _, size := range [][2]int{{3, 10}, {5, 30}, {12, 40}, {30, 25}, {80, 200}} {
 		for seed := range uint64(8) {
 			name := fmt.Sprintf("%d instances, %d nodes, seed %d", size[0], size[1], seed)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				if got := play(seed, size[0], size[1]); got != recorded[name] {
-					t.Errorf("%#x, want %#x", got, recorded[name])
+				if got := runTrace(seed, size[0], size[1]); got != recorded[name] {
+					t.Errorf("trace hash %#x, want %#x", got, recorded[name])
 				}
 			})
 		}
