--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -94,7 +94,7 @@
 func TestPartitionAndHeal(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
-		c.SetSide(int(seed)%3, 1)
+		c.SetPartition(int(seed)%3, 1)
 		c.Run(20 * second)
 		expectProbedWithin(t, c, 5*second)
 		two := 0
@@ -109,7 +109,7 @@
 		if c.PeakProbes > 4 {
 			t.Errorf("seed %d: %d probes of one node in one second, want at most 4", seed, c.PeakProbes)
 		}
-		c.SetSide(int(seed)%3, 0)
+		c.SetPartition(int(seed)%3, 0)
 		c.Run(5 * second)
 		c.ResetMeasurements()
 		c.Run(20 * second)
--- a/internal/simulation/assignmentsim/faults.go
+++ b/internal/simulation/assignmentsim/faults.go
@@ -31,8 +31,8 @@
 // Resume resumes a paused instance, which then reads the updates that arrived meanwhile.
 func (c *Cluster) Resume(i int) { c.instances[i].paused = false }
 
-// SetSide assigns an instance to a network partition. Only instances of the same partition reach each other.
-func (c *Cluster) SetSide(i, partition int) { c.instances[i].partition = partition }
+// SetPartition assigns an instance to a network partition. Only instances of the same partition reach each other.
+func (c *Cluster) SetPartition(i, partition int) { c.instances[i].partition = partition }
 
 // CutOneWay cuts or restores the link from one instance to another.
 func (c *Cluster) CutOneWay(from, to int, cut bool) { setFault(c.cutLinks, [2]int{from, to}, cut) }
--- a/internal/simulation/assignmentsim/trace_test.go
+++ b/internal/simulation/assignmentsim/trace_test.go
@@ -82,9 +82,9 @@
 	}
 	advance(6_000_000)
 	c.Resume(at(1))
-	c.SetSide(at(2), 1)
+	c.SetPartition(at(2), 1)
 	advance(8_000_000)
-	c.SetSide(at(2), 0)
+	c.SetPartition(at(2), 0)
 	c.CutOneWay(at(0), at(1), true)
 	c.Mute(at(3), true)
 	c.SetNodeDead(int(seed)%nodes, true)
