--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -182,10 +182,10 @@
 func TestAliveOwnerWithoutUpdates(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
-		c.Mute(1, true)
+		c.SuspendTasks(1, true)
 		c.Run(30 * second)
 		expectProbedWithin(t, c, 4*second)
-		c.Mute(1, false)
+		c.SuspendTasks(1, false)
 		c.Run(60 * second)
 		c.ResetMeasurements()
 		c.Run(10 * second)
--- a/internal/simulation/assignmentsim/faults.go
+++ b/internal/simulation/assignmentsim/faults.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Mute makes an instance stop running its tasks while its heartbeats continue, or resume running them.
-func (c *Cluster) Mute(i int, on bool) { c.instances[i].tasksSuspended = on }
+// SuspendTasks makes an instance stop running its tasks while its heartbeats continue, or resume running them.
+func (c *Cluster) SuspendTasks(i int, on bool) { c.instances[i].tasksSuspended = on }
 
 // SetClock restarts an instance with its clock offset from the simulated time, in us.
 func (c *Cluster) SetClock(i int, offset int64) {
