--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -128,8 +128,8 @@
 func TestOutboundMessagesLost(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
-		c.CutOneWay(0, 1, true)
-		c.CutOneWay(0, 2, true)
+		c.CutLink(0, 1, true)
+		c.CutLink(0, 2, true)
 		c.Run(20 * second)
 		expectProbedWithin(t, c, 4*second)
 		for node := range 20 {
@@ -137,8 +137,8 @@
 				t.Errorf("seed %d: node %d was probed %d times in 20 s, want at most 50", seed, node, n)
 			}
 		}
-		c.CutOneWay(0, 1, false)
-		c.CutOneWay(0, 2, false)
+		c.CutLink(0, 1, false)
+		c.CutLink(0, 2, false)
 		c.Run(40 * second)
 		expectOneOwner(t, c, 20)
 	}
@@ -148,7 +148,7 @@
 // by the third instance, and no task changes its owner.
 func TestOneWayLinkFailure(t *testing.T) {
 	c := settledCluster(3, 3, 20)
-	c.CutOneWay(0, 1, true)
+	c.CutLink(0, 1, true)
 	c.Run(20 * second)
 	expectProbedWithin(t, c, 2*second)
 	expectOneOwner(t, c, 20)
--- a/internal/simulation/assignmentsim/faults.go
+++ b/internal/simulation/assignmentsim/faults.go
@@ -34,8 +34,8 @@
 // SetPartition assigns an instance to a network partition. Only instances of the same partition reach each other.
 func (c *Cluster) SetPartition(i, partition int) { c.instances[i].partition = partition }
 
-// CutOneWay cuts or restores the link from one instance to another.
-func (c *Cluster) CutOneWay(from, to int, cut bool) { setFault(c.cutLinks, [2]int{from, to}, cut) }
+// CutLink cuts or restores the link from one instance to another.
+func (c *Cluster) CutLink(from, to int, cut bool) { setFault(c.cutLinks, [2]int{from, to}, cut) }
 
 // CutFromNode cuts or restores the link from an instance to a node.
 func (c *Cluster) CutFromNode(i, node int, cut bool) { setFault(c.cutProbes, [2]int{i, node}, cut) }
