--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -201,7 +201,7 @@
 		c := settledCluster(seed, 3, 20)
 		for i := range 3 {
 			if c.Table(i).Owns(c.TaskKey(4)) {
-				c.CutFromNode(i, 4, true)
+				c.CutNodeLink(i, 4, true)
 				c.Run(8 * second)
 				if c.Table(i).Owns(c.TaskKey(4)) {
 					t.Errorf("seed %d: instance %d still owns the task of a node that it cannot reach", seed, i)
--- a/internal/simulation/assignmentsim/faults.go
+++ b/internal/simulation/assignmentsim/faults.go
@@ -37,8 +37,8 @@
 // CutLink cuts or restores the link from one instance to another.
 func (c *Cluster) CutLink(from, to int, cut bool) { setFault(c.cutLinks, [2]int{from, to}, cut) }
 
-// CutFromNode cuts or restores the link from an instance to a node.
-func (c *Cluster) CutFromNode(i, node int, cut bool) { setFault(c.cutProbes, [2]int{i, node}, cut) }
+// CutNodeLink cuts or restores the link from an instance to a node.
+func (c *Cluster) CutNodeLink(i, node int, cut bool) { setFault(c.cutProbes, [2]int{i, node}, cut) }
 
 func setFault(faults map[[2]int]bool, pair [2]int, on bool) {
 	delete(faults, pair)
