--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -141,7 +141,7 @@
 		run(fmt.Sprintf("good version %d", seed), New(VersionRollout(seed, 0)))
 		run(fmt.Sprintf("bad version %d", seed), New(VersionRollout(seed, 0.02)))
 	}
-	for m := FreesSlotByTime; m < Mistakes; m++ {
+	for m := FreesSlotByTime; m < MistakeCount; m++ {
 		s := MixedFaults(3)
 		s.Planted = m
 		run(fmt.Sprintf("planted %v", m), New(s))
--- a/internal/simulation/rolloutsim/mistakes.go
+++ b/internal/simulation/rolloutsim/mistakes.go
@@ -19,7 +19,7 @@
 	IgnoresOpenCommands            // a node counts as unused before all visible routers reported so
 	IgnoresPrimary                 // a drained primary counts as unused before the switchover
 	IgnoresGroups                  // nodes of the same group are drained together
-	Mistakes                       // number of mistakes, including None
+	MistakeCount                   // number of mistakes, including None
 )
 
 var mistakeNames = [...]string{
--- a/internal/simulation/rolloutsim/world_test.go
+++ b/internal/simulation/rolloutsim/world_test.go
@@ -34,7 +34,7 @@
 // TestPlanted plants each mistake and checks that it is detected, since checks that cannot fail prove nothing.
 // IgnoresPrimary shows only with few seeds, so it starts near one of them.
 func TestPlanted(t *testing.T) {
-	for m := FreesSlotByTime; m < Mistakes; m++ {
+	for m := FreesSlotByTime; m < MistakeCount; m++ {
 		t.Run(fmt.Sprint(m), func(t *testing.T) {
 			t.Parallel()
 			from := uint64(0)
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -47,7 +47,7 @@
 	}
 	return fmt.Sprintf("proof releases, simulated: %s; seeds=%d from=%d budget_breaks=%d (limit 0) planted_found=%d of %d false_halts=%d of %d plans "+
 		"bad_versions_through=%d of %d (more than two touched %d) time_to_least=%.2f (aim 1.3)", verdict, p.Seeds, p.From, min(len(mixed.violation), 1), found,
-		int(rolloutsim.Mistakes)-1, versions.goodHalted, p.Halts, versions.badFinished, p.Halts, versions.manyTouched, worst), err
+		int(rolloutsim.MistakeCount)-1, versions.goodHalted, p.Halts, versions.badFinished, p.Halts, versions.manyTouched, worst), err
 }
 
 // mixedResult sums runs of mixed faults up.
@@ -77,7 +77,7 @@
 		return 0, nil
 	}
 	var errs []error
-	for m := rolloutsim.None + 1; m < rolloutsim.Mistakes; m++ {
+	for m := rolloutsim.None + 1; m < rolloutsim.MistakeCount; m++ {
 		after := p.find(m)
 		if after < 0 {
 			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.Plant))
