--- a/internal/simulation/rolloutsim/actions.go
+++ b/internal/simulation/rolloutsim/actions.go
@@ -64,10 +64,10 @@
 
 // deliverStatement delivers a statement to a member. leader is the index of the sending leader, or -1 for a voter.
 func (w *World) deliverStatement(r *router, s *rollout.Statement, leader int) {
-	if w.Planted == IgnoresIncarnation && s.Instruction == rollout.InstructionLeave {
+	if w.PlantedMistake == IgnoresIncarnation && s.Instruction == rollout.InstructionLeave {
 		s.Incarnation = r.incarnation
 	}
-	if w.Planted == AcceptsOldStatements {
+	if w.PlantedMistake == AcceptsOldStatements {
 		newest, heard := r.member.Statement()
 		if heard && (s.Term < newest.Term || s.Term == newest.Term && s.Seq < newest.Seq) {
 			s.Term = newest.Term
--- a/internal/simulation/rolloutsim/actions_test.go
+++ b/internal/simulation/rolloutsim/actions_test.go
@@ -143,7 +143,7 @@
 	}
 	for m := FreesSlotByTime; m < MistakeCount; m++ {
 		s := MixedFaults(3)
-		s.Planted = m
+		s.PlantedMistake = m
 		run(fmt.Sprintf("planted %v", m), New(s))
 	}
 	if compared != len(recorded) {
--- a/internal/simulation/rolloutsim/leaders.go
+++ b/internal/simulation/rolloutsim/leaders.go
@@ -125,12 +125,12 @@
 // readVoter sends a leader's read request to a voter and returns the response.
 func (w *World) readVoter(r *router, a rollout.ReadVoter) {
 	to := w.routers[w.routerIndex[a.Voter]]
-	if w.Planted == ReadsOneVoter && to.index > 0 {
+	if w.PlantedMistake == ReadsOneVoter && to.index > 0 {
 		to = w.routers[0] // all answers come from the first voter
 	}
 	w.send(r, to, func() {
 		state, accepted := to.voter.Read(a.Term)
-		if w.Planted == HidesForgottenState {
+		if w.PlantedMistake == HidesForgottenState {
 			state.MayHaveForgotten = false
 		}
 		w.send(to, r, func() {
@@ -145,7 +145,7 @@
 // writeVoter sends a leader's write request to a voter and returns the response.
 func (w *World) writeVoter(r *router, a rollout.WriteVoter) {
 	to := w.routers[w.routerIndex[a.Voter]]
-	if w.Planted == AnnouncesBeforeCommit {
+	if w.PlantedMistake == AnnouncesBeforeCommit {
 		r.leader.HandleWriteAnswer(w.Now, a.Voter, a.Record.Term, a.Record.Seq, true)
 	}
 	w.send(r, to, func() {
--- a/internal/simulation/rolloutsim/mistakes.go
+++ b/internal/simulation/rolloutsim/mistakes.go
@@ -32,7 +32,7 @@
 
 // plantMistake feeds false input to a leader right before its tick.
 func (w *World) plantMistake(leader *router) {
-	switch w.Planted {
+	switch w.PlantedMistake {
 	case IgnoresUnplannedLosses:
 		w.reportLostAsPresent(leader)
 	case FreesSlotByTime:
--- a/internal/simulation/rolloutsim/setup.go
+++ b/internal/simulation/rolloutsim/setup.go
@@ -20,7 +20,7 @@
 	Plans             []rollout.Plan
 	FaultTime         int64 // duration of the phase with faults, us
 	QuietTime         int64 // duration of the phase after all faults ended, us
-	Planted           Mistake
+	PlantedMistake    Mistake
 }
 
 // Result holds the measurements of a run.
--- a/internal/simulation/rolloutsim/world_test.go
+++ b/internal/simulation/rolloutsim/world_test.go
@@ -43,7 +43,7 @@
 			}
 			for seed := from; seed < from+20; seed++ {
 				s := MixedFaults(seed)
-				s.Planted = m
+				s.PlantedMistake = m
 				w := New(s)
 				w.Run()
 				if w.Violation != "" {
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -94,7 +94,7 @@
 func (p RolloutSimulation) find(m rolloutsim.Mistake) int {
 	return firstSeedThat(p.Plant, func(seed uint64) bool {
 		s := rolloutsim.MixedFaults(seed)
-		s.Planted = m
+		s.PlantedMistake = m
 		w := rolloutsim.New(s)
 		w.Run()
 		return w.Violation != ""
