--- a/internal/simulation/rolloutsim/setup.go
+++ b/internal/simulation/rolloutsim/setup.go
@@ -8,8 +8,8 @@
 	"cairntiller/internal/rollout"
 )
 
-// Setup holds the parameters of a run.
-type Setup struct {
+// Scenario holds the parameters of a run.
+type Scenario struct {
 	Seed              uint64
 	Routers           int
 	Voters            int     // the first routers are the voters
@@ -39,9 +39,9 @@
 const MeanTimeOut = 7 * time.Second
 
 // MixedFaults returns a random setup with mixed faults for a seed.
-func MixedFaults(seed uint64) Setup {
+func MixedFaults(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 10))
-	s := Setup{
+	s := Scenario{
 		Seed:          seed,
 		Routers:       10 + rng.IntN(15),
 		Voters:        []int{3, 3, 5}[rng.IntN(3)],
@@ -98,7 +98,7 @@
 
 // VersionRollout returns a random setup without faults that rolls out a new version, which fails an additional share of its
 // commands.
-func VersionRollout(seed uint64, extraFailureShare float64) Setup {
+func VersionRollout(seed uint64, extraFailureShare float64) Scenario {
 	s := MixedFaults(seed)
 	s.Faults = false
 	s.ExtraFailureShare = extraFailureShare
--- a/internal/simulation/rolloutsim/world.go
+++ b/internal/simulation/rolloutsim/world.go
@@ -13,7 +13,7 @@
 
 // World is a single run: the simulated fleet and its state.
 type World struct {
-	Setup
+	Scenario
 	Now       int64                                 // us
 	Violation string                                // the first rule violation, "" if none; it ends the run
 	Trace     func(at int64, what string)           // called with a description of each event; may be nil
@@ -51,9 +51,9 @@
 }
 
 // New creates a run. The plans start one after another, a quarter of the fault time apart.
-func New(s Setup) *World {
+func New(s Scenario) *World {
 	w := &World{
-		Setup:         s,
+		Scenario:      s,
 		rng:           rand.New(rand.NewPCG(s.Seed, 9)),
 		digest:        xxhash.New(),
 		routerIndex:   map[string]int{},
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -154,7 +154,7 @@
 	for i := range routers {
 		plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
 	}
-	w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: routers, Voters: 3, Plans: []rollout.Plan{plan}, FaultTime: 1_800_000_000, QuietTime: 1_000_000})
+	w := rolloutsim.New(rolloutsim.Scenario{Seed: p.From + 1, Routers: routers, Voters: 3, Plans: []rollout.Plan{plan}, FaultTime: 1_800_000_000, QuietTime: 1_000_000})
 	result := w.Run()
 	if len(result.PlanDurations) == 0 {
 		fmt.Fprintf(out, "%d\t-\t-\t-\t-\t-\t\n", routers)
