--- a/internal/simulation/rolloutsim/checks.go
+++ b/internal/simulation/rolloutsim/checks.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// TouchedRouters returns the number of routers that the first plan has changed or tried to change.
-func (w *World) TouchedRouters() int {
+// AttemptedRouters returns the number of routers that the first plan has changed or tried to change.
+func (w *World) AttemptedRouters() int {
 	if w.committed == nil {
 		return 0
 	}
--- a/internal/simulation/rolloutsim/world_test.go
+++ b/internal/simulation/rolloutsim/world_test.go
@@ -76,7 +76,7 @@
 					t.Errorf("seed %d: %s still runs the bad version", seed, r.name)
 				}
 			}
-			if touched := w.TouchedRouters(); touched > 2 {
+			if touched := w.AttemptedRouters(); touched > 2 {
 				t.Errorf("seed %d: the plan reached %d routers before it halted", seed, touched)
 			}
 		}
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -125,7 +125,7 @@
 				sum.goodHalted++
 			case isBad && !halted:
 				sum.badFinished++
-			case isBad && w.TouchedRouters() > 2:
+			case isBad && w.AttemptedRouters() > 2:
 				sum.manyTouched++
 			}
 			mu.Unlock()
