--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -240,7 +240,7 @@
 		return
 	}
 	s.trace("%s is paused for %d us", p.name, span)
-	s.hash(hashedStop, i, span, 0)
+	s.hash(hashedPause, i, span, 0)
 	p.paused = true
 	s.schedule(s.Now+span, event{kind: resumeEvent, process: i})
 }
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -13,7 +13,7 @@
 	Drift              int64 // drift bound that the processes are configured with, ppm
 	TrueDrift          int64 // maximum actual drift of their clocks, ppm; 0 means Drift
 	DurableVoters      bool  // voters keep their records across restarts
-	Duration           int64 // duration of the run, us
+	Duration           int64 // simulated duration of the run, us
 	NoFaults           bool  // no random faults, only explicit calls such as Kill
 	PlantedMistake     Mistake
 }
--- a/internal/simulation/leasesim/simulation.go
+++ b/internal/simulation/leasesim/simulation.go
@@ -52,14 +52,14 @@
 	queue         eventqueue.Queue[event]
 	digest        *xxhash.Digest
 	result        Result
-	voterSets     []lease.VoterSet // the set with number n is at index n-1
-	setChangeAt   int64            // earliest time of the next change of the voter set
-	incarnations  uint64           // last incarnation assigned
-	links         []link           // indexed by from*n + to
-	lossRate      float64          // probability that a message is lost
-	duplicateRate float64          // probability that a message is delivered twice
-	maxDelay      int64            // maximum delay of a message, us
-	requestSets   map[requestKey]uint64
+	voterSets     []lease.VoterSet      // the set with number n is at index n-1
+	setChangeAt   int64                 // earliest time of the next change of the voter set
+	incarnations  uint64                // last incarnation assigned
+	links         []link                // indexed by from*n + to
+	lossRate      float64               // probability that a message is lost
+	duplicateRate float64               // probability that a message is delivered twice
+	maxDelay      int64                 // maximum delay of a message, us
+	requestSets   map[requestKey]uint64 // voter set number of each request, for the mistake OldSet
 	scratch       [32]byte
 }
 
@@ -96,7 +96,7 @@
 	hashedRelease  = 13
 	hashedSend     = 14
 	hashedKill     = 20
-	hashedStop     = 21
+	hashedPause    = 21
 )
 
 // New creates a run of a scenario. All processes tick for the first time within one tick interval.
--- a/internal/simulation/rolloutsim/checks.go
+++ b/internal/simulation/rolloutsim/checks.go
@@ -221,15 +221,15 @@
 
 // checkPlanned checks that no more routers are out of service by plans than the largest budget allows.
 func (w *World) checkPlannedOutages() {
-	planned := 0
+	plannedOutage := 0
 	for _, r := range w.routers {
-		if r.planned {
-			planned++
+		if r.plannedOutage {
+			plannedOutage++
 		}
 	}
-	w.result.MaxUnavailable = max(w.result.MaxUnavailable, planned)
-	if limit := w.maxUnavailable(); planned > limit {
-		w.reportViolation("%d routers are out of service by plans, at most %d may be", planned, limit)
+	w.result.MaxUnavailable = max(w.result.MaxUnavailable, plannedOutage)
+	if limit := w.maxUnavailable(); plannedOutage > limit {
+		w.reportViolation("%d routers are out of service by plans, at most %d may be", plannedOutage, limit)
 	}
 }
 
--- a/internal/simulation/rolloutsim/faults.go
+++ b/internal/simulation/rolloutsim/faults.go
@@ -57,7 +57,7 @@
 // killLeaving kills a router that leaves service by a plan. It may then restart with its old version a few times.
 func (w *World) killLeaving(span int64) {
 	for _, r := range w.routers {
-		if !r.planned || !r.leaving {
+		if !r.plannedOutage || !r.leaving {
 			continue
 		}
 		w.kill(r, span)
--- a/internal/simulation/rolloutsim/mistakes.go
+++ b/internal/simulation/rolloutsim/mistakes.go
@@ -52,7 +52,7 @@
 
 func (w *World) reportLostAsPresent(leader *router) {
 	for _, r := range w.routers {
-		if !r.up && !r.planned {
+		if !r.up && !r.plannedOutage {
 			leader.leader.HandleReport(w.Now, &rollout.Report{Member: r.name, Zone: r.zone, Incarnation: r.incarnation, Version: r.version, Ready: true, Counts: r.counts})
 		}
 	}
@@ -66,7 +66,7 @@
 
 func (w *World) reportUnavailableAsReturned(leader *router) {
 	for _, r := range w.routers {
-		if !r.up && r.planned && w.Now-r.downAt > 2_000_000 {
+		if !r.up && r.plannedOutage && w.Now-r.downAt > 2_000_000 {
 			leader.leader.HandleReport(w.Now, &rollout.Report{Member: r.name, Zone: r.zone, Incarnation: r.incarnation + 1, Version: r.nextVersion, Ready: true,
 				Counts: rollout.CommandCounts{Commands: 1000}})
 		}
--- a/internal/simulation/rolloutsim/routers.go
+++ b/internal/simulation/rolloutsim/routers.go
@@ -12,7 +12,7 @@
 const (
 	reportInterval    = 1_000_000 // us
 	zoneCount         = 3
-	usualFailureShare = 0.004 // mean share of failed commands; routers differ from it by up to a factor of two either way
+	usualFailureShare = 0.004 // nominal share of failed commands; that of each router is between half and twice this
 )
 
 // router is a simulated router with its process and its supervisor.
@@ -44,7 +44,7 @@
 	answersSinceReturn map[string]uint64 // answers from a node since its return to service, by node
 
 	// State of its supervisor and its disk.
-	planned            bool   // taken out of service by a plan and not ready again yet
+	plannedOutage      bool   // taken out of service by a plan and not ready again yet
 	nextVersion        uint64 // version to start next
 	wrongVersionStarts int    // number of starts that still run the old version instead
 	durableRecord      *rollout.Record
@@ -120,7 +120,7 @@
 		return
 	}
 	r.ready = true
-	r.planned = false
+	r.plannedOutage = false
 	w.trace("%s is ready, running version %d", r.name, r.version)
 }
 
@@ -221,7 +221,7 @@
 	w.addToHash(hashedDeparture, r.index, a.Slot.Number)
 	w.checkSlot(r, a.Slot)
 	r.leaving = true
-	r.planned = true
+	r.plannedOutage = true
 	r.ready = false
 	if a.Version > 0 {
 		r.nextVersion = a.Version
