--- a/internal/simulation/leasesim/process.go
+++ b/internal/simulation/leasesim/process.go
@@ -275,7 +275,7 @@
 	if slices.Contains(voters.Names, p.name) || s.rng.IntN(3) > 0 { // sometimes the operator misses processes without a vote; they learn the set from the voters
 		p.candidate.SetVoters(number, voters.Names)
 	}
-	if s.PlantedMistake == TwoAtOnce { // adopts any set, like a restarting voter that asks nobody
+	if s.PlantedMistake == TwoAtOnce { // adopts any set, like a restarting voter that does not ask other voters
 		voters.Previous = nil
 		s.startVoter(p, own, voters)
 	} else {
--- a/internal/simulation/leasesim/scenario.go
+++ b/internal/simulation/leasesim/scenario.go
@@ -28,7 +28,7 @@
 	NoMargin                // a candidate leaves no margin for clock drift
 	FromAnswer              // a vote is valid from its response instead of from its request
 	FormerVoter             // responses of a restarted voter count for grants of its former process
-	TermReused              // a restarted voter has no term floor and asks nobody for one
+	TermReused              // a restarted voter has no term floor and does not ask other voters for theirs
 	EarlyFree               // a lease is released while actions under it still run
 	NoClock                 // a holder acts until told otherwise, ignoring the expiry
 	TwoAtOnce               // the voter set changes by two voters at once
--- a/internal/simulation/rolloutsim/actions.go
+++ b/internal/simulation/rolloutsim/actions.go
@@ -68,8 +68,8 @@
 		s.Incarnation = r.incarnation
 	}
 	if w.PlantedMistake == AcceptsOldStatements {
-		newest, heard := r.member.Statement()
-		if heard && (s.Term < newest.Term || s.Term == newest.Term && s.Seq < newest.Seq) {
+		newest, hasStatement := r.member.Statement()
+		if hasStatement && (s.Term < newest.Term || s.Term == newest.Term && s.Seq < newest.Seq) {
 			s.Term = newest.Term
 			s.Seq = newest.Seq + 1
 		}
--- a/internal/simulation/rolloutsim/routers.go
+++ b/internal/simulation/rolloutsim/routers.go
@@ -115,7 +115,7 @@
 	if !r.up || r.incarnation != incarnation || r.ready {
 		return
 	}
-	if _, heard := r.member.Statement(); !heard && w.Now-r.upAt < 4_000_000 {
+	if _, hasStatement := r.member.Statement(); !hasStatement && w.Now-r.upAt < 4_000_000 {
 		w.schedule(100_000, func() { w.becomeReady(r, incarnation) })
 		return
 	}
--- a/internal/simulation/rolloutsim/scenario.go
+++ b/internal/simulation/rolloutsim/scenario.go
@@ -38,7 +38,7 @@
 // commands, the stop, the supervisor's delay, the start, the wait for the next report (1 s), and serving twenty commands.
 const MeanTimeOut = 7 * time.Second
 
-// MixedFaults returns a random setup with mixed faults for a seed.
+// MixedFaults returns a random scenario with mixed faults for a seed.
 func MixedFaults(seed uint64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 10))
 	s := Scenario{
@@ -96,7 +96,7 @@
 	return s
 }
 
-// VersionRollout returns a random setup without faults that rolls out a new version, which fails an additional share of its
+// VersionRollout returns a random scenario without faults that rolls out a new version, which fails an additional share of its
 // commands.
 func VersionRollout(seed uint64, extraFailureShare float64) Scenario {
 	s := MixedFaults(seed)
