--- a/internal/assignment/faults_test.go
+++ b/internal/assignment/faults_test.go
@@ -94,7 +94,7 @@
 func TestPartitionAndHeal(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
-		c.SetSide(int(seed)%3, 1)
+		c.SetPartition(int(seed)%3, 1)
 		c.Run(20 * second)
 		expectProbedWithin(t, c, 5*second)
 		two := 0
@@ -109,7 +109,7 @@
 		if c.PeakProbes > 4 {
 			t.Errorf("seed %d: %d probes of one node in one second, want at most 4", seed, c.PeakProbes)
 		}
-		c.SetSide(int(seed)%3, 0)
+		c.SetPartition(int(seed)%3, 0)
 		c.Run(5 * second)
 		c.ResetMeasurements()
 		c.Run(20 * second)
@@ -128,8 +128,8 @@
 func TestOutboundMessagesLost(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
-		c.CutOneWay(0, 1, true)
-		c.CutOneWay(0, 2, true)
+		c.CutLink(0, 1, true)
+		c.CutLink(0, 2, true)
 		c.Run(20 * second)
 		expectProbedWithin(t, c, 4*second)
 		for node := range 20 {
@@ -137,8 +137,8 @@
 				t.Errorf("seed %d: node %d was probed %d times in 20 s, want at most 50", seed, node, n)
 			}
 		}
-		c.CutOneWay(0, 1, false)
-		c.CutOneWay(0, 2, false)
+		c.CutLink(0, 1, false)
+		c.CutLink(0, 2, false)
 		c.Run(40 * second)
 		expectOneOwner(t, c, 20)
 	}
@@ -148,7 +148,7 @@
 // by the third instance, and no task changes its owner.
 func TestOneWayLinkFailure(t *testing.T) {
 	c := settledCluster(3, 3, 20)
-	c.CutOneWay(0, 1, true)
+	c.CutLink(0, 1, true)
 	c.Run(20 * second)
 	expectProbedWithin(t, c, 2*second)
 	expectOneOwner(t, c, 20)
@@ -182,10 +182,10 @@
 func TestAliveOwnerWithoutUpdates(t *testing.T) {
 	for seed := range uint64(20) {
 		c := settledCluster(seed, 3, 20)
-		c.Mute(1, true)
+		c.SuspendTasks(1, true)
 		c.Run(30 * second)
 		expectProbedWithin(t, c, 4*second)
-		c.Mute(1, false)
+		c.SuspendTasks(1, false)
 		c.Run(60 * second)
 		c.ResetMeasurements()
 		c.Run(10 * second)
@@ -201,7 +201,7 @@
 		c := settledCluster(seed, 3, 20)
 		for i := range 3 {
 			if c.Table(i).Owns(c.TaskKey(4)) {
-				c.CutFromNode(i, 4, true)
+				c.CutNodeLink(i, 4, true)
 				c.Run(8 * second)
 				if c.Table(i).Owns(c.TaskKey(4)) {
 					t.Errorf("seed %d: instance %d still owns the task of a node that it cannot reach", seed, i)
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -60,15 +60,15 @@
 // runMixedFaults plays the seeds of mixed faults.
 func (p LeaseSimulation) runMixedFaults() (result leaseRuns) {
 	heldShares := 0.0
-	play := func(seed uint64) (figures leasesim.Figures, hash uint64, violation string) {
+	play := func(seed uint64) (figures leasesim.Result, hash uint64, violation string) {
 		sim := leasesim.New(leasesim.MixedFaults(seed))
-		sim.Run(sim.Span)
-		figures = sim.Figures()
+		sim.Run(sim.Duration)
+		figures = sim.Result()
 		return figures, figures.Hash, sim.Violation
 	}
-	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Figures) {
+	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Result) {
 		result.events += figures.Events
-		result.holds += figures.Holds
+		result.holds += figures.Acquisitions
 		heldShares += figures.HeldShare
 	})
 	result.heldShare = heldShares / float64(max(1, p.Seeds))
@@ -84,7 +84,7 @@
 	for mistake := leasesim.None + 1; mistake < leasesim.MistakeCount; mistake++ {
 		seeds[mistake] = firstSeedThat(p.MistakeSeeds, func(seed uint64) bool {
 			sim := leasesim.New(leasesim.MixedFaults(seed).WithMistake(mistake))
-			sim.Run(sim.Span)
+			sim.Run(sim.Duration)
 			return sim.Violation != ""
 		})
 	}
@@ -120,8 +120,8 @@
 		voters = 3
 	)
 	began := time.Now()
-	sim := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: voters, Others: instances - voters, Leases: leases, Wanted: min(instances, 3),
-		Length: length, Drift: 10_000, Calm: true})
+	sim := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: voters, NonVoters: instances - voters, Leases: leases, RequestersPerLease: min(instances, 3),
+		Length: length, Drift: 10_000, NoFaults: true})
 	sim.MessageSize = func(m leasesim.Message) int { return len(leaseservice.Encode(m)) }
 	sim.Run(length) // they abstain
 	heldAfter := 0
@@ -130,10 +130,10 @@
 		heldAfter++
 	}
 	sim.Run(sim.Now + 2*length)
-	before := sim.Figures()
+	before := sim.Result()
 	sim.Measure = true
 	sim.Run(sim.Now + span*second)
-	after := sim.Figures()
+	after := sim.Result()
 	sim.Measure = false
 	voterTime := slices.Max(sim.ModuleTime[:voters])
 	holderTime := time.Duration(0)
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -47,7 +47,7 @@
 	}
 	return fmt.Sprintf("proof releases, simulated: %s; seeds=%d from=%d budget_breaks=%d (limit 0) planted_found=%d of %d false_halts=%d of %d plans "+
 		"bad_versions_through=%d of %d (more than two touched %d) time_to_least=%.2f (aim 1.3)", verdict, p.Seeds, p.From, min(len(mixed.violation), 1), found,
-		int(rolloutsim.Mistakes)-1, versions.goodHalted, p.Halts, versions.badFinished, p.Halts, versions.manyTouched, worst), err
+		int(rolloutsim.MistakeCount)-1, versions.goodHalted, p.Halts, versions.badFinished, p.Halts, versions.manyTouched, worst), err
 }
 
 // mixedResult sums runs of mixed faults up.
@@ -77,7 +77,7 @@
 		return 0, nil
 	}
 	var errs []error
-	for m := rolloutsim.None + 1; m < rolloutsim.Mistakes; m++ {
+	for m := rolloutsim.None + 1; m < rolloutsim.MistakeCount; m++ {
 		after := p.find(m)
 		if after < 0 {
 			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.Plant))
@@ -94,7 +94,7 @@
 func (p RolloutSimulation) find(m rolloutsim.Mistake) int {
 	return firstSeedThat(p.Plant, func(seed uint64) bool {
 		s := rolloutsim.MixedFaults(seed)
-		s.Planted = m
+		s.PlantedMistake = m
 		w := rolloutsim.New(s)
 		w.Run()
 		return w.Violation != ""
@@ -125,7 +125,7 @@
 				sum.goodHalted++
 			case isBad && !halted:
 				sum.badFinished++
-			case isBad && w.TouchedRouters() > 2:
+			case isBad && w.AttemptedRouters() > 2:
 				sum.manyTouched++
 			}
 			mu.Unlock()
@@ -154,7 +154,7 @@
 	for i := range routers {
 		plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
 	}
-	w := rolloutsim.New(rolloutsim.Setup{Seed: p.From + 1, Routers: routers, Voters: 3, Plans: []rollout.Plan{plan}, FaultTime: 1_800_000_000, QuietTime: 1_000_000})
+	w := rolloutsim.New(rolloutsim.Scenario{Seed: p.From + 1, Routers: routers, Voters: 3, Plans: []rollout.Plan{plan}, FaultTime: 1_800_000_000, QuietTime: 1_000_000})
 	result := w.Run()
 	if len(result.PlanDurations) == 0 {
 		fmt.Fprintf(out, "%d\t-\t-\t-\t-\t-\t\n", routers)
