--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -57,7 +57,7 @@
 
 // Run runs it.
 func (c *dutiesCommand) Run() error {
-	return printClosingLine(proof.Assignment{Seed: c.Seed, Nodes: c.Size, Short: c.Short, Interval: time.Second, Log: logWriter(c.Log), Output: os.Stdout}.Run())
+	return printClosingLine(proof.AssignmentProof{Seed: c.Seed, Nodes: c.Size, Short: c.Short, Interval: time.Second, Log: logWriter(c.Log), Output: os.Stdout}.Run())
 }
 
 // dutiesSimulationCommand plays shared health checks in simulated time.
--- a/internal/testcluster/proof/assignment_proof.go
+++ b/internal/testcluster/proof/assignment_proof.go
@@ -34,8 +34,8 @@
 // routerCount is how many routers the proof runs.
 const routerCount = 3
 
-// Assignment is the proof with router processes: three share the probes of nodes; one is killed, one paused, one cut off.
-type Assignment struct {
+// AssignmentProof is the proof with router processes: three share the probes of nodes; one is killed, one paused, one cut off.
+type AssignmentProof struct {
 	Seed     uint64 // for the order of faults
 	Nodes    int
 	Short    bool          // the short form, for CI
@@ -74,7 +74,7 @@
 }
 
 // Run plays the proof and returns its closing line; the error says which limits do not hold.
-func (p Assignment) Run() (line string, err error) {
+func (p AssignmentProof) Run() (line string, err error) {
 	var unshared sharingResult
 	var unsharedErr error
 	var running sync.WaitGroup
@@ -122,7 +122,7 @@
 
 // sharingRun is three routers in front of one cluster.
 type sharingRun struct {
-	proof   Assignment
+	proof   AssignmentProof
 	cluster *cluster.Cluster
 	routers []*cluster.Router
 	began   int64 // on the cluster's clock, us
@@ -156,7 +156,7 @@
 
 // play runs three routers through the faults. Routers that do not share run only as long as it takes to count their
 // probes.
-func (p Assignment) play(shared bool) (sharingResult, error) {
+func (p AssignmentProof) play(shared bool) (sharingResult, error) {
 	c, err := cluster.New(p.Seed, p.Nodes, 1)
 	if err != nil {
 		return sharingResult{}, err
--- a/internal/testcluster/proof/assignment_proof_test.go
+++ b/internal/testcluster/proof/assignment_proof_test.go
@@ -22,12 +22,12 @@
 // hear one another, and probes that are too rare.
 func TestAssignment(t *testing.T) {
 	for name, c := range map[string]struct {
-		p    Assignment
+		p    AssignmentProof
 		want string
 	}{
-		"as it is":                 {Assignment{Interval: time.Second}, ""},
-		"nobody hears the others":  {Assignment{Interval: time.Second, Isolated: true}, "of the unshared probes"},
-		"probes that are too rare": {Assignment{Interval: 6 * time.Second}, "went unprobed"},
+		"as it is":                 {AssignmentProof{Interval: time.Second}, ""},
+		"nobody hears the others":  {AssignmentProof{Interval: time.Second, Isolated: true}, "of the unshared probes"},
+		"probes that are too rare": {AssignmentProof{Interval: 6 * time.Second}, "went unprobed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
