--- a/internal/testcluster/proof/statements.go
+++ b/internal/testcluster/proof/statements.go
@@ -19,8 +19,8 @@
 	shapeCacheBytes    = 1 << 20
 )
 
-// Statements generates a corpus whose classes are known by how it was made, and replays a morning's mix.
-type Statements struct {
+// StatementProof generates a corpus whose classes are known by how it was made, and replays a morning's mix.
+type StatementProof struct {
 	Seed       uint64
 	Size       int  // statements of the corpus
 	Morning    int  // statements of the replay
@@ -29,7 +29,7 @@
 }
 
 // Run returns the closing line; the error says which limits do not hold.
-func (p Statements) Run() (line string, err error) {
+func (p StatementProof) Run() (line string, err error) {
 	catalogue := sql.NewCatalogue()
 	if p.PlantFault {
 		catalogue.SetFunction("nextval", sql.ReadOnly)
@@ -88,7 +88,7 @@
 
 // replayMorning replays a skewed mix of shapes, into which new ones come all the time, and returns the share of hits among
 // the usual statements.
-func (p Statements) replayMorning(c *sql.Catalogue, hostile float64) (hits float64, err error) {
+func (p StatementProof) replayMorning(c *sql.Catalogue, hostile float64) (hits float64, err error) {
 	cache, err := sql.NewCache(c, sql.StandardStrings, shapeCacheBytes)
 	if err != nil {
 		return 0, err
