--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -28,7 +28,7 @@
 	Releases           releasesCommand          `cmd:"" help:"Router processes and nodes go through plans under load; never too many are out."`
 	ReleasesSimulation rolloutSimulationCommand `cmd:"" help:"The deciding module of releases in simulated time, under mixed faults and with planted mistakes."`
 	Child              childCommand             `cmd:"" hidden:""`
-	proof.Hidden
+	proof.HiddenCommands
 }
 
 // printClosingLine prints a proof's closing line, where it got as far as one, and passes its error on.
--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -9,8 +9,8 @@
 	"cairntiller/internal/testcluster/process"
 )
 
-// Hidden are the commands by which a proof starts its own program again, as the processes it is made of.
-type Hidden struct {
+// HiddenCommands are the commands by which a proof starts its own program again, as the processes it is made of.
+type HiddenCommands struct {
 	ChildLeases   childLeasesCommand   `cmd:"" hidden:""`
 	ChildReleases childReleasesCommand `cmd:"" hidden:""`
 	Hold          holdCommand          `cmd:"" hidden:""`
--- a/internal/testcluster/proof/lease_proof_test.go
+++ b/internal/testcluster/proof/lease_proof_test.go
@@ -23,7 +23,7 @@
 	if len(os.Args) < 2 || !slices.Contains([]string{"child-leases", "child-releases", "hold", "keep", "bad-keep", "work"}, os.Args[1]) {
 		return
 	}
-	var l Hidden
+	var l HiddenCommands
 	err := kong.Parse(&l).Run()
 	if err == nil {
 		os.Exit(0)
