--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -51,7 +51,7 @@
 // Run runs it.
 func (l *childLeasesCommand) Run() error {
 	logEverything()
-	return LeaseChild(l.options(), l.Acts, l.Name, l.Bulk)
+	return RunLeaseRouter(l.options(), l.Acts, l.Name, l.Bulk)
 }
 
 // childReleasesCommand runs a router process of the proof of rollouts.
--- a/internal/testcluster/proof/lease_processes.go
+++ b/internal/testcluster/proof/lease_processes.go
@@ -17,8 +17,8 @@
 	"cairntiller/internal/testcluster/resource"
 )
 
-// LeaseChild is the program that the proof starts as a router: it acts under each task's lease while it has it.
-func LeaseChild(at process.ChildOptions, address, name string, bulk int) error {
+// RunLeaseRouter is the program that the proof starts as a router: it acts under each task's lease while it has it.
+func RunLeaseRouter(at process.ChildOptions, address, name string, bulk int) error {
 	return process.RunChild(at, nil, func(l *leaseservice.Service) {
 		for n := range bulk {
 			if _, err := l.RequestLease(lease.Request{Lease: fmt.Sprint("bulk-", n), Length: leaseLength.Microseconds()}, nil); err != nil {
