--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -105,4 +105,4 @@
 }
 
 // Run runs it.
-func (l *workCommand) Run() error { return DoWork(l.Acts, l.Holder, l.Lease, l.Span) }
+func (l *workCommand) Run() error { return RunWorkload(l.Acts, l.Holder, l.Lease, l.Span) }
--- a/internal/testcluster/proof/lease_processes.go
+++ b/internal/testcluster/proof/lease_processes.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// DoWork is the command that runs under a lease: it lasts until it is ended, or its work is done.
-func DoWork(address, holder, name string, span time.Duration) error {
+// RunWorkload is the command that runs under a lease: it lasts until it is ended, or its work is done.
+func RunWorkload(address, holder, name string, span time.Duration) error {
 	term, err := strconv.ParseUint(os.Getenv("CAIRNTILLER_TERM"), 10, 64)
 	if err != nil {
 		return err
