--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -84,7 +84,7 @@
 
 // Run runs it.
 func (l *keepCommand) Run() error {
-	return asExitCode(SuperviseWork(l.Clock, l.Room, l.Args))
+	return asExitCode(SuperviseCommand(l.Clock, l.Room, l.Args))
 }
 
 // badKeepCommand supervises a command without ending it in time: a planted mistake.
--- a/internal/testcluster/proof/lease_processes.go
+++ b/internal/testcluster/proof/lease_processes.go
@@ -82,8 +82,8 @@
 		[]string{self, "work", "--acts", address, "--holder", holder, "--span", span.String(), name})
 }
 
-// SuperviseWork is the supervisor of a command in the proof.
-func SuperviseWork(clock string, room time.Duration, command []string) (int, error) {
+// SuperviseCommand is the supervisor of a command in the proof.
+func SuperviseCommand(clock string, room time.Duration, command []string) (int, error) {
 	skew, err := process.ParseClockSkew(clock)
 	if err != nil {
 		return 1, err
