--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -95,7 +95,7 @@
 }
 
 // Run runs it.
-func (l *badKeepCommand) Run() error { return SuperviseWithoutTime(l.Args) }
+func (l *badKeepCommand) Run() error { return SuperviseWithoutDeadline(l.Args) }
 
 // workCommand works under a lease, unchecked.
 type workCommand struct {
--- a/internal/testcluster/proof/lease_processes.go
+++ b/internal/testcluster/proof/lease_processes.go
@@ -91,8 +91,8 @@
 	return supervisor.Supervise(command, os.Stdin, skew.Clock, room), nil
 }
 
-// SuperviseWithoutTime runs a command as a supervisor that does not end it in time; it is the planted fault.
-func SuperviseWithoutTime(command []string) error {
+// SuperviseWithoutDeadline runs a command as a supervisor that does not end it in time; it is the planted fault.
+func SuperviseWithoutDeadline(command []string) error {
 	if len(command) > 0 && command[0] == "--" {
 		command = command[1:]
 	}
