--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -72,7 +72,7 @@
 
 // Run runs it.
 func (l *holdCommand) Run() error {
-	return asExitCode(RunWorkWithLease(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
+	return asExitCode(RunWorkloadWithLease(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
 }
 
 // keepCommand supervises a command as the product does.
--- a/internal/testcluster/proof/lease_processes.go
+++ b/internal/testcluster/proof/lease_processes.go
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// RunWorkWithLease is the asker of a command in the proof: what cairntiller lease hold does, on a machine with a clock of its
+// RunWorkloadWithLease is the asker of a command in the proof: what cairntiller lease hold does, on a machine with a clock of its
 // own.
-func RunWorkWithLease(socket, clock, keep, address, holder, name string, length time.Duration) (int, error) {
+func RunWorkloadWithLease(socket, clock, keep, address, holder, name string, length time.Duration) (int, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return 1, err
