--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -83,7 +83,7 @@
 
 // Run runs it.
 func (c *statementsCommand) Run() error {
-	return printClosingLine(proof.StatementProof{Seed: c.Seed, Size: c.Size, Morning: 200_000, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.StatementProof{Seed: c.Seed, Size: c.Size, ReplaySize: 200_000, Writes: os.Stdout}.Run())
 }
 
 // leasesCommand plays leases with processes.
--- a/internal/testcluster/proof/statements.go
+++ b/internal/testcluster/proof/statements.go
@@ -23,7 +23,7 @@
 type StatementProof struct {
 	Seed       uint64
 	Size       int  // statements of the corpus
-	Morning    int  // statements of the replay
+	ReplaySize int  // statements of the replay
 	PlantFault bool // a fault on purpose: the catalogue calls a function that writes harmless
 	Writes     io.Writer
 }
@@ -102,7 +102,7 @@
 	skew := rand.NewZipf(g.random, 1.3, 4, uint64(len(shapes)-1))
 	r := cache.NewClassifier()
 	usual, hit := 0, 0
-	for i := range p.Morning {
+	for i := range p.ReplaySize {
 		if hostile > 0 && g.random.Float64() < hostile {
 			if _, _, err := r.Classify(fmt.Sprintf("select h%d, %s from x%d", i, strings.Repeat("y, ", 50)+"z", i), nil); err != nil {
 				return 0, err
