--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -83,7 +83,7 @@
 
 // Run runs it.
 func (c *statementsCommand) Run() error {
-	return printClosingLine(proof.StatementProof{Seed: c.Seed, Size: c.Size, ReplaySize: 200_000, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.StatementProof{Seed: c.Seed, Size: c.Size, ReplaySize: 200_000, Output: os.Stdout}.Run())
 }
 
 // leasesCommand plays leases with processes.
@@ -100,7 +100,7 @@
 
 // Run runs it.
 func (c *leasesCommand) Run() error {
-	leases := proof.LeaseProof{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Measurements: 6, Log: logWriter(c.Log), Writes: os.Stdout}
+	leases := proof.LeaseProof{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Measurements: 6, Log: logWriter(c.Log), Output: os.Stdout}
 	if c.Script != "" {
 		raw, err := os.ReadFile(c.Script)
 		if err != nil {
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	return printClosingLine(proof.LeaseSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.LeaseSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Sizes: sizes, Output: os.Stdout}.Run())
 }
 
 // releasesCommand plays rollouts with processes.
@@ -149,7 +149,7 @@
 
 // Run runs it.
 func (c *releasesCommand) Run() error {
-	p := proof.RolloutProof{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Writes: os.Stdout}
+	p := proof.RolloutProof{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Output: os.Stdout}
 	return printClosingLine(p.Run())
 }
 
@@ -168,7 +168,7 @@
 	if c.Trace {
 		return proof.TraceRolloutSimulation(c.From, os.Stdout)
 	}
-	return printClosingLine(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Writes: os.Stdout}.Run())
+	return printClosingLine(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Output: os.Stdout}.Run())
 }
 
 // parseSizes reads a list such as 3x10,30x1000.
--- a/internal/testcluster/proof/assignment_proof_test.go
+++ b/internal/testcluster/proof/assignment_proof_test.go
@@ -53,7 +53,7 @@
 
 // TestStatements is the proof of statements at its least size, and with a catalogue that is wrong on purpose.
 func TestStatements(t *testing.T) {
-	p := StatementProof{Seed: 1, Size: 5000, ReplaySize: 50_000, Writes: io.Discard}
+	p := StatementProof{Seed: 1, Size: 5000, ReplaySize: 50_000, Output: io.Discard}
 	if line, err := p.Run(); err != nil || !strings.Contains(line, "holds") {
 		t.Errorf("%v: %s", err, line)
 	}
--- a/internal/testcluster/proof/lease_measurements.go
+++ b/internal/testcluster/proof/lease_measurements.go
@@ -158,6 +158,6 @@
 func (run *leaseRun) printOverviews() {
 	for i := range run.proof.Voters + run.proof.Others {
 		o, err := run.overview(i)
-		fmt.Fprintf(run.proof.Writes, "%s knows: %+v %v\n", process.ProcessName(i), o, err)
+		fmt.Fprintf(run.proof.Output, "%s knows: %+v %v\n", process.ProcessName(i), o, err)
 	}
 }
--- a/internal/testcluster/proof/lease_proof.go
+++ b/internal/testcluster/proof/lease_proof.go
@@ -43,7 +43,7 @@
 	FirstClockRate float64        // of the first machine's clock, 0 for one within the bound
 	BulkLeases     int            // leases that each process without a vote wants beside the others
 	Log            io.Writer      // what the processes log
-	Writes         io.Writer      // the proof's own lines
+	Output         io.Writer      // the proof's own lines
 }
 
 // leaseRun is a run under way.
@@ -138,7 +138,7 @@
 		file := run.operatorFile(voters, 1, nil, i)
 		machines = append(machines, process.Machine{Skew: skew, File: file, Args: []string{"--acts", run.resource.Address(), "--name", process.ProcessName(i), "--bulk", strconv.Itoa(bulk)}})
 	}
-	run.harness, err = process.New(run.proof.Seed, run.cluster, machines, run.proof.Log, run.proof.Writes, "child-leases")
+	run.harness, err = process.New(run.proof.Seed, run.cluster, machines, run.proof.Log, run.proof.Output, "child-leases")
 	if err != nil {
 		return err
 	}
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -19,7 +19,7 @@
 	RepeatEvery  int    // one seed in so many is run twice, and the hashes compared
 	MistakeSeeds int    // seeds tried at most for each planted mistake; 0 plants none
 	Sizes        [][2]int
-	Writes       io.Writer
+	Output       io.Writer
 }
 
 // leaseRuns is what the runs of mixed faults came to.
@@ -40,7 +40,7 @@
 		overlaps = 1
 		errs = append(errs, errors.New(mixed.violation))
 	}
-	fmt.Fprintf(p.Writes, "%d seeds of mixed faults, %d events, %d holds, held %.2f of the time, %d run twice with equal hashes, %.0f s\n",
+	fmt.Fprintf(p.Output, "%d seeds of mixed faults, %d events, %d holds, held %.2f of the time, %d run twice with equal hashes, %.0f s\n",
 		p.Seeds, mixed.events, mixed.holds, mixed.heldShare, mixed.repeated, time.Since(began).Seconds())
 	found, err := p.findMistakes()
 	if err != nil {
@@ -92,18 +92,18 @@
 	for mistake := leasesim.None + 1; mistake < leasesim.MistakeCount; mistake++ {
 		if seeds[mistake] < 0 {
 			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", mistake, p.MistakeSeeds))
-			fmt.Fprintf(p.Writes, "planted %v: not found in %d seeds\n", mistake, p.MistakeSeeds)
+			fmt.Fprintf(p.Output, "planted %v: not found in %d seeds\n", mistake, p.MistakeSeeds)
 			continue
 		}
 		found++
-		fmt.Fprintf(p.Writes, "planted %v: found after %d seeds\n", mistake, seeds[mistake]+1)
+		fmt.Fprintf(p.Output, "planted %v: found after %d seeds\n", mistake, seeds[mistake]+1)
 	}
 	return found, errors.Join(errs...)
 }
 
 // measureSizes measures what leases cost and how soon a new holder has them, calm but for one kill, and prints a table.
 func (p LeaseSimulation) measureSizes() {
-	out := tabwriter.NewWriter(p.Writes, 0, 0, 2, ' ', tabwriter.AlignRight)
+	out := tabwriter.NewWriter(p.Output, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "instances\tleases\tmessages/s\tkB/s\tof them at a voter, us CPU/s\tat a holder, us CPU/s\theld after s\tat a kill, leases\tnew holder p50 s\tworst s\ttook s\t")
 	for _, size := range p.Sizes {
 		p.measureSize(out, size[0], size[1])
--- a/internal/testcluster/proof/rollout_operator.go
+++ b/internal/testcluster/proof/rollout_operator.go
@@ -72,7 +72,7 @@
 			}
 		}
 		if text != last {
-			fmt.Fprintln(run.proof.Writes, text)
+			fmt.Fprintln(run.proof.Output, text)
 			last = text
 		}
 		if finished == len(plans) {
--- a/internal/testcluster/proof/rollout_processes.go
+++ b/internal/testcluster/proof/rollout_processes.go
@@ -29,7 +29,7 @@
 	for i := range run.proof.Routers {
 		machines = append(machines, process.Machine{Skew: process.ClockSkew{Rate: 1}, File: run.operatorFile(voters, i)})
 	}
-	run.harness, err = process.New(run.proof.Seed, run.cluster, machines, run.proof.Log, run.proof.Writes, "child-releases")
+	run.harness, err = process.New(run.proof.Seed, run.cluster, machines, run.proof.Log, run.proof.Output, "child-releases")
 	if err != nil {
 		return err
 	}
--- a/internal/testcluster/proof/rollout_proof.go
+++ b/internal/testcluster/proof/rollout_proof.go
@@ -37,7 +37,7 @@
 	Alone   bool      // the baseline: each operator restarts his router by himself, at a time of his own
 	Lose    bool      // the router that leads is killed in the middle of a wave, twice
 	Log     io.Writer // what the processes log
-	Writes  io.Writer // the proof's own lines
+	Output  io.Writer // the proof's own lines
 }
 
 // rolloutRun is a run under way.
--- a/internal/testcluster/proof/rollout_proof_test.go
+++ b/internal/testcluster/proof/rollout_proof_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c.p.Seed, c.p.Voters, c.p.Log, c.p.Writes = 1, 3, io.Discard, io.Discard
+			c.p.Seed, c.p.Voters, c.p.Log, c.p.Output = 1, 3, io.Discard, io.Discard
 			line, err := c.p.Run()
 			if c.want == "" && (err != nil || !strings.Contains(line, "holds")) {
 				t.Errorf("%v: %s", err, line)
@@ -33,7 +33,7 @@
 
 // TestRolloutSimulation is the simulated part at a size that takes seconds; rolloutsim's own test plants mistakes.
 func TestRolloutSimulation(t *testing.T) {
-	line, err := RolloutSimulation{Seeds: 10, Twice: 5, Halts: 1, Sizes: []int{30}, Writes: io.Discard}.Run()
+	line, err := RolloutSimulation{Seeds: 10, Twice: 5, Halts: 1, Sizes: []int{30}, Output: io.Discard}.Run()
 	if err != nil || !strings.Contains(line, "holds") {
 		t.Errorf("%v: %s", err, line)
 	}
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -20,7 +20,7 @@
 	Plant  int    // seeds tried at most for each planted mistake; 0 for none
 	Halts  int    // pairs of a good version and of one that fails 2% more
 	Sizes  []int  // routers of plans without faults, against the least time possible
-	Writes io.Writer
+	Output io.Writer
 }
 
 // Run plays it and returns the closing line; the error says which limits do not hold.
@@ -31,7 +31,7 @@
 	if mixed.violation != "" {
 		errs = append(errs, errors.New(mixed.violation))
 	}
-	fmt.Fprintf(p.Writes, "%d seeds of mixed faults, %d events, %d leaders, %d run twice with equal hashes, %.0f s\n", p.Seeds, mixed.events, mixed.leaders,
+	fmt.Fprintf(p.Output, "%d seeds of mixed faults, %d events, %d leaders, %d run twice with equal hashes, %.0f s\n", p.Seeds, mixed.events, mixed.leaders,
 		mixed.equalHashes, time.Since(began).Seconds())
 	found, err := p.findMistakes()
 	errs = append(errs, err)
@@ -81,11 +81,11 @@
 		after := p.find(m)
 		if after < 0 {
 			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.Plant))
-			fmt.Fprintf(p.Writes, "planted %v: not found in %d seeds\n", m, p.Plant)
+			fmt.Fprintf(p.Output, "planted %v: not found in %d seeds\n", m, p.Plant)
 			continue
 		}
 		found++
-		fmt.Fprintf(p.Writes, "planted %v: found after %d seeds\n", m, after+1)
+		fmt.Fprintf(p.Output, "planted %v: found after %d seeds\n", m, after+1)
 	}
 	return found, errors.Join(errs...)
 }
@@ -140,7 +140,7 @@
 
 // playSizes plays plans without faults and returns the worst ratio of their time to the least possible under the budget.
 func (p RolloutSimulation) playSizes() (worst float64) {
-	out := tabwriter.NewWriter(p.Writes, 0, 0, 2, ' ', tabwriter.AlignRight)
+	out := tabwriter.NewWriter(p.Output, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "routers\tmay be out\tmost out\ttook s\tleast s\tratio\t")
 	for _, routers := range p.Sizes {
 		worst = max(worst, p.playSize(routers, out))
--- a/internal/testcluster/proof/statements.go
+++ b/internal/testcluster/proof/statements.go
@@ -25,7 +25,7 @@
 	Size       int  // statements of the corpus
 	ReplaySize int  // statements of the replay
 	PlantFault bool // a fault on purpose: the catalogue calls a function that writes harmless
-	Writes     io.Writer
+	Output     io.Writer
 }
 
 // Run returns the closing line; the error says which limits do not hold.
@@ -46,10 +46,10 @@
 		switch {
 		case write && statement.Class != sql.Write:
 			misread++
-			fmt.Fprintf(p.Writes, "misread as a %v: %s\n", statement.Class, text)
+			fmt.Fprintf(p.Output, "misread as a %v: %s\n", statement.Class, text)
 		case !write && statement.Class != sql.Read:
 			falseWrites++
-			fmt.Fprintf(p.Writes, "no write (%s): %s\n", statement.Reason, text)
+			fmt.Fprintf(p.Output, "no write (%s): %s\n", statement.Reason, text)
 		}
 		if write {
 			writes++
