--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -14,13 +14,13 @@
 
 // RolloutSimulation is the part of the proof of releases that needs no sockets: internal/rollout in simulated time.
 type RolloutSimulation struct {
-	From   uint64 // first seed
-	Seeds  int    // runs of mixed faults
-	Twice  int    // one in so many is run twice, and the hashes compared
-	Plant  int    // seeds tried at most for each planted mistake; 0 for none
-	Halts  int    // pairs of a good version and of one that fails 2% more
-	Sizes  []int  // routers of plans without faults, against the least time possible
-	Output io.Writer
+	From        uint64 // first seed
+	Seeds       int    // runs of mixed faults
+	RepeatEvery int    // one in so many is run twice, and the hashes compared
+	Plant       int    // seeds tried at most for each planted mistake; 0 for none
+	Halts       int    // pairs of a good version and of one that fails 2% more
+	Sizes       []int  // routers of plans without faults, against the least time possible
+	Output      io.Writer
 }
 
 // Run plays it and returns the closing line; the error says which limits do not hold.
@@ -64,7 +64,7 @@
 		result = w.Run()
 		return result, result.Hash, w.Violation
 	}
-	sum.equalHashes, sum.violation = searchSeeds(p.From, p.Seeds, p.Twice, play, func(result rolloutsim.Result) {
+	sum.equalHashes, sum.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(result rolloutsim.Result) {
 		sum.events += result.Events
 		sum.leaders += result.Leaders
 	})
