--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -14,13 +14,13 @@
 
 // RolloutSimulation is the part of the proof of releases that needs no sockets: internal/rollout in simulated time.
 type RolloutSimulation struct {
-	From        uint64 // first seed
-	Seeds       int    // runs of mixed faults
-	RepeatEvery int    // one in so many is run twice, and the hashes compared
-	Plant       int    // seeds tried at most for each planted mistake; 0 for none
-	Halts       int    // pairs of a good version and of one that fails 2% more
-	Sizes       []int  // routers of plans without faults, against the least time possible
-	Output      io.Writer
+	From         uint64 // first seed
+	Seeds        int    // runs of mixed faults
+	RepeatEvery  int    // one in so many is run twice, and the hashes compared
+	MistakeSeeds int    // seeds tried at most for each planted mistake; 0 for none
+	Halts        int    // pairs of a good version and of one that fails 2% more
+	Sizes        []int  // routers of plans without faults, against the least time possible
+	Output       io.Writer
 }
 
 // Run plays it and returns the closing line; the error says which limits do not hold.
@@ -73,15 +73,15 @@
 
 // findMistakes plants each mistake, and counts those that are found.
 func (p RolloutSimulation) findMistakes() (found int, err error) {
-	if p.Plant == 0 {
+	if p.MistakeSeeds == 0 {
 		return 0, nil
 	}
 	var errs []error
 	for m := rolloutsim.None + 1; m < rolloutsim.Mistakes; m++ {
 		after := p.find(m)
 		if after < 0 {
-			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.Plant))
-			fmt.Fprintf(p.Output, "planted %v: not found in %d seeds\n", m, p.Plant)
+			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.MistakeSeeds))
+			fmt.Fprintf(p.Output, "planted %v: not found in %d seeds\n", m, p.MistakeSeeds)
 			continue
 		}
 		found++
@@ -92,7 +92,7 @@
 
 // find is the first seed that shows a planted mistake, -1 for none.
 func (p RolloutSimulation) find(m rolloutsim.Mistake) int {
-	return firstSeedThat(p.Plant, func(seed uint64) bool {
+	return firstSeedThat(p.MistakeSeeds, func(seed uint64) bool {
 		s := rolloutsim.MixedFaults(seed)
 		s.Planted = m
 		w := rolloutsim.New(s)
