--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -168,7 +168,7 @@
 	if c.Trace {
 		return proof.TraceRolloutSimulation(c.From, os.Stdout)
 	}
-	return printClosingLine(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Output: os.Stdout}.Run())
+	return printClosingLine(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, VersionPairs: c.Halts, Sizes: c.Sizes, Output: os.Stdout}.Run())
 }
 
 // parseSizes reads a list such as 3x10,30x1000.
--- a/internal/testcluster/proof/rollout_proof_test.go
+++ b/internal/testcluster/proof/rollout_proof_test.go
@@ -33,7 +33,7 @@
 
 // TestRolloutSimulation is the simulated part at a size that takes seconds; rolloutsim's own test plants mistakes.
 func TestRolloutSimulation(t *testing.T) {
-	line, err := RolloutSimulation{Seeds: 10, RepeatEvery: 5, Halts: 1, Sizes: []int{30}, Output: io.Discard}.Run()
+	line, err := RolloutSimulation{Seeds: 10, RepeatEvery: 5, VersionPairs: 1, Sizes: []int{30}, Output: io.Discard}.Run()
 	if err != nil || !strings.Contains(line, "holds") {
 		t.Errorf("%v: %s", err, line)
 	}
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -18,7 +18,7 @@
 	Seeds        int    // runs of mixed faults
 	RepeatEvery  int    // one in so many is run twice, and the hashes compared
 	MistakeSeeds int    // seeds tried at most for each planted mistake; 0 for none
-	Halts        int    // pairs of a good version and of one that fails 2% more
+	VersionPairs int    // pairs of a good version and of one that fails 2% more
 	Sizes        []int  // routers of plans without faults, against the least time possible
 	Output       io.Writer
 }
@@ -37,7 +37,7 @@
 	errs = append(errs, err)
 	versions := p.playVersions()
 	if versions.badFinished > 0 {
-		errs = append(errs, fmt.Errorf("%d of %d versions that fail 2%% more went through", versions.badFinished, p.Halts))
+		errs = append(errs, fmt.Errorf("%d of %d versions that fail 2%% more went through", versions.badFinished, p.VersionPairs))
 	}
 	worst := p.playSizes()
 	err = errors.Join(errs...)
@@ -47,7 +47,7 @@
 	}
 	return fmt.Sprintf("proof releases, simulated: %s; seeds=%d from=%d budget_breaks=%d (limit 0) planted_found=%d of %d false_halts=%d of %d plans "+
 		"bad_versions_through=%d of %d (more than two touched %d) time_to_least=%.2f (aim 1.3)", verdict, p.Seeds, p.From, min(len(mixed.violation), 1), found,
-		int(rolloutsim.Mistakes)-1, versions.goodHalted, p.Halts, versions.badFinished, p.Halts, versions.manyTouched, worst), err
+		int(rolloutsim.Mistakes)-1, versions.goodHalted, p.VersionPairs, versions.badFinished, p.VersionPairs, versions.manyTouched, worst), err
 }
 
 // mixedResult sums runs of mixed faults up.
@@ -114,7 +114,7 @@
 // playVersions plays versions that are as good as the one before, and bad ones.
 func (p RolloutSimulation) playVersions() (sum versionsResult) {
 	var mu sync.Mutex
-	forEachParallel(p.Halts, func(i int) bool {
+	forEachParallel(p.VersionPairs, func(i int) bool {
 		for _, extra := range []float64{0, extraFailures} {
 			w := rolloutsim.New(rolloutsim.VersionRollout(uint64(i), extra))
 			halted := w.Run().HaltsByEvidence > 0
