--- a/internal/testcluster/proof/lease_proof.go
+++ b/internal/testcluster/proof/lease_proof.go
@@ -39,7 +39,7 @@
 	Lasting        bool           // voters store their records
 	Unsupervised   bool           // a fault on purpose: commands run without a supervisor
 	Measurements   int            // takeovers and hand-overs measured
-	RulesOnly      bool           // judge the rules alone, and no limit in real time
+	SafetyOnly     bool           // judge the rules alone, and no limit in real time
 	FirstClockRate float64        // of the first machine's clock, 0 for one within the bound
 	BulkLeases     int            // leases that each process without a vote wants beside the others
 	Log            io.Writer      // what the processes log
--- a/internal/testcluster/proof/lease_proof_test.go
+++ b/internal/testcluster/proof/lease_proof_test.go
@@ -89,7 +89,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c.p.Seed, c.p.Voters, c.p.Others, c.p.RulesOnly, c.p.Log, c.p.Output = 1, 3, 2, true, io.Discard, io.Discard
+			c.p.Seed, c.p.Voters, c.p.Others, c.p.SafetyOnly, c.p.Log, c.p.Output = 1, 3, 2, true, io.Discard, io.Discard
 			line, err := c.p.Run()
 			if c.want == "" && (err != nil || !strings.Contains(line, "holds")) {
 				t.Errorf("%v: %s", err, line)
@@ -124,7 +124,7 @@
 func TestClockOutsideTheBound(t *testing.T) {
 	t.Parallel()
 	log := &lines{}
-	p := LeaseProof{Seed: 2, Voters: 3, Others: 1, RulesOnly: true, FirstClockRate: 1 + 3*leaseDrift, Script: script(t, "9000 heal\n"), Log: log, Output: io.Discard}
+	p := LeaseProof{Seed: 2, Voters: 3, Others: 1, SafetyOnly: true, FirstClockRate: 1 + 3*leaseDrift, Script: script(t, "9000 heal\n"), Log: log, Output: io.Discard}
 	if line, err := p.Run(); err != nil {
 		t.Errorf("%v: %s", err, line)
 	}
@@ -138,7 +138,7 @@
 func TestVotersChangeDuringACut(t *testing.T) {
 	t.Parallel()
 	log := &lines{}
-	p := LeaseProof{Seed: 3, Voters: 3, Others: 2, RulesOnly: true, Log: log, Output: io.Discard, Script: script(t, `
+	p := LeaseProof{Seed: 3, Voters: 3, Others: 2, SafetyOnly: true, Log: log, Output: io.Discard, Script: script(t, `
 1000 cut 0 * both
 1500 voters 2 r0,r1,r2,r3 r0,r1,r2
 7000 voters 3 r1,r2,r3 r0,r1,r2,r3
--- a/internal/testcluster/proof/lease_verdict.go
+++ b/internal/testcluster/proof/lease_verdict.go
@@ -93,7 +93,7 @@
 	if len(runs) == 0 || len(run.resource.Operations()) == 0 {
 		wrong = append(wrong, errors.New("nothing was done under a lease"))
 	}
-	if takeoverWorst > maxTakeover && !run.proof.RulesOnly {
+	if takeoverWorst > maxTakeover && !run.proof.SafetyOnly {
 		wrong = append(wrong, fmt.Errorf("a lease had no holder for %v after a kill, limit %v", takeoverWorst, maxTakeover))
 	}
 	verdict := "holds"
