--- a/internal/testcluster/proof/assignment_proof_test.go
+++ b/internal/testcluster/proof/assignment_proof_test.go
@@ -10,7 +10,7 @@
 
 // TestMain lets the test's program be the router that a proof starts.
 func TestMain(m *testing.M) {
-	child()
+	runHiddenCommand()
 	if len(os.Args) == 4 && os.Args[1] == "child" {
 		RunSharingRouter(os.Args[3])
 		os.Exit(1)
--- a/internal/testcluster/proof/hidden.go
+++ b/internal/testcluster/proof/hidden.go
@@ -9,7 +9,8 @@
 	"cairntiller/internal/testcluster/process"
 )
 
-// HiddenCommands are the commands by which a proof starts its own program again, as the processes it is made of.
+// HiddenCommands are the sub-commands that a proof runs its own executable with to start its child processes. They are hidden
+// from the help.
 type HiddenCommands struct {
 	ChildLeases   childLeasesCommand   `cmd:"" hidden:""`
 	ChildReleases childReleasesCommand `cmd:"" hidden:""`
@@ -19,15 +20,15 @@
 	Work          workCommand          `cmd:"" hidden:""`
 }
 
-// asExitCode ends the process with the code of the command that it ran.
-func asExitCode(code int, err error) error {
+// exitCodeError returns err, or the exit code of a child command as an error, with which the process then ends.
+func exitCodeError(code int, err error) error {
 	if err != nil {
 		return err
 	}
 	return supervisor.ExitCode(code)
 }
 
-// childFlags is what the command line of a router process says.
+// childFlags are the flags common to all router processes.
 type childFlags struct {
 	Clock, Own, File string
 }
@@ -36,12 +37,12 @@
 	return process.ChildOptions{OperatorFile: s.File, Clock: s.Clock, SourceAddress: s.Own}
 }
 
-// logEverything logs to standard error, from level info on.
-func logEverything() {
+// logToStderr logs to standard error at level info and above.
+func logToStderr() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})))
 }
 
-// childLeasesCommand runs a router process of the proof of leases.
+// childLeasesCommand runs a router process of the lease proof.
 type childLeasesCommand struct {
 	childFlags
 	Acts, Name string
@@ -50,20 +51,20 @@
 
 // Run runs it.
 func (l *childLeasesCommand) Run() error {
-	logEverything()
+	logToStderr()
 	return RunLeaseRouter(l.options(), l.Acts, l.Name, l.Bulk)
 }
 
-// childReleasesCommand runs a router process of the proof of rollouts.
+// childReleasesCommand runs a router process of the rollout proof.
 type childReleasesCommand struct{ childFlags }
 
 // Run runs it.
 func (l *childReleasesCommand) Run() error {
-	logEverything()
+	logToStderr()
 	return process.RunChild(l.options(), nil, nil)
 }
 
-// holdCommand holds a lease and works under it.
+// holdCommand acquires a lease and runs a workload while it is held.
 type holdCommand struct {
 	Socket, Clock, Keeper, Acts, Holder string
 	Length                              time.Duration
@@ -72,10 +73,10 @@
 
 // Run runs it.
 func (l *holdCommand) Run() error {
-	return asExitCode(RunWorkloadWithLease(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
+	return exitCodeError(RunWorkloadWithLease(l.Socket, l.Clock, l.Keeper, l.Acts, l.Holder, l.Lease, l.Length))
 }
 
-// keepCommand supervises a command as the product does.
+// keepCommand supervises a command with the product's supervisor.
 type keepCommand struct {
 	Clock string
 	Room  time.Duration
@@ -84,10 +85,10 @@
 
 // Run runs it.
 func (l *keepCommand) Run() error {
-	return asExitCode(SuperviseCommand(l.Clock, l.Room, l.Args))
+	return exitCodeError(SuperviseCommand(l.Clock, l.Room, l.Args))
 }
 
-// badKeepCommand supervises a command without ending it in time: a planted mistake.
+// badKeepCommand supervises a command but does not end it before its lease expires: a planted mistake.
 type badKeepCommand struct {
 	Clock string
 	Room  time.Duration
@@ -97,7 +98,7 @@
 // Run runs it.
 func (l *badKeepCommand) Run() error { return SuperviseWithoutDeadline(l.Args) }
 
-// workCommand works under a lease, unchecked.
+// workCommand runs the workload of a leased command. It does not check the lease itself.
 type workCommand struct {
 	Acts, Holder string
 	Span         time.Duration
--- a/internal/testcluster/proof/lease_measurements.go
+++ b/internal/testcluster/proof/lease_measurements.go
@@ -12,14 +12,15 @@
 	"cairntiller/internal/testcluster/resource"
 )
 
-// awaitActs waits until every task is acted under, and every work has begun.
-func (run *leaseRun) awaitActs(most time.Duration) error {
-	for end := time.Now().Add(most); ; time.Sleep(50 * time.Millisecond) {
+// awaitOperations waits until an operation was accepted under every task lease within the last 0.5 s, and a command has run
+// under every work lease.
+func (run *leaseRun) awaitOperations(timeout time.Duration) error {
+	for end := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
 		missing := map[string]bool{}
-		for n := range taskLeases {
+		for n := range taskLeaseCount {
 			missing[fmt.Sprint("task-", n)] = true
 		}
-		for n := range workLeases {
+		for n := range workLeaseCount {
 			missing[fmt.Sprint("work-", n)] = true
 		}
 		for _, r := range run.resource.Usages() {
@@ -35,16 +36,17 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("after %v nobody acts under %v", most, missing)
+			return fmt.Errorf("after %v no operations under leases %v", timeout, missing)
 		}
 	}
 }
 
-// measure times how soon a lease has a new holder after its own was killed, and after it was asked to give it up.
+// measure measures how long a lease takes to get a new holder after its holder was killed (takeover) and after its holder
+// was asked to release it (hand-over).
 func (run *leaseRun) measure() (takeovers, handOvers []time.Duration, err error) {
 	for n := range run.proof.Measurements {
-		time.Sleep(3 * leaseLength) // a voter that was killed has abstained by then
-		took, err := run.measureTakeover(fmt.Sprint("task-", n%taskLeases))
+		time.Sleep(3 * leaseLength) // a voter that was killed before has ended its abstention by then
+		took, err := run.measureTakeover(fmt.Sprint("task-", n%taskLeaseCount))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -52,7 +54,7 @@
 	}
 	time.Sleep(2 * leaseLength)
 	for n := range run.proof.Measurements {
-		took, err := run.measureHandOver(fmt.Sprint("task-", n%taskLeases))
+		took, err := run.measureHandOver(fmt.Sprint("task-", n%taskLeaseCount))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -62,9 +64,9 @@
 	return takeovers, handOvers, nil
 }
 
-// measureTakeover kills a lease's holder and times how soon another one acts.
+// measureTakeover kills a lease's holder and returns the time until the first operation of another holder.
 func (run *leaseRun) measureTakeover(name string) (took time.Duration, err error) {
-	before := run.lastAct(name)
+	before := run.lastOperation(name)
 	holder := strconv.Itoa(run.lastHolder(name))
 	killedAt := process.TrueClock()
 	if err := run.harness.Execute(process.Step{Command: "kill", Args: []string{holder}}); err != nil {
@@ -80,27 +82,28 @@
 	return time.Duration(actedAt-killedAt) * time.Microsecond, nil
 }
 
-// measureHandOver asks a lease's holder to give it up, and times how soon after its last act another one acts.
+// measureHandOver asks a lease's holder to release it, and returns the time from its last operation to the first one of the
+// next holder.
 func (run *leaseRun) measureHandOver(name string) (took time.Duration, err error) {
-	before := run.lastAct(name)
+	before := run.lastOperation(name)
 	run.freeLease(name)
 	actedAt, err := run.awaitNewHolder(name, before.Term, before.CheckedAt)
 	if err != nil {
 		return 0, err
 	}
 	endedAt := before.CheckedAt
-	for _, act := range run.resource.Operations() {
-		if act.Lease == name && act.Term == before.Term {
-			endedAt = max(endedAt, act.CheckedAt)
+	for _, operation := range run.resource.Operations() {
+		if operation.Lease == name && operation.Term == before.Term {
+			endedAt = max(endedAt, operation.CheckedAt)
 		}
 	}
 	return time.Duration(actedAt-endedAt) * time.Microsecond, nil
 }
 
-// awaitNewHolder waits until a lease is acted under with a later term, and returns when.
+// awaitNewHolder waits for an operation under a later term of the lease, and returns when it was checked.
 func (run *leaseRun) awaitNewHolder(name string, term uint64, after int64) (at int64, err error) {
 	for end := time.Now().Add(4 * maxTakeover); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if at := run.firstActUnderLaterTerm(name, term, after); at > 0 {
+		if at := run.firstOperationWithLaterTerm(name, term, after); at > 0 {
 			return at, nil
 		}
 	}
@@ -108,8 +111,9 @@
 	return 0, fmt.Errorf("no new holder of %s within %v", name, 4*maxTakeover)
 }
 
-// firstActUnderLaterTerm is when a lease was first acted under with another term after a time; 0 for not yet.
-func (run *leaseRun) firstActUnderLaterTerm(name string, term uint64, after int64) (at int64) {
+// firstOperationWithLaterTerm returns when the first operation after a time was accepted with a term above the given one; 0
+// if there is none yet.
+func (run *leaseRun) firstOperationWithLaterTerm(name string, term uint64, after int64) (at int64) {
 	for _, a := range run.resource.Operations() {
 		if a.Lease == name && a.Accepted && a.Term > term && a.CheckedAt > after && (at == 0 || a.CheckedAt < at) {
 			at = a.CheckedAt
@@ -118,8 +122,8 @@
 	return at
 }
 
-// lastAct is the newest act under a lease.
-func (run *leaseRun) lastAct(name string) (last resource.Operation) {
+// lastOperation returns the latest accepted operation under a lease.
+func (run *leaseRun) lastOperation(name string) (last resource.Operation) {
 	for _, a := range run.resource.Operations() {
 		if a.Lease == name && a.Accepted && a.CheckedAt > last.CheckedAt {
 			last = a
@@ -128,10 +132,11 @@
 	return last
 }
 
-// heldShare is the part of a time in which somebody acted under a lease: gaps of over ten acts count as nobody.
+// heldShare returns the share of the time from from to to in which the task leases were held, by their operations: a gap of
+// more than ten operation intervals counts as not held.
 func (run *leaseRun) heldShare(from, to int64) float64 {
 	covered := int64(0)
-	for n := range taskLeases {
+	for n := range taskLeaseCount {
 		var at []int64
 		for _, a := range run.resource.Operations() {
 			if a.Lease == fmt.Sprint("task-", n) && a.Accepted && a.CheckedAt >= from && a.CheckedAt <= to {
@@ -140,24 +145,24 @@
 		}
 		slices.Sort(at)
 		for i := 1; i < len(at); i++ {
-			if gap := at[i] - at[i-1]; gap <= 10*actInterval.Microseconds() {
+			if gap := at[i] - at[i-1]; gap <= 10*operationInterval.Microseconds() {
 				covered += gap
 			}
 		}
 	}
-	return float64(covered) / float64(taskLeases*(to-from))
+	return float64(covered) / float64(taskLeaseCount*(to-from))
 }
 
-// overview asks a router for what the voters know.
+// overview asks router i for the voters' status.
 func (run *leaseRun) overview(i int) (o leaseservice.Overview, err error) {
 	err = adminsocket.Ask(run.harness.AdminSocket(i), adminsocket.Request{Command: "leases"}, &o)
 	return o, err
 }
 
-// printOverviews prints what the voters know, for whoever looks into a failure.
+// printOverviews prints each router's view of the voters, to help to diagnose a failure.
 func (run *leaseRun) printOverviews() {
 	for i := range run.proof.Voters + run.proof.Others {
 		o, err := run.overview(i)
-		fmt.Fprintf(run.proof.Output, "%s knows: %+v %v\n", process.ProcessName(i), o, err)
+		fmt.Fprintf(run.proof.Output, "overview from %s: %+v %v\n", process.ProcessName(i), o, err)
 	}
 }
--- a/internal/testcluster/proof/lease_proof.go
+++ b/internal/testcluster/proof/lease_proof.go
@@ -16,53 +16,53 @@
 	"cairntiller/internal/testcluster/resource"
 )
 
-// The limits that the proof of leases holds the routers to.
+// Limits and parameters of the lease proof.
 const (
-	leaseLength   = 2 * time.Second
-	leaseDrift    = 0.01                      // by which a machine's clock may be off, of its rate
-	maxTakeover   = leaseLength + time.Second // without a holder after a kill
-	handOverGoal  = 200 * time.Millisecond    // printed beside what was measured, not judged
-	actInterval   = 40 * time.Millisecond
-	actBound      = 300 * time.Millisecond
-	lateActWindow = 200_000 // us after a process goes on in which one act of its may come late: the check was before
-	taskLeases    = 3       // leases under which routers act themselves
-	workLeases    = 2       // leases under which commands run
+	leaseLength         = 2 * time.Second
+	leaseDrift          = 0.01                      // maximum rate error of a machine's clock, as a fraction
+	maxTakeover         = leaseLength + time.Second // time without a holder after a kill
+	targetHandOver      = 200 * time.Millisecond    // printed with the measurements, not enforced
+	operationInterval   = 40 * time.Millisecond
+	operationTimeout    = 300 * time.Millisecond
+	lateOperationWindow = 200_000 // us after a process is resumed in which an operation that it checked before it was stopped may arrive late
+	taskLeaseCount      = 3       // leases under which the routers themselves run operations
+	workLeaseCount      = 2       // leases under which supervised commands run
 )
 
-// LeaseProof is the proof of leases with router processes on loopback: what a run of it is made of.
+// LeaseProof configures a run of the lease proof, which runs router processes on loopback.
 type LeaseProof struct {
 	Seed           uint64
 	Voters         int
 	Others         int
-	Span           time.Duration  // of mixed faults
-	Script         process.Script // played instead of them
-	Lasting        bool           // voters store their records
-	Unsupervised   bool           // a fault on purpose: commands run without a supervisor
-	Measurements   int            // takeovers and hand-overs measured
-	SafetyOnly     bool           // judge the rules alone, and no limit in real time
-	FirstClockRate float64        // of the first machine's clock, 0 for one within the bound
-	BulkLeases     int            // leases that each process without a vote wants beside the others
-	Log            io.Writer      // what the processes log
-	Output         io.Writer      // the proof's own lines
+	Span           time.Duration  // duration of the random mixed faults
+	Script         process.Script // runs instead of the random faults
+	Lasting        bool           // voters store their records on disk
+	Unsupervised   bool           // planted mistake: commands run without the product's supervisor
+	Measurements   int            // number of takeovers and of hand-overs to measure
+	SafetyOnly     bool           // ignore the limit on takeover time
+	FirstClockRate float64        // clock rate of the first machine; 0 for a random one within leaseDrift
+	BulkLeases     int            // additional leases that each non-voter requests
+	Log            io.Writer      // logs of the processes
+	Output         io.Writer      // progress of the proof
 }
 
-// leaseRun is a run under way.
+// leaseRun is the state of one run.
 type leaseRun struct {
-	proof    LeaseProof
-	cluster  *cluster.Cluster
-	harness  *process.Harness
-	resource *resource.Server
-	random   *rand.Rand
-	ended    chan struct{}
-	commands sync.WaitGroup
-	mu       sync.Mutex
-	askers   map[string]*exec.Cmd // cairntiller lease hold, by machine and lease
+	proof         LeaseProof
+	cluster       *cluster.Cluster
+	harness       *process.Harness
+	resource      *resource.Server
+	random        *rand.Rand
+	ended         chan struct{}
+	commandLoops  sync.WaitGroup
+	mu            sync.Mutex
+	leaseCommands map[string]*exec.Cmd // "hold" processes by "MACHINE/LEASE"
 }
 
-// open starts what a run needs.
-func (run *leaseRun) open() (err error) {
+// setUp starts the cluster, the resource and the router processes.
+func (run *leaseRun) setUp() (err error) {
 	run.ended = make(chan struct{})
-	run.askers = map[string]*exec.Cmd{}
+	run.leaseCommands = map[string]*exec.Cmd{}
 	run.random = rand.New(rand.NewPCG(run.proof.Seed, 8))
 	if run.cluster, err = cluster.New(run.proof.Seed, 1, 2); err != nil {
 		return err
@@ -71,13 +71,13 @@
 		err = run.start()
 	}
 	if err != nil {
-		run.close()
+		run.tearDown()
 	}
 	return err
 }
 
-// close ends all that open started.
-func (run *leaseRun) close() {
+// tearDown stops everything that setUp started.
+func (run *leaseRun) tearDown() {
 	run.stopCommands()
 	if run.harness != nil {
 		run.harness.Close()
@@ -88,14 +88,14 @@
 	run.cluster.Close()
 }
 
-// Run plays the proof and returns its closing line; the error says which limits do not hold.
+// Run runs the proof and returns its closing line; the error lists the limits that do not hold.
 func (p LeaseProof) Run() (line string, err error) {
 	run := &leaseRun{proof: p}
-	if err = run.open(); err != nil {
+	if err = run.setUp(); err != nil {
 		return "", err
 	}
-	defer run.close()
-	if err = run.awaitActs(20 * time.Second); err != nil {
+	defer run.tearDown()
+	if err = run.awaitOperations(20 * time.Second); err != nil {
 		return "", err
 	}
 	began := process.TrueClock()
@@ -107,7 +107,7 @@
 		return "", err
 	}
 	faultsEnd := process.TrueClock()
-	if err = run.awaitActs(30 * time.Second); err != nil {
+	if err = run.awaitOperations(30 * time.Second); err != nil {
 		return "", err
 	}
 	takeovers, handOvers, err := run.measure()
@@ -115,10 +115,10 @@
 		return "", err
 	}
 	run.stopCommands()
-	return run.judge(began, faultsEnd, takeovers, handOvers)
+	return run.closingLine(began, faultsEnd, takeovers, handOvers)
 }
 
-// start starts the router processes, and on each machine a command under each work lease, again and again.
+// start starts the router processes, and on each machine a loop per work lease that runs commands under it.
 func (run *leaseRun) start() (err error) {
 	n := run.proof.Voters + run.proof.Others
 	var voters []string
@@ -143,32 +143,34 @@
 		return err
 	}
 	run.harness.HandleCommand("free", func(args []string) error { run.freeLease(args[0]); return nil })
-	run.harness.HandleCommand("stop-hold", func(args []string) error { run.signalAsker(args[0], syscall.SIGSTOP); return nil })
-	run.harness.HandleCommand("cont-hold", func(args []string) error { run.signalAsker(args[0], syscall.SIGCONT); return nil })
+	run.harness.HandleCommand("stop-hold", func(args []string) error { run.signalLeaseCommand(args[0], syscall.SIGSTOP); return nil })
+	run.harness.HandleCommand("cont-hold", func(args []string) error { run.signalLeaseCommand(args[0], syscall.SIGCONT); return nil })
 	run.harness.HandleCommand("stop-at", func(args []string) error { return run.executeAtHolder(args, "stop") })
 	run.harness.HandleCommand("kill-at", func(args []string) error { return run.executeAtHolder(args, "kill") })
 	run.harness.HandleCommand("voters", func(args []string) error { return run.changeVoters(args) })
 	run.harness.HandleCommand("up", func(args []string) error { return run.resumeAll() })
 	for i := range n {
-		for w := range workLeases {
-			run.commands.Go(func() { run.runCommands(i, fmt.Sprint("work-", w)) })
+		for w := range workLeaseCount {
+			run.commandLoops.Go(func() { run.runCommands(i, fmt.Sprint("work-", w)) })
 		}
 	}
 	return nil
 }
 
-// operatorFile is what a machine's operator says of leases.
+// operatorFile returns the operator's file of machine i. number and voters are the voter set; before is the set that it
+// replaces, nil for none.
 func (run *leaseRun) operatorFile(voters []string, number int, before []string, i int) string {
-	was := ""
+	beforeSetting := ""
 	if len(before) > 0 {
-		was = fmt.Sprintf("(before %s)", strings.Join(before, " "))
+		beforeSetting = fmt.Sprintf("(before %s)", strings.Join(before, " "))
 	}
 	return fmt.Sprintf("(leases (longest %dms) (drift %g) %s (voters (number %d) (names %s) %s) (roll-call (every 5s)))\n(control (socket %q))",
-		leaseLength.Milliseconds(), leaseDrift*100, run.storePart(i), number, strings.Join(voters, " "), was, run.cluster.Folder+"/"+process.ProcessName(i)+".sock")
+		leaseLength.Milliseconds(), leaseDrift*100, run.folderSetting(i), number, strings.Join(voters, " "), beforeSetting, run.cluster.Folder+"/"+process.ProcessName(i)+".sock")
 }
 
-// storePart names the folder of a machine's voter, where voters store their records.
-func (run *leaseRun) storePart(i int) string {
+// folderSetting returns the setting of the folder in which machine i's voter stores its records, or an empty string if voters
+// store nothing.
+func (run *leaseRun) folderSetting(i int) string {
 	if !run.proof.Lasting {
 		return ""
 	}
--- a/internal/testcluster/proof/lease_proof_test.go
+++ b/internal/testcluster/proof/lease_proof_test.go
@@ -18,8 +18,9 @@
 	"cairntiller/internal/testcluster/process"
 )
 
-// child runs the command that a proof started this program again for, if it is one.
-func child() {
+// runHiddenCommand runs the hidden sub-command that the arguments name, if any, and exits. Proofs start the test's executable
+// with it as their child processes.
+func runHiddenCommand() {
 	if len(os.Args) < 2 || !slices.Contains([]string{"child-leases", "child-releases", "hold", "keep", "bad-keep", "work"}, os.Args[1]) {
 		return
 	}
@@ -35,7 +36,7 @@
 	os.Exit(1)
 }
 
-// what a script does in CI: each hard case once, in 12 seconds.
+// leaseScript has each kind of fault once, in 12 seconds.
 const leaseScript = `
 200 fate 0.05 0.3 0.01 20 0.5
 500 stop-at task-0
@@ -66,7 +67,7 @@
 12000 up
 `
 
-func script(t *testing.T, text string) process.Script {
+func parseScript(t *testing.T, text string) process.Script {
 	t.Helper()
 	s, err := process.ParseScript(text)
 	if err != nil {
@@ -75,17 +76,17 @@
 	return s
 }
 
-// TestLeases: a holder is stopped past its lease and goes on, another is cut off one way, all voters are killed at once,
-// messages come twice and late, a majority is lost and comes back. No two processes may act under one lease through all of it,
-// and a supervisor that does not end its command in time must be seen.
-func TestLeases(t *testing.T) {
+// TestLeaseProof guards against two processes that run operations under one lease at once. A holder is stopped past its
+// lease's expiry and resumes, another is cut off in one direction, all voters are killed at once, messages are duplicated and
+// delayed, and a majority is lost and comes back. The proof has to detect a supervisor that does not end its command in time.
+func TestLeaseProof(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		p    LeaseProof
 		want string
 	}{
-		"as it is":                      {LeaseProof{Script: script(t, leaseScript), Measurements: 1}, ""},
-		"commands without a supervisor": {LeaseProof{Script: script(t, "200 stop-at work-0\n6000 up\n"), Unsupervised: true}, "overlapped"},
+		"mixed faults":                  {LeaseProof{Script: parseScript(t, leaseScript), Measurements: 1}, ""},
+		"commands without a supervisor": {LeaseProof{Script: parseScript(t, "200 stop-at work-0\n6000 up\n"), Unsupervised: true}, "overlapped"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -95,50 +96,51 @@
 				t.Errorf("%v: %s", err, line)
 			}
 			if c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(line, "FAILS")) {
-				t.Errorf("a fault went unseen: %v, %s", err, line)
+				t.Errorf("the planted mistake was not detected: %v, %s", err, line)
 			}
 		})
 	}
 }
 
-// lines is a log that may be read while it is written.
-type lines struct {
+// syncBuffer is a buffer that is safe for concurrent writes and reads.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *syncBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) has(text string) bool {
+func (l *syncBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.b.String(), text)
 }
 
-// TestClockOutsideTheBound: one voter's clock goes wrong by three times the bound, and leases are no longer safe with it. That
-// is outside the promise, so somebody must be told of it.
-func TestClockOutsideTheBound(t *testing.T) {
+// TestClockDriftBeyondBound: one voter's clock drifts by three times the bound, so that leases are no longer safe. Leases do not
+// protect against that, so the log has to report it.
+func TestClockDriftBeyondBound(t *testing.T) {
 	t.Parallel()
-	log := &lines{}
-	p := LeaseProof{Seed: 2, Voters: 3, Others: 1, SafetyOnly: true, FirstClockRate: 1 + 3*leaseDrift, Script: script(t, "9000 heal\n"), Log: log, Output: io.Discard}
+	log := &syncBuffer{}
+	p := LeaseProof{Seed: 2, Voters: 3, Others: 1, SafetyOnly: true, FirstClockRate: 1 + 3*leaseDrift, Script: parseScript(t, "9000 heal\n"), Log: log, Output: io.Discard}
 	if line, err := p.Run(); err != nil {
 		t.Errorf("%v: %s", err, line)
 	}
-	if !log.has("a clock is outside the bound") || !log.has("voter=r0") {
-		t.Error("nobody told of it")
+	if !log.contains("a clock is outside the bound") || !log.contains("voter=r0") {
+		t.Error("the log does not report the drift of r0's clock")
 	}
 }
 
-// TestVotersChangeDuringACut: an operator replaces a voter while another one is cut off, and the new set never comes in force,
-// or both sets have a holder. One step at a time it must come in force, and nothing overlap.
-func TestVotersChangeDuringACut(t *testing.T) {
+// TestVoterSetChangeDuringPartition guards against a voter set that never takes effect, and against a holder in the old and one
+// in the new set at once, when an operator replaces a voter while another one is cut off. Changed one voter at a time, the set
+// has to take effect, without overlaps.
+func TestVoterSetChangeDuringPartition(t *testing.T) {
 	t.Parallel()
-	log := &lines{}
-	p := LeaseProof{Seed: 3, Voters: 3, Others: 2, SafetyOnly: true, Log: log, Output: io.Discard, Script: script(t, `
+	log := &syncBuffer{}
+	p := LeaseProof{Seed: 3, Voters: 3, Others: 2, SafetyOnly: true, Log: log, Output: io.Discard, Script: parseScript(t, `
 1000 cut 0 * both
 1500 voters 2 r0,r1,r2,r3 r0,r1,r2
 7000 voters 3 r1,r2,r3 r0,r1,r2,r3
@@ -148,24 +150,24 @@
 	if line, err := p.Run(); err != nil {
 		t.Errorf("%v: %s", err, line)
 	}
-	if !log.has("voters number 3 in force here") {
-		t.Error("the third set never came in force")
+	if !log.contains("voters number 3 in force here") {
+		t.Error("voter set 3 did not take effect")
 	}
 }
 
-// TestBulk: the holder of a thousand leases is killed, all of them are requested at once, and the voters never come to the end
-// of it. Another process must have them all soon.
-func TestBulk(t *testing.T) {
+// TestTakeoverOfManyLeases guards against voters that never work off their queue when the holder of a thousand leases is
+// killed and all of them are requested at once. Another process has to hold all of them soon.
+func TestTakeoverOfManyLeases(t *testing.T) {
 	t.Parallel()
 	const bulk = 1000
 	c := &leaseRun{proof: LeaseProof{Seed: 4, Voters: 3, Others: 2, BulkLeases: bulk, Log: io.Discard, Output: io.Discard}}
-	if err := c.open(); err != nil {
+	if err := c.setUp(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.close()
-	// one look tells of both holders: each look is work for the voters whose speed is measured
+	defer c.tearDown()
+	// a single overview covers both holders: each one costs the voters time, and their speed is measured
 	var others []leaseservice.LeaseStatus
-	held := func() map[string]int {
+	heldLeases := func() map[string]int {
 		n := map[string]int{}
 		others = nil
 		o, err := c.overview(0)
@@ -178,24 +180,24 @@
 		}
 		return n
 	}
-	wait := func(what string, is func(n map[string]int) bool) (n map[string]int) {
+	await := func(condition string, is func(n map[string]int) bool) (n map[string]int) {
 		t.Helper()
 		for end := time.Now().Add(40 * time.Second); ; time.Sleep(250 * time.Millisecond) {
-			if n = held(); is(n) {
+			if n = heldLeases(); is(n) {
 				return n
 			}
 			if time.Now().After(end) {
-				t.Fatalf("not in time: %s: %v held, not so %d: %+v", what, n, len(others), others[:min(8, len(others))])
+				t.Fatalf("timed out waiting until %s: %v held, %d others: %+v", condition, n, len(others), others[:min(8, len(others))])
 			}
 		}
 	}
-	n := wait("all are held", func(n map[string]int) bool { return n[process.ProcessName(3)]+n[process.ProcessName(4)] == bulk })
-	most, other := "3", 4
+	n := await("all leases are held", func(n map[string]int) bool { return n[process.ProcessName(3)]+n[process.ProcessName(4)] == bulk })
+	busiest, other := "3", 4
 	if n[process.ProcessName(4)] > n[process.ProcessName(3)] {
-		most, other = "4", 3
+		busiest, other = "4", 3
 	}
-	c.harness.Execute(process.Step{Command: "kill", Args: []string{most}})
+	c.harness.Execute(process.Step{Command: "kill", Args: []string{busiest}})
 	began := time.Now()
-	wait("the other one has them", func(n map[string]int) bool { return n[process.ProcessName(other)] == bulk })
-	t.Logf("%v to a new holder of all", time.Since(began).Round(time.Millisecond))
+	await("the other process holds all leases", func(n map[string]int) bool { return n[process.ProcessName(other)] == bulk })
+	t.Logf("takeover of all leases took %v", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/testcluster/proof/lease_script.go
+++ b/internal/testcluster/proof/lease_script.go
@@ -17,31 +17,31 @@
 )
 
 func init() {
-	process.RegisterCommand("free", "LEASE: ask its holder to give it up")
-	process.RegisterCommand("stop-hold", "N/LEASE: hold the asker of a command still")
-	process.RegisterCommand("cont-hold", "N/LEASE: let it go on")
-	process.RegisterCommand("stop-at", "LEASE: hold the router still that has it")
-	process.RegisterCommand("kill-at", "LEASE: kill the router that has it")
-	process.RegisterCommand("voters", "NUMBER NAMES BEFORE: another set of voters in every file, names joined by commas")
-	process.RegisterCommand("up", "let every process go on, and start those that were killed")
+	process.RegisterCommand("free", "LEASE: ask its holder to release it")
+	process.RegisterCommand("stop-hold", "N/LEASE: stop the process of machine N that holds the lease for a command (SIGSTOP)")
+	process.RegisterCommand("cont-hold", "N/LEASE: resume it")
+	process.RegisterCommand("stop-at", "LEASE: stop the router that used it last")
+	process.RegisterCommand("kill-at", "LEASE: kill the router that used it last")
+	process.RegisterCommand("voters", "NUMBER NAMES BEFORE: put another voter set in every operator's file, names joined by commas")
+	process.RegisterCommand("up", "resume every process, and start those that were killed")
 }
 
-// RandomScript makes the script of mixed faults.
+// RandomScript returns the script of random mixed faults.
 func (p LeaseProof) RandomScript() process.Script {
 	n := p.Voters + p.Others
-	step := func(at time.Duration, do string, args ...string) process.Step {
-		return process.Step{At: at, Command: do, Args: args}
+	step := func(at time.Duration, command string, args ...string) process.Step {
+		return process.Step{At: at, Command: command, Args: args}
 	}
 	s := process.RandomScript(p.Seed, n, leaseLength/2, p.Span,
 		func(rng *rand.Rand, at time.Duration) []process.Step {
-			return []process.Step{step(at, "free", fmt.Sprint("task-", rng.IntN(taskLeases)))}
+			return []process.Step{step(at, "free", fmt.Sprint("task-", rng.IntN(taskLeaseCount)))}
 		},
 		func(rng *rand.Rand, at time.Duration) []process.Step {
-			who := fmt.Sprintf("%d/work-%d", rng.IntN(n), rng.IntN(workLeases))
-			return []process.Step{step(at, "stop-hold", who), step(at+time.Duration(rng.Int64N(int64(2*leaseLength))), "cont-hold", who)}
+			target := fmt.Sprintf("%d/work-%d", rng.IntN(n), rng.IntN(workLeaseCount))
+			return []process.Step{step(at, "stop-hold", target), step(at+time.Duration(rng.Int64N(int64(2*leaseLength))), "cont-hold", target)}
 		},
 		func(rng *rand.Rand, at time.Duration) []process.Step {
-			return []process.Step{step(at, "stop-at", fmt.Sprint("work-", rng.IntN(workLeases)))}
+			return []process.Step{step(at, "stop-at", fmt.Sprint("work-", rng.IntN(workLeaseCount)))}
 		},
 		func(rng *rand.Rand, at time.Duration) (all []process.Step) {
 			if rng.IntN(2) == 0 {
@@ -56,7 +56,7 @@
 	return s
 }
 
-// changeVoters brings another set of voters to every process.
+// changeVoters writes another voter set to every operator's file and makes the processes reload it.
 func (run *leaseRun) changeVoters(args []string) error {
 	number, err := strconv.Atoi(args[0])
 	if err != nil {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// resumeAll lets all processes go on and starts those that are down.
+// resumeAll resumes all processes and starts those that are down.
 func (run *leaseRun) resumeAll() error {
 	var errs []error
 	for i := range run.proof.Voters + run.proof.Others {
@@ -79,22 +79,22 @@
 		errs = append(errs, run.harness.Execute(process.Step{Command: "start", Args: []string{strconv.Itoa(i)}}))
 	}
 	run.mu.Lock()
-	for _, one := range run.askers {
+	for _, one := range run.leaseCommands {
 		one.Process.Signal(syscall.SIGCONT)
 	}
 	run.mu.Unlock()
 	return errors.Join(errs...)
 }
 
-// executeAtHolder does something to the router that acted on a lease last, if it runs.
-func (run *leaseRun) executeAtHolder(args []string, do string) error {
+// executeAtHolder executes a step on the router that used a lease last, if it is running.
+func (run *leaseRun) executeAtHolder(args []string, command string) error {
 	if n := run.lastHolder(args[0]); n >= 0 && run.harness.IsRunning(n) {
-		return run.harness.Execute(process.Step{Command: do, Args: []string{strconv.Itoa(n)}})
+		return run.harness.Execute(process.Step{Command: command, Args: []string{strconv.Itoa(n)}})
 	}
 	return nil
 }
 
-// freeLease asks a lease's holder to give it up, through some router that is up.
+// freeLease asks a lease's holder to release it, through the first running router that accepts the request.
 func (run *leaseRun) freeLease(name string) {
 	for i := range run.proof.Voters + run.proof.Others {
 		if !run.harness.IsRunning(i) {
@@ -107,9 +107,9 @@
 	}
 }
 
-// runCommands runs a command under a lease on one machine, again and again.
+// runCommands runs commands under a lease on one machine, one after another, until the run ends.
 func (run *leaseRun) runCommands(i int, name string) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return
 	}
@@ -120,17 +120,17 @@
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
-		keep := "keep"
+		supervisorCommand := "keep"
 		if run.proof.Unsupervised {
-			keep = "bad-keep"
+			supervisorCommand = "bad-keep"
 		}
-		cmd := exec.Command(self, "hold", "--socket", run.harness.AdminSocket(i), "--clock", run.harness.ClockSkew(i).String(), "--keeper", keep, "--length", leaseLength.String(),
+		cmd := exec.Command(executable, "hold", "--socket", run.harness.AdminSocket(i), "--clock", run.harness.ClockSkew(i).String(), "--keeper", supervisorCommand, "--length", leaseLength.String(),
 			"--acts", run.resource.Address(), "--holder", process.ProcessName(i), name)
 		cmd.Stderr = run.proof.Log
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		run.mu.Lock()
 		select {
-		case <-run.ended: // none starts once they are being ended
+		case <-run.ended: // no command starts once stopCommands has begun to end them
 			run.mu.Unlock()
 			return
 		default:
@@ -139,25 +139,25 @@
 			run.mu.Unlock()
 			return
 		}
-		run.askers[key] = cmd
+		run.leaseCommands[key] = cmd
 		run.mu.Unlock()
 		cmd.Wait()
 		run.mu.Lock()
-		delete(run.askers, key)
+		delete(run.leaseCommands, key)
 		run.mu.Unlock()
 	}
 }
 
-// signalAsker sends a signal to the asker of a command.
-func (run *leaseRun) signalAsker(key string, s syscall.Signal) {
+// signalLeaseCommand sends a signal to a process that holds a lease for a command.
+func (run *leaseRun) signalLeaseCommand(key string, s syscall.Signal) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if one := run.askers[key]; one != nil {
+	if one := run.leaseCommands[key]; one != nil {
 		one.Process.Signal(s)
 	}
 }
 
-// stopCommands ends the commands and their askers.
+// stopCommands kills the processes that hold leases for commands, and with them the commands.
 func (run *leaseRun) stopCommands() {
 	run.mu.Lock()
 	select {
@@ -165,27 +165,27 @@
 	default:
 		close(run.ended)
 	}
-	for _, one := range run.askers {
+	for _, one := range run.leaseCommands {
 		one.Process.Kill()
 	}
 	run.mu.Unlock()
-	run.commands.Wait()
+	run.commandLoops.Wait()
 }
 
-// lastHolder is who acted on a lease last, as the resource saw it; -1 for nobody.
+// lastHolder returns the number of the process that used a lease last, as recorded by the resource; -1 if there is none.
 func (run *leaseRun) lastHolder(name string) int {
-	who, at := "", int64(0)
+	holder, at := "", int64(0)
 	for _, a := range run.resource.Operations() {
 		if a.Lease == name && a.Accepted && a.CheckedAt > at {
-			who, at = a.Holder, a.CheckedAt
+			holder, at = a.Holder, a.CheckedAt
 		}
 	}
 	for _, r := range run.resource.Usages() {
 		if r.Lease == name && r.Begin > at {
-			who, at = r.Holder, r.Begin
+			holder, at = r.Holder, r.Begin
 		}
 	}
-	n, err := strconv.Atoi(strings.TrimPrefix(who, "r"))
+	n, err := strconv.Atoi(strings.TrimPrefix(holder, "r"))
 	if err != nil {
 		return -1
 	}
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -12,25 +12,26 @@
 	"cairntiller/internal/simulation/leasesim"
 )
 
-// LeaseSimulation is the part of the proof of leases that no sockets reach: the deciding module in simulated time.
+// LeaseSimulation configures the simulated part of the lease proof: the decision module of leases in simulated time, without
+// sockets.
 type LeaseSimulation struct {
 	From         uint64 // first seed
-	Seeds        int    // runs of mixed faults
-	RepeatEvery  int    // one seed in so many is run twice, and the hashes compared
-	MistakeSeeds int    // seeds tried at most for each planted mistake; 0 plants none
+	Seeds        int    // number of runs with mixed faults
+	RepeatEvery  int    // every RepeatEvery-th seed runs twice, to compare the hashes
+	MistakeSeeds int    // maximum number of seeds to try for each planted mistake; 0 plants none
 	Sizes        [][2]int
 	Output       io.Writer
 }
 
-// leaseRuns is what the runs of mixed faults came to.
-type leaseRuns struct {
+// leaseSimulationResult sums up the runs with mixed faults.
+type leaseSimulationResult struct {
 	events, holds int64
-	heldShare     float64 // of the time, on average over the runs
-	repeated      int     // seeds run twice with equal hashes
+	heldShare     float64 // share of the time that leases were held, averaged over the runs
+	repeated      int     // number of seeds that ran twice
 	violation     string  // the first one, "" for none
 }
 
-// Run plays it and returns the closing line; the error says what does not hold.
+// Run runs the simulation and returns the closing line; the error lists what does not hold.
 func (p LeaseSimulation) Run() (line string, err error) {
 	var errs []error
 	began := time.Now()
@@ -57,8 +58,8 @@
 		overlaps, found, int(leasesim.MistakeCount)-1), errors.Join(errs...)
 }
 
-// runMixedFaults plays the seeds of mixed faults.
-func (p LeaseSimulation) runMixedFaults() (result leaseRuns) {
+// runMixedFaults runs the seeds with mixed faults.
+func (p LeaseSimulation) runMixedFaults() (result leaseSimulationResult) {
 	heldShares := 0.0
 	play := func(seed uint64) (figures leasesim.Figures, hash uint64, violation string) {
 		sim := leasesim.New(leasesim.MixedFaults(seed))
@@ -75,7 +76,7 @@
 	return result
 }
 
-// findMistakes plants each mistake and counts those that are found; the error names the others.
+// findMistakes plants each mistake and counts those that a violation reveals; the error names the others.
 func (p LeaseSimulation) findMistakes() (found int, err error) {
 	if p.MistakeSeeds == 0 {
 		return 0, nil
@@ -101,29 +102,30 @@
 	return found, errors.Join(errs...)
 }
 
-// measureSizes measures what leases cost and how soon a new holder has them, calm but for one kill, and prints a table.
+// measureSizes measures, without faults but one kill, the cost of leases and the time until a killed holder's leases have a
+// new holder. It prints a table.
 func (p LeaseSimulation) measureSizes() {
 	out := tabwriter.NewWriter(p.Output, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(out, "instances\tleases\tmessages/s\tkB/s\tof them at a voter, us CPU/s\tat a holder, us CPU/s\theld after s\tat a kill, leases\tnew holder p50 s\tworst s\ttook s\t")
+	fmt.Fprintln(out, "instances\tleases\tmessages/s\tkB/s\tvoter CPU us/s\tholder CPU us/s\tall held after s\tleases of the killed\ttakeover p50 s\tworst s\ttook s\t")
 	for _, size := range p.Sizes {
 		p.measureSize(out, size[0], size[1])
 		out.Flush()
 	}
 }
 
-// measureSize measures one number of instances and leases, and prints its row.
+// measureSize measures one combination of instances and leases, and prints its row.
 func (p LeaseSimulation) measureSize(out io.Writer, instances, leases int) {
 	const (
 		length = 10_000_000
 		second = 1_000_000
-		span   = 10 // seconds over which messages and processor time are counted
+		span   = 10 // seconds over which messages and CPU time are counted
 		voters = 3
 	)
 	began := time.Now()
 	sim := leasesim.New(leasesim.Scenario{Seed: p.From, Voters: voters, Others: instances - voters, Leases: leases, Wanted: min(instances, 3),
 		Length: length, Drift: 10_000, Calm: true})
 	sim.MessageSize = func(m leasesim.Message) int { return len(leaseservice.Encode(m)) }
-	sim.Run(length) // they abstain
+	sim.Run(length) // the voters abstain for one lease length after their start
 	heldAfter := 0
 	for heldAfter < 30 && sim.Held() < leases {
 		sim.Run(sim.Now + second)
--- a/internal/testcluster/proof/lease_verdict.go
+++ b/internal/testcluster/proof/lease_verdict.go
@@ -10,8 +10,9 @@
 	"cairntiller/internal/testcluster/resource"
 )
 
-// countLateActs counts the refused acts, and those among them that no stop of their process explains.
-func (run *leaseRun) countLateActs() (refused, unexplained int) {
+// countRefusedOperations counts the refused operations, and those among them that did not come shortly after their process
+// was resumed.
+func (run *leaseRun) countRefusedOperations() (refused, unexplained int) {
 	for _, a := range run.resource.Operations() {
 		if a.Accepted {
 			continue
@@ -19,8 +20,8 @@
 		refused++
 		explained := false
 		for _, m := range run.harness.Played() {
-			does := m.Step.Command == "cont" && len(m.Step.Args) > 0 && "r"+m.Step.Args[0] == a.Holder || m.Step.Command == "up"
-			explained = explained || does && a.CheckedAt >= m.At && a.CheckedAt < m.At+lateActWindow
+			resumes := m.Step.Command == "cont" && len(m.Step.Args) > 0 && "r"+m.Step.Args[0] == a.Holder || m.Step.Command == "up"
+			explained = explained || resumes && a.CheckedAt >= m.At && a.CheckedAt < m.At+lateOperationWindow
 		}
 		if !explained {
 			unexplained++
@@ -29,9 +30,9 @@
 	return refused, unexplained
 }
 
-// isLinearizable checks each lease's history: acts under terms that only grow, one holder a term.
+// isLinearizable checks each lease's history: the terms of operations never decrease, and each term has one holder.
 func (run *leaseRun) isLinearizable() bool {
-	type in struct {
+	type claim struct {
 		holder string
 		term   uint64
 	}
@@ -42,13 +43,13 @@
 	model := porcupine.Model{
 		Init: func() any { return state{} },
 		Step: func(s, input, output any) (bool, any) {
-			was, act := s.(state), input.(in)
-			fits := act.term > was.term || act.term == was.term && act.holder == was.holder
-			if fits != output.(bool) {
+			last, next := s.(state), input.(claim)
+			valid := next.term > last.term || next.term == last.term && next.holder == last.holder
+			if valid != output.(bool) {
 				return false, s
 			}
-			if fits {
-				return true, state(act)
+			if valid {
+				return true, state(next)
 			}
 			return true, s
 		},
@@ -59,7 +60,7 @@
 		if _, known := clients[a.Holder]; !known {
 			clients[a.Holder] = len(clients)
 		}
-		byLease[a.Lease] = append(byLease[a.Lease], porcupine.Operation{ClientId: clients[a.Holder], Input: in{a.Holder, a.Term},
+		byLease[a.Lease] = append(byLease[a.Lease], porcupine.Operation{ClientId: clients[a.Holder], Input: claim{a.Holder, a.Term},
 			Call: a.AnnouncedAt, Output: a.Accepted, Return: a.KnownAt})
 	}
 	for _, ops := range byLease {
@@ -70,34 +71,34 @@
 	return true
 }
 
-// judge makes the closing line; the error says which limits do not hold. The run had faults from one time to another, and
-// its measurements are how long takeovers and hand-overs took.
-func (run *leaseRun) judge(began, faultsEnd int64, takeovers, handOvers []time.Duration) (line string, err error) {
+// closingLine returns the proof's closing line; the error lists the limits that do not hold. The faults lasted from began to
+// faultsEnd.
+func (run *leaseRun) closingLine(began, faultsEnd int64, takeovers, handOvers []time.Duration) (line string, err error) {
 	runs := run.resource.Usages()
 	pairs, longest := resource.Overlaps(runs)
-	refused, unexplained := run.countLateActs()
+	refused, unexplained := run.countRefusedOperations()
 	linear := run.isLinearizable()
 	share := run.heldShare(began, faultsEnd)
 	takeoverMedian, takeoverWorst := medianAndWorst(takeovers)
 	handOverMedian, handOverWorst := medianAndWorst(handOvers)
-	var wrong []error
+	var errs []error
 	if pairs > 0 {
-		wrong = append(wrong, fmt.Errorf("%d runs overlapped, by %.3f s at the longest", pairs, float64(longest)/1e6))
+		errs = append(errs, fmt.Errorf("%d pairs of commands overlapped under one lease, by up to %.3f s", pairs, float64(longest)/1e6))
 	}
 	if unexplained > 0 {
-		wrong = append(wrong, fmt.Errorf("%d acts came under a term that was over", unexplained))
+		errs = append(errs, fmt.Errorf("%d operations came under an outdated term", unexplained))
 	}
 	if !linear {
-		wrong = append(wrong, errors.New("the acts are not linearizable"))
+		errs = append(errs, errors.New("the operations are not linearizable"))
 	}
 	if len(runs) == 0 || len(run.resource.Operations()) == 0 {
-		wrong = append(wrong, errors.New("nothing was done under a lease"))
+		errs = append(errs, errors.New("no operation or no command ran under a lease"))
 	}
 	if takeoverWorst > maxTakeover && !run.proof.SafetyOnly {
-		wrong = append(wrong, fmt.Errorf("a lease had no holder for %v after a kill, limit %v", takeoverWorst, maxTakeover))
+		errs = append(errs, fmt.Errorf("a lease had no holder for %v after a kill, limit %v", takeoverWorst, maxTakeover))
 	}
 	verdict := "holds"
-	if len(wrong) > 0 {
+	if len(errs) > 0 {
 		verdict = "FAILS"
 	}
 	packets, dropped := run.harness.Relays.PacketCounts()
@@ -105,6 +106,6 @@
 		"linearizable=%v held_share=%.2f (under faults) takeover_s p50=%.2f worst=%.2f (limit %.1f) hand_over_ms p50=%d worst=%d (aim %d) "+
 		"packets=%d lost=%d lasting=%v seed=%d", verdict, run.proof.Voters, run.proof.Voters+run.proof.Others, pairs, len(run.resource.Operations()), len(runs), unexplained, refused,
 		linear, share, takeoverMedian.Seconds(), takeoverWorst.Seconds(), maxTakeover.Seconds(), handOverMedian.Milliseconds(), handOverWorst.Milliseconds(),
-		handOverGoal.Milliseconds(), packets, dropped, run.proof.Lasting, run.proof.Seed)
-	return line, errors.Join(wrong...)
+		targetHandOver.Milliseconds(), packets, dropped, run.proof.Lasting, run.proof.Seed)
+	return line, errors.Join(errs...)
 }
--- a/internal/testcluster/proof/search.go
+++ b/internal/testcluster/proof/search.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// forEachParallel calls do for the numbers below n on all cores, until one call returns false.
+// forEachParallel calls do for every i in [0, n), on all cores, until a call returns false.
 func forEachParallel(n int, do func(i int) bool) {
 	var next atomic.Int64
 	var stop atomic.Bool
@@ -24,43 +24,44 @@
 	wg.Wait()
 }
 
-// searchSeeds plays seeds on all cores until one breaks a rule. It plays one seed in twice a second time, to compare the
-// hashes over all events, and returns how many were compared and what was broken. sum gets each run's figures, one call at a
-// time.
-func searchSeeds[F any](from uint64, seeds, twice int, play func(seed uint64) (f F, hash uint64, broken string), sum func(F)) (hashes int, broken string) {
+// searchSeeds runs the seeds on all cores until one shows a violation. Every repeatEvery-th seed runs a second time, to check
+// that both runs have the same hash over all events. It returns how many seeds were repeated, and the first violation or an
+// empty string. collect receives each run's figures; its calls are serialized.
+func searchSeeds[F any](from uint64, seeds, repeatEvery int, runSeed func(seed uint64) (f F, hash uint64, violation string), collect func(F)) (hashes int, violation string) {
 	var mu sync.Mutex
 	forEachParallel(seeds, func(i int) bool {
 		seed := from + uint64(i)
-		f, hash, why := play(seed)
-		again := twice > 0 && i%twice == 0
-		same := true
-		if again {
-			_, other, _ := play(seed)
-			same = other == hash
+		f, hash, runViolation := runSeed(seed)
+		repeat := repeatEvery > 0 && i%repeatEvery == 0
+		equal := true
+		if repeat {
+			_, otherHash, _ := runSeed(seed)
+			equal = otherHash == hash
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		sum(f)
-		if again {
+		collect(f)
+		if repeat {
 			hashes++
 		}
-		if !same && broken == "" {
-			broken = fmt.Sprintf("seed %d: two runs differ", seed)
+		if !equal && violation == "" {
+			violation = fmt.Sprintf("seed %d: two runs differ", seed)
 		}
-		if why != "" && broken == "" {
-			broken = fmt.Sprintf("seed %d: %s", seed, why)
+		if runViolation != "" && violation == "" {
+			violation = fmt.Sprintf("seed %d: %s", seed, runViolation)
 		}
-		return broken == ""
+		return violation == ""
 	})
-	return hashes, broken
+	return hashes, violation
 }
 
-// firstSeedThat returns the lowest of the seeds played, from 0 up to most, that shows something, -1 for none.
-func firstSeedThat(most int, shows func(seed uint64) bool) (seed int) {
+// firstSeedThat searches the seeds in [0, seeds) in parallel until one matches. It returns the lowest match among those that
+// ran, or -1 if there is none.
+func firstSeedThat(seeds int, matches func(seed uint64) bool) (seed int) {
 	seed = -1
 	var mu sync.Mutex
-	forEachParallel(most, func(i int) bool {
-		if !shows(uint64(i)) {
+	forEachParallel(seeds, func(i int) bool {
+		if !matches(uint64(i)) {
 			return true
 		}
 		mu.Lock()
