--- a/internal/testcluster/proof/assignment_proof.go
+++ b/internal/testcluster/proof/assignment_proof.go
@@ -1,5 +1,5 @@
-// Package proof holds the proofs: each provokes the hard cases that a subsystem is for, measures, and says in one line
-// whether its limits hold.
+// Package proof holds the proofs: end-to-end runs and simulations that provoke the faults that a subsystem has to handle,
+// measure its behaviour, and report in one closing line whether its limits hold.
 package proof
 
 import (
@@ -20,42 +20,43 @@
 	"cairntiller/internal/testcluster/faultnet"
 )
 
-// The limits that the proof of assigned health checks (probes) holds the routers to.
+// Limits of the proof of assigned health checks (probes).
 const (
-	// maxUnprobed is how long a node may go without a probe, whatever fails.
+	// maxUnprobed is the longest time that a node may go without a probe under any fault.
 	maxUnprobed = 5 * time.Second
-	// aimUnprobed is what is aimed at, and only printed.
-	aimUnprobed = 3 * time.Second
-	// maxSharedRatio is the most probes that three routers may send which share them, as a ratio of what three send that
-	// do not: a third of them, and a fifth more for takeovers and cuts.
+	// targetUnprobed is the target for that time. It is printed, not enforced.
+	targetUnprobed = 3 * time.Second
+	// maxSharedRatio limits the probes that three routers send if they share them, as a ratio of what three send that do
+	// not: a third, and 20% more for takeovers and network cuts.
 	maxSharedRatio = 1.2 / 3
 )
 
-// routerCount is how many routers the proof runs.
+// routerCount is the number of routers that the proof runs.
 const routerCount = 3
 
-// AssignmentProof is the proof with router processes: three share the probes of nodes; one is killed, one paused, one cut off.
+// AssignmentProof runs three router processes that share the probes of nodes. One is killed, one is stopped and resumed, and
+// one is cut off from the others.
 type AssignmentProof struct {
-	Seed     uint64 // for the order of faults
+	Seed     uint64 // determines the order of faults
 	Nodes    int
-	Short    bool          // the short form, for CI
+	Short    bool          // shorter run with fewer faults, for CI
 	Interval time.Duration // between probes of a node
-	Isolated bool          // a planted fault: the instances never hear one another
-	Log      io.Writer     // what the routers log
-	Output   io.Writer     // what happens, as it happens
+	Isolated bool          // planted mistake: the instances never receive one another's messages
+	Log      io.Writer     // logs of the routers
+	Output   io.Writer     // progress of the proof
 }
 
-// sharingResult is what a run measured.
+// sharingResult holds the measurements of one run.
 type sharingResult struct {
-	longestGap time.Duration   // longest time that a node went unprobed
-	longestAt  string          // what had happened before it
-	takeovers  []time.Duration // of nodes that lost their owner: until the next probe
-	probeRate  float64         // probes of a node a second, over the whole run
-	calmRate   float64         // the same before the first fault
+	longestGap time.Duration   // longest time that a node went without a probe
+	longestAt  string          // the last event before it, for the closing line
+	takeovers  []time.Duration // of nodes that lost their owner: time to the next probe
+	probeRate  float64         // probes per node and second, over the whole run
+	calmRate   float64         // probes per node and second before the first fault
 }
 
-// RunSharingRouter is the program that the proof starts as a router. It cuts its own network when a line of standard input
-// says so ("cut", "heal"), and ends when standard input does.
+// RunSharingRouter runs a router process of the proof. A line "cut" on standard input cuts its network, "heal" restores it, and
+// the process exits when standard input is closed.
 func RunSharingRouter(file string) error {
 	network := faultnet.New(1)
 	go func() {
@@ -73,13 +74,13 @@
 	return serve.Run(file, serve.TestHooks{WrapTransport: network.WrapTransport})
 }
 
-// Run plays the proof and returns its closing line; the error says which limits do not hold.
+// Run runs the proof and returns its closing line; the error lists the limits that do not hold.
 func (p AssignmentProof) Run() (line string, err error) {
 	var unshared sharingResult
 	var unsharedErr error
 	var running sync.WaitGroup
-	running.Go(func() { unshared, unsharedErr = p.play(false) })
-	shared, err := p.play(true)
+	running.Go(func() { unshared, unsharedErr = p.runRouters(false) })
+	shared, err := p.runRouters(true)
 	running.Wait()
 	if err = errors.Join(err, unsharedErr); err != nil {
 		return "", err
@@ -93,7 +94,7 @@
 	median, worst := medianAndWorst(shared.takeovers)
 	line = fmt.Sprintf("proof duties: %s; longest_unprobed_s=%.1f (limit %.0f, aim %.0f, %s) probes_per_box_s=%.2f calm %.2f "+
 		"(unshared %.2f, share %.2f, limit %.2f) takeover_s p50=%.1f worst=%.1f of %d boxes=%d seed=%d", verdict,
-		shared.longestGap.Seconds(), maxUnprobed.Seconds(), aimUnprobed.Seconds(), shared.longestAt, shared.probeRate,
+		shared.longestGap.Seconds(), maxUnprobed.Seconds(), targetUnprobed.Seconds(), shared.longestAt, shared.probeRate,
 		shared.calmRate, unshared.probeRate, ratio, maxSharedRatio, median.Seconds(), worst.Seconds(), len(shared.takeovers),
 		p.Nodes, p.Seed)
 	return line, err
@@ -103,15 +104,15 @@
 func checkSharing(shared sharingResult, ratio float64) error {
 	var faults []error
 	if shared.longestGap > maxUnprobed {
-		faults = append(faults, fmt.Errorf("a box went unprobed for %v, limit %v", shared.longestGap, maxUnprobed))
+		faults = append(faults, fmt.Errorf("a node went unprobed for %v, limit %v", shared.longestGap, maxUnprobed))
 	}
-	if !(ratio <= maxSharedRatio) { // not a number too
+	if !(ratio <= maxSharedRatio) { // true for NaN too
 		faults = append(faults, fmt.Errorf("%.2f of the unshared probes, limit %.2f", ratio, maxSharedRatio))
 	}
 	return errors.Join(faults...)
 }
 
-// medianAndWorst sorts times and returns two of them, 0 if there are none.
+// medianAndWorst sorts times and returns their median and maximum, 0 if there are none.
 func medianAndWorst(times []time.Duration) (median, worst time.Duration) {
 	if len(times) == 0 {
 		return 0, 0
@@ -120,43 +121,43 @@
 	return times[len(times)/2], times[len(times)-1]
 }
 
-// sharingRun is three routers in front of one cluster.
+// sharingRun is the state of one run: three routers in front of one cluster.
 type sharingRun struct {
 	proof   AssignmentProof
 	cluster *cluster.Cluster
 	routers []*cluster.Router
 	began   int64 // on the cluster's clock, us
 	events  []sharingEvent
-	shared  bool // they share probes
+	shared  bool // the routers share probes
 }
 
-// sharingEvent is something that the run did at a time.
+// sharingEvent is a step of the run and its time.
 type sharingEvent struct {
-	at         int64
-	what       string
-	losesOwner bool // nodes lose their owner by it
+	at          int64
+	description string
+	losesOwner  bool // nodes lose their owner
 }
 
-// note records that something is done now.
-func (r *sharingRun) note(what string, losesOwner bool) {
+// recordEvent records an event at the current time, and prints it if the routers share probes.
+func (r *sharingRun) recordEvent(description string, losesOwner bool) {
 	now := r.cluster.Database.Now()
-	r.events = append(r.events, sharingEvent{at: now, what: what, losesOwner: losesOwner})
+	r.events = append(r.events, sharingEvent{at: now, description: description, losesOwner: losesOwner})
 	if r.shared {
-		fmt.Fprintf(r.proof.Output, "%6.1f s  %s\n", float64(now-r.began)/1e6, what)
+		fmt.Fprintf(r.proof.Output, "%6.1f s  %s\n", float64(now-r.began)/1e6, description)
 	}
 }
 
-// pause lets time pass, less of it in the short form.
-func (r *sharingRun) pause(long, short time.Duration) {
+// sleep sleeps for long, or for short in the short form.
+func (r *sharingRun) sleep(long, short time.Duration) {
 	if r.proof.Short {
 		long = short
 	}
 	time.Sleep(long)
 }
 
-// play runs three routers through the faults. Routers that do not share run only as long as it takes to count their
-// probes.
-func (p AssignmentProof) play(shared bool) (sharingResult, error) {
+// runRouters runs three routers and, if they share probes, the faults. Routers that do not share run only long enough to
+// count their probes.
+func (p AssignmentProof) runRouters(shared bool) (sharingResult, error) {
 	c, err := cluster.New(p.Seed, p.Nodes, 1)
 	if err != nil {
 		return sharingResult{}, err
@@ -166,14 +167,14 @@
 	if err := r.start(); err != nil {
 		return sharingResult{}, err
 	}
-	r.pause(4*time.Second, 3*time.Second)
+	r.sleep(4*time.Second, 3*time.Second)
 	r.began = c.Database.Now()
 	if shared {
-		r.note("three routers share", false)
+		r.recordEvent("three routers share", false)
 	} else {
-		r.note("three routers share nothing", false)
+		r.recordEvent("three routers share nothing", false)
 	}
-	r.pause(10*time.Second, 6*time.Second)
+	r.sleep(10*time.Second, 6*time.Second)
 	calmUntil := c.Database.Now()
 	if shared {
 		if err := r.playFaults(); err != nil {
@@ -183,39 +184,40 @@
 	return r.measure(calmUntil), nil
 }
 
-// playFaults kills one router, pauses another and cuts the third off, in the seed's order.
+// playFaults kills one router, stops another and cuts the third off; the seed determines which is which. The short form stops
+// none.
 func (r *sharingRun) playFaults() error {
 	first := int(r.proof.Seed % routerCount)
 	killed := r.routers[first]
 	paused := r.routers[(first+1)%routerCount]
 	cutOff := r.routers[(first+2)%routerCount]
-	r.note("one is killed", true)
+	r.recordEvent("one is killed", true)
 	killed.Kill()
-	r.pause(10*time.Second, 5*time.Second)
+	r.sleep(10*time.Second, 5*time.Second)
 	if !r.proof.Short {
-		r.note("it starts again", false)
+		r.recordEvent("it starts again", false)
 		if err := killed.Start(); err != nil {
 			return err
 		}
-		r.pause(10*time.Second, 0)
-		r.note("another is stopped", true)
+		r.sleep(10*time.Second, 0)
+		r.recordEvent("another is stopped", true)
 		paused.Signal(syscall.SIGSTOP)
-		r.pause(10*time.Second, 0)
-		r.note("it goes on", false)
+		r.sleep(10*time.Second, 0)
+		r.recordEvent("it goes on", false)
 		paused.Signal(syscall.SIGCONT)
-		r.pause(10*time.Second, 0)
+		r.sleep(10*time.Second, 0)
 	}
-	r.note("the third is cut off from the others", true)
+	r.recordEvent("the third is cut off from the others", true)
 	cutOff.SendLine("cut")
-	r.pause(10*time.Second, 4*time.Second)
-	r.note("the cut is mended", false)
+	r.sleep(10*time.Second, 4*time.Second)
+	r.recordEvent("the cut is mended", false)
 	cutOff.SendLine("heal")
-	r.pause(15*time.Second, 8*time.Second)
-	r.note("the end", false)
+	r.sleep(15*time.Second, 8*time.Second)
+	r.recordEvent("the end", false)
 	return nil
 }
 
-// start starts the routers. Those that share nothing are each in a cluster of its own.
+// start starts the routers. Routers that share nothing each get a cluster of their own.
 func (r *sharingRun) start() error {
 	key := base64.StdEncoding.EncodeToString([]byte("a key for the proof, of 32 bytes"))
 	var addresses []string
@@ -243,7 +245,7 @@
 	return nil
 }
 
-// measure goes by what the nodes saw.
+// measure evaluates the probes that the nodes received.
 func (r *sharingRun) measure(calmUntil int64) sharingResult {
 	var result sharingResult
 	end := r.cluster.Database.Now()
@@ -272,7 +274,7 @@
 	return result
 }
 
-// measureGap keeps the longest time that a node went unprobed.
+// measureGap updates the longest time without a probe.
 func (r *sharingRun) measureGap(result *sharingResult, from, to int64) {
 	if gap := time.Duration(to-from) * time.Microsecond; gap > result.longestGap {
 		result.longestGap = gap
@@ -280,21 +282,21 @@
 	}
 }
 
-// lastEvent is what had been done last within a second after a time.
+// lastEvent describes the last event up to one second after at.
 func (r *sharingRun) lastEvent(at int64) string {
-	what := ""
+	description := ""
 	for _, e := range r.events {
 		if e.at <= at+time.Second.Microseconds() {
-			what = e.what
+			description = e.description
 		}
 	}
-	return "when " + what
+	return "when " + description
 }
 
-// takeovers returns the times from each event that takes owners away to a node's next probe, if the node missed its rhythm
-// by it. probes are the times of its probes.
+// takeovers returns, for each event by which nodes lose their owner, the time to a node's next probe, if that probe came late.
+// probes are the times of the node's probes.
 func (r *sharingRun) takeovers(probes []int64) []time.Duration {
-	usual := r.proof.Interval.Microseconds() * 13 / 10 // probes come a little late at times
+	maxInterval := r.proof.Interval.Microseconds() * 13 / 10 // tolerates probes that are late by up to 30%
 	var times []time.Duration
 	for _, e := range r.events {
 		if !e.losesOwner {
@@ -304,7 +306,7 @@
 		if next == 0 || next >= len(probes) {
 			continue
 		}
-		if probes[next]-probes[next-1] > usual {
+		if probes[next]-probes[next-1] > maxInterval {
 			times = append(times, time.Duration(probes[next]-e.at)*time.Microsecond)
 		}
 	}
--- a/internal/testcluster/proof/assignment_simulation.go
+++ b/internal/testcluster/proof/assignment_simulation.go
@@ -12,54 +12,55 @@
 	"cairntiller/internal/simulation/assignmentsim"
 )
 
-// The course of a simulated size, in us of simulated time.
+// Phases (us of simulated time) and parameters of the run at one size.
 const (
 	second       = 1_000_000
-	settleTime   = 8 * second  // until the first tasks are divided
+	settleTime   = 8 * second  // until the tasks are assigned for the first time
 	calmTime     = 10 * second // measured without faults
-	deathTime    = 6 * second  // after the death of an instance, and after its return
-	churnTime    = 60 * second // measured while instances die and come back
-	downTime     = 10 * second // from a death under churn to the return
-	churnDeaths  = 0.01        // share of the instances that die in churnTime
-	nodeRate     = 4           // probes of a node a second at most
-	minClaimRate = 50          // tasks a second that an instance claims, more where each owns more
+	recoveryTime = 6 * second  // run after the loss of an instance, and after its return
+	churnTime    = 60 * second // measured while instances are lost and return
+	downtime     = 10 * second // under churn, from an instance's loss to its return
+	churnDeaths  = 0.01        // share of the instances that are lost during churnTime
+	nodeRate     = 4           // maximum probes per node and second
+	minClaimRate = 50          // minimum tasks that an instance claims per second; the average it owns, if that is more
 )
 
-// maxMoveRatio is how many tasks may change their target at the death of an instance, as a ratio of those that must.
+// maxMoveRatio limits the tasks that change their target when an instance is lost, as a ratio of those that have to.
 const maxMoveRatio = 1.05
 
-// AssignmentSimulation is the part of the proof that no sockets reach: tasks among many instances, in simulated time.
+// AssignmentSimulation configures the simulated part of the assignment proof: tasks assigned among many instances in simulated
+// time, without sockets.
 type AssignmentSimulation struct {
 	Seed   uint64
-	Sizes  [][2]int  // instances and nodes
-	Output io.Writer // a table of what was measured
+	Sizes  [][2]int  // pairs of instances and nodes
+	Output io.Writer // receives a table of the measurements
 }
 
-// sizeResult is what was measured at one size.
+// sizeResult holds the measurements at one size.
 type sizeResult struct {
 	instances, nodes int
-	tableTime        time.Duration // that an instance's table took in calmTime
-	bytesPerSecond   float64       // that an instance sends, in calmTime
-	probeRate        float64       // probes of a node a second, in calmTime
-	peakProbes       int32         // most probes of one node in one second, in calmTime
-	moved            float64       // tasks that changed their target at a death
-	leastMoves       float64       // tasks of the instance that died
-	longestGap       int64         // us that a node went unprobed under churn
+	tableTime        time.Duration // mean time spent in an instance's table during calmTime
+	bytesPerSecond   float64       // sent by an instance in calmTime
+	probeRate        float64       // probes per node and second in calmTime
+	peakProbes       int32         // maximum probes of one node within one second in calmTime
+	moved            float64       // tasks that changed their target when an instance was lost
+	minMoves         float64       // tasks of the lost instance, which have to move
+	longestGap       int64         // longest time (us) that a node went unprobed under churn
 	took             time.Duration
 }
 
-// Run measures each size and returns the closing line; the error says which limit does not hold.
+// Run measures each size and returns the closing line; the error lists the limits that do not hold.
 func (p AssignmentSimulation) Run() (line string, err error) {
 	table := tabwriter.NewWriter(p.Output, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "instances\tboxes\tCPU us/s\tbytes/s\tsends\tprobes/box/s\tbusiest box/s\tmoves at a death\tleast\tlongest unprobed s\ttook s\t")
+	fmt.Fprintln(table, "instances\tnodes\tCPU us/s\tbytes/s\tsends\tprobes/node/s\tpeak probes/node/s\tmoves at a loss\tminimum\tlongest unprobed s\ttook s\t")
 	var longestGap int64
 	var moveRatio float64
 	for _, size := range p.Sizes {
 		result := measureSize(p.Seed, size[0], size[1])
 		result.print(table)
 		longestGap = max(longestGap, result.longestGap)
-		if result.leastMoves > 0 {
-			moveRatio = max(moveRatio, result.moved/result.leastMoves)
+		if result.minMoves > 0 {
+			moveRatio = max(moveRatio, result.moved/result.minMoves)
 		}
 	}
 	err = checkSizes(longestGap, moveRatio)
@@ -75,15 +76,15 @@
 func checkSizes(longestGap int64, moveRatio float64) error {
 	var faults []error
 	if longestGap > maxUnprobed.Microseconds() {
-		faults = append(faults, fmt.Errorf("a box went unprobed for %.1f s under churn, limit %v", float64(longestGap)/second, maxUnprobed))
+		faults = append(faults, fmt.Errorf("a node went unprobed for %.1f s under churn, limit %v", float64(longestGap)/second, maxUnprobed))
 	}
 	if moveRatio > maxMoveRatio {
-		faults = append(faults, fmt.Errorf("%.2f times the least possible moves at a death, limit %.2f", moveRatio, maxMoveRatio))
+		faults = append(faults, fmt.Errorf("%.2f times the minimum moves when an instance was lost, limit %.2f", moveRatio, maxMoveRatio))
 	}
 	return errors.Join(faults...)
 }
 
-// measureSize plays one size: calm, a death and a return, then churn.
+// measureSize runs one size: first without faults, then the loss and return of one instance, then churn.
 func measureSize(seed uint64, instances, nodes int) sizeResult {
 	began := time.Now()
 	result := sizeResult{instances: instances, nodes: nodes}
@@ -98,13 +99,13 @@
 	result.peakProbes = c.PeakProbes
 
 	last := instances - 1
-	result.leastMoves = float64(c.TargetedTasks(0, last))
+	result.minMoves = float64(c.TargetedTasks(0, last))
 	before := c.TargetChanges(0)
 	c.Kill(last)
-	c.Run(deathTime)
+	c.Run(recoveryTime)
 	result.moved = float64(c.TargetChanges(0) - before)
 	c.Start(last)
-	c.Run(deathTime)
+	c.Run(recoveryTime)
 
 	c.ResetMeasurements()
 	churn(c, seed, instances)
@@ -113,15 +114,15 @@
 	return result
 }
 
-// print adds a row to the table.
+// print writes the result as a row of the table.
 func (r sizeResult) print(table *tabwriter.Writer) {
 	fmt.Fprintf(table, "%d\t%d\t%.0f\t%.0f\t%d\t%.2f\t%d\t%.0f\t%.0f\t%.1f\t%.0f\t\n", r.instances, r.nodes,
 		float64(r.tableTime.Microseconds())/(calmTime/second), r.bytesPerSecond, membership.SendsPerMessage(r.instances), r.probeRate,
-		r.peakProbes, r.moved, r.leastMoves, float64(r.longestGap)/second, r.took.Seconds())
+		r.peakProbes, r.moved, r.minMoves, float64(r.longestGap)/second, r.took.Seconds())
 	table.Flush()
 }
 
-// churn lets a share of the instances, one at least, die and come back, evenly over churnTime.
+// churn kills a share of the instances, at least one, and starts them again, spread evenly over churnTime.
 func churn(c *assignmentsim.Cluster, seed uint64, instances int) {
 	random := rand.New(rand.NewPCG(seed, 99))
 	deaths := max(1, int(churnDeaths*float64(instances)))
@@ -131,10 +132,10 @@
 		if i, due := returns[at]; due {
 			c.Start(i)
 		}
-		if at%interval == 0 && at < churnTime-downTime {
+		if at%interval == 0 && at < churnTime-downtime {
 			i := random.IntN(instances)
 			c.Kill(i)
-			returns[at+downTime] = i
+			returns[at+downtime] = i
 		}
 		c.Run(second)
 	}
--- a/internal/testcluster/proof/lease_simulation.go
+++ b/internal/testcluster/proof/lease_simulation.go
@@ -61,13 +61,13 @@
 // runMixedFaults runs the seeds with mixed faults.
 func (p LeaseSimulation) runMixedFaults() (result leaseSimulationResult) {
 	heldShares := 0.0
-	play := func(seed uint64) (figures leasesim.Figures, hash uint64, violation string) {
+	runSeed := func(seed uint64) (figures leasesim.Figures, hash uint64, violation string) {
 		sim := leasesim.New(leasesim.MixedFaults(seed))
 		sim.Run(sim.Span)
 		figures = sim.Figures()
 		return figures, figures.Hash, sim.Violation
 	}
-	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(figures leasesim.Figures) {
+	result.repeated, result.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, runSeed, func(figures leasesim.Figures) {
 		result.events += figures.Events
 		result.holds += figures.Holds
 		heldShares += figures.HeldShare
--- a/internal/testcluster/proof/rollout_operator.go
+++ b/internal/testcluster/proof/rollout_operator.go
@@ -11,9 +11,9 @@
 	"cairntiller/internal/rolloutservice"
 )
 
-// What an operator does and sees in the proof of rollouts, by the routers' admin sockets.
+// The operator's commands and queries in the rollout proof, over the routers' admin sockets.
 
-// sendCommand gives a command through any router that answers, until it is accepted.
+// sendCommand sends a command to one router after another until one accepts it, for up to a minute.
 func (run *rolloutRun) sendCommand(c rollout.Command) (err error) {
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(statusInterval) {
 		for i := range run.proof.Routers {
@@ -25,7 +25,7 @@
 	return err
 }
 
-// sendCommandTo gives a command through one router.
+// sendCommandTo sends a command to one router.
 func sendCommandTo(socket string, c rollout.Command) error {
 	text, err := rolloutservice.EncodeCommand(c)
 	if err != nil {
@@ -35,13 +35,13 @@
 	return adminsocket.Ask(socket, adminsocket.Request{Command: "fleet-word", Text: text}, &token)
 }
 
-// status asks one router how plans stand.
+// status asks router i for the status of plans.
 func (run *rolloutRun) status(i int) (s rolloutservice.Status, err error) {
 	err = adminsocket.Ask(run.harness.AdminSocket(i), adminsocket.Request{Command: "fleet-status"}, &s)
 	return s, err
 }
 
-// drainedNodes are the nodes that plans drain, as the router that leads knows it.
+// drainedNodes returns the nodes that plans drain, as reported by the leader.
 func (run *rolloutRun) drainedNodes() []string {
 	for i := range run.proof.Routers {
 		if s, err := run.status(i); err == nil && s.Leads {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// awaitPlans waits until all plans are finished, or one halts.
+// awaitPlans waits until all plans are finished; it fails if one ends otherwise.
 func (run *rolloutRun) awaitPlans(plans []rollout.Plan) (s rolloutservice.Status, err error) {
 	last := ""
 	for end := time.Now().Add(planTimeout); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
@@ -64,7 +64,7 @@
 		finished := 0
 		text := ""
 		for _, p := range s.Plans {
-			text += fmt.Sprintf("  %s: %s, %d of %d done, %s", p.ID, p.State, p.Phases[rollout.PhaseDone.String()], p.Units, strings.Join(p.Holding, ", "))
+			text += fmt.Sprintf("  %s: %s, %d of %d done, in progress: %s", p.ID, p.State, p.Phases[rollout.PhaseDone.String()], p.Units, strings.Join(p.Holding, ", "))
 			if p.State == rollout.StateFinished.String() {
 				finished++
 			} else if p.Settled() {
@@ -82,10 +82,10 @@
 	return s, errors.New("plans did not end in time:" + last)
 }
 
-// watchDrainedNodes watches by the nodes' own count that nothing new comes to one that counts as out of use.
+// watchDrainedNodes checks, by the nodes' own query counts, that a node that a plan reports as unavailable receives no queries.
 func (run *rolloutRun) watchDrainedNodes() {
-	queries := map[string]int{} // that had come to a node when it was last seen out of use
-	for run.pause(statusInterval) {
+	queries := map[string]int{} // received by a node when it was last seen unavailable, by its name
+	for run.sleep(statusInterval) {
 		for i := range run.proof.Routers {
 			if s, err := run.status(i); err == nil && s.Leads {
 				run.checkUnused(unusedNodes(s), queries)
@@ -94,7 +94,7 @@
 	}
 }
 
-// unusedNodes are the nodes that count as out of use.
+// unusedNodes returns the nodes that plans report as unavailable.
 func unusedNodes(s rolloutservice.Status) map[string]bool {
 	unused := map[string]bool{}
 	for _, p := range s.Plans {
@@ -102,7 +102,7 @@
 			continue
 		}
 		for _, holder := range p.Holding {
-			if name, away := strings.CutSuffix(holder, " "+rollout.PhaseUnavailable.String()); away {
+			if name, unavailable := strings.CutSuffix(holder, " "+rollout.PhaseUnavailable.String()); unavailable {
 				unused[name] = true
 			}
 		}
@@ -110,12 +110,12 @@
 	return unused
 }
 
-// checkUnused compares how many queries have come to unused nodes with the counts before, and keeps the counts.
+// checkUnused compares the query counts of unused nodes with their last counts, and stores the new ones.
 func (run *rolloutRun) checkUnused(unused map[string]bool, queries map[string]int) {
 	for name := range unused {
 		count := run.cluster.Node(name).QueryCount()
 		if before, known := queries[name]; known && count > before {
-			run.violated("%d commands came to %s, which counts as out of use", count-before, name)
+			run.recordViolation("%d commands came to node %s, which is reported as unavailable", count-before, name)
 		}
 		queries[name] = count
 	}
--- a/internal/testcluster/proof/rollout_processes.go
+++ b/internal/testcluster/proof/rollout_processes.go
@@ -11,15 +11,15 @@
 	"cairntiller/internal/testcluster/process"
 )
 
-// What surrounds the routers in the proof of rollouts: their machines' supervisors, clients, and the databases' operators.
+// The environment of the routers in the rollout proof: supervisors, clients, and the operators of the databases.
 
 const (
-	sessionCount = 36                    // clients in all, at each router as many as at another
-	thinkTime    = 20 * time.Millisecond // of a client between commands
-	restartPause = 200 * time.Millisecond
+	sessionCount = 36                    // clients in all, divided evenly among the routers
+	thinkTime    = 20 * time.Millisecond // a client's pause between commands
+	restartDelay = 200 * time.Millisecond
 )
 
-// start starts the routers and all that surrounds them.
+// start starts the routers and their environment.
 func (run *rolloutRun) start() (err error) {
 	var voters []string
 	for i := range run.proof.Voters {
@@ -39,7 +39,7 @@
 			run.goroutines.Go(func() { run.runSession(i, k) })
 		}
 	}
-	run.goroutines.Go(run.handOverDrained)
+	run.goroutines.Go(run.replaceDrainedPrimaries)
 	run.goroutines.Go(run.watchDrainedNodes)
 	return nil
 }
@@ -51,49 +51,49 @@
 		run.proof.Routers, rolloutLeaseLength.Milliseconds(), strings.Join(voters, " "), socket, zone)
 }
 
-// supervise starts a router again that has left in order, as a machine's supervisor does.
+// supervise restarts a router each time it has exited in order, as a machine's process supervisor does.
 func (run *rolloutRun) supervise(i int) {
-	for run.pause(pollInterval) {
+	for run.sleep(pollInterval) {
 		code, ended := run.harness.Router(i).ExitCode()
 		if !ended || code != 0 || !run.harness.IsRunning(i) {
 			continue
 		}
-		run.setOut(i, true)
-		time.Sleep(restartPause)
+		run.setUnavailable(i, true)
+		time.Sleep(restartDelay)
 		select {
 		case <-run.ended:
 			return
 		default:
 		}
 		if err := run.harness.Router(i).Start(); err != nil {
-			run.violated("router %d does not start again: %v", i, err)
+			run.recordViolation("router %d does not restart: %v", i, err)
 			return
 		}
 		run.mu.Lock()
 		run.restarts[i]++
 		run.mu.Unlock()
-		run.setOut(i, false)
+		run.setUnavailable(i, false)
 	}
 }
 
-// setOut notes whether a router is out by a plan, and the most at once.
-func (run *rolloutRun) setOut(i int, out bool) {
+// setUnavailable records whether a router is down after an orderly exit, and updates the maximum at once.
+func (run *rolloutRun) setUnavailable(i int, unavailable bool) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	run.outByPlan[i] = out
-	all := 0
-	for _, out := range run.outByPlan {
+	run.unavailable[i] = unavailable
+	count := 0
+	for _, out := range run.unavailable {
 		if out {
-			all++
+			count++
 		}
 	}
-	run.maxOut = max(run.maxOut, all)
+	run.maxUnavailable = max(run.maxUnavailable, count)
 }
 
-// runSession is a client that writes and reads, and moves to another router when its own goes away.
+// runSession runs a client that writes and reads, and switches to the next router when its connection is lost.
 func (run *rolloutRun) runSession(i, k int) {
-	at := i
-	session := run.harness.Router(at).NewSession(fmt.Sprintf("%d-%d", i, k))
+	router := i
+	session := run.harness.Router(router).NewSession(fmt.Sprintf("%d-%d", i, k))
 	defer func() {
 		run.mu.Lock()
 		run.violations = append(run.violations, session.Violations...)
@@ -101,7 +101,7 @@
 		session.Close()
 	}()
 	group := (i + k) % run.proof.Groups
-	for n := 0; run.pause(thinkTime); n++ {
+	for n := 0; run.sleep(thinkTime); n++ {
 		var answer client.Answer
 		var err error
 		if n%4 == 0 {
@@ -110,10 +110,10 @@
 			answer, err = session.Read(cluster.ClassReadAny, group, false)
 		}
 		switch {
-		case err != nil: // its connection ended, or none came up
+		case err != nil: // the connection ended or could not be opened
 			run.connectionsEnded.Add(1)
-			at = (at + 1) % run.proof.Routers
-			session.SwitchRouter(run.harness.Router(at).Address)
+			router = (router + 1) % run.proof.Routers
+			session.SwitchRouter(run.harness.Router(router).Address)
 		case answer.ErrorCode == "":
 			run.answered.Add(1)
 		case answer.ErrorCode == "53300" || answer.ErrorCode == "57P03":
@@ -124,16 +124,17 @@
 	}
 }
 
-// measureRate measures answers a second for a while.
+// measureRate returns the answers per second over span.
 func (run *rolloutRun) measureRate(span time.Duration) float64 {
 	before := run.answered.Load()
 	time.Sleep(span)
 	return float64(run.answered.Load()-before) / span.Seconds()
 }
 
-// handOverDrained is the operators' side of the databases: a drained primary hands over to a replica that is not drained.
-func (run *rolloutRun) handOverDrained() {
-	for run.pause(statusInterval) {
+// replaceDrainedPrimaries acts as the databases' operators: it promotes a replica that is not drained in place of each drained
+// primary.
+func (run *rolloutRun) replaceDrainedPrimaries() {
+	for run.sleep(statusInterval) {
 		for _, name := range run.drainedNodes() {
 			n := run.cluster.Node(name)
 			if n == nil || !n.IsPrimary() {
@@ -151,9 +152,9 @@
 	}
 }
 
-// killLeaders kills whoever leads, twice, once a unit is out; its supervisor starts it again.
+// killLeaders kills the leader while a unit of its plan is in progress, and starts it again; it does so twice.
 func (run *rolloutRun) killLeaders() {
-	for killed := 0; killed < 2 && run.pause(pollInterval); {
+	for killed := 0; killed < 2 && run.sleep(pollInterval); {
 		for i := range run.proof.Routers {
 			s, err := run.status(i)
 			if err != nil || !s.Leads || len(s.Plans) == 0 || len(s.Plans[0].Holding) == 0 {
@@ -162,7 +163,7 @@
 			run.harness.Execute(process.Step{Command: "kill", Args: []string{fmt.Sprint(i)}})
 			time.Sleep(time.Second)
 			if err := run.harness.Execute(process.Step{Command: "start", Args: []string{fmt.Sprint(i)}}); err != nil {
-				run.violated("%v", err)
+				run.recordViolation("%v", err)
 				return
 			}
 			killed++
@@ -171,10 +172,10 @@
 	}
 }
 
-// playFaults kills and stops routers and spoils links while plans run; a killed one is started again by its supervisor.
+// playFaults kills and stops routers and disturbs links while plans run. The script starts killed routers again.
 func (run *rolloutRun) playFaults() {
 	script := process.RandomScript(run.proof.Seed, run.proof.Routers, 3*time.Second, 30*time.Second)
 	if err := run.harness.Play(script); err != nil {
-		run.violated("%v", err)
+		run.recordViolation("%v", err)
 	}
 }
--- a/internal/testcluster/proof/rollout_proof.go
+++ b/internal/testcluster/proof/rollout_proof.go
@@ -17,30 +17,30 @@
 	"cairntiller/internal/testcluster/process"
 )
 
-// The limits that the proof of rollouts holds the routers to, and the times that it waits.
+// Limits, timeouts and intervals of the rollout proof.
 const (
-	maxOutByPlans      = 2                      // routers at once
-	planTimeout        = 150 * time.Second      // until all plans must have ended
-	rolloutLeaseLength = 2 * time.Second        // of the lease that the leader holds
-	pollInterval       = 20 * time.Millisecond  // between looks at processes
-	statusInterval     = 200 * time.Millisecond // between looks at what routers say
+	maxUnavailableRouters = 2                      // at once, by plans
+	planTimeout           = 150 * time.Second      // for all plans to end
+	rolloutLeaseLength    = 2 * time.Second        // of the leader's lease
+	pollInterval          = 20 * time.Millisecond  // between checks of processes
+	statusInterval        = 200 * time.Millisecond // between status requests to routers
 )
 
-// RolloutProof is the proof of rollouts with router processes on loopback: what a run of it is made of.
+// RolloutProof configures a run of the rollout proof, which runs router processes on loopback.
 type RolloutProof struct {
 	Seed    uint64
 	Routers int
 	Voters  int
-	Groups  int       // of three nodes each, one in each zone
-	Nodes   int       // drained and returned
-	Faults  bool      // losses, cuts and kills while plans run
-	Alone   bool      // the baseline: each operator restarts his router by himself, at a time of his own
-	Lose    bool      // the router that leads is killed in the middle of a wave, twice
-	Log     io.Writer // what the processes log
-	Output  io.Writer // the proof's own lines
+	Groups  int       // groups of three nodes, one in each zone
+	Nodes   int       // number of nodes that are drained and returned
+	Faults  bool      // kill, stop and cut off routers while plans run
+	Alone   bool      // baseline without plans: each router is restarted on its own, at a random time
+	Lose    bool      // kill the leader during a wave, twice
+	Log     io.Writer // logs of the processes
+	Output  io.Writer // progress of the proof
 }
 
-// rolloutRun is a run under way.
+// rolloutRun is the state of one run.
 type rolloutRun struct {
 	proof      RolloutProof
 	cluster    *cluster.Cluster
@@ -48,19 +48,19 @@
 	ended      chan struct{}
 	goroutines sync.WaitGroup
 
-	mu         sync.Mutex
-	restarts   []int64 // of each router, in order
-	outByPlan  []bool  // by router
-	maxOut     int     // routers out by plans at once
-	violations []string
+	mu             sync.Mutex
+	restarts       []int64 // orderly restarts of each router
+	unavailable    []bool  // routers that are down after an orderly exit
+	maxUnavailable int     // maximum routers unavailable at once
+	violations     []string
 
-	// Commands of clients, by their end.
+	// Number of client commands by outcome.
 	answered, refused, failed, connectionsEnded atomic.Int64
 }
 
-// Run plays the proof and returns its closing line; the error says which limits do not hold.
+// Run runs the proof and returns its closing line; the error lists the limits that do not hold.
 func (p RolloutProof) Run() (line string, err error) {
-	run := &rolloutRun{proof: p, ended: make(chan struct{}), restarts: make([]int64, p.Routers), outByPlan: make([]bool, p.Routers)}
+	run := &rolloutRun{proof: p, ended: make(chan struct{}), restarts: make([]int64, p.Routers), unavailable: make([]bool, p.Routers)}
 	if run.cluster, err = cluster.New(p.Seed, p.Groups, 3); err != nil {
 		return "", err
 	}
@@ -79,17 +79,17 @@
 	}
 	var status rolloutservice.Status
 	if p.Alone {
-		run.restartAlone()
+		run.restartIndependently()
 	} else if status, err = run.playPlans(); err != nil {
 		return "", err
 	}
 	took := time.Since(began)
 	rate := float64(run.answered.Load()-before) / took.Seconds() / calmRate
 	run.stop()
-	return run.judge(status, took, rate)
+	return run.closingLine(status, took, rate)
 }
 
-// playPlans starts a plan for all routers and one for some nodes, and waits until both are finished.
+// playPlans starts a plan that restarts all routers and one that drains some nodes, and waits until both are finished.
 func (run *rolloutRun) playPlans() (rolloutservice.Status, error) {
 	plans := run.plans()
 	for _, plan := range plans {
@@ -120,7 +120,7 @@
 		WaveSizes:       []int{1, 3},
 		WatchTime:       1_000_000,
 		ProgressTimeout: 60_000_000,
-		Budget:          rollout.Budget{MaxUnavailable: maxOutByPlans, MaxShare: 1},
+		Budget:          rollout.Budget{MaxUnavailable: maxUnavailableRouters, MaxShare: 1},
 	}, {
 		ID:              "boxes",
 		Kind:            rollout.KindNodes,
@@ -133,9 +133,9 @@
 	}}
 }
 
-// restartAlone lets each router be restarted at a random time of a short while, as when several operators hear of one
-// release, and waits until all were.
-func (run *rolloutRun) restartAlone() {
+// restartIndependently restarts each router at a random time within a short span, as uncoordinated operators of a new release
+// would, and waits until all were restarted.
+func (run *rolloutRun) restartIndependently() {
 	rng := rand.New(rand.NewPCG(run.proof.Seed, 11))
 	span := time.Duration(run.proof.Routers) * 50 * time.Millisecond
 	var signals sync.WaitGroup
@@ -157,7 +157,7 @@
 	}
 }
 
-// stop ends all goroutines of the run.
+// stop ends all goroutines of the run and waits for them.
 func (run *rolloutRun) stop() {
 	select {
 	case <-run.ended:
@@ -168,8 +168,8 @@
 	run.goroutines.Wait()
 }
 
-// pause waits and reports whether the run goes on.
-func (run *rolloutRun) pause(d time.Duration) bool {
+// sleep waits for d. It returns false at once if the run ends.
+func (run *rolloutRun) sleep(d time.Duration) bool {
 	select {
 	case <-run.ended:
 		return false
@@ -178,21 +178,21 @@
 	}
 }
 
-// violated notes that a rule is broken.
-func (run *rolloutRun) violated(format string, args ...any) {
+// recordViolation records that a rule was violated.
+func (run *rolloutRun) recordViolation(format string, args ...any) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.violations = append(run.violations, fmt.Sprintf(format, args...))
 }
 
-// judge holds what was seen to the limits and words the closing line.
-func (run *rolloutRun) judge(s rolloutservice.Status, took time.Duration, rate float64) (line string, err error) {
+// closingLine returns the proof's closing line; the error lists the limits that do not hold.
+func (run *rolloutRun) closingLine(status rolloutservice.Status, took time.Duration, rate float64) (line string, err error) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	p := run.proof
-	restarted, errs := run.judgeRestarts()
-	if run.maxOut > maxOutByPlans {
-		errs = append(errs, fmt.Errorf("%d routers were out at once, limit %d", run.maxOut, maxOutByPlans))
+	restarted, errs := run.checkRestarts()
+	if run.maxUnavailable > maxUnavailableRouters {
+		errs = append(errs, fmt.Errorf("%d routers were unavailable at once, limit %d", run.maxUnavailable, maxUnavailableRouters))
 	}
 	run.violations = append(run.violations, run.cluster.Database.Violations()...)
 	for _, violation := range run.violations[:min(len(run.violations), 5)] {
@@ -203,23 +203,24 @@
 		verdict = "FAILS"
 	}
 	return fmt.Sprintf("proof releases: %s; routers=%d nodes=%d restarted=%d drained=%d most_out=%d (limit %d) broken=%d (limit 0) answered=%d refused=%d "+
-		"failed=%d connections_ended=%d answers_of_calm=%.2f took_s=%.0f seed=%d", verdict, p.Routers, 3*p.Groups, restarted, p.Nodes, run.maxOut, maxOutByPlans,
+		"failed=%d connections_ended=%d answers_of_calm=%.2f took_s=%.0f seed=%d", verdict, p.Routers, 3*p.Groups, restarted, p.Nodes, run.maxUnavailable, maxUnavailableRouters,
 		len(run.violations), run.answered.Load(), run.refused.Load(), run.failed.Load(), run.connectionsEnded.Load(), rate, took.Seconds(), p.Seed), errors.Join(errs...)
 }
 
-// judgeRestarts counts routers that were restarted. Where nothing else restarts them each is restarted once.
-func (run *rolloutRun) judgeRestarts() (restarted int, errs []error) {
-	byPlansAlone := !run.proof.Faults && !run.proof.Lose
+// checkRestarts counts the routers that were restarted. If only plans restart routers, it requires exactly one restart of
+// each.
+func (run *rolloutRun) checkRestarts() (restarted int, errs []error) {
+	onlyPlansRestart := !run.proof.Faults && !run.proof.Lose
 	for i, n := range run.restarts {
 		if n > 0 {
 			restarted++
 		}
-		if n > 1 && byPlansAlone {
-			errs = append(errs, fmt.Errorf("router %d went out %d times", i, n))
+		if n > 1 && onlyPlansRestart {
+			errs = append(errs, fmt.Errorf("router %d was restarted %d times", i, n))
 		}
 	}
-	if restarted < run.proof.Routers && byPlansAlone {
-		errs = append(errs, fmt.Errorf("%d of %d routers were restarted", restarted, run.proof.Routers))
+	if restarted < run.proof.Routers && onlyPlansRestart {
+		errs = append(errs, fmt.Errorf("only %d of %d routers were restarted", restarted, run.proof.Routers))
 	}
 	return restarted, errs
 }
--- a/internal/testcluster/proof/rollout_simulation.go
+++ b/internal/testcluster/proof/rollout_simulation.go
@@ -12,34 +12,34 @@
 	"cairntiller/internal/simulation/rolloutsim"
 )
 
-// RolloutSimulation is the part of the proof of releases that needs no sockets: internal/rollout in simulated time.
+// RolloutSimulation configures the simulated part of the rollout proof: internal/rollout in simulated time, without sockets.
 type RolloutSimulation struct {
 	From         uint64 // first seed
-	Seeds        int    // runs of mixed faults
-	RepeatEvery  int    // one in so many is run twice, and the hashes compared
-	MistakeSeeds int    // seeds tried at most for each planted mistake; 0 for none
-	VersionPairs int    // pairs of a good version and of one that fails 2% more
-	Sizes        []int  // routers of plans without faults, against the least time possible
+	Seeds        int    // number of runs with mixed faults
+	RepeatEvery  int    // every RepeatEvery-th seed runs twice, to compare the hashes
+	MistakeSeeds int    // maximum number of seeds to try for each planted mistake; 0 plants none
+	VersionPairs int    // pairs of a good version and one that fails 2% more commands
+	Sizes        []int  // numbers of routers for plans without faults, compared to the minimum time
 	Output       io.Writer
 }
 
-// Run plays it and returns the closing line; the error says which limits do not hold.
+// Run runs the simulation and returns the closing line; the error lists the limits that do not hold.
 func (p RolloutSimulation) Run() (line string, err error) {
 	var errs []error
 	began := time.Now()
-	mixed := p.playMixed()
+	mixed := p.runMixedFaults()
 	if mixed.violation != "" {
 		errs = append(errs, errors.New(mixed.violation))
 	}
 	fmt.Fprintf(p.Output, "%d seeds of mixed faults, %d events, %d leaders, %d run twice with equal hashes, %.0f s\n", p.Seeds, mixed.events, mixed.leaders,
-		mixed.equalHashes, time.Since(began).Seconds())
+		mixed.repeated, time.Since(began).Seconds())
 	found, err := p.findMistakes()
 	errs = append(errs, err)
-	versions := p.playVersions()
+	versions := p.runVersionPairs()
 	if versions.badFinished > 0 {
-		errs = append(errs, fmt.Errorf("%d of %d versions that fail 2%% more went through", versions.badFinished, p.VersionPairs))
+		errs = append(errs, fmt.Errorf("%d of %d versions that fail 2%% more commands were not halted", versions.badFinished, p.VersionPairs))
 	}
-	worst := p.playSizes()
+	worst := p.measureSizes()
 	err = errors.Join(errs...)
 	verdict := "holds"
 	if err != nil {
@@ -50,48 +50,48 @@
 		int(rolloutsim.Mistakes)-1, versions.goodHalted, p.VersionPairs, versions.badFinished, p.VersionPairs, versions.manyTouched, worst), err
 }
 
-// mixedResult sums runs of mixed faults up.
-type mixedResult struct {
-	events      int64
-	leaders     int
-	equalHashes int    // runs played twice
-	violation   string // the first one, "" for none
+// mixedFaultsResult sums up the runs with mixed faults.
+type mixedFaultsResult struct {
+	events    int64
+	leaders   int
+	repeated  int    // number of seeds that ran twice
+	violation string // the first one, "" for none
 }
 
-func (p RolloutSimulation) playMixed() (sum mixedResult) {
-	play := func(seed uint64) (result rolloutsim.Result, hash uint64, violation string) {
+func (p RolloutSimulation) runMixedFaults() (sum mixedFaultsResult) {
+	runSeed := func(seed uint64) (result rolloutsim.Result, hash uint64, violation string) {
 		w := rolloutsim.New(rolloutsim.MixedFaults(seed))
 		result = w.Run()
 		return result, result.Hash, w.Violation
 	}
-	sum.equalHashes, sum.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, play, func(result rolloutsim.Result) {
+	sum.repeated, sum.violation = searchSeeds(p.From, p.Seeds, p.RepeatEvery, runSeed, func(result rolloutsim.Result) {
 		sum.events += result.Events
 		sum.leaders += result.Leaders
 	})
 	return sum
 }
 
-// findMistakes plants each mistake, and counts those that are found.
+// findMistakes plants each mistake and counts those that a violation reveals; the error names the others.
 func (p RolloutSimulation) findMistakes() (found int, err error) {
 	if p.MistakeSeeds == 0 {
 		return 0, nil
 	}
 	var errs []error
 	for m := rolloutsim.None + 1; m < rolloutsim.Mistakes; m++ {
-		after := p.find(m)
-		if after < 0 {
+		seed := p.firstSeedFinding(m)
+		if seed < 0 {
 			errs = append(errs, fmt.Errorf("planted %v was not found in %d seeds", m, p.MistakeSeeds))
 			fmt.Fprintf(p.Output, "planted %v: not found in %d seeds\n", m, p.MistakeSeeds)
 			continue
 		}
 		found++
-		fmt.Fprintf(p.Output, "planted %v: found after %d seeds\n", m, after+1)
+		fmt.Fprintf(p.Output, "planted %v: found after %d seeds\n", m, seed+1)
 	}
 	return found, errors.Join(errs...)
 }
 
-// find is the first seed that shows a planted mistake, -1 for none.
-func (p RolloutSimulation) find(m rolloutsim.Mistake) int {
+// firstSeedFinding returns the first seed in which a planted mistake causes a violation, -1 if there is none.
+func (p RolloutSimulation) firstSeedFinding(m rolloutsim.Mistake) int {
 	return firstSeedThat(p.MistakeSeeds, func(seed uint64) bool {
 		s := rolloutsim.MixedFaults(seed)
 		s.Planted = m
@@ -101,18 +101,18 @@
 	})
 }
 
-// extraFailures is the share of commands that a bad version fails beside the usual, which must be found.
+// extraFailures is the additional share of commands that a bad version fails, which a rollout has to detect.
 const extraFailures = 0.02
 
-// versionsResult counts versions that went round a fleet.
-type versionsResult struct {
-	goodHalted  int // as good as the version before, and halted
-	badFinished int // bad, and not halted
-	manyTouched int // bad, and more than two routers had it before it halted
+// versionPairsResult counts rollouts of good and bad versions with a notable outcome.
+type versionPairsResult struct {
+	goodHalted  int // good, but halted
+	badFinished int // bad, but not halted
+	manyTouched int // bad and halted, after more than two routers had it
 }
 
-// playVersions plays versions that are as good as the one before, and bad ones.
-func (p RolloutSimulation) playVersions() (sum versionsResult) {
+// runVersionPairs rolls out versions that are as good as the one before, and bad ones.
+func (p RolloutSimulation) runVersionPairs() (sum versionPairsResult) {
 	var mu sync.Mutex
 	forEachParallel(p.VersionPairs, func(i int) bool {
 		for _, extra := range []float64{0, extraFailures} {
@@ -135,21 +135,21 @@
 	return sum
 }
 
-// unfinishedRatio stands for the time of a plan that did not end.
+// unfinishedRatio is the ratio of a plan that did not end.
 const unfinishedRatio = 99
 
-// playSizes plays plans without faults and returns the worst ratio of their time to the least possible under the budget.
-func (p RolloutSimulation) playSizes() (worst float64) {
+// measureSizes runs plans without faults and returns the worst ratio of their time to the minimum under the budget.
+func (p RolloutSimulation) measureSizes() (worst float64) {
 	out := tabwriter.NewWriter(p.Output, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(out, "routers\tmay be out\tmost out\ttook s\tleast s\tratio\t")
+	fmt.Fprintln(out, "routers\tlimit unavailable\tmax unavailable\ttook s\tminimum s\tratio\t")
 	for _, routers := range p.Sizes {
-		worst = max(worst, p.playSize(routers, out))
+		worst = max(worst, p.measureSize(routers, out))
 	}
 	out.Flush()
 	return worst
 }
 
-func (p RolloutSimulation) playSize(routers int, out io.Writer) (ratio float64) {
+func (p RolloutSimulation) measureSize(routers int, out io.Writer) (ratio float64) {
 	plan := rollout.Plan{ID: "all", Kind: rollout.KindRestart, WatchTime: 30_000_000, ProgressTimeout: 120_000_000, Budget: rollout.Budget{MaxShare: 0.1}}
 	for i := range routers {
 		plan.Units = append(plan.Units, fmt.Sprintf("r%04d", i))
@@ -162,15 +162,15 @@
 	}
 	plan.SetDefaults()
 	limit := plan.Budget.Limit(routers)
-	least := leastSeconds(&plan, limit)
+	least := minSeconds(&plan, limit)
 	took := float64(result.PlanDurations[0]) / 1e6
 	fmt.Fprintf(out, "%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t\n", routers, limit, result.MaxUnavailable, took, least, took/least)
 	return took / least
 }
 
-// leastSeconds is the least time that a plan can take: each wave is watched, and in between at least so many rounds of a
-// router's way out and back fit as the limit of unavailable routers allows.
-func leastSeconds(plan *rollout.Plan, limit int) (seconds float64) {
+// minSeconds returns the minimum time of a plan: each wave takes as many restart rounds as the limit of unavailable routers
+// requires, and is then watched.
+func minSeconds(plan *rollout.Plan, limit int) (seconds float64) {
 	waves, _ := rollout.PreviewWaves(*plan, len(plan.Units))
 	for _, wave := range waves {
 		rounds := (len(wave) + limit - 1) / limit
@@ -179,7 +179,7 @@
 	return seconds
 }
 
-// TraceRolloutSimulation plays one seed and prints what happens.
+// TraceRolloutSimulation runs one seed with mixed faults and prints its events; the error is the violation, if any.
 func TraceRolloutSimulation(seed uint64, out io.Writer) error {
 	w := rolloutsim.New(rolloutsim.MixedFaults(seed))
 	w.Trace = func(at int64, what string) { fmt.Fprintf(out, "%10.3f %s\n", float64(at)/1e6, what) }
--- a/internal/testcluster/proof/statement_generator.go
+++ b/internal/testcluster/proof/statement_generator.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// statementGenerator generates statements whose class is known by how they were made: where one is to write, the write is
-// put at one place chosen by chance. Nothing here reads a statement.
+// statementGenerator generates statements whose class is known by construction: if a statement is to write, the write is
+// placed at one random position. The generator parses nothing, so that it shares no fault with the classifier.
 type statementGenerator struct {
 	random       *rand.Rand
-	writePending bool // a write has yet to be put somewhere
+	writePending bool // the write is not placed yet
 	depth        int
 }
 
 func (g *statementGenerator) oneOf(of ...string) string { return of[g.random.IntN(len(of))] }
 
-// statement generates a statement, and returns whether it writes.
+// statement generates a statement that writes if write is set, and returns whether it does.
 func (g *statementGenerator) statement(write bool) (text string, writes bool) {
 	for {
 		g.writePending, g.depth = write, 0
@@ -26,7 +26,7 @@
 			g.writePending = false
 		case g.random.IntN(12) == 0:
 			text = g.oneOf("explain ", "explain (verbose) ")
-			if write { // only what is run writes
+			if write { // explain alone does not run the statement
 				text = "explain analyze "
 			}
 			text += g.query()
@@ -48,9 +48,9 @@
 		"create temp table t as "+g.query(), "select 1; delete from a", "refresh materialized view v", "vacuum a")
 }
 
-// placeWriteHere reports whether the pending write is to be put here, one time in so many.
-func (g *statementGenerator) placeWriteHere(often int) bool {
-	if g.writePending && g.random.IntN(often) == 0 {
+// placeWriteHere reports whether the caller is to place the pending write, with a chance of one in oneIn.
+func (g *statementGenerator) placeWriteHere(oneIn int) bool {
+	if g.writePending && g.random.IntN(oneIn) == 0 {
 		g.writePending = false
 		return true
 	}
@@ -171,7 +171,7 @@
 	return g.oneOf("a", "b", "p.price", "s.name", "shop.entries.day", "\"Name\"")
 }
 
-// writingExpression returns an expression that writes, or may.
+// writingExpression returns an expression that writes or may write.
 func (g *statementGenerator) writingExpression() string {
 	return g.oneOf("nextval('s')", "setval('s', 1)", "pg_catalog.nextval('s')", "pg_notify('a', 'b')", "lo_create(0)", "spend(1)",
 		"shop.spend(a)", "\"nextval\"('s')", "NextVal ( 's' )", "lower(nextval('s')::text)", "case when spend(1) then 1 end", "array[spend(1)]",
@@ -179,7 +179,7 @@
 		"/* ' */ nextval/* */('s')", "pg_sleep(1)", "a <-=> b", "(a #### b)")
 }
 
-// varyForm changes what must not matter: comments, white space, case.
+// varyForm changes comments, white space and case, which must not change the class.
 func (g *statementGenerator) varyForm(text string) string {
 	switch g.random.IntN(4) {
 	case 0:
@@ -192,7 +192,7 @@
 	return text
 }
 
-// varyLiterals puts other numbers into a statement.
+// varyLiterals replaces a number in a statement by a random one.
 func (g *statementGenerator) varyLiterals(text string) string {
 	return strings.ReplaceAll(text, "42", fmt.Sprint(10+g.random.IntN(89)))
 }
--- a/internal/testcluster/proof/statements.go
+++ b/internal/testcluster/proof/statements.go
@@ -11,24 +11,25 @@
 	"cairntiller/internal/sql"
 )
 
-// The limits of the proof of statements, and the size of its replay.
+// Limits and parameters of the statement proof.
 const (
-	maxFalseWriteShare = 0.02 // of the reads: a read taken for a write only costs the primary work
-	minHitShare        = 0.95 // of the usual statements
-	hostileShare       = 0.1  // of the statements of the second replay, each of a shape of its own
+	maxFalseWriteShare = 0.02 // share of the reads classified as writes; such a read only adds load to the primary
+	minHitShare        = 0.95 // cache hits, as a share of the usual statements
+	hostileShare       = 0.1  // share of the second replay's statements that each have a unique shape
 	shapeCacheBytes    = 1 << 20
 )
 
-// StatementProof generates a corpus whose classes are known by how it was made, and replays a morning's mix.
+// StatementProof classifies a generated corpus of statements whose classes are known, and measures the hit rate of the shape
+// cache by replaying a skewed mix of statements.
 type StatementProof struct {
 	Seed       uint64
-	Size       int  // statements of the corpus
-	ReplaySize int  // statements of the replay
-	PlantFault bool // a fault on purpose: the catalogue calls a function that writes harmless
+	Size       int  // number of statements in the corpus
+	ReplaySize int  // number of statements in each replay
+	PlantFault bool // planted mistake: the catalogue classifies nextval, which writes, as read-only
 	Output     io.Writer
 }
 
-// Run returns the closing line; the error says which limits do not hold.
+// Run runs the proof and returns its closing line; the error lists the limits that do not hold.
 func (p StatementProof) Run() (line string, err error) {
 	catalogue := sql.NewCatalogue()
 	if p.PlantFault {
@@ -46,10 +47,10 @@
 		switch {
 		case write && statement.Class != sql.Write:
 			misread++
-			fmt.Fprintf(p.Output, "misread as a %v: %s\n", statement.Class, text)
+			fmt.Fprintf(p.Output, "write classified as %v: %s\n", statement.Class, text)
 		case !write && statement.Class != sql.Read:
 			falseWrites++
-			fmt.Fprintf(p.Output, "no write (%s): %s\n", statement.Reason, text)
+			fmt.Fprintf(p.Output, "read classified as a write (%s): %s\n", statement.Reason, text)
 		}
 		if write {
 			writes++
@@ -58,23 +59,23 @@
 		}
 	}
 	took := time.Since(began)
-	calm, err := p.replayMorning(catalogue, 0)
+	usualHits, err := p.replay(catalogue, 0)
 	if err != nil {
 		return "", err
 	}
-	hostile, err := p.replayMorning(catalogue, hostileShare)
+	hostileHits, err := p.replay(catalogue, hostileShare)
 	if err != nil {
 		return "", err
 	}
 	var faults []error
 	if misread > 0 {
-		faults = append(faults, fmt.Errorf("%d writes misread", misread))
+		faults = append(faults, fmt.Errorf("%d writes misread as reads", misread))
 	}
 	if share := float64(falseWrites) / float64(reads); share > maxFalseWriteShare {
-		faults = append(faults, fmt.Errorf("%.3f of the reads are called writes, limit %.2f", share, maxFalseWriteShare))
+		faults = append(faults, fmt.Errorf("%.3f of the reads were classified as writes, limit %.2f", share, maxFalseWriteShare))
 	}
-	if least := min(calm, hostile); least < minHitShare {
-		faults = append(faults, fmt.Errorf("%.3f hits, limit %.2f", least, minHitShare))
+	if lowest := min(usualHits, hostileHits); lowest < minHitShare {
+		faults = append(faults, fmt.Errorf("cache hit share %.3f, limit %.2f", lowest, minHitShare))
 	}
 	verdict := "holds"
 	if len(faults) > 0 {
@@ -82,13 +83,13 @@
 	}
 	return fmt.Sprintf("proof statements: %s; misread=%d of %d writes (limit 0) false_writes=%.4f of %d reads (limit %.2f) "+
 		"hits=%.3f with a tenth hostile=%.3f (limit %.2f) us_a_statement=%.1f seed=%d", verdict, misread, writes,
-		float64(falseWrites)/float64(reads), reads, maxFalseWriteShare, calm, hostile, minHitShare,
+		float64(falseWrites)/float64(reads), reads, maxFalseWriteShare, usualHits, hostileHits, minHitShare,
 		float64(took.Microseconds())/float64(p.Size), p.Seed), errors.Join(faults...)
 }
 
-// replayMorning replays a skewed mix of shapes, into which new ones come all the time, and returns the share of hits among
-// the usual statements.
-func (p StatementProof) replayMorning(c *sql.Catalogue, hostile float64) (hits float64, err error) {
+// replay classifies a skewed mix of statement shapes, one of which is replaced now and then, and returns the cache hit share
+// of these usual statements. hostile is the share of further statements that each have a unique shape.
+func (p StatementProof) replay(c *sql.Catalogue, hostile float64) (hits float64, err error) {
 	cache, err := sql.NewCache(c, sql.StandardStrings, shapeCacheBytes)
 	if err != nil {
 		return 0, err
@@ -100,26 +101,26 @@
 		shapes = append(shapes, text)
 	}
 	skew := rand.NewZipf(g.random, 1.3, 4, uint64(len(shapes)-1))
-	r := cache.NewClassifier()
-	usual, hit := 0, 0
+	classifier := cache.NewClassifier()
+	lookups, hit := 0, 0
 	for i := range p.ReplaySize {
 		if hostile > 0 && g.random.Float64() < hostile {
-			if _, _, err := r.Classify(fmt.Sprintf("select h%d, %s from x%d", i, strings.Repeat("y, ", 50)+"z", i), nil); err != nil {
+			if _, _, err := classifier.Classify(fmt.Sprintf("select h%d, %s from x%d", i, strings.Repeat("y, ", 50)+"z", i), nil); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		if i%1000 == 999 { // a release brings a new shape in place of an old one
+		if i%1000 == 999 { // as when an application's release replaces a statement
 			shapes[g.random.IntN(len(shapes))], _ = g.statement(false)
 		}
 		text := g.varyLiterals(shapes[skew.Uint64()])
-		_, known, err := r.Classify(text, nil)
+		_, known, err := classifier.Classify(text, nil)
 		if err != nil {
 			return 0, err
 		}
-		if usual++; known {
+		if lookups++; known {
 			hit++
 		}
 	}
-	return float64(hit) / float64(usual), nil
+	return float64(hit) / float64(lookups), nil
 }
