--- a/internal/testcluster/proof/lease_measurements.go
+++ b/internal/testcluster/proof/lease_measurements.go
@@ -111,8 +111,8 @@
 	return 0, fmt.Errorf("no new holder of %s within %v", name, 4*maxTakeover)
 }
 
-// firstOperationWithLaterTerm returns when the first operation after a time was accepted with a term above the given one; 0
-// if there is none yet.
+// firstOperationWithLaterTerm returns the time of the first operation after the given time that was accepted with a term above
+// the given one, 0 if there is none yet.
 func (run *leaseRun) firstOperationWithLaterTerm(name string, term uint64, after int64) (at int64) {
 	for _, a := range run.resource.Operations() {
 		if a.Lease == name && a.Accepted && a.Term > term && a.CheckedAt > after && (at == 0 || a.CheckedAt < at) {
@@ -132,8 +132,8 @@
 	return last
 }
 
-// heldShare returns the share of the time from from to to in which the task leases were held, by their operations: a gap of
-// more than ten operation intervals counts as not held.
+// heldShare returns the share of a period in which the task leases were held, judged by their operations: a gap of more than
+// ten operation intervals counts as not held.
 func (run *leaseRun) heldShare(from, to int64) float64 {
 	covered := int64(0)
 	for n := range taskLeaseCount {
--- a/internal/testcluster/proof/lease_processes.go
+++ b/internal/testcluster/proof/lease_processes.go
@@ -23,7 +23,7 @@
 	return process.RunChild(options, nil, func(l *leaseservice.Service) {
 		for n := range bulk {
 			if _, err := l.RequestLease(lease.Request{Lease: fmt.Sprint("bulk-", n), Length: leaseLength.Microseconds()}, nil); err != nil {
-				fmt.Fprintln(os.Stderr, "no lease:", err)
+				fmt.Fprintln(os.Stderr, "lease request failed:", err)
 			}
 		}
 		for n := range taskLeaseCount {
@@ -36,7 +36,7 @@
 func operateUnderLease(l *leaseservice.Service, address, name, task string) {
 	guard, err := l.RequestLease(lease.Request{Lease: task, Length: leaseLength.Microseconds()}, nil)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "no lease:", err)
+		fmt.Fprintln(os.Stderr, "lease request failed:", err)
 		return
 	}
 	c := resource.NewClient(address, name)
--- a/internal/testcluster/proof/lease_proof_test.go
+++ b/internal/testcluster/proof/lease_proof_test.go
@@ -36,7 +36,7 @@
 	os.Exit(1)
 }
 
-// leaseScript has each kind of fault once, in 12 seconds.
+// leaseScript is the script for CI: each kind of fault once, in 12 seconds.
 const leaseScript = `
 200 fate 0.05 0.3 0.01 20 0.5
 500 stop-at task-0
--- a/internal/testcluster/proof/rollout_operator.go
+++ b/internal/testcluster/proof/rollout_operator.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// awaitPlans waits until all plans are finished; it fails if one ends otherwise.
+// awaitPlans waits until all plans are finished. It returns an error if one ends in another state, or on a timeout.
 func (run *rolloutRun) awaitPlans(plans []rollout.Plan) (s rolloutservice.Status, err error) {
 	last := ""
 	for end := time.Now().Add(planTimeout); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
--- a/internal/testcluster/proof/statement_generator.go
+++ b/internal/testcluster/proof/statement_generator.go
@@ -7,7 +7,7 @@
 )
 
 // statementGenerator generates statements whose class is known by construction: if a statement is to write, the write is
-// placed at one random position. The generator parses nothing, so that it shares no fault with the classifier.
+// placed at one random position. The generator does not parse statements.
 type statementGenerator struct {
 	random       *rand.Rand
 	writePending bool // the write is not placed yet
--- a/internal/testcluster/proof/statements.go
+++ b/internal/testcluster/proof/statements.go
@@ -69,7 +69,7 @@
 	}
 	var faults []error
 	if misread > 0 {
-		faults = append(faults, fmt.Errorf("%d writes misread as reads", misread))
+		faults = append(faults, fmt.Errorf("%d writes misread as another class", misread))
 	}
 	if share := float64(falseWrites) / float64(reads); share > maxFalseWriteShare {
 		faults = append(faults, fmt.Errorf("%.3f of the reads were classified as writes, limit %.2f", share, maxFalseWriteShare))
