--- a/cmd/proof/main.go
+++ b/cmd/proof/main.go
@@ -29,7 +29,7 @@
 	Releases           releasesCommand          `cmd:"" help:"Rollout plans of router processes and nodes under load; no more may be out at once than the budget allows."`
 	ReleasesSimulation rolloutSimulationCommand `cmd:"" help:"The decision module of rollouts in simulated time, under mixed faults and with injected bugs."`
 	Child              childCommand             `cmd:"" hidden:""`
-	proof.Hidden
+	proof.HiddenCommands
 }
 
 // printResult prints a proof's result line unless it is empty, and returns err unchanged.
@@ -58,7 +58,7 @@
 
 // Run runs the proof.
 func (c *dutiesCommand) Run() error {
-	return printResult(proof.Assignment{Seed: c.Seed, Nodes: c.Size, Short: c.Short, Interval: time.Second, Log: logWriter(c.Log), Output: os.Stdout}.Run())
+	return printResult(proof.AssignmentProof{Seed: c.Seed, Nodes: c.Size, Short: c.Short, Interval: time.Second, Log: logWriter(c.Log), Output: os.Stdout}.Run())
 }
 
 // dutiesSimulationCommand runs the proof of shared health checks in simulated time.
@@ -84,7 +84,7 @@
 
 // Run runs the proof.
 func (c *statementsCommand) Run() error {
-	return printResult(proof.Statements{Seed: c.Seed, Size: c.Size, Morning: 200_000, Writes: os.Stdout}.Run())
+	return printResult(proof.StatementProof{Seed: c.Seed, Size: c.Size, ReplaySize: 200_000, Output: os.Stdout}.Run())
 }
 
 // leasesCommand runs the proof of leases with processes.
@@ -101,7 +101,7 @@
 
 // Run runs the proof.
 func (c *leasesCommand) Run() error {
-	leases := proof.LeaseProof{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Measurements: 6, Log: logWriter(c.Log), Writes: os.Stdout}
+	leases := proof.LeaseProof{Seed: c.Seed, Voters: c.Voters, Others: c.Others, Span: c.Span, Lasting: c.Lasting, Measurements: 6, Log: logWriter(c.Log), Output: os.Stdout}
 	if c.Script != "" {
 		raw, err := os.ReadFile(c.Script)
 		if err != nil {
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	return printResult(proof.LeaseSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Sizes: sizes, Writes: os.Stdout}.Run())
+	return printResult(proof.LeaseSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, Sizes: sizes, Output: os.Stdout}.Run())
 }
 
 // releasesCommand runs the proof of rollouts with processes.
@@ -150,7 +150,7 @@
 
 // Run runs the proof.
 func (c *releasesCommand) Run() error {
-	p := proof.RolloutProof{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Writes: os.Stdout}
+	p := proof.RolloutProof{Seed: c.Seed, Routers: c.Routers, Voters: c.Voters, Groups: c.Groups, Nodes: c.Nodes, Faults: c.Faults, Alone: c.Alone, Lose: c.Lose, Log: logWriter(c.Log), Output: os.Stdout}
 	return printResult(p.Run())
 }
 
@@ -169,7 +169,7 @@
 	if c.Trace {
 		return proof.TraceRolloutSimulation(c.From, os.Stdout)
 	}
-	return printResult(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, Twice: 100, Plant: c.Plant, Halts: c.Halts, Sizes: c.Sizes, Writes: os.Stdout}.Run())
+	return printResult(proof.RolloutSimulation{From: c.From, Seeds: c.Seeds, RepeatEvery: 100, MistakeSeeds: c.Plant, VersionPairs: c.Halts, Sizes: c.Sizes, Output: os.Stdout}.Run())
 }
 
 // parseSizes parses a comma-separated list of sizes, such as 3x10,30x1000.
