--- a/Makefile
+++ b/Makefile
@@ -1,14 +1,14 @@
 .PHONY: build test race lint run demo proof-duties proof-statements proof-leases proof-releases
 
-# by the deploy file's line, which wants a C compiler; without one: go build -o bin/ ./cmd/...
+# runs the deploy file's build line, which needs a C compiler; without one: go build -o bin/ ./cmd/...
 build:
 	eval "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)"
 
-# tests that KNOWN-RED.txt lists may fail, and are printed
+# tests listed in KNOWN-RED.txt may fail; their failures are printed
 test:
 	.ci/known-red KNOWN-RED.txt go test -count=1 -timeout 300s ./...
 
-# with the race detector; a broken invariant stops a debug build
+# with the race detector; a debug build stops at a broken invariant
 race:
 	.ci/known-red KNOWN-RED.txt go test -race -tags debug -count=1 -timeout 300s ./...
 
@@ -20,16 +20,16 @@
 	go tool staticcheck -checks all ./...
 	go tool staticcheck -checks all -tags debug ./...
 
-# needs RELAY_CONFIG, see README
+# needs RELAY_CONFIG, see README.md
 run: build
 	exec bin/cairntiller
 
-# a router in front of a test cluster whose primary dies half-way
+# a router in front of a test cluster whose primary is killed halfway through
 demo: build
 	bin/cairntiller demo
 
-# three routers share health checks while one is killed, one stopped and one cut off; then many in simulated time, four
-# minutes in all; SIZES=1000x10000 takes six more
+# three routers share health checks while one is killed, one paused and one disconnected; then many instances in simulated
+# time, four minutes in all; SIZES=1000x10000 takes six more
 SEED ?= 1
 SIZE ?= 10
 SIZES ?= 3x10,3x1000,30x1000,300x1000,1000x1000
@@ -37,22 +37,22 @@
 	bin/proof duties --seed $(SEED) --size $(SIZE)
 	bin/proof duties-simulation --seed $(SEED) --sizes $(SIZES)
 
-# router processes hold leases under mixed faults, three voters and then five that store their votes; then the deciding
-# package in simulated time: 100,000 seeds, planted mistakes, sizes
+# router processes hold leases under mixed faults, with three voters and then five that store their votes; then package
+# lease in simulated time: 100,000 seeds, planted mistakes, sizes
 proof-leases: build
 	bin/proof leases --seed $(SEED)
 	bin/proof leases --seed $(SEED) --voters 5 --others 3 --lasting
 	bin/proof leases-simulation
 
-# router processes and nodes go through rollouts under load, calm and under faults, beside operators who act by themselves;
-# then the deciding package in simulated time
+# rollouts of router processes and nodes under load, without and with faults, and the baseline of uncoordinated operators;
+# then package rollout in simulated time
 proof-releases: build
 	bin/proof releases --seed $(SEED)
 	bin/proof releases --seed $(SEED) --faults
-	# operators who act by themselves break the budget: the baseline that fails is printed, not judged
+	# uncoordinated operators exceed the budget: the baseline's failure is printed and ignored
 	-bin/proof releases --seed $(SEED) --alone
 	bin/proof releases-simulation
 
-# a corpus whose classes are known, and a morning's mix of shapes
+# a corpus of statements with known classes, and a skewed mix of statement shapes
 proof-statements: build
 	bin/proof statements --seed $(SEED)
